--- a/crates/address/src/code.rs
+++ b/crates/address/src/code.rs
@@ -128,11 +128,15 @@
     #[test]
     fn the_table_in_the_docs_is_this_one() {
         let row = |code: &Code| {
-            let (number, status, kind, text) = (code.number(), code.status(), code.kind(), code.text());
+            let (number, status, kind, text) =
+                (code.number(), code.status(), code.kind(), code.text());
             format!("| {number} | {code:?} | {status} | {kind:?} | {text} |")
         };
         let docs = include_str!("../../../docs/codes.md");
-        let told: Vec<&str> = docs.lines().filter(|line| line.starts_with("| 1")).collect();
+        let told: Vec<&str> = docs
+            .lines()
+            .filter(|line| line.starts_with("| 1"))
+            .collect();
         assert_eq!(told, Code::all().iter().map(row).collect::<Vec<_>>());
     }
 }
--- a/crates/address/src/lib.rs
+++ b/crates/address/src/lib.rs
@@ -73,7 +73,10 @@
     fn from_str(text: &str) -> Result<Self, NoLocality> {
         text.split_once('/')
             .filter(|(region, zone)| is_id(region) && is_id(zone))
-            .map(|(region, zone)| Locality { region: region.into(), zone: zone.into() })
+            .map(|(region, zone)| Locality {
+                region: region.into(),
+                zone: zone.into(),
+            })
             .ok_or_else(|| NoLocality(text.to_owned()))
     }
 }
@@ -86,7 +89,10 @@
 /// assert!(!address::is_id("two words"));
 /// ```
 pub fn is_id(text: &str) -> bool {
-    (1..=64).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
+    (1..=64).contains(&text.len())
+        && text
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
 }
 
 /// How many of `count` voters make a majority.
--- a/crates/carrier/src/core.rs
+++ b/crates/carrier/src/core.rs
@@ -165,7 +165,13 @@
     /// assert_eq!(carrier::Carrier::new(start).view().edition, 0);
     /// ```
     pub fn new(start: Start) -> Self {
-        let Start { me, seeds, seed, reader, times } = start;
+        let Start {
+            me,
+            seeds,
+            seed,
+            reader,
+            times,
+        } = start;
         let mut random = Random::new(seed);
         let membership = Membership::new(me.clone(), seeds, times.membership, random.next_u64());
         let mut carrier = Carrier {
@@ -173,7 +179,10 @@
             times,
             random,
             membership,
-            view: View { reader, ..View::default() },
+            view: View {
+                reader,
+                ..View::default()
+            },
             following: Following::Nobody,
             stream: 0,
             number: 0,
@@ -241,7 +250,10 @@
         let first = self.source().map(str::to_owned);
         let mut known: Vec<&Member> = self.postmasters.iter().collect();
         known.sort_by_key(|member| Some(&member.node) != first.as_ref());
-        known.into_iter().map(|member| member.http_address.clone()).collect()
+        known
+            .into_iter()
+            .map(|member| member.http_address.clone())
+            .collect()
     }
 
     /// The one reducer: takes an event in, gives effects out.
@@ -260,11 +272,19 @@
                 self.tick(now);
             }
             Event::Datagram { address, body } => {
-                let effects = self.membership.step(now, membership::Event::Received { address, body });
+                let effects = self
+                    .membership
+                    .step(now, membership::Event::Received { address, body });
                 self.run_membership(now, effects);
             }
-            Event::Received { from, body: Payload::ViewUpdate(news) } => self.news(now, from, news),
-            Event::Received { from, body: Payload::Freshness(fresh) } => self.fresh(now, from, fresh),
+            Event::Received {
+                from,
+                body: Payload::ViewUpdate(news),
+            } => self.news(now, from, news),
+            Event::Received {
+                from,
+                body: Payload::Freshness(fresh),
+            } => self.fresh(now, from, fresh),
             Event::Received { .. } => {}
             Event::Counted(loads) => self.loads.add(loads),
             Event::Seeds(seeds) => self.membership.learn_seeds(seeds),
@@ -272,7 +292,9 @@
                 let effects = self.membership.step(now, membership::Event::Leave);
                 self.run_membership(now, effects);
                 if self.phase == Phase::Serving {
-                    self.turn(Phase::Closing { until: now + self.times.lifetime });
+                    self.turn(Phase::Closing {
+                        until: now + self.times.lifetime,
+                    });
                 }
             }
         }
@@ -294,25 +316,42 @@
     fn learn_members(&mut self, now: Duration) {
         let members: Vec<Member> = self.membership.members().cloned().collect();
         let here: Locality = self.me.locality.parse().unwrap_or_default();
-        let book = members.iter().map(|member| (member.node.clone(), member.link_address.clone()));
+        let book = members
+            .iter()
+            .map(|member| (member.node.clone(), member.link_address.clone()));
         self.effects.push(Effect::Addresses(book.collect()));
-        let proxies = members.iter().filter(|member| member.roles.contains("proxy"));
+        let proxies = members
+            .iter()
+            .filter(|member| member.roles.contains("proxy"));
         let proxies = proxies
             .filter_map(|member| {
                 let locality = member.locality.parse().ok()?;
                 let suspect = member.condition != membership::ALIVE;
-                Some(Proxy { node: member.node.clone(), locality, address: member.http_address.clone(), suspect })
+                Some(Proxy {
+                    node: member.node.clone(),
+                    locality,
+                    address: member.http_address.clone(),
+                    suspect,
+                })
             })
             .collect();
         self.view.proxies = Arc::new(proxies);
         self.view.settle_senders(now);
-        self.postmasters = members.into_iter().filter(|member| member.roles == "postmaster").collect();
+        self.postmasters = members
+            .into_iter()
+            .filter(|member| member.roles == "postmaster")
+            .collect();
         // The nearest first, and carriers of one place spread over what is equally near.
         let me = self.me.node.clone();
         self.postmasters.sort_by_key(|member| {
             let place: Locality = member.locality.parse().unwrap_or_default();
             let spread = address::spread(&format!("{me}{}", member.node));
-            (member.condition != membership::ALIVE, place.region != here.region, place != here, spread)
+            (
+                member.condition != membership::ALIVE,
+                place.region != here.region,
+                place != here,
+                spread,
+            )
         });
         self.effects.push(Effect::Publish);
     }
@@ -351,10 +390,21 @@
 
     /// A carrier that follows far away goes back to a postmaster of its own zone, once there is one again.
     fn turn_home(&mut self, now: Duration) {
-        let Following::Content { source } = &self.following else { return };
-        let place = |member: &&Member| member.locality == self.me.locality && member.condition == membership::ALIVE;
-        let home = self.postmasters.first().filter(place).filter(|member| member.node != *source);
-        let away = self.postmasters.iter().any(|member| member.node == *source && member.locality != self.me.locality);
+        let Following::Content { source } = &self.following else {
+            return;
+        };
+        let place = |member: &&Member| {
+            member.locality == self.me.locality && member.condition == membership::ALIVE
+        };
+        let home = self
+            .postmasters
+            .first()
+            .filter(place)
+            .filter(|member| member.node != *source);
+        let away = self
+            .postmasters
+            .iter()
+            .any(|member| member.node == *source && member.locality != self.me.locality);
         if home.is_none() || !away || now < self.next_home {
             return;
         }
@@ -375,19 +425,30 @@
 
     /// The nearest postmaster but the one just left, and with each miss in a row one further on.
     fn next_source(&self) -> Option<String> {
-        let left = self.left.as_ref().filter(|_| self.misses > 0 && self.postmasters.len() > 1);
-        let others: Vec<&Member> = self.postmasters.iter().filter(|member| Some(&member.node) != left).collect();
+        let left = self
+            .left
+            .as_ref()
+            .filter(|_| self.misses > 0 && self.postmasters.len() > 1);
+        let others: Vec<&Member> = self
+            .postmasters
+            .iter()
+            .filter(|member| Some(&member.node) != left)
+            .collect();
         let at = self.misses.saturating_sub(1).checked_rem(others.len())?;
         others.get(at).map(|member| member.node.clone())
     }
 
     fn ask(&mut self, now: Duration) {
         let known = self.source().map(str::to_owned);
-        let known = known.filter(|source| self.postmasters.iter().any(|member| member.node == *source));
+        let known =
+            known.filter(|source| self.postmasters.iter().any(|member| member.node == *source));
         let fresh = known.is_none();
         // An image from far is dear: one of the own zone may be known, and have something to tell, in a moment.
         let started_at = *self.started_at.get_or_insert(now);
-        let near = self.postmasters.first().is_some_and(|member| member.locality == self.me.locality);
+        let near = self
+            .postmasters
+            .first()
+            .is_some_and(|member| member.locality == self.me.locality);
         if !self.heard && now < started_at + NEAR_WITHIN {
             (self.left, self.misses) = (None, 0);
             if fresh && !near {
@@ -402,14 +463,36 @@
             self.followings += 1;
         }
         let nonce = self.random.next_u64();
-        self.asks.push(Question { nonce, asked_at: now, source: source.clone(), following: self.followings });
+        self.asks.push(Question {
+            nonce,
+            asked_at: now,
+            source: source.clone(),
+            following: self.followings,
+        });
         let excess = self.asks.len().saturating_sub(MOST_ASKS);
         self.asks.drain(..excess);
         let every = self.times.ask_every;
-        self.next_ask = now + if self.view.as_of.is_some() { every } else { every.min(FIRST_EVERY) };
-        let ask = UpdateRequest { nonce, stream: self.stream, number: self.number, loads: self.loads.take() };
-        self.effects.push(Effect::Send { to: source.clone(), body: Payload::UpdateRequest(ask) });
-        self.follow(Following::Asked { source, nonce, asked_at: now });
+        self.next_ask = now
+            + if self.view.as_of.is_some() {
+                every
+            } else {
+                every.min(FIRST_EVERY)
+            };
+        let ask = UpdateRequest {
+            nonce,
+            stream: self.stream,
+            number: self.number,
+            loads: self.loads.take(),
+        };
+        self.effects.push(Effect::Send {
+            to: source.clone(),
+            body: Payload::UpdateRequest(ask),
+        });
+        self.follow(Following::Asked {
+            source,
+            nonce,
+            asked_at: now,
+        });
     }
 
     fn news(&mut self, now: Duration, from: String, news: ViewUpdate) {
@@ -433,18 +516,26 @@
             // It took longer than this carrier waited, and is news all the same: where all are slow, leaving each of them
             // for the next would never bring an image.
             (self.left, self.misses) = (None, 0);
-            self.follow(Following::Content { source: from.clone() });
+            self.follow(Following::Content {
+                source: from.clone(),
+            });
         }
         let before = self.view.edition;
         let squeezed = news.setup.as_deref();
         let setup = squeezed.map(protocol::unsqueeze);
         if setup == Some(None) {
-            self.effects.push(Effect::Note("news denied: a damaged setup".into()));
+            self.effects
+                .push(Effect::Note("news denied: a damaged setup".into()));
             return self.want_image(now);
         }
-        let news = ViewUpdate { setup: setup.flatten(), ..news };
+        let news = ViewUpdate {
+            setup: setup.flatten(),
+            ..news
+        };
         if let Err(complaints) = self.view.take(news, image) {
-            let notes = complaints.iter().map(|complaint| Effect::Note(format!("news denied: {complaint}")));
+            let notes = complaints
+                .iter()
+                .map(|complaint| Effect::Note(format!("news denied: {complaint}")));
             self.effects.extend(notes);
             return self.want_image(now);
         }
@@ -454,10 +545,18 @@
         (self.stream, self.number) = (stream, number);
         let edition = self.view.edition;
         if edition != before {
-            self.effects.push(Effect::Note(format!("edition {edition} is in force")));
+            self.effects
+                .push(Effect::Note(format!("edition {edition} is in force")));
         }
-        let kept = UpdateAck { stream, number, edition };
-        self.effects.push(Effect::Send { to: from, body: Payload::UpdateAck(kept) });
+        let kept = UpdateAck {
+            stream,
+            number,
+            edition,
+        };
+        self.effects.push(Effect::Send {
+            to: from,
+            body: Payload::UpdateAck(kept),
+        });
         self.effects.push(Effect::Publish);
     }
 
@@ -466,21 +565,40 @@
     /// takes, it is as old as its question says. Where it is older than what is known here, it is not taken from a source
     /// that was left, nor from one that may be cut off from the others.
     fn image_age(&mut self, image: &ViewUpdate, from: &str) -> ImageAge {
-        let Some(question) = self.question_of(image.asked, from) else { return ImageAge::Refused };
+        let Some(question) = self.question_of(image.asked, from) else {
+            return ImageAge::Refused;
+        };
         let left = question.following != self.followings || self.source() != Some(from);
         let Some(age) = image.age_ms.map(Duration::from_millis) else {
-            return if left { ImageAge::Refused } else { ImageAge::AsOf(self.view.as_of) };
+            return if left {
+                ImageAge::Refused
+            } else {
+                ImageAge::AsOf(self.view.as_of)
+            };
+        };
+        let Some(as_of) = question.asked_at.checked_sub(age) else {
+            return ImageAge::Refused;
         };
-        let Some(as_of) = question.asked_at.checked_sub(age) else { return ImageAge::Refused };
         let is_older = self.view.as_of.is_some_and(|known| as_of < known);
-        if is_older && (left || age > DOUBTED) { ImageAge::Refused } else { ImageAge::AsOf(Some(as_of)) }
+        if is_older && (left || age > DOUBTED) {
+            ImageAge::Refused
+        } else {
+            ImageAge::AsOf(Some(as_of))
+        }
     }
 
     /// The question that an image answers; those before it are forgotten.
     fn question_of(&mut self, asked: u64, from: &str) -> Option<Question> {
         // Nodes of an older version do not say what they answer.
-        let nonce = if asked == 0 { self.asks.last()?.nonce } else { asked };
-        let at = self.asks.iter().position(|question| question.nonce == nonce && question.source == from)?;
+        let nonce = if asked == 0 {
+            self.asks.last()?.nonce
+        } else {
+            asked
+        };
+        let at = self
+            .asks
+            .iter()
+            .position(|question| question.nonce == nonce && question.source == from)?;
         self.asks.drain(..=at).next_back()
     }
 
@@ -491,12 +609,17 @@
 
     fn fresh(&mut self, now: Duration, from: String, fresh: Freshness) {
         let asked_at = match &self.following {
-            Following::Asked { source, nonce, asked_at } if *source == from && *nonce == fresh.nonce => *asked_at,
+            Following::Asked {
+                source,
+                nonce,
+                asked_at,
+            } if *source == from && *nonce == fresh.nonce => *asked_at,
             _ => return,
         };
         self.heard = true;
         self.follow(Following::Content { source: from });
-        let whole = (fresh.stream, fresh.number) == (self.stream, self.number) && self.view.edition >= fresh.edition;
+        let whole = (fresh.stream, fresh.number) == (self.stream, self.number)
+            && self.view.edition >= fresh.edition;
         let doubted = Duration::from_millis(fresh.age_ms) > DOUBTED;
         // Each of the others is tried once; where all are as old, the carrier stays where it is.
         let leaves = doubted && self.misses + 1 < self.postmasters.len();
--- a/crates/carrier/src/dialect.rs
+++ b/crates/carrier/src/dialect.rs
@@ -120,7 +120,11 @@
                 response
             }),
             listing: Box::new(|listing| {
-                let proxies = listing.proxies.iter().map(|address| Sheet::from(address.as_str())).collect();
+                let proxies = listing
+                    .proxies
+                    .iter()
+                    .map(|address| Sheet::from(address.as_str()))
+                    .collect();
                 let sheet = Sheet::fields([
                     ("code", u64::from(Code::Fine.number()).into()),
                     ("name", listing.name.into()),
@@ -141,16 +145,21 @@
     match (enquiry.method.as_str(), enquiry.path.as_str()) {
         (_, path) if path.starts_with("/r/") => Page::Request,
         ("GET", "/directory") => {
-            let origin = format!("{}/{}", enquiry.query("region"), enquiry.query("zone")).parse().ok();
-            Page::Listing { name: enquiry.query("name").to_owned(), origin }
+            let origin = format!("{}/{}", enquiry.query("region"), enquiry.query("zone"))
+                .parse()
+                .ok();
+            Page::Listing {
+                name: enquiry.query("name").to_owned(),
+                origin,
+            }
         }
         ("GET", "/live") => Page::Live,
         ("GET", "/ready") => Page::Ready,
         ("GET", "/counters") => Page::Counters,
         ("GET", "/node") => Page::Node,
-        ("GET", "/trace") if enquiry.query("name").is_empty() => {
-            Page::Trace { try_id: enquiry.query("try").to_owned() }
-        }
+        ("GET", "/trace") if enquiry.query("name").is_empty() => Page::Trace {
+            try_id: enquiry.query("try").to_owned(),
+        },
         ("GET", "/trace") => Page::Supposed,
         ("GET", "/setup" | "/status" | "/upstreams" | "/reservations" | "/marks")
         | ("PUT", "/setup")
--- a/crates/carrier/src/main.rs
+++ b/crates/carrier/src/main.rs
@@ -3,5 +3,8 @@
 #[tokio::main]
 async fn main() {
     let settings = transport::begin(&carrier::shell::PROGRAM);
-    transport::end("carrier", carrier::shell::run(settings, carrier::Dialect::own()).await);
+    transport::end(
+        "carrier",
+        carrier::shell::run(settings, carrier::Dialect::own()).await,
+    );
 }
--- a/crates/carrier/src/node.rs
+++ b/crates/carrier/src/node.rs
@@ -75,7 +75,12 @@
     /// # });
     /// ```
     pub fn new(site: Site, dialect: Dialect, terms: NodeTerms) -> Node {
-        let NodeTerms { clock, keeps_connections, roles, lifetime } = terms;
+        let NodeTerms {
+            clock,
+            keeps_connections,
+            roles,
+            lifetime,
+        } = terms;
         Node {
             site,
             clock,
@@ -117,7 +122,11 @@
     pub(crate) fn sweep(&self, now: Duration) -> Vec<KeyLoad> {
         let view = self.view.load();
         self.pool.sweep();
-        self.board.sweep(now, |instance| view.upstreams.values().any(|known| known.contains_key(instance)));
+        self.board.sweep(now, |instance| {
+            view.upstreams
+                .values()
+                .any(|known| known.contains_key(instance))
+        });
         self.board.drain_keys()
     }
 
@@ -162,9 +171,17 @@
     fn list(&self, name: &str, origin: Option<Locality>) -> Response<Full<Bytes>> {
         self.counters.listings.fetch_add(1, Ordering::Relaxed);
         let view = self.view.load();
-        let Some(origin) = origin else { return self.deny(Code::Malformed, None, "") };
+        let Some(origin) = origin else {
+            return self.deny(Code::Malformed, None, "");
+        };
         let listed = if self.site.may_use(&view, self.clock.now()) {
-            gazetteer::list(&view, name, &origin, self.lifetime, (self.site.owners, self.dialect.most_addresses))
+            gazetteer::list(
+                &view,
+                name,
+                &origin,
+                self.lifetime,
+                (self.site.owners, self.dialect.most_addresses),
+            )
         } else {
             Err(Code::Stale)
         };
@@ -177,8 +194,12 @@
 
     fn show_counters(&self) -> Response<Full<Bytes>> {
         let count = |counter: &AtomicU64| Sheet::from(counter.load(Ordering::Relaxed));
-        let mut codes: Vec<(String, Sheet)> =
-            self.counters.codes.iter().map(|entry| (entry.key().to_string(), (*entry.value()).into())).collect();
+        let mut codes: Vec<(String, Sheet)> = self
+            .counters
+            .codes
+            .iter()
+            .map(|entry| (entry.key().to_string(), (*entry.value()).into()))
+            .collect();
         codes.sort_by(|a, b| a.0.cmp(&b.0));
         let now = self.clock.now();
         let services = self.board.tallies(now).into_iter().map(|tally| {
@@ -191,13 +212,24 @@
                 ("deniedIn10s", tally.denied.into()),
             ])
         });
-        let age_ms = self.view.load().as_of.map(|as_of| (now.saturating_sub(as_of).as_millis() as u64).into());
+        let age_ms = self
+            .view
+            .load()
+            .as_of
+            .map(|as_of| (now.saturating_sub(as_of).as_millis() as u64).into());
         let sheet = Sheet::fields([
             ("listings", count(&self.counters.listings)),
             ("forwarded", count(&self.counters.forwarded)),
             ("viewAgeMs", age_ms.unwrap_or(Sheet::Null)),
             ("services", services.collect()),
-            ("setAside", self.board.ejected(now).into_iter().map(Sheet::from).collect()),
+            (
+                "setAside",
+                self.board
+                    .ejected(now)
+                    .into_iter()
+                    .map(Sheet::from)
+                    .collect(),
+            ),
             ("codes", Sheet::Fields(codes)),
         ]);
         transport::json(Code::Fine, &sheet)
@@ -206,8 +238,13 @@
     fn show_node(&self) -> Response<Full<Bytes>> {
         let view = self.view.load();
         let now = self.clock.now();
-        let age_ms = view.as_of.map(|as_of| (now.saturating_sub(as_of).as_millis() as u64).into());
-        let proxies = view.proxies.iter().map(|proxy| Sheet::from(proxy.node.as_str()));
+        let age_ms = view
+            .as_of
+            .map(|as_of| (now.saturating_sub(as_of).as_millis() as u64).into());
+        let proxies = view
+            .proxies
+            .iter()
+            .map(|proxy| Sheet::from(proxy.node.as_str()));
         let sheet = Sheet::fields([
             ("node", self.site.node.as_str().into()),
             ("locality", self.site.locality.to_string().into()),
@@ -226,12 +263,20 @@
             try_id: "supposed".into(),
             name: enquiry.query("name").into(),
             path: enquiry.query("path").into(),
-            key: Some(enquiry.query("key")).filter(|key| !key.is_empty()).map(str::to_owned),
+            key: Some(enquiry.query("key"))
+                .filter(|key| !key.is_empty())
+                .map(str::to_owned),
             arrived_at: self.clock.now(),
             remaining: Duration::from_secs(1),
             ..Order::default()
         };
-        let notes = sorting::suppose(order, &self.site, self.clock.now(), &self.view.load(), &self.board);
+        let notes = sorting::suppose(
+            order,
+            &self.site,
+            self.clock.now(),
+            &self.view.load(),
+            &self.board,
+        );
         self.show_notes("supposed", notes.iter().map(Note::to_string).collect())
     }
 
@@ -247,6 +292,9 @@
 
     fn show_trace(&self, try_id: &str) -> Response<Full<Bytes>> {
         let notes = self.traces.find(try_id);
-        notes.map_or_else(|| transport::verdict(Code::NoSuchTrace, None), |notes| self.show_notes(try_id, notes))
+        notes.map_or_else(
+            || transport::verdict(Code::NoSuchTrace, None),
+            |notes| self.show_notes(try_id, notes),
+        )
     }
 }
--- a/crates/carrier/src/pending_loads.rs
+++ b/crates/carrier/src/pending_loads.rs
@@ -27,14 +27,21 @@
         let mut sums: BTreeMap<String, BTreeMap<u32, u32>> = BTreeMap::new();
         self.0.drain(..).flatten().for_each(|load| {
             let parts = sums.entry(load.service).or_default();
-            load.parts.into_iter().zip(load.counts).for_each(|(part, count)| {
-                let sum = parts.entry(part).or_default();
-                *sum = sum.saturating_add(count);
-            });
+            load.parts
+                .into_iter()
+                .zip(load.counts)
+                .for_each(|(part, count)| {
+                    let sum = parts.entry(part).or_default();
+                    *sum = sum.saturating_add(count);
+                });
         });
         let load = |(service, parts): (String, BTreeMap<u32, u32>)| {
             let (parts, counts) = parts.into_iter().unzip();
-            KeyLoad { service, parts, counts }
+            KeyLoad {
+                service,
+                parts,
+                counts,
+            }
         };
         sums.into_iter().map(load).collect()
     }
--- a/crates/carrier/src/relay.rs
+++ b/crates/carrier/src/relay.rs
@@ -13,18 +13,38 @@
 impl Node {
     /// Tries the postmasters in turn while surely none took it; otherwise the outcome is unknown.
     pub(crate) async fn relay(&self, enquiry: Enquiry) -> Response<Full<Bytes>> {
-        let query: Vec<String> = enquiry.query.iter().map(|(name, value)| format!("{name}={}", coded(value))).collect();
+        let query: Vec<String> = enquiry
+            .query
+            .iter()
+            .map(|(name, value)| format!("{name}={}", coded(value)))
+            .collect();
         let path = format!("{}?{}", enquiry.path, query.join("&"));
         let postmasters = self.postmasters.load();
         let (read, mut last) = (enquiry.method == "GET", None);
         for address in postmasters.iter() {
             let body = enquiry.body.clone();
-            let called =
-                self.caller.call(address, enquiry.method.as_str(), &path, &[], body, RELAY_WITHIN, false).await;
+            let called = self
+                .caller
+                .call(
+                    address,
+                    enquiry.method.as_str(),
+                    &path,
+                    &[],
+                    body,
+                    RELAY_WITHIN,
+                    false,
+                )
+                .await;
             match called {
                 Ok(reply) => {
-                    let code = reply.header("x-code").parse().ok().and_then(Code::from_number).unwrap_or(Code::Garbage);
-                    let mut response = transport::answer(code, "application/json", reply.body.clone());
+                    let code = reply
+                        .header("x-code")
+                        .parse()
+                        .ok()
+                        .and_then(Code::from_number)
+                        .unwrap_or(Code::Garbage);
+                    let mut response =
+                        transport::answer(code, "application/json", reply.body.clone());
                     ["x-edition", "retry-after"].into_iter().for_each(|name| {
                         let value = reply.headers.get(name).cloned();
                         value.into_iter().for_each(|value| {
@@ -49,5 +69,14 @@
 /// Writes a query value with percent signs where it needs them.
 fn coded(value: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    value.bytes().map(|byte| if plain(byte) { (byte as char).to_string() } else { format!("%{byte:02X}") }).collect()
+    value
+        .bytes()
+        .map(|byte| {
+            if plain(byte) {
+                (byte as char).to_string()
+            } else {
+                format!("%{byte:02X}")
+            }
+        })
+        .collect()
 }
--- a/crates/carrier/src/serve.rs
+++ b/crates/carrier/src/serve.rs
@@ -22,7 +22,15 @@
 /// assert!(carrier::service_headers().contains(&"x-seal"));
 /// ```
 pub fn service_headers() -> [&'static str; 7] {
-    ["content-type", "x-instance", "x-seal", "x-try-id", "x-code", "retry-after", "x-retry-after-ms"]
+    [
+        "content-type",
+        "x-instance",
+        "x-seal",
+        "x-try-id",
+        "x-code",
+        "retry-after",
+        "x-retry-after-ms",
+    ]
 }
 
 /// What a reply is worth: only a whole verdict with the right try, instance and seal is one. A sealed 503
@@ -54,7 +62,8 @@
         Ok(reply) => {
             let answered = reply.header("x-instance");
             let whole = reply.header("x-try-id") == try_id
-                && reply.header("x-seal") == protocol::seal(try_id, answered, reply.status, &reply.body);
+                && reply.header("x-seal")
+                    == protocol::seal(try_id, answered, reply.status, &reply.body);
             let mine = instance.is_none_or(|instance| instance == answered);
             match (whole, mine, reply.status) {
                 (false, ..) => Outcome::Garbage,
@@ -73,7 +82,9 @@
         .strip_prefix("/r/")
         .and_then(|rest| rest.find('/').map(|at| rest.split_at(at)))
         .ok_or(Code::NoSuchName)?;
-    let try_id = Some(enquiry.header("x-try-id")).filter(|try_id| address::is_id(try_id)).ok_or(Code::MissingTry)?;
+    let try_id = Some(enquiry.header("x-try-id"))
+        .filter(|try_id| address::is_id(try_id))
+        .ok_or(Code::MissingTry)?;
     let remaining = enquiry
         .header("x-remaining-ms")
         .parse::<u64>()
@@ -84,7 +95,9 @@
         try_id: try_id.to_owned(),
         name: name.to_owned(),
         path: path.to_owned(),
-        key: Some(enquiry.header("x-key")).filter(|key| !key.is_empty()).map(str::to_owned),
+        key: Some(enquiry.header("x-key"))
+            .filter(|key| !key.is_empty())
+            .map(str::to_owned),
         remaining: Duration::from_millis(remaining),
         forwarded: !enquiry.header("x-forwarded-hop").is_empty(),
         ..Order::default()
@@ -95,8 +108,11 @@
 pub(crate) fn own_headers(_: &Enquiry, order: &Order, call: Call) -> HeaderMap {
     let remaining = (call.within.as_millis() as u64).to_string();
     let epoch = call.share.map(|share| share.epoch.to_string());
-    let mut headers =
-        vec![("x-try-id", order.try_id.as_str()), ("x-remaining-ms", remaining.as_str()), ("x-proxy", call.node)];
+    let mut headers = vec![
+        ("x-try-id", order.try_id.as_str()),
+        ("x-remaining-ms", remaining.as_str()),
+        ("x-proxy", call.node),
+    ];
     headers.extend(order.key.as_deref().map(|key| ("x-key", key)));
     headers.extend(epoch.as_deref().map(|epoch| ("x-share-epoch", epoch)));
     headers.extend(Some(("x-forwarded-hop", "1")).filter(|_| call.instance.is_none()));
@@ -137,20 +153,28 @@
         let mut may_reuse = self.keeps_connections;
         let response = loop {
             let outcome = match next {
-                Move::Connect { upstream, within } => match self.connect(&upstream.address, within, may_reuse).await {
-                    Err(failed) => (self.dialect.judge)(&Err(failed), &try_id, None),
-                    Ok(open) => {
-                        connection = Some((open, upstream.instance.clone()));
-                        next = journey.connected(self.clock.now(), &self.view.load(), &self.board);
-                        continue;
+                Move::Connect { upstream, within } => {
+                    match self.connect(&upstream.address, within, may_reuse).await {
+                        Err(failed) => (self.dialect.judge)(&Err(failed), &try_id, None),
+                        Ok(open) => {
+                            connection = Some((open, upstream.instance.clone()));
+                            next =
+                                journey.connected(self.clock.now(), &self.view.load(), &self.board);
+                            continue;
+                        }
                     }
-                },
+                }
                 Move::Send { share, within } => {
                     let Some((open, instance)) = connection.take() else {
                         break self.deny(Code::Lost, None, &try_id);
                     };
                     let target = (self.dialect.target)(&enquiry, &order);
-                    let call = Call { node: &self.site.node, instance: Some(&instance), share: share.as_ref(), within };
+                    let call = Call {
+                        node: &self.site.node,
+                        instance: Some(&instance),
+                        share: share.as_ref(),
+                        within,
+                    };
                     let was_used = open.is_used();
                     let (called, again) = self.send(&enquiry, &order, open, &target, call).await;
                     if was_used && matches!(called, Err(Called::NotConnected)) {
@@ -161,9 +185,15 @@
                     }
                     let outcome = (self.dialect.judge)(&called, &try_id, Some(&instance));
                     if outcome != Outcome::Garbage {
-                        again.into_iter().for_each(|connection| self.pool.keep(connection));
-                        let load = called.as_ref().ok().and_then(|reply| (self.dialect.load)(reply));
-                        load.into_iter().for_each(|load| journey.hear(self.clock.now(), load));
+                        again
+                            .into_iter()
+                            .for_each(|connection| self.pool.keep(connection));
+                        let load = called
+                            .as_ref()
+                            .ok()
+                            .and_then(|reply| (self.dialect.load)(reply));
+                        load.into_iter()
+                            .for_each(|load| journey.hear(self.clock.now(), load));
                     }
                     reply = called.ok();
                     outcome
@@ -175,7 +205,11 @@
                 }
                 Move::Forward { proxies, within } => {
                     let called = self.forward(&enquiry, &order, &proxies, within).await;
-                    let last = called.as_ref().ok().filter(|reply| self.is_final(reply, &try_id)).cloned();
+                    let last = called
+                        .as_ref()
+                        .ok()
+                        .filter(|reply| self.is_final(reply, &try_id))
+                        .cloned();
                     if last.is_some() {
                         self.counters.forwarded.fetch_add(1, Ordering::Relaxed);
                     }
@@ -190,7 +224,11 @@
                 }
                 Move::Pass => {
                     let passed = reply.as_ref().map(|reply| (self.dialect.pass)(reply));
-                    self.count(if passed.is_some() { Code::Fine } else { Code::Lost });
+                    self.count(if passed.is_some() {
+                        Code::Fine
+                    } else {
+                        Code::Lost
+                    });
                     break passed.unwrap_or_else(|| self.deny(Code::Lost, None, &try_id));
                 }
             };
@@ -200,13 +238,27 @@
         response
     }
 
-    pub(crate) fn deny(&self, code: Code, retry_after: Option<Duration>, try_id: &str) -> Response<Full<Bytes>> {
+    pub(crate) fn deny(
+        &self,
+        code: Code,
+        retry_after: Option<Duration>,
+        try_id: &str,
+    ) -> Response<Full<Bytes>> {
         (self.dialect.deny)(code, retry_after, try_id)
     }
 
     /// An idle connection where one is wanted and known to be quiet, else a new one.
-    async fn connect(&self, address: &str, within: Duration, may_reuse: bool) -> Result<Connection, Called> {
-        let kept = if may_reuse { self.pool.take(address).await } else { None };
+    async fn connect(
+        &self,
+        address: &str,
+        within: Duration,
+        may_reuse: bool,
+    ) -> Result<Connection, Called> {
+        let kept = if may_reuse {
+            self.pool.take(address).await
+        } else {
+            None
+        };
         match kept {
             Some(connection) => Ok(connection),
             None => Connection::open(address, within).await,
@@ -215,18 +267,29 @@
 
     /// A forwarded request's answer is final: sealed by an upstream, or denied by the other proxy.
     fn is_final(&self, reply: &Reply, try_id: &str) -> bool {
-        let code = reply.header("x-code").parse().ok().and_then(Code::from_number);
-        let denied = reply.header("x-seal").is_empty() && code.is_some_and(|code| code != Code::Fine);
+        let code = reply
+            .header("x-code")
+            .parse()
+            .ok()
+            .and_then(Code::from_number);
+        let denied =
+            reply.header("x-seal").is_empty() && code.is_some_and(|code| code != Code::Fine);
         let sealed = judge(&Ok(reply.clone()), try_id, None) != Outcome::Garbage;
         reply.header("x-try-id") == try_id && (denied || sealed)
     }
 
     fn enrol(&self, enquiry: &Enquiry, bell: Bell) -> Result<Order, (Code, String)> {
-        let order = (self.dialect.order)(enquiry).map_err(|code| (code, enquiry.header("x-try-id").to_owned()))?;
+        let order = (self.dialect.order)(enquiry)
+            .map_err(|code| (code, enquiry.header("x-try-id").to_owned()))?;
         if self.is_closing() {
             return Err((Code::Closing, order.try_id));
         }
-        Ok(Order { arrived_at: self.clock.now(), body_bytes: enquiry.body.len() as u64, bell, ..order })
+        Ok(Order {
+            arrived_at: self.clock.now(),
+            body_bytes: enquiry.body.len() as u64,
+            bell,
+            ..order
+        })
     }
 
     async fn send(
@@ -242,7 +305,10 @@
             path: target,
             headers: (self.dialect.headers)(enquiry, order, call),
             body: enquiry.body.clone(),
-            id: Some(AnswerId { header: self.dialect.answer_id, value: &order.try_id }),
+            id: Some(AnswerId {
+                header: self.dialect.answer_id,
+                value: &order.try_id,
+            }),
         };
         let (called, again) = connection.exchange(outbound, call.within).await;
         // Without reuse each request has its own: one that dies after a write can't be told from a lost verdict.
@@ -258,9 +324,20 @@
         within: Duration,
     ) -> Result<Reply, Called> {
         for proxy in proxies {
-            let Ok(connection) = Connection::open(proxy, within).await else { continue };
-            let call = Call { node: &self.site.node, instance: None, share: None, within };
-            match self.send(enquiry, order, connection, &enquiry.target, call).await.0 {
+            let Ok(connection) = Connection::open(proxy, within).await else {
+                continue;
+            };
+            let call = Call {
+                node: &self.site.node,
+                instance: None,
+                share: None,
+                within,
+            };
+            match self
+                .send(enquiry, order, connection, &enquiry.target, call)
+                .await
+                .0
+            {
                 Err(Called::NotConnected) => continue,
                 called => return called,
             }
--- a/crates/carrier/src/shell.rs
+++ b/crates/carrier/src/shell.rs
@@ -24,35 +24,105 @@
 
 /// Settings of a carrier, beside the time values.
 pub const SETTINGS: &[Setting] = &[
-    setting("node", Shape::Id, None, "this process's id, unlike all others"),
+    setting(
+        "node",
+        Shape::Id,
+        None,
+        "this process's id, unlike all others",
+    ),
     setting("locality", Shape::Locality, None, "where it stands"),
-    setting("http", Shape::Address, None, "where origins, upstreams and operators call (HTTP)"),
-    setting("link", Shape::Address, None, "where other processes connect (TCP) and probe (UDP)"),
-    setting("told", Shape::Addresses, Some(""), "the link address that others use, where it is not 'link' itself"),
-    setting("seeds", Shape::Addresses, Some(""), "addresses of other processes, to find them all by"),
-    setting("seed-port", Shape::Count(0, 65_535), Some("0"), "the port of their links, where 'seeds' names others"),
-    setting("directory", Shape::Addresses, Some(""), "where origins ask for names, where it is not 'http' itself"),
-    setting("readiness", Shape::Addresses, Some(""), "where readiness is asked for, where it is not 'http' itself"),
+    setting(
+        "http",
+        Shape::Address,
+        None,
+        "where origins, upstreams and operators call (HTTP)",
+    ),
+    setting(
+        "link",
+        Shape::Address,
+        None,
+        "where other processes connect (TCP) and probe (UDP)",
+    ),
+    setting(
+        "told",
+        Shape::Addresses,
+        Some(""),
+        "the link address that others use, where it is not 'link' itself",
+    ),
+    setting(
+        "seeds",
+        Shape::Addresses,
+        Some(""),
+        "addresses of other processes, to find them all by",
+    ),
+    setting(
+        "seed-port",
+        Shape::Count(0, 65_535),
+        Some("0"),
+        "the port of their links, where 'seeds' names others",
+    ),
+    setting(
+        "directory",
+        Shape::Addresses,
+        Some(""),
+        "where origins ask for names, where it is not 'http' itself",
+    ),
+    setting(
+        "readiness",
+        Shape::Addresses,
+        Some(""),
+        "where readiness is asked for, where it is not 'http' itself",
+    ),
     setting(
         "owners",
         Shape::OneOf(&["one", "by-caller"]),
         Some("one"),
         "who owns a name: one locality, or one for each",
     ),
-    setting("out-of-touch", Shape::OneOf(&["stop", "serve"]), Some("stop"), "what to do with a view that is too old"),
+    setting(
+        "out-of-touch",
+        Shape::OneOf(&["stop", "serve"]),
+        Some("stop"),
+        "what to do with a view that is too old",
+    ),
     setting(
         "keep-connections",
         Shape::OneOf(&["no", "yes"]),
         Some("no"),
         "whether connections to upstreams are reused",
     ),
-    setting("far-zone-ms", Shape::Count(0, 10_000), Some("20"), "what another zone costs beside an upstream's work"),
-    setting("far-region-ms", Shape::Count(0, 10_000), Some("60"), "what another region costs beside its work"),
-    setting("serve", Shape::SomeOf(&["proxy", "directory"]), Some("proxy,directory"), "its roles"),
+    setting(
+        "far-zone-ms",
+        Shape::Count(0, 10_000),
+        Some("20"),
+        "what another zone costs beside an upstream's work",
+    ),
+    setting(
+        "far-region-ms",
+        Shape::Count(0, 10_000),
+        Some("60"),
+        "what another region costs beside its work",
+    ),
+    setting(
+        "serve",
+        Shape::SomeOf(&["proxy", "directory"]),
+        Some("proxy,directory"),
+        "its roles",
+    ),
 ];
 
-const fn setting(name: &'static str, shape: Shape, fallback: Option<&'static str>, help: &'static str) -> Setting {
-    Setting { name, shape, fallback, help }
+const fn setting(
+    name: &'static str,
+    shape: Shape,
+    fallback: Option<&'static str>,
+    help: &'static str,
+) -> Setting {
+    Setting {
+        name,
+        shape,
+        fallback,
+        help,
+    }
 }
 
 /// What the carrier says of itself.
@@ -76,7 +146,12 @@
         suspect_for: settings.span("suspect-for-ms"),
     };
     let lifetime = settings.span("address-lifetime-ms");
-    Times { membership, ask_every, answer_within: ask_every.max(Duration::from_millis(200)), lifetime }
+    Times {
+        membership,
+        ask_every,
+        answer_within: ask_every.max(Duration::from_millis(200)),
+        lifetime,
+    }
 }
 
 /// Runs a carrier until it is told to close. An error is why it could not start.
@@ -92,7 +167,10 @@
     let Doors { http, link, probe } = Doors::open(&settings).await?;
     let locality = settings.get("locality").parse::<Locality>();
     let locality = locality.change_context_lazy(|| NoStart::new("locality"))?;
-    let told = Some(settings.get("told")).filter(|told| !told.is_empty()).unwrap_or(settings.get("link")).to_owned();
+    let told = Some(settings.get("told"))
+        .filter(|told| !told.is_empty())
+        .unwrap_or(settings.get("link"))
+        .to_owned();
     let me = Member {
         node: settings.get("node").into(),
         locality: locality.to_string(),
@@ -102,15 +180,40 @@
         http_address: settings.get("http").into(),
         ..Member::default()
     };
-    log::info!("start: carrier {} in {locality}, serving {}", me.node, me.roles);
+    log::info!(
+        "start: carrier {} in {locality}, serving {}",
+        me.node,
+        me.roles
+    );
     let lifetime = settings.span("address-lifetime-ms");
-    let mut site = Site::new(&me.node, locality, settings.span("stale-after-ms"), settings.span("wait-ms"));
-    site.owners = if settings.get("owners") == "one" { Owners::One } else { Owners::ByCaller };
+    let mut site = Site::new(
+        &me.node,
+        locality,
+        settings.span("stale-after-ms"),
+        settings.span("wait-ms"),
+    );
+    site.owners = if settings.get("owners") == "one" {
+        Owners::One
+    } else {
+        Owners::ByCaller
+    };
     site.serves_on = settings.get("out-of-touch") == "serve";
-    site.far_ms = (settings.count("far-zone-ms") as f64, settings.count("far-region-ms") as f64);
+    site.far_ms = (
+        settings.count("far-zone-ms") as f64,
+        settings.count("far-region-ms") as f64,
+    );
     let reader = dialect.reader;
     let keeps_connections = settings.get("keep-connections") == "yes";
-    let node = Node::new(site, dialect, NodeTerms { clock, keeps_connections, roles: me.roles.clone(), lifetime });
+    let node = Node::new(
+        site,
+        dialect,
+        NodeTerms {
+            clock,
+            keeps_connections,
+            roles: me.roles.clone(),
+            lifetime,
+        },
+    );
     let node = Arc::new(node);
     let (arrivals, mut arrived) = mpsc::channel(MOST_ARRIVALS);
     let links = Links::open(me.node.clone(), Some(link), arrivals);
@@ -122,14 +225,22 @@
         times: times(&settings),
     });
     let (close, closing) = watch::channel(false);
-    let doors = [("directory", Door::Directory), ("readiness", Door::Readiness)];
+    let doors = [
+        ("directory", Door::Directory),
+        ("readiness", Door::Readiness),
+    ];
     let mut sockets = vec![(Door::Front, http)];
-    for (name, door) in doors.into_iter().filter(|(name, _)| !settings.get(name).is_empty()) {
+    for (name, door) in doors
+        .into_iter()
+        .filter(|(name, _)| !settings.get(name).is_empty())
+    {
         sockets.push((door, transport::listen(&settings, name).await?));
     }
     let servers = sockets.into_iter().map(|(door, socket)| {
         let handler = node.clone();
-        tokio::spawn(transport::serve(socket, closing.clone(), move |enquiry| handler.clone().serve(door, enquiry)))
+        tokio::spawn(transport::serve(socket, closing.clone(), move |enquiry| {
+            handler.clone().serve(door, enquiry)
+        }))
     });
     let server = futures::future::join_all(servers.collect::<Vec<_>>());
     let mut tick = tokio::time::interval(TICK);
@@ -163,7 +274,14 @@
                 node.publish(carrier.view().clone());
             }
             Effect::Phase(phase) => {
-                log::info!("close: {}", if phase == Phase::Denying { DENYING } else { CLOSING });
+                log::info!(
+                    "close: {}",
+                    if phase == Phase::Denying {
+                        DENYING
+                    } else {
+                        CLOSING
+                    }
+                );
                 node.close(phase == Phase::Denying);
             }
             Effect::Note(text) => log::info!("news: {text}"),
--- a/crates/carrier/src/traces.rs
+++ b/crates/carrier/src/traces.rs
@@ -28,7 +28,8 @@
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let oldest = self.places.insert(number % MOST_TRACES, try_id.clone());
         oldest.into_iter().for_each(|oldest| {
-            self.notes.remove_if(&oldest, |_, (kept, _)| *kept + MOST_TRACES <= number);
+            self.notes
+                .remove_if(&oldest, |_, (kept, _)| *kept + MOST_TRACES <= number);
         });
         self.notes.insert(try_id, (number, notes));
     }
@@ -41,6 +42,8 @@
     /// assert_eq!(traces.find("t").unwrap(), ["called: a seat may be free"]);
     /// ```
     pub fn find(&self, try_id: &str) -> Option<Vec<String>> {
-        self.notes.get(try_id).map(|kept| kept.1.iter().map(Note::to_string).collect())
+        self.notes
+            .get(try_id)
+            .map(|kept| kept.1.iter().map(Note::to_string).collect())
     }
 }
--- a/crates/carrier/tests/following.rs
+++ b/crates/carrier/tests/following.rs
@@ -1,7 +1,10 @@
 //! Which postmaster a carrier follows, and when it leaves it.
 
 use carrier::{Carrier, Effect, Event, Start};
-use protocol::{ClusterState, Freshness, Heard, KeyLoad, Member, Payload, Probe, UpdateRequest, Upstream, ViewUpdate};
+use protocol::{
+    ClusterState, Freshness, Heard, KeyLoad, Member, Payload, Probe, UpdateRequest, Upstream,
+    ViewUpdate,
+};
 use std::time::Duration;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -30,10 +33,23 @@
         reader: Default::default(),
         times: carrier::shell::times(&settings),
     });
-    let members = [("far", "south/s1"), ("region", "north/n2"), ("zone", "north/n1")]
-        .map(|(node, locality)| member(node, locality, "postmaster"));
-    let probe = Probe { members: members.to_vec(), ..Probe::default() };
-    carrier.step(MS(0), Event::Datagram { address: "far".into(), body: Payload::Probe(probe) });
+    let members = [
+        ("far", "south/s1"),
+        ("region", "north/n2"),
+        ("zone", "north/n1"),
+    ]
+    .map(|(node, locality)| member(node, locality, "postmaster"));
+    let probe = Probe {
+        members: members.to_vec(),
+        ..Probe::default()
+    };
+    carrier.step(
+        MS(0),
+        Event::Datagram {
+            address: "far".into(),
+            body: Payload::Probe(probe),
+        },
+    );
     carrier
 }
 
@@ -41,13 +57,30 @@
 fn asked(carrier: &mut Carrier, at: u64) -> Option<(String, UpdateRequest)> {
     let effects = carrier.step(MS(at), Event::Tick);
     effects.iter().for_each(|effect| {
-        if let Effect::Datagram { address, body: Payload::Probe(probe) } = effect {
-            let heard = Heard { nonce: probe.nonce, node: address.clone(), ..Heard::default() };
-            carrier.step(MS(at), Event::Datagram { address: address.clone(), body: Payload::Heard(heard) });
+        if let Effect::Datagram {
+            address,
+            body: Payload::Probe(probe),
+        } = effect
+        {
+            let heard = Heard {
+                nonce: probe.nonce,
+                node: address.clone(),
+                ..Heard::default()
+            };
+            carrier.step(
+                MS(at),
+                Event::Datagram {
+                    address: address.clone(),
+                    body: Payload::Heard(heard),
+                },
+            );
         }
     });
     effects.into_iter().find_map(|effect| match effect {
-        Effect::Send { to, body: Payload::UpdateRequest(ask) } => Some((to, ask)),
+        Effect::Send {
+            to,
+            body: Payload::UpdateRequest(ask),
+        } => Some((to, ask)),
         _ => None,
     })
 }
@@ -63,15 +96,36 @@
         ..ViewUpdate::default()
     };
     if ask.stream == 0 {
-        carrier.step(MS(at), Event::Received { from: from.clone(), body: Payload::ViewUpdate(image) });
+        carrier.step(
+            MS(at),
+            Event::Received {
+                from: from.clone(),
+                body: Payload::ViewUpdate(image),
+            },
+        );
     }
-    let fresh = Freshness { nonce: ask.nonce, age_ms, stream: 7, number: 0, edition: 0 };
-    carrier.step(MS(at), Event::Received { from, body: Payload::Freshness(fresh) });
+    let fresh = Freshness {
+        nonce: ask.nonce,
+        age_ms,
+        stream: 7,
+        number: 0,
+        edition: 0,
+    };
+    carrier.step(
+        MS(at),
+        Event::Received {
+            from,
+            body: Payload::Freshness(fresh),
+        },
+    );
 }
 
 /// Ticks every 50 ms until it asks.
 fn next(carrier: &mut Carrier, from: u64) -> (u64, (String, UpdateRequest)) {
-    (from..from + 5000).step_by(50).find_map(|at| asked(carrier, at).map(|asked| (at, asked))).expect("it asks")
+    (from..from + 5000)
+        .step_by(50)
+        .find_map(|at| asked(carrier, at).map(|asked| (at, asked)))
+        .expect("it asks")
 }
 
 #[test]
@@ -88,7 +142,12 @@
     order.dedup();
     // It asks its own zone again for a moment before it goes further.
     assert_eq!(order[..3], ["zone", "region", "far"]);
-    assert!(asks.iter().find(|(_, to)| to == "region").is_some_and(|(at, _)| *at <= 1000), "{asks:?}");
+    assert!(
+        asks.iter()
+            .find(|(_, to)| to == "region")
+            .is_some_and(|(at, _)| *at <= 1000),
+        "{asks:?}"
+    );
 }
 
 #[test]
@@ -113,7 +172,11 @@
 
 /// An image as an answer to a question, with one upstream.
 fn image(ask: &UpdateRequest, stream: u64, instance: &str) -> ViewUpdate {
-    let upstream = Upstream { service: "s".into(), instance: instance.into(), ..Upstream::default() };
+    let upstream = Upstream {
+        service: "s".into(),
+        instance: instance.into(),
+        ..Upstream::default()
+    };
     ViewUpdate {
         stream,
         asked: ask.nonce,
@@ -124,7 +187,13 @@
 }
 
 fn told(carrier: &mut Carrier, at: u64, from: &str, news: ViewUpdate) -> Vec<String> {
-    carrier.step(MS(at), Event::Received { from: from.into(), body: Payload::ViewUpdate(news) });
+    carrier.step(
+        MS(at),
+        Event::Received {
+            from: from.into(),
+            body: Payload::ViewUpdate(news),
+        },
+    );
     let upstreams = carrier.view().upstreams.values();
     upstreams.flat_map(|known| known.keys().cloned()).collect()
 }
@@ -136,16 +205,43 @@
     let mut carrier = carrier();
     let (at, first) = next(&mut carrier, 50);
     let (mut from, mut asks) = (at + 50, vec![]);
-    while asks.last().is_none_or(|(_, ask): &(String, UpdateRequest)| ask.nonce == first.1.nonce || asks.len() < 9) {
+    while asks
+        .last()
+        .is_none_or(|(_, ask): &(String, UpdateRequest)| {
+            ask.nonce == first.1.nonce || asks.len() < 9
+        })
+    {
         let (at, asked) = next(&mut carrier, from);
         (from, asks) = (at + 50, [asks, vec![asked]].concat());
     }
     let (source, ask) = asks.last().unwrap().clone();
-    let again = asks.iter().rev().find(|(to, _)| *to != source).expect("it went elsewhere meanwhile");
-    assert_eq!(told(&mut carrier, from, &source, image(&first.1, 5, "long-gone")), Vec::<String>::new());
-    assert_eq!(told(&mut carrier, from, &source, image(&again.1, 6, "of-another")), Vec::<String>::new());
-    assert_eq!(told(&mut carrier, from, &source, image(&ask, 7, "present")), ["present"]);
-    assert_eq!(told(&mut carrier, from, &source, image(&ask, 8, "twice")), ["present"], "one image for each question");
+    let again = asks
+        .iter()
+        .rev()
+        .find(|(to, _)| *to != source)
+        .expect("it went elsewhere meanwhile");
+    assert_eq!(
+        told(&mut carrier, from, &source, image(&first.1, 5, "long-gone")),
+        Vec::<String>::new()
+    );
+    assert_eq!(
+        told(
+            &mut carrier,
+            from,
+            &source,
+            image(&again.1, 6, "of-another")
+        ),
+        Vec::<String>::new()
+    );
+    assert_eq!(
+        told(&mut carrier, from, &source, image(&ask, 7, "present")),
+        ["present"]
+    );
+    assert_eq!(
+        told(&mut carrier, from, &source, image(&ask, 8, "twice")),
+        ["present"],
+        "one image for each question"
+    );
 }
 
 #[test]
@@ -156,9 +252,18 @@
     let (at, second) = next(&mut carrier, at + 50);
     answer(&mut carrier, at + 10, &second, 40);
     let (at, third) = next(&mut carrier, at + 50);
-    assert_eq!((first.0.as_str(), second.0.as_str(), third.0.as_str()), ("zone", "zone", "zone"));
-    assert_eq!(told(&mut carrier, at, "zone", image(&third.1, 9, "present")), ["present"]);
-    assert_eq!(told(&mut carrier, at, "zone", image(&second.1, 8, "older")), ["present"]);
+    assert_eq!(
+        (first.0.as_str(), second.0.as_str(), third.0.as_str()),
+        ("zone", "zone", "zone")
+    );
+    assert_eq!(
+        told(&mut carrier, at, "zone", image(&third.1, 9, "present")),
+        ["present"]
+    );
+    assert_eq!(
+        told(&mut carrier, at, "zone", image(&second.1, 8, "older")),
+        ["present"]
+    );
 }
 
 #[test]
@@ -171,7 +276,10 @@
         order.push(asked.0);
         from = at + 50;
     });
-    assert_eq!(order, ["zone", "region", "far", "far", "far", "far", "far", "far"]);
+    assert_eq!(
+        order,
+        ["zone", "region", "far", "far", "far", "far", "far", "far"]
+    );
 }
 
 /// A carrier that is fresh by what its zone's postmaster told, which answers no more; gives when it asks the next one.
@@ -179,17 +287,33 @@
     let mut carrier = carrier();
     let (at, zone) = next(&mut carrier, 3000);
     answer(&mut carrier, at + 10, &zone, 40);
-    assert_eq!((zone.0.as_str(), carrier.view().as_of), ("zone", Some(MS(at - 40))));
+    assert_eq!(
+        (zone.0.as_str(), carrier.view().as_of),
+        ("zone", Some(MS(at - 40)))
+    );
     let (at, asked) = (at + 50..at + 5000)
         .step_by(50)
-        .find_map(|at| asked(&mut carrier, at).filter(|(to, _)| to == "region").map(|asked| (at, asked)))
+        .find_map(|at| {
+            asked(&mut carrier, at)
+                .filter(|(to, _)| to == "region")
+                .map(|asked| (at, asked))
+        })
         .expect("it goes on to another one");
     (carrier, at, asked)
 }
 
 /// An image that shows an upstream, and the freshness that follows it.
-fn answer_with_upstream(carrier: &mut Carrier, at: u64, asked: &(String, UpdateRequest), age_ms: u64) {
-    let upstream = protocol::Upstream { service: "s".into(), instance: "left".into(), ..Default::default() };
+fn answer_with_upstream(
+    carrier: &mut Carrier,
+    at: u64,
+    asked: &(String, UpdateRequest),
+    age_ms: u64,
+) {
+    let upstream = protocol::Upstream {
+        service: "s".into(),
+        instance: "left".into(),
+        ..Default::default()
+    };
     let image = ViewUpdate {
         stream: 9,
         state: Some(ClusterState::default()),
@@ -198,9 +322,27 @@
         ..ViewUpdate::default()
     };
     let (from, ask) = asked.clone();
-    carrier.step(MS(at), Event::Received { from: from.clone(), body: Payload::ViewUpdate(image) });
-    let fresh = Freshness { nonce: ask.nonce, age_ms, stream: 9, number: 0, edition: 0 };
-    carrier.step(MS(at), Event::Received { from, body: Payload::Freshness(fresh) });
+    carrier.step(
+        MS(at),
+        Event::Received {
+            from: from.clone(),
+            body: Payload::ViewUpdate(image),
+        },
+    );
+    let fresh = Freshness {
+        nonce: ask.nonce,
+        age_ms,
+        stream: 9,
+        number: 0,
+        edition: 0,
+    };
+    carrier.step(
+        MS(at),
+        Event::Received {
+            from,
+            body: Payload::Freshness(fresh),
+        },
+    );
 }
 
 /// Its zone's postmaster told that an upstream left; the next one had been cut off since, and still shows it. The view
@@ -212,7 +354,11 @@
     let age_ms = 900;
     assert!(carrier.view().as_of > Some(MS(at - age_ms)));
     answer_with_upstream(&mut carrier, at + 10, &region, age_ms);
-    assert_eq!(carrier.view().as_of, Some(MS(at - age_ms)), "what it shows is no newer than that");
+    assert_eq!(
+        carrier.view().as_of,
+        Some(MS(at - age_ms)),
+        "what it shows is no newer than that"
+    );
 }
 
 /// One whose confirmation is over a second old may be cut off: what it shows is not taken for what is known to be newer.
@@ -225,21 +371,37 @@
 }
 
 fn counted(service: &str, parts: &[u32], counts: &[u32]) -> KeyLoad {
-    KeyLoad { service: service.into(), parts: parts.to_vec(), counts: counts.to_vec() }
+    KeyLoad {
+        service: service.into(),
+        parts: parts.to_vec(),
+        counts: counts.to_vec(),
+    }
 }
 
 /// No question goes out between two counts where an answer is waited for.
 #[test]
 fn counts_by_key_are_added_to_those_not_told_yet() {
     let mut carrier = carrier();
-    [vec![counted("s", &[3, 9], &[5, 1])], vec![counted("r", &[1], &[u32::MAX]), counted("s", &[2, 9], &[7, 4])]]
-        .into_iter()
-        .chain([vec![counted("r", &[1], &[1])]])
-        .for_each(|loads| {
-            carrier.step(MS(40), Event::Counted(loads));
-        });
+    [
+        vec![counted("s", &[3, 9], &[5, 1])],
+        vec![
+            counted("r", &[1], &[u32::MAX]),
+            counted("s", &[2, 9], &[7, 4]),
+        ],
+    ]
+    .into_iter()
+    .chain([vec![counted("r", &[1], &[1])]])
+    .for_each(|loads| {
+        carrier.step(MS(40), Event::Counted(loads));
+    });
     let (at, first) = next(&mut carrier, 50);
-    assert_eq!(first.1.loads, [counted("r", &[1], &[u32::MAX]), counted("s", &[2, 3, 9], &[7, 5, 5])]);
+    assert_eq!(
+        first.1.loads,
+        [
+            counted("r", &[1], &[u32::MAX]),
+            counted("s", &[2, 3, 9], &[7, 5, 5])
+        ]
+    );
     answer(&mut carrier, at + 10, &first, 40);
     let (_, second) = next(&mut carrier, at + 50);
     assert_eq!(second.1.loads, [], "each is told once");
@@ -252,7 +414,10 @@
         carrier.step(MS(40), Event::Counted(vec![counted("s", &[at], &[1])]));
     });
     let (_, asked) = next(&mut carrier, 50);
-    assert_eq!(asked.1.loads, [counted("s", &[94, 95, 96, 97, 98, 99], &[1; 6])]);
+    assert_eq!(
+        asked.1.loads,
+        [counted("s", &[94, 95, 96, 97, 98, 99], &[1; 6])]
+    );
 }
 
 /// Every postmaster takes longer than a carrier waits, as after a restart of all: each image came from one that had been
@@ -262,9 +427,20 @@
     let (mut carrier, at, region) = left_by_its_zone();
     let (left_at, _) = (at + 50..at + 5000)
         .step_by(50)
-        .find_map(|at| asked(&mut carrier, at).filter(|(to, _)| to != "region").map(|asked| (at, asked)))
+        .find_map(|at| {
+            asked(&mut carrier, at)
+                .filter(|(to, _)| to != "region")
+                .map(|asked| (at, asked))
+        })
         .expect("it leaves that one too");
-    let late = ViewUpdate { age_ms: Some(40), ..image(&region.1, 9, "new") };
+    let late = ViewUpdate {
+        age_ms: Some(40),
+        ..image(&region.1, 9, "new")
+    };
     assert_eq!(told(&mut carrier, left_at + 100, "region", late), ["new"]);
-    assert_eq!(carrier.view().as_of, Some(MS(at - 40)), "as old as its question");
+    assert_eq!(
+        carrier.view().as_of,
+        Some(MS(at - 40)),
+        "as old as its question"
+    );
 }
--- a/crates/clerk/src/main.rs
+++ b/crates/clerk/src/main.rs
@@ -77,11 +77,21 @@
 }
 
 fn change_voters(change: &str) -> Call {
-    Call { method: "POST", path: format!("/voters?{change}"), body: Vec::new(), is_new_order: false }
+    Call {
+        method: "POST",
+        path: format!("/voters?{change}"),
+        body: Vec::new(),
+        is_new_order: false,
+    }
 }
 
 fn get(path: impl Into<String>) -> Call {
-    Call { method: "GET", path: path.into(), body: Vec::new(), is_new_order: false }
+    Call {
+        method: "GET",
+        path: path.into(),
+        body: Vec::new(),
+        is_new_order: false,
+    }
 }
 
 #[tokio::main]
@@ -105,7 +115,10 @@
     let wrong = |text: String| (exit::USAGE, format!("{text}; see --help"));
     let mut flags = Flags::default();
     let mut parser = lexopt::Parser::from_env();
-    while let Some(arg) = parser.next().map_err(|failure| wrong(failure.to_string()))? {
+    while let Some(arg) = parser
+        .next()
+        .map_err(|failure| wrong(failure.to_string()))?
+    {
         use lexopt::Arg::{Long, Short, Value};
         let value = |parser: &mut lexopt::Parser| {
             parser
@@ -120,21 +133,26 @@
             }
             Long("node") => {
                 let node = value(&mut parser)?;
-                node.parse::<std::net::SocketAddr>().map_err(|_| wrong(format!("--node '{node}': must be IP:port")))?;
+                node.parse::<std::net::SocketAddr>()
+                    .map_err(|_| wrong(format!("--node '{node}': must be IP:port")))?;
                 flags.nodes.push(node);
             }
             Long("id") => flags.id = Some(value(&mut parser)?),
             Long("base") => flags.base = Some(value(&mut parser)?),
             Long("since") => {
                 let since = value(&mut parser)?;
-                let count = since.parse().map_err(|_| wrong(format!("--since '{since}': must be a count")))?;
+                let count = since
+                    .parse()
+                    .map_err(|_| wrong(format!("--since '{since}': must be a count")))?;
                 flags.since = Some(count);
             }
             Long("name") => flags.name = Some(value(&mut parser)?),
             Long("path") => flags.path = Some(value(&mut parser)?),
             Long("key") => flags.key = Some(value(&mut parser)?),
             Long("services") => flags.services = Some(value(&mut parser)?),
-            Long("lost") => flags.lost.extend(value(&mut parser)?.split(',').map(str::to_owned)),
+            Long("lost") => flags
+                .lost
+                .extend(value(&mut parser)?.split(',').map(str::to_owned)),
             Long("wait") => flags.wait = true,
             Value(word) => flags.words.push(word.to_string_lossy().into_owned()),
             other => return Err(wrong(other.unexpected().to_string())),
@@ -145,11 +163,19 @@
 
 fn read_call(flags: &Flags) -> Result<Call, (i32, String)> {
     let words: Vec<&str> = flags.words.iter().map(String::as_str).collect();
-    let id = flags.id.clone().unwrap_or_else(|| format!("clerk-{:016x}", transport::chance()));
+    let id = flags
+        .id
+        .clone()
+        .unwrap_or_else(|| format!("clerk-{:016x}", transport::chance()));
     let wait = if flags.wait { "&wait=force" } else { "" };
-    let since = flags.since.map(|since| format!("&since={since}")).unwrap_or_default();
+    let since = flags
+        .since
+        .map(|since| format!("&since={since}"))
+        .unwrap_or_default();
     let is_new_order = flags.id.is_none() && flags.since.is_none();
-    let read = |file: &str| std::fs::read(file).map_err(|failure| (exit::USAGE, format!("{file}: {failure}")));
+    let read = |file: &str| {
+        std::fs::read(file).map_err(|failure| (exit::USAGE, format!("{file}: {failure}")))
+    };
     let evacuate = |place: &str, back: &str| Call {
         method: "POST",
         path: format!("/evacuations?id={id}&locality={place}{back}{wait}{since}"),
@@ -157,43 +183,78 @@
         is_new_order,
     };
     let done = |told: Result<String, Report<rescue::Failure>>| {
-        told.map(|text| (exit::FINE, text)).unwrap_or_else(|failed| (exit::FAILED, transport::causes(&failed)))
+        told.map(|text| (exit::FINE, text))
+            .unwrap_or_else(|failed| (exit::FAILED, transport::causes(&failed)))
     };
     let call = match words.as_slice() {
         ["manifest", file] => {
-            let services = flags.services.as_deref().ok_or((exit::USAGE, "manifest: give --services".to_owned()))?;
-            let text = |file: &str| read(file).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
+            let services = flags
+                .services
+                .as_deref()
+                .ok_or((exit::USAGE, "manifest: give --services".to_owned()))?;
+            let text =
+                |file: &str| read(file).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
             return Err(turned(manifest::turn(&text(file)?, &text(services)?)));
         }
-        ["survivor" | "testament", node, folder, file] => return Err(done(rescue::survivor(node, folder, file))),
-        ["settle", file, survivors @ ..] => return Err(done(rescue::settle(file, &flags.lost, survivors))),
+        ["survivor" | "testament", node, folder, file] => {
+            return Err(done(rescue::survivor(node, folder, file)));
+        }
+        ["settle", file, survivors @ ..] => {
+            return Err(done(rescue::settle(file, &flags.lost, survivors)));
+        }
         ["inherit", file, folder] => return Err(done(rescue::inherit(file, folder))),
         ["check", file] => {
             let complaints = Setup::read(&read(file)?).err().unwrap_or_default();
             let fine = complaints.is_empty();
-            let text = complaints.iter().map(|complaint| complaint.to_string()).collect::<Vec<_>>().join("\n");
-            return Err(if fine { (exit::FINE, "the setup is fine".into()) } else { (exit::FAILED, text) });
+            let text = complaints
+                .iter()
+                .map(|complaint| complaint.to_string())
+                .collect::<Vec<_>>()
+                .join("\n");
+            return Err(if fine {
+                (exit::FINE, "the setup is fine".into())
+            } else {
+                (exit::FAILED, text)
+            });
         }
         ["submit", file] => {
-            let base = flags.base.as_ref().map(|base| format!("&base={base}")).unwrap_or_default();
+            let base = flags
+                .base
+                .as_ref()
+                .map(|base| format!("&base={base}"))
+                .unwrap_or_default();
             eprintln!("submission {id}");
-            Call { method: "PUT", path: format!("/setup?id={id}{base}{wait}{since}"), body: read(file)?, is_new_order }
+            Call {
+                method: "PUT",
+                path: format!("/setup?id={id}{base}{wait}{since}"),
+                body: read(file)?,
+                is_new_order,
+            }
         }
         ["read"] => get("/setup"),
         ["evacuate", place] => evacuate(place, ""),
         ["take-back", place] => evacuate(place, "&back=true"),
-        [page @ ("status" | "node" | "upstreams" | "reservations" | "marks" | "counters" | "ready")] => {
-            get(format!("/{page}"))
-        }
+        [
+            page @ ("status" | "node" | "upstreams" | "reservations" | "marks" | "counters"
+            | "ready"),
+        ] => get(format!("/{page}")),
         ["lookup", name, place] => {
             let (region, zone) = place.split_once('/').unwrap_or((place, ""));
-            get(format!("/directory?name={name}&region={region}&zone={zone}"))
+            get(format!(
+                "/directory?name={name}&region={region}&zone={zone}"
+            ))
         }
         ["trace", try_id] => get(format!("/trace?try={try_id}")),
         ["trace"] => {
             let wanted = flags.name.as_deref().zip(flags.path.as_deref());
-            let (name, path) = wanted.ok_or((exit::USAGE, "trace: give a try, or --name and --path".to_owned()))?;
-            get(format!("/trace?name={name}&path={path}&key={}", flags.key.as_deref().unwrap_or_default()))
+            let (name, path) = wanted.ok_or((
+                exit::USAGE,
+                "trace: give a try, or --name and --path".to_owned(),
+            ))?;
+            get(format!(
+                "/trace?name={name}&path={path}&key={}",
+                flags.key.as_deref().unwrap_or_default()
+            ))
         }
         ["site"] => get(SITE),
         ["voters"] => get(VOTERS),
@@ -201,7 +262,12 @@
         ["voters", "remove", node] => change_voters(&format!("remove={node}")),
         ["voters", "replace", old, new] => change_voters(&format!("remove={old}&add={new}")),
         [] => return Err((exit::USAGE, HELP.to_owned())),
-        _ => return Err((exit::USAGE, format!("'{}' is no verb of mine; see --help", words.join(" ")))),
+        _ => {
+            return Err((
+                exit::USAGE,
+                format!("'{}' is no verb of mine; see --help", words.join(" ")),
+            ));
+        }
     };
     if flags.nodes.is_empty() {
         return Err((exit::USAGE, "--node is missing; see --help".into()));
@@ -212,7 +278,11 @@
 fn show_site((lines, wrong): (Vec<String>, Vec<String>)) -> i32 {
     lines.iter().for_each(|line| println!("{line}"));
     wrong.iter().for_each(|line| println!("wrong: {line}"));
-    if wrong.is_empty() { exit::FINE } else { exit::FAILED }
+    if wrong.is_empty() {
+        exit::FINE
+    } else {
+        exit::FAILED
+    }
 }
 
 /// A setup goes out as it is; remarks and complaints go beside it.
@@ -220,10 +290,15 @@
     let lines = |all: Vec<String>| all.join("\n");
     match turned {
         Ok((setup, remarks)) => {
-            remarks.iter().for_each(|remark| eprintln!("clerk: {remark}"));
+            remarks
+                .iter()
+                .for_each(|remark| eprintln!("clerk: {remark}"));
             (exit::FINE, setup)
         }
-        Err(complaints) => (exit::FAILED, lines(complaints.iter().map(Complaint::to_string).collect())),
+        Err(complaints) => (
+            exit::FAILED,
+            lines(complaints.iter().map(Complaint::to_string).collect()),
+        ),
     }
 }
 
@@ -253,12 +328,18 @@
         }
         match follow(&caller, node, &call).await {
             Ok(reply) if call.path.starts_with("/trace?try=") && reply.status == 404 => {
-                return show(&ask_all_proxies(&caller, node, &call.path).await.unwrap_or(reply));
+                return show(
+                    &ask_all_proxies(&caller, node, &call.path)
+                        .await
+                        .unwrap_or(reply),
+                );
             }
             Ok(reply) => return show(&reply),
             Err(Called::NotConnected) => eprintln!("clerk: {node} can't be reached"),
             Err(failure) => {
-                eprintln!("clerk: {node}: {failure:?}; the outcome is unknown, ask again with the same id");
+                eprintln!(
+                    "clerk: {node}: {failure:?}; the outcome is unknown, ask again with the same id"
+                );
                 return UNKNOWN;
             }
         }
@@ -271,30 +352,73 @@
     let (mut node, mut path) = (node.to_owned(), call.path.clone());
     for _ in 0..MOST_REDIRECTS {
         let body = call.body.clone().into();
-        let reply = caller.call(&node, call.method, &path, &[], body, WITHIN, false).await?;
-        let location = reply.header("location").strip_prefix("http://").and_then(|at| at.split_once('/'));
+        let reply = caller
+            .call(&node, call.method, &path, &[], body, WITHIN, false)
+            .await?;
+        let location = reply
+            .header("location")
+            .strip_prefix("http://")
+            .and_then(|at| at.split_once('/'));
         match location.filter(|_| reply.status == Code::Elsewhere.status()) {
             Some((address, target)) => (node, path) = (address.to_owned(), format!("/{target}")),
             None => return Ok(reply),
         }
     }
-    caller.call(&node, call.method, &path, &[], call.body.clone().into(), WITHIN, false).await
+    caller
+        .call(
+            &node,
+            call.method,
+            &path,
+            &[],
+            call.body.clone().into(),
+            WITHIN,
+            false,
+        )
+        .await
 }
 
 /// How many orders were decided so far, as a node knows it.
 async fn decided_orders(caller: &Caller, node: &str) -> Option<u64> {
-    let status = caller.call(node, "GET", "/status", &[], Vec::new().into(), WITHIN, false).await.ok()?;
-    Sheet::read(&String::from_utf8_lossy(&status.body)).ok()?.count("decided")
+    let status = caller
+        .call(
+            node,
+            "GET",
+            "/status",
+            &[],
+            Vec::new().into(),
+            WITHIN,
+            false,
+        )
+        .await
+        .ok()?;
+    Sheet::read(&String::from_utf8_lossy(&status.body))
+        .ok()?
+        .count("decided")
 }
 
 /// The proxy that served a try is not known: every proxy that membership knows is asked.
 async fn ask_all_proxies(caller: &Caller, node: &str, path: &str) -> Option<Reply> {
-    let status = caller.call(node, "GET", "/status", &[], Vec::new().into(), WITHIN, false).await.ok()?;
+    let status = caller
+        .call(
+            node,
+            "GET",
+            "/status",
+            &[],
+            Vec::new().into(),
+            WITHIN,
+            false,
+        )
+        .await
+        .ok()?;
     let sheet = Sheet::read(&String::from_utf8_lossy(&status.body)).ok()?;
-    let proxies =
-        sheet.list("members").iter().filter(|member| member.text("roles").is_some_and(|r| r.contains("proxy")));
+    let proxies = sheet
+        .list("members")
+        .iter()
+        .filter(|member| member.text("roles").is_some_and(|r| r.contains("proxy")));
     for address in proxies.filter_map(|member| member.text("http")) {
-        let reply = caller.call(address, "GET", path, &[], Vec::new().into(), WITHIN, false).await;
+        let reply = caller
+            .call(address, "GET", path, &[], Vec::new().into(), WITHIN, false)
+            .await;
         if let Some(found) = reply.ok().filter(|reply| reply.status == 200) {
             return Some(found);
         }
@@ -309,11 +433,20 @@
         eprintln!("edition {edition}");
     }
     println!("{text}");
-    let code = reply.header("x-code").parse().ok().and_then(Code::from_number);
-    Sheet::read(&text).ok().iter().flat_map(|sheet| sheet.list("complaints").to_vec()).for_each(|complaint| {
-        let told = complaint.text("path").zip(complaint.text("text"));
-        told.into_iter().for_each(|(path, text)| eprintln!("clerk: {path}: {text}"));
-    });
+    let code = reply
+        .header("x-code")
+        .parse()
+        .ok()
+        .and_then(Code::from_number);
+    Sheet::read(&text)
+        .ok()
+        .iter()
+        .flat_map(|sheet| sheet.list("complaints").to_vec())
+        .for_each(|complaint| {
+            let told = complaint.text("path").zip(complaint.text("text"));
+            told.into_iter()
+                .for_each(|(path, text)| eprintln!("clerk: {path}: {text}"));
+        });
     match code {
         Some(Code::Fine | Code::Overtaken) => exit::FINE,
         Some(Code::SetupUnknown) => UNKNOWN,
--- a/crates/clerk/src/manifest.rs
+++ b/crates/clerk/src/manifest.rs
@@ -24,12 +24,21 @@
 /// Turns manifests (YAML, several documents) into a setup. The services that routes lead to are described in `services`,
 /// a setup whose routes and aliases don't matter: manifests don't say what may run twice, or where.
 pub fn turn(manifests: &str, services: &str) -> Result<Turned, Vec<Complaint>> {
-    let one = |path: &str, text: String| vec![Complaint { path: path.into(), text }];
-    let documents = YamlLoader::load_from_str(manifests).map_err(|failed| one("/", failed.to_string()))?;
+    let one = |path: &str, text: String| {
+        vec![Complaint {
+            path: path.into(),
+            text,
+        }]
+    };
+    let documents =
+        YamlLoader::load_from_str(manifests).map_err(|failed| one("/", failed.to_string()))?;
     let described = Sheet::read(services).map_err(|text| one("services", text))?;
     let mut desk = Desk::default();
-    let sheets: Vec<Sheet> =
-        documents.iter().enumerate().map(|(at, yaml)| desk.sheet(yaml, &format!("/{at}"))).collect();
+    let sheets: Vec<Sheet> = documents
+        .iter()
+        .enumerate()
+        .map(|(at, yaml)| desk.sheet(yaml, &format!("/{at}")))
+        .collect();
     // Gateways first, whatever the order: routes name them.
     [true, false].into_iter().for_each(|gateways| {
         sheets.iter().enumerate().for_each(|(at, sheet)| {
@@ -39,14 +48,25 @@
             }
         });
     });
-    let known: BTreeSet<&str> = described.list("services").iter().filter_map(|sheet| sheet.text("name")).collect();
+    let known: BTreeSet<&str> = described
+        .list("services")
+        .iter()
+        .filter_map(|sheet| sheet.text("name"))
+        .collect();
     let unknown: Vec<(String, String)> = desk
         .backends
         .iter()
         .filter(|(service, _)| !known.contains(service.as_str()))
-        .map(|(service, path)| (path.clone(), format!("service '{service}' is not described; see --services")))
+        .map(|(service, path)| {
+            (
+                path.clone(),
+                format!("service '{service}' is not described; see --services"),
+            )
+        })
         .collect();
-    unknown.into_iter().for_each(|(path, text)| complain(&mut desk.complaints, &path, text));
+    unknown
+        .into_iter()
+        .for_each(|(path, text)| complain(&mut desk.complaints, &path, text));
     if !desk.complaints.is_empty() {
         return Err(desk.complaints);
     }
@@ -69,9 +89,11 @@
             Yaml::Boolean(truth) => Sheet::Truth(*truth),
             Yaml::String(text) => Sheet::from(text.as_str()),
             Yaml::Integer(number) if *number >= 0 => Sheet::Count(*number as u64),
-            Yaml::Array(items) => {
-                items.iter().enumerate().map(|(at, item)| self.sheet(item, &format!("{path}/{at}"))).collect()
-            }
+            Yaml::Array(items) => items
+                .iter()
+                .enumerate()
+                .map(|(at, item)| self.sheet(item, &format!("{path}/{at}")))
+                .collect(),
             Yaml::Hash(fields) => Sheet::Fields(
                 fields
                     .iter()
@@ -83,7 +105,11 @@
                     .collect(),
             ),
             _ => {
-                complain(&mut self.complaints, path, "a value that no manifest has here");
+                complain(
+                    &mut self.complaints,
+                    path,
+                    "a value that no manifest has here",
+                );
                 Sheet::Null
             }
         }
@@ -92,13 +118,23 @@
     fn document(&mut self, sheet: &Sheet, path: &str) {
         let mut fields = Fields::open(sheet, path, &mut self.complaints);
         let (version, kind) = (fields.text("apiVersion"), fields.text("kind"));
-        let (metadata, spec) = (fields.part("metadata").cloned(), fields.part("spec").cloned());
+        let (metadata, spec) = (
+            fields.part("metadata").cloned(),
+            fields.part("spec").cloned(),
+        );
         fields.close();
         if version.is_some_and(|version| version != GROUP) {
-            complain(&mut self.complaints, &format!("{path}/apiVersion"), format!("must be {GROUP}"));
+            complain(
+                &mut self.complaints,
+                &format!("{path}/apiVersion"),
+                format!("must be {GROUP}"),
+            );
         }
-        let mut fields =
-            Fields::open(metadata.as_ref().unwrap_or(&Sheet::Null), &format!("{path}/metadata"), &mut self.complaints);
+        let mut fields = Fields::open(
+            metadata.as_ref().unwrap_or(&Sheet::Null),
+            &format!("{path}/metadata"),
+            &mut self.complaints,
+        );
         let name = fields.id("name").unwrap_or_default();
         fields.close();
         let spec = spec.unwrap_or(Sheet::Null);
@@ -120,7 +156,11 @@
         let listeners = fields.list("listeners");
         fields.close();
         if class.is_some_and(|class| class != CLASS) {
-            complain(&mut self.complaints, &format!("{path}/gatewayClassName"), format!("must be {CLASS}"));
+            complain(
+                &mut self.complaints,
+                &format!("{path}/gatewayClassName"),
+                format!("must be {CLASS}"),
+            );
         }
         listeners.iter().enumerate().for_each(|(at, listener)| {
             let path = format!("{path}/listeners/{at}");
@@ -140,7 +180,11 @@
 
     fn route(&mut self, name: &str, spec: &Sheet, path: &str) {
         let mut fields = Fields::open(spec, path, &mut self.complaints);
-        let (parents, hosts, rules) = (fields.list("parentRefs"), fields.list("hostnames"), fields.list("rules"));
+        let (parents, hosts, rules) = (
+            fields.list("parentRefs"),
+            fields.list("hostnames"),
+            fields.list("rules"),
+        );
         fields.close();
         parents.iter().enumerate().for_each(|(at, parent)| {
             let path = format!("{path}/parentRefs/{at}");
@@ -148,7 +192,11 @@
             let gateway = fields.id("name").unwrap_or_default();
             fields.close();
             if !self.gateways.contains(&gateway) {
-                complain(&mut self.complaints, &format!("{path}/name"), format!("no Gateway '{gateway}' here"));
+                complain(
+                    &mut self.complaints,
+                    &format!("{path}/name"),
+                    format!("no Gateway '{gateway}' here"),
+                );
             }
         });
         let names: Vec<&str> = hosts
@@ -158,13 +206,21 @@
                 Sheet::Text(host) if address::is_id(host) => Some(host.as_str()),
                 _ => {
                     let text = "must be a whole host name; patterns can't be expressed";
-                    complain(&mut self.complaints, &format!("{path}/hostnames/{at}"), text);
+                    complain(
+                        &mut self.complaints,
+                        &format!("{path}/hostnames/{at}"),
+                        text,
+                    );
                     None
                 }
             })
             .collect();
         let Some((first, others)) = names.split_first() else {
-            return complain(&mut self.complaints, &format!("{path}/hostnames"), "must name one host at least");
+            return complain(
+                &mut self.complaints,
+                &format!("{path}/hostnames"),
+                "must name one host at least",
+            );
         };
         let mut count = 0;
         rules.iter().enumerate().for_each(|(at, rule)| {
@@ -189,24 +245,36 @@
                 ]));
             });
         });
-        let links =
-            others.iter().map(|other| Sheet::fields([("alias", (*other).into()), ("to", format!("{name}-1").into())]));
+        let links = others.iter().map(|other| {
+            Sheet::fields([
+                ("alias", (*other).into()),
+                ("to", format!("{name}-1").into()),
+            ])
+        });
         self.aliases.extend(links);
     }
 
     fn backend(&mut self, backends: &[Sheet], path: &str) -> String {
         if backends.len() != 1 {
-            complain(&mut self.complaints, path, "must be one service: traffic is not split by a setup");
+            complain(
+                &mut self.complaints,
+                path,
+                "must be one service: traffic is not split by a setup",
+            );
         }
-        let first = backends.first().cloned().unwrap_or(Sheet::Fields(Vec::new()));
+        let first = backends
+            .first()
+            .cloned()
+            .unwrap_or(Sheet::Fields(Vec::new()));
         let path = format!("{path}/0");
         let mut fields = Fields::open(&first, &path, &mut self.complaints);
         let service = fields.id("name").unwrap_or_default();
         // Upstreams report their own addresses; a port says nothing here.
         let port = fields.part("port").cloned();
         fields.close();
-        self.remarks
-            .extend(port.map(|port| format!("{path}/port: {port} is no part of a setup; upstreams report theirs")));
+        self.remarks.extend(port.map(|port| {
+            format!("{path}/port: {port} is no part of a setup; upstreams report theirs")
+        }));
         self.backends.entry(service.clone()).or_insert(path);
         service
     }
@@ -216,10 +284,17 @@
         let place = fields.part("path").cloned().unwrap_or(Sheet::Null);
         fields.close();
         let mut fields = Fields::open(&place, &format!("{path}/path"), &mut self.complaints);
-        let (kind, value) = (fields.text("type"), fields.text("value").unwrap_or_default());
+        let (kind, value) = (
+            fields.text("type"),
+            fields.text("value").unwrap_or_default(),
+        );
         fields.close();
         if kind.is_some_and(|kind| kind != "Exact") {
-            complain(&mut self.complaints, &format!("{path}/path/type"), "must be Exact: a route has one path");
+            complain(
+                &mut self.complaints,
+                &format!("{path}/path/type"),
+                "must be Exact: a route has one path",
+            );
         }
         value
     }
@@ -256,11 +331,19 @@
 
     #[test]
     fn a_gateway_and_its_route_become_a_setup() {
-        let manifests = format!("{GATEWAY}{}", route("{path: {type: Exact, value: /book}}", ""));
+        let manifests = format!(
+            "{GATEWAY}{}",
+            route("{path: {type: Exact, value: /book}}", "")
+        );
         let (setup, remarks) = turn(&manifests, SERVICES).expect("it can be expressed");
         let setup = tariff::Setup::read(setup.as_bytes()).expect("a whole setup");
         assert_eq!(setup.resolve("booking.example"), Some("book.example"));
-        assert_eq!(setup.route("book.example", "/book").map(|route| route.service.as_str()), Some("slots"));
+        assert_eq!(
+            setup
+                .route("book.example", "/book")
+                .map(|route| route.service.as_str()),
+            Some("slots")
+        );
         assert_eq!(remarks.len(), 2, "both ports are spoken of: {remarks:?}");
     }
 
@@ -269,14 +352,23 @@
         let exact = "{path: {type: Exact, value: /book}}";
         let cases = [
             (
-                format!("{GATEWAY}{}", route("{path: {type: PathPrefix, value: /}}", "")),
+                format!(
+                    "{GATEWAY}{}",
+                    route("{path: {type: PathPrefix, value: /}}", "")
+                ),
                 "/1/spec/rules/0/matches/0/path/type",
             ),
             (
-                format!("{GATEWAY}{}", route("{path: {type: Exact, value: /b}, method: GET}", "")),
+                format!(
+                    "{GATEWAY}{}",
+                    route("{path: {type: Exact, value: /b}, method: GET}", "")
+                ),
                 "/1/spec/rules/0/matches/0/method",
             ),
-            (format!("{GATEWAY}{}", route(exact, "    filters: []")), "/1/spec/rules/0/filters"),
+            (
+                format!("{GATEWAY}{}", route(exact, "    filters: []")),
+                "/1/spec/rules/0/filters",
+            ),
             (route(exact, ""), "/0/spec/parentRefs/0/name"),
             (
                 format!("{GATEWAY}{}", route(exact, "")).replace("name: slots", "name: seats"),
@@ -287,13 +379,22 @@
                     .replace("[{name: slots, port: 8080}]", "[{name: slots, weight: 3}]"),
                 "/1/spec/rules/0/backendRefs/0/weight",
             ),
-            (GATEWAY.replace("HTTP", "TLS"), "/0/spec/listeners/0/protocol"),
-            (GATEWAY.replace("kind: Gateway", "kind: GRPCRoute"), "/0/kind"),
+            (
+                GATEWAY.replace("HTTP", "TLS"),
+                "/0/spec/listeners/0/protocol",
+            ),
+            (
+                GATEWAY.replace("kind: Gateway", "kind: GRPCRoute"),
+                "/0/kind",
+            ),
             ("a: [".to_owned(), "/"),
         ];
         cases.into_iter().for_each(|(manifests, path)| {
             let told = turn(&manifests, SERVICES).expect_err("it can't be expressed");
-            assert!(told.iter().any(|complaint| complaint.path == path), "{path} not in {told:?}");
+            assert!(
+                told.iter().any(|complaint| complaint.path == path),
+                "{path} not in {told:?}"
+            );
         });
     }
 }
--- a/crates/clerk/src/rescue.rs
+++ b/crates/clerk/src/rescue.rs
@@ -25,7 +25,8 @@
 }
 
 fn open(folder: &str) -> Result<(Storage, Contents), Report<Failure>> {
-    Storage::open(Path::new(folder)).change_context_lazy(|| failure(format!("{folder}: can't be opened")))
+    Storage::open(Path::new(folder))
+        .change_context_lazy(|| failure(format!("{folder}: can't be opened")))
 }
 
 /// Writes a file, synced: what it was made from may be moved away next.
@@ -39,49 +40,98 @@
 
 fn read(file: &str) -> Result<SurvivorState, Report<Failure>> {
     let bytes = fs::read(file).change_context_lazy(|| failure(format!("{file}: can't be read")))?;
-    protocol::unpack(&bytes).ok_or_else(|| Report::new(failure(format!("{file}: is damaged, or no testament"))))
+    protocol::unpack(&bytes)
+        .ok_or_else(|| Report::new(failure(format!("{file}: is damaged, or no testament"))))
 }
 
 /// Writes down what a survivor's disk says. Its postmaster must not run.
 pub fn survivor(node: &str, folder: &str, file: &str) -> Result<String, Report<Failure>> {
-    ensure!(Path::new(folder).join("word.redb").exists(), failure(format!("{folder}: holds no state")));
+    ensure!(
+        Path::new(folder).join("word.redb").exists(),
+        failure(format!("{folder}: holds no state"))
+    );
     // It may be the last copy: nothing in it is touched.
     let inspected = Storage::inspect(Path::new(folder));
-    let Contents { durable, setups, damaged } =
-        inspected.change_context_lazy(|| failure(format!("{folder}: can't be read")))?;
-    let findings: Vec<String> = damaged.iter().map(|damage| format!("{}: {}", damage.file, damage.finding)).collect();
-    ensure!(durable.disk != 0, failure(format!("{folder}: holds no voter's state {findings:?}")));
-    let setup = setups.get(&durable.accepted.digest).cloned().unwrap_or_default();
+    let Contents {
+        durable,
+        setups,
+        damaged,
+    } = inspected.change_context_lazy(|| failure(format!("{folder}: can't be read")))?;
+    let findings: Vec<String> = damaged
+        .iter()
+        .map(|damage| format!("{}: {}", damage.file, damage.finding))
+        .collect();
+    ensure!(
+        durable.disk != 0,
+        failure(format!("{folder}: holds no voter's state {findings:?}"))
+    );
+    let setup = setups
+        .get(&durable.accepted.digest)
+        .cloned()
+        .unwrap_or_default();
     let edition = durable.accepted.edition;
-    let told = format!("{node}: edition {edition}, a roster of {}{}", durable.roster.len(), told_damage(&findings));
-    write(file, &SurvivorState { node: node.to_owned(), durable, setup })?;
+    let told = format!(
+        "{node}: edition {edition}, a roster of {}{}",
+        durable.roster.len(),
+        told_damage(&findings)
+    );
+    write(
+        file,
+        &SurvivorState {
+            node: node.to_owned(),
+            durable,
+            setup,
+        },
+    )?;
     Ok(told)
 }
 
 fn told_damage(findings: &[String]) -> String {
-    if findings.is_empty() { String::new() } else { format!("; damaged: {}", findings.join(", ")) }
+    if findings.is_empty() {
+        String::new()
+    } else {
+        format!("; damaged: {}", findings.join(", "))
+    }
 }
 
 /// Settles the survivors' survivors into one inheritance.
 pub fn settle(file: &str, lost: &[String], survivors: &[&str]) -> Result<String, Report<Failure>> {
-    let survivors = survivors.iter().map(|file| read(file)).collect::<Result<Vec<_>, _>>()?;
-    let settled = quorum_register::settle(&survivors, lost).change_context_lazy(|| failure("nothing was settled"))?;
+    let survivors = survivors
+        .iter()
+        .map(|file| read(file))
+        .collect::<Result<Vec<_>, _>>()?;
+    let settled = quorum_register::settle(&survivors, lost)
+        .change_context_lazy(|| failure("nothing was settled"))?;
     write(file, &settled)?;
-    Ok(format!("settled: edition {}", settled.durable.accepted.edition))
+    Ok(format!(
+        "settled: edition {}",
+        settled.durable.accepted.edition
+    ))
 }
 
 /// Leaves the inheritance on a blank disk, for the founding of a whole new roster.
 pub fn inherit(file: &str, folder: &str) -> Result<String, Report<Failure>> {
     let inheritance = read(file)?;
-    ensure!(inheritance.durable.disk == 0, failure(format!("{file}: is a survivor, not yet settled")));
+    ensure!(
+        inheritance.durable.disk == 0,
+        failure(format!("{file}: is a survivor, not yet settled"))
+    );
     let (mut storage, contents) = open(folder)?;
     let blank = contents.durable == DurableState::default() && contents.damaged.is_empty();
-    ensure!(blank, failure(format!("{folder}: is not blank; move it away first")));
+    ensure!(
+        blank,
+        failure(format!("{folder}: is not blank; move it away first"))
+    );
     let digest = &inheritance.durable.accepted.digest;
     let kept = Some(digest)
         .filter(|digest| !digest.is_empty())
-        .map_or(Ok(()), |digest| storage.keep_setup(digest, &inheritance.setup))
+        .map_or(Ok(()), |digest| {
+            storage.keep_setup(digest, &inheritance.setup)
+        })
         .and_then(|()| storage.keep(&inheritance.durable));
     kept.change_context_lazy(|| failure(format!("{folder}: can't be written")))?;
-    Ok(format!("{folder} inherits edition {}", inheritance.durable.accepted.edition))
+    Ok(format!(
+        "{folder} inherits edition {}",
+        inheritance.durable.accepted.edition
+    ))
 }
--- a/crates/controller/src/anonymous_orders.rs
+++ b/crates/controller/src/anonymous_orders.rs
@@ -51,12 +51,23 @@
 }
 
 impl ControlNode {
-    pub(crate) fn evacuate_anonymously(&mut self, now: Duration, token: u64, locality: String, back: bool) {
+    pub(crate) fn evacuate_anonymously(
+        &mut self,
+        now: Duration,
+        token: u64,
+        locality: String,
+        back: bool,
+    ) {
         self.open_order(token);
         if self.anonymous.may_be_old(now) || self.anonymous.waiting.len() >= MAX_WAITING {
             return self.deny_anonymous(now, token);
         }
-        self.anonymous.waiting.push(Waiting { token, came_at: now, locality, back });
+        self.anonymous.waiting.push(Waiting {
+            token,
+            came_at: now,
+            locality,
+            back,
+        });
         self.run_register(now, quorum_register::Event::Confirm);
     }
 
@@ -65,31 +76,67 @@
         if self.anonymous.waiting.is_empty() {
             return;
         }
-        let (late, waiting): (Vec<Waiting>, Vec<Waiting>) =
-            self.anonymous.waiting.drain(..).partition(|wait| now >= wait.came_at + PATIENCE);
-        let (confirmed, waiting): (Vec<Waiting>, Vec<Waiting>) =
-            waiting.into_iter().partition(|wait| self.register.is_confirmed_since(wait.came_at));
+        let (late, waiting): (Vec<Waiting>, Vec<Waiting>) = self
+            .anonymous
+            .waiting
+            .drain(..)
+            .partition(|wait| now >= wait.came_at + PATIENCE);
+        let (confirmed, waiting): (Vec<Waiting>, Vec<Waiting>) = waiting
+            .into_iter()
+            .partition(|wait| self.register.is_confirmed_since(wait.came_at));
         self.anonymous.waiting = waiting;
-        late.into_iter().for_each(|wait| self.deny_anonymous(now, wait.token));
-        confirmed.into_iter().for_each(|wait| self.evacuate_confirmed(now, wait));
+        late.into_iter()
+            .for_each(|wait| self.deny_anonymous(now, wait.token));
+        confirmed
+            .into_iter()
+            .for_each(|wait| self.evacuate_confirmed(now, wait));
     }
 
     fn evacuate_confirmed(&mut self, now: Duration, wait: Waiting) {
-        let Waiting { token, locality, back, .. } = wait;
+        let Waiting {
+            token,
+            locality,
+            back,
+            ..
+        } = wait;
         if !self.is_open_order(token) {
             // Contact was lost meanwhile, and its caller was told to ask elsewhere.
             return;
         }
         let edition = self.register.state().edition;
         if self.register.state().evacuated.contains(&locality) != back {
-            return self.decided(now, token, Decision { code: Code::Fine, edition });
+            return self.decided(
+                now,
+                token,
+                Decision {
+                    code: Code::Fine,
+                    edition,
+                },
+            );
         }
         let (id, seen) = (OrderId::default(), Some(edition));
-        self.change(now, token, Change::Evacuate { id, locality, back, seen }, None);
+        self.change(
+            now,
+            token,
+            Change::Evacuate {
+                id,
+                locality,
+                back,
+                seen,
+            },
+            None,
+        );
     }
 
     fn deny_anonymous(&mut self, now: Duration, token: u64) {
         let edition = self.register.state().edition;
-        self.decided(now, token, Decision { code: Code::Stale, edition });
+        self.decided(
+            now,
+            token,
+            Decision {
+                code: Code::Stale,
+                edition,
+            },
+        );
     }
 }
--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -32,7 +32,9 @@
 
     /// True while a majority answered a question of this node that it asked a moment ago.
     pub(crate) fn is_in_contact(&self, now: Duration) -> bool {
-        self.register.age(now).is_some_and(|age| age < self.contact_span())
+        self.register
+            .age(now)
+            .is_some_and(|age| age < self.contact_span())
     }
 
     /// True where the answer would vouch for something, so that it needs contact with a majority.
@@ -72,7 +74,9 @@
         let holds = match body {
             Payload::LeaseRequest(request) => request.renewal,
             Payload::Holder(holder) => holder.epoch >= self.held_epoch,
-            Payload::Placement(placement) => placement.epoch >= self.held_epoch && from == self.placed_by,
+            Payload::Placement(placement) => {
+                placement.epoch >= self.held_epoch && from == self.placed_by
+            }
             _ => false,
         };
         if holds {
@@ -87,7 +91,9 @@
             return None;
         }
         let member = self.members.iter().find(|member| member.node == *node);
-        member.map(|member| member.http_address.clone()).filter(|address| !address.is_empty())
+        member
+            .map(|member| member.http_address.clone())
+            .filter(|address| !address.is_empty())
     }
 
     /// Notes that an order waits for the register's decision.
@@ -112,9 +118,13 @@
         }
         let edition = self.register.state().edition;
         let waiting = std::mem::take(&mut self.contact.orders);
-        self.waiting_force.retain(|wait| !waiting.contains(&wait.token));
+        self.waiting_force
+            .retain(|wait| !waiting.contains(&wait.token));
         waiting.into_iter().for_each(|token| {
-            let answer = Answer::Verdict { code: Code::SetupUnknown, edition };
+            let answer = Answer::Verdict {
+                code: Code::SetupUnknown,
+                edition,
+            };
             self.effects.push_back(Effect::Answer { token, answer });
         });
     }
--- a/crates/controller/src/departure_writer.rs
+++ b/crates/controller/src/departure_writer.rs
@@ -28,7 +28,11 @@
     /// assert_eq!(told.recv(), Ok(7));
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
-    pub fn start(log: DepartureLog, pauses: Pauses, report: impl Fn(u64) -> bool + Send + 'static) -> DepartureWriter {
+    pub fn start(
+        log: DepartureLog,
+        pauses: Pauses,
+        report: impl Fn(u64) -> bool + Send + 'static,
+    ) -> DepartureWriter {
         let (writes, waiting) = channel();
         std::thread::spawn(move || run(log, pauses, &waiting, report));
         DepartureWriter { writes }
@@ -41,7 +45,12 @@
     }
 }
 
-fn run(mut log: DepartureLog, pauses: Pauses, waiting: &Receiver<Write>, report: impl Fn(u64) -> bool) {
+fn run(
+    mut log: DepartureLog,
+    pauses: Pauses,
+    waiting: &Receiver<Write>,
+    report: impl Fn(u64) -> bool,
+) {
     let mut failures = 0;
     let mut next = waiting.recv().ok();
     while let Some((ticket, departures)) = next {
@@ -58,7 +67,9 @@
             Err(failure) => {
                 failures += 1;
                 if failures == 1 {
-                    error!("disk: departures can't be kept; none is acknowledged for this node meanwhile: {failure:#}");
+                    error!(
+                        "disk: departures can't be kept; none is acknowledged for this node meanwhile: {failure:#}"
+                    );
                 }
                 match waiting.recv_timeout(pauses.after(failures)) {
                     Ok(later) => Some(later),
--- a/crates/controller/src/departures.rs
+++ b/crates/controller/src/departures.rs
@@ -7,7 +7,10 @@
 use crate::node::{BATCH_EVERY, ControlNode, Effect};
 use address::{Code, spread_all};
 use enrolment::{GONE, READY};
-use protocol::{Beats, BeatsAck, Departure, DeparturesRead, DeparturesReadBack, Payload, Read, ReadBack, Upstream};
+use protocol::{
+    Beats, BeatsAck, Departure, DeparturesRead, DeparturesReadBack, Payload, Read, ReadBack,
+    Upstream,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -57,16 +60,28 @@
 fn digest(departures: &[Departure]) -> u64 {
     let one = |departure: &Departure| {
         let condition = departure.condition.to_string();
-        spread_all([departure.service.as_str(), "/", &departure.instance, "/", &condition])
+        spread_all([
+            departure.service.as_str(),
+            "/",
+            &departure.instance,
+            "/",
+            &condition,
+        ])
     };
-    departures.iter().fold(0, |digest, departure| digest ^ one(departure))
+    departures
+        .iter()
+        .fold(0, |digest, departure| digest ^ one(departure))
 }
 
 impl ControlNode {
     /// True where the caller has to wait until a majority knows of it.
     pub(crate) fn is_unknown_departure(&self, upstream: &Upstream) -> bool {
         let id = (upstream.service.clone(), upstream.instance.clone());
-        let known = self.departures.known.get(&id).is_some_and(|(condition, _)| *condition >= upstream.condition);
+        let known = self
+            .departures
+            .known
+            .get(&id)
+            .is_some_and(|(condition, _)| *condition >= upstream.condition);
         upstream.condition != READY && !known
     }
 
@@ -76,7 +91,13 @@
             return self.refuse(now, token, Code::Stale);
         }
         let nonce = self.random.next_u64().max(1);
-        let wait = Wait { token, upstream, taken_by: BTreeSet::new(), until: now + PATIENCE, next_tell: now };
+        let wait = Wait {
+            token,
+            upstream,
+            taken_by: BTreeSet::new(),
+            until: now + PATIENCE,
+            next_tell: now,
+        };
         self.departures.waiting.insert(nonce, wait);
         self.keep_departures(now, AfterKept::Own { nonce });
         self.tell_waiting(now, nonce);
@@ -97,7 +118,8 @@
         self.departures.being_kept = std::mem::take(&mut self.departures.to_keep);
         self.departures.ticket += 1;
         let (ticket, departures) = (self.departures.ticket, self.recent_departures(now));
-        self.effects.push_back(Effect::KeepDepartures { ticket, departures });
+        self.effects
+            .push_back(Effect::KeepDepartures { ticket, departures });
     }
 
     /// What was known of departures when this write began is known in the next life of this process too.
@@ -105,42 +127,76 @@
         if ticket != self.departures.ticket {
             return;
         }
-        std::mem::take(&mut self.departures.being_kept).into_iter().for_each(|then| match then {
-            AfterKept::Ack { to, nonce } => {
-                let body = Payload::BeatsAck(BeatsAck { nonce });
-                self.effects.push_back(Effect::Send { to, body });
-            }
-            AfterKept::Own { nonce } => self.beats_taken(now, self.me.node.clone(), BeatsAck { nonce }),
-        });
+        std::mem::take(&mut self.departures.being_kept)
+            .into_iter()
+            .for_each(|then| match then {
+                AfterKept::Ack { to, nonce } => {
+                    let body = Payload::BeatsAck(BeatsAck { nonce });
+                    self.effects.push_back(Effect::Send { to, body });
+                }
+                AfterKept::Own { nonce } => {
+                    self.beats_taken(now, self.me.node.clone(), BeatsAck { nonce })
+                }
+            });
         self.begin_keeping(now);
     }
 
     /// Tells those that did not answer yet.
     fn tell_waiting(&mut self, now: Duration, nonce: u64) {
-        let Some(wait) = self.departures.waiting.get_mut(&nonce) else { return };
+        let Some(wait) = self.departures.waiting.get_mut(&nonce) else {
+            return;
+        };
         wait.next_tell = now + TELL_EVERY;
-        let upstream = Upstream { holds: Vec::new(), released: Vec::new(), ..wait.upstream.clone() };
-        let body = Payload::Beats(Beats { upstreams: vec![upstream], nonce });
+        let upstream = Upstream {
+            holds: Vec::new(),
+            released: Vec::new(),
+            ..wait.upstream.clone()
+        };
+        let body = Payload::Beats(Beats {
+            upstreams: vec![upstream],
+            nonce,
+        });
         let voter_set = self.register.voter_set().clone();
         let voters = voter_set.members();
-        let members = self.members.iter().filter(|member| member.roles == "postmaster").map(|member| &member.node);
+        let members = self
+            .members
+            .iter()
+            .filter(|member| member.roles == "postmaster")
+            .map(|member| &member.node);
         let all: BTreeSet<&String> = voters.chain(members).collect();
-        let others = all.into_iter().filter(|node| **node != self.me.node && !wait.taken_by.contains(*node));
-        let sends = others.map(|node| Effect::Send { to: node.clone(), body: body.clone() });
+        let others = all
+            .into_iter()
+            .filter(|node| **node != self.me.node && !wait.taken_by.contains(*node));
+        let sends = others.map(|node| Effect::Send {
+            to: node.clone(),
+            body: body.clone(),
+        });
         self.effects.extend(sends.collect::<Vec<_>>());
     }
 
     /// Takes in beats that another control node tells of.
     pub(crate) fn beats_told(&mut self, now: Duration, from: String, beats: Beats) {
-        let dropped = beats.upstreams.into_iter().filter(|upstream| !self.take_told(now, upstream.clone())).count();
+        let dropped = beats
+            .upstreams
+            .into_iter()
+            .filter(|upstream| !self.take_told(now, upstream.clone()))
+            .count();
         if dropped == 0 && beats.nonce != 0 {
-            self.keep_departures(now, AfterKept::Ack { to: from, nonce: beats.nonce });
+            self.keep_departures(
+                now,
+                AfterKept::Ack {
+                    to: from,
+                    nonce: beats.nonce,
+                },
+            );
         }
     }
 
     /// True where a departure is known here from now on.
     pub(crate) fn take_told(&mut self, now: Duration, upstream: Upstream) -> bool {
-        let departure = Some(&upstream).filter(|upstream| upstream.condition != READY).map(departure);
+        let departure = Some(&upstream)
+            .filter(|upstream| upstream.condition != READY)
+            .map(departure);
         if !upstream.service.is_empty() {
             self.roll.take(now, upstream);
         }
@@ -156,11 +212,22 @@
 
     /// Acknowledges a departure that a majority knows.
     fn settle_departure(&mut self, now: Duration, nonce: u64) {
-        let Some(wait) = self.departures.waiting.get(&nonce) else { return };
-        if !self.register.voter_set().is_quorum(|voter| wait.taken_by.contains(voter)) {
+        let Some(wait) = self.departures.waiting.get(&nonce) else {
+            return;
+        };
+        if !self
+            .register
+            .voter_set()
+            .is_quorum(|voter| wait.taken_by.contains(voter))
+        {
             return;
         }
-        let Some(Wait { token, upstream, .. }) = self.departures.waiting.remove(&nonce) else { return };
+        let Some(Wait {
+            token, upstream, ..
+        }) = self.departures.waiting.remove(&nonce)
+        else {
+            return;
+        };
         if self.departures.known.len() < MOST_REMEMBERED {
             let id = (upstream.service.clone(), upstream.instance.clone());
             self.departures.known.insert(id, (upstream.condition, now));
@@ -169,22 +236,35 @@
     }
 
     pub(crate) fn tick_departures(&mut self, now: Duration) {
-        self.departures.known.retain(|_, (_, known_at)| now < *known_at + REMEMBERED);
-        let late = self.departures.waiting.iter().filter(|(_, wait)| now >= wait.until);
+        self.departures
+            .known
+            .retain(|_, (_, known_at)| now < *known_at + REMEMBERED);
+        let late = self
+            .departures
+            .waiting
+            .iter()
+            .filter(|(_, wait)| now >= wait.until);
         let late: Vec<u64> = late.map(|(nonce, _)| *nonce).collect();
         late.into_iter().for_each(|nonce| {
             let wait = self.departures.waiting.remove(&nonce);
-            wait.into_iter().for_each(|wait| self.refuse(now, wait.token, Code::Stale));
+            wait.into_iter()
+                .for_each(|wait| self.refuse(now, wait.token, Code::Stale));
         });
-        let due = self.departures.waiting.iter().filter(|(_, wait)| now >= wait.next_tell);
+        let due = self
+            .departures
+            .waiting
+            .iter()
+            .filter(|(_, wait)| now >= wait.next_tell);
         let due: Vec<u64> = due.map(|(nonce, _)| *nonce).collect();
-        due.into_iter().for_each(|nonce| self.tell_waiting(now, nonce));
+        due.into_iter()
+            .for_each(|nonce| self.tell_waiting(now, nonce));
     }
 
     /// Departures that a node may lack which held for current until now: whoever lacks an older one has dropped the
     /// upstream as silent since, or heard of it in a batch.
     fn recent_departures(&self, now: Duration) -> Vec<Departure> {
-        self.roll.departures(now, self.times.upstream_silent + BATCH_EVERY * 3)
+        self.roll
+            .departures(now, self.times.upstream_silent + BATCH_EVERY * 3)
     }
 
     /// A message of the register to another voter: with a reading goes a digest of the departures known here, with the
@@ -211,19 +291,37 @@
         if departures.is_empty() || digest(&departures) == self.departures.asked_with {
             return Payload::ReadBack(read_back);
         }
-        Payload::DeparturesReadBack(DeparturesReadBack { read_back, departures })
+        Payload::DeparturesReadBack(DeparturesReadBack {
+            read_back,
+            departures,
+        })
     }
 
     /// A voter's question what was accepted here.
     pub(crate) fn read_asked(&mut self, now: Duration, from: String, read: Read, digest: u64) {
         self.departures.asked_with = digest;
-        self.run_register(now, quorum_register::Event::Received { from, body: Payload::Read(read) });
+        self.run_register(
+            now,
+            quorum_register::Event::Received {
+                from,
+                body: Payload::Read(read),
+            },
+        );
     }
 
     /// What the voter knows of departures counts before its confirmation does.
-    pub(crate) fn read_answered(&mut self, now: Duration, from: String, answer: DeparturesReadBack) {
+    pub(crate) fn read_answered(
+        &mut self,
+        now: Duration,
+        from: String,
+        answer: DeparturesReadBack,
+    ) {
         self.note_answered(now, &from);
-        let dropped = answer.departures.iter().filter(|departure| !self.roll.depart(now, departure)).count();
+        let dropped = answer
+            .departures
+            .iter()
+            .filter(|departure| !self.roll.depart(now, departure))
+            .count();
         if dropped == 0 {
             let body = Payload::ReadBack(answer.read_back);
             self.run_register(now, quorum_register::Event::Received { from, body });
@@ -233,12 +331,30 @@
 
 /// What is told of an upstream that departs.
 fn departure(upstream: &Upstream) -> Departure {
-    let Upstream { service, instance, condition, beat, .. } = upstream;
-    Departure { service: service.clone(), instance: instance.clone(), condition: *condition, beat: *beat }
+    let Upstream {
+        service,
+        instance,
+        condition,
+        beat,
+        ..
+    } = upstream;
+    Departure {
+        service: service.clone(),
+        instance: instance.clone(),
+        condition: *condition,
+        beat: *beat,
+    }
 }
 
 /// The record of an instance that signed off. It is new with every life, so no later beat can be meant.
 pub(crate) fn signed_off(instance: String, known: Option<Upstream>) -> Upstream {
-    let known = known.unwrap_or_else(|| Upstream { instance, ..Upstream::default() });
-    Upstream { condition: GONE, beat: u64::MAX, ..known }
+    let known = known.unwrap_or_else(|| Upstream {
+        instance,
+        ..Upstream::default()
+    });
+    Upstream {
+        condition: GONE,
+        beat: u64::MAX,
+        ..known
+    }
 }
--- a/crates/controller/src/dialect.rs
+++ b/crates/controller/src/dialect.rs
@@ -36,7 +36,11 @@
     /// assert_eq!((controller::Dialect::own().show)(answer).status(), 200);
     /// ```
     pub fn own() -> Dialect {
-        Dialect { ask: Box::new(read_ask), show: Box::new(show), reader: SetupReader::default() }
+        Dialect {
+            ask: Box::new(read_ask),
+            show: Box::new(show),
+            reader: SetupReader::default(),
+        }
     }
 }
 
@@ -44,18 +48,35 @@
     let mut complaints = Vec::new();
     let id = read_order_id(enquiry, &mut complaints);
     let in_force = enquiry.query("wait") == "force";
-    let needs_id =
-        matches!((enquiry.method.as_str(), enquiry.path.as_str()), ("PUT", "/setup") | ("POST", "/evacuations"));
+    let needs_id = matches!(
+        (enquiry.method.as_str(), enquiry.path.as_str()),
+        ("PUT", "/setup") | ("POST", "/evacuations")
+    );
     if needs_id && !address::is_id(&id.id) {
-        complain(&mut complaints, "id", "a submission needs an id of 1 to 64 of a-z A-Z 0-9 - _ .");
+        complain(
+            &mut complaints,
+            "id",
+            "a submission needs an id of 1 to 64 of a-z A-Z 0-9 - _ .",
+        );
     }
     let ask = match (enquiry.method.as_str(), enquiry.path.as_str()) {
         ("PUT", "/setup") => {
-            let base = Some(enquiry.query("base")).filter(|base| !base.is_empty()).map(str::parse::<u64>);
+            let base = Some(enquiry.query("base"))
+                .filter(|base| !base.is_empty())
+                .map(str::parse::<u64>);
             if matches!(base, Some(Err(_))) {
-                complain(&mut complaints, "base", "must be the edition that the setup was made from");
+                complain(
+                    &mut complaints,
+                    "base",
+                    "must be the edition that the setup was made from",
+                );
+            }
+            Ask::Submit {
+                id,
+                base: base.and_then(Result::ok),
+                bytes: enquiry.body.to_vec(),
+                in_force,
             }
-            Ask::Submit { id, base: base.and_then(Result::ok), bytes: enquiry.body.to_vec(), in_force }
         }
         ("POST", "/evacuations") => {
             let locality = enquiry.query("locality").to_owned();
@@ -63,14 +84,27 @@
                 complain(&mut complaints, "locality", text);
             }
             let back = enquiry.query("back") == "true";
-            Ask::Evacuate { id, locality, back, in_force }
+            Ask::Evacuate {
+                id,
+                locality,
+                back,
+                in_force,
+            }
         }
         ("POST", "/voters") => {
-            let named = |name: &str| Some(enquiry.query(name).to_owned()).filter(|node| !node.is_empty());
+            let named =
+                |name: &str| Some(enquiry.query(name).to_owned()).filter(|node| !node.is_empty());
             let (add, remove) = (named("add"), named("remove"));
-            let wrong = [&add, &remove].into_iter().flatten().any(|node| !address::is_id(node));
+            let wrong = [&add, &remove]
+                .into_iter()
+                .flatten()
+                .any(|node| !address::is_id(node));
             if wrong || (add.is_none() && remove.is_none()) {
-                complain(&mut complaints, "voters", "name the node to 'add', the one to 'remove', or both");
+                complain(
+                    &mut complaints,
+                    "voters",
+                    "name the node to 'add', the one to 'remove', or both",
+                );
             }
             Ask::ChangeVoters { add, remove }
         }
@@ -82,20 +116,35 @@
         ("POST", "/beats") => Ask::Beat(read_beat(&enquiry.body, &mut complaints)),
         _ => return Err((Code::NoSuchPage, Vec::new())),
     };
-    if complaints.is_empty() { Ok(ask) } else { Err((Code::Malformed, complaints)) }
+    if complaints.is_empty() {
+        Ok(ask)
+    } else {
+        Err((Code::Malformed, complaints))
+    }
 }
 
 /// The id of an order, and how many orders were decided before it was first sent.
 fn read_order_id(enquiry: &Enquiry, complaints: &mut Vec<Complaint>) -> OrderId {
-    let since = Some(enquiry.query("since")).filter(|since| !since.is_empty()).map(str::parse::<u64>);
+    let since = Some(enquiry.query("since"))
+        .filter(|since| !since.is_empty())
+        .map(str::parse::<u64>);
     if matches!(since, Some(Err(_))) {
-        complain(complaints, "since", "must be the count of decided orders that a status told");
+        complain(
+            complaints,
+            "since",
+            "must be the count of decided orders that a status told",
+        );
+    }
+    OrderId {
+        id: enquiry.query("id").to_owned(),
+        since: since.and_then(Result::ok),
     }
-    OrderId { id: enquiry.query("id").to_owned(), since: since.and_then(Result::ok) }
 }
 
 fn read_beat(body: &[u8], complaints: &mut Vec<Complaint>) -> Upstream {
-    let sheet = std::str::from_utf8(body).map_err(|_| "this is not UTF-8".to_owned()).and_then(Sheet::read);
+    let sheet = std::str::from_utf8(body)
+        .map_err(|_| "this is not UTF-8".to_owned())
+        .and_then(Sheet::read);
     let sheet = sheet.unwrap_or_else(|text| {
         complain(complaints, "/", text);
         Sheet::Null
@@ -103,7 +152,9 @@
     let mut fields = Fields::open(&sheet, "", complaints);
     let ids = fields.id("service").zip(fields.id("instance"));
     let place = fields.text("address").zip(fields.text("locality"));
-    let numbers = fields.count("freeSlots", 0..=100_000, None).zip(fields.count("beat", 1..=u64::MAX, None));
+    let numbers = fields
+        .count("freeSlots", 0..=100_000, None)
+        .zip(fields.count("beat", 1..=u64::MAX, None));
     let warm = fields.truth("warm", false);
     let condition = fields.text("condition").unwrap_or_default();
     let holds = fields.list("holds").to_vec();
@@ -112,7 +163,9 @@
     let holds = holds.iter().enumerate().filter_map(|(at, hold)| {
         let mut fields = Fields::open(hold, &format!("/holds/{at}"), complaints);
         let most = u64::from(address::SLOTS);
-        let run = fields.count("from", 0..=most, None).zip(fields.count("until", 0..=most, None));
+        let run = fields
+            .count("from", 0..=most, None)
+            .zip(fields.count("until", 0..=most, None));
         let epoch = fields.count("epoch", 0..=u64::MAX, None);
         fields.close();
         run.zip(epoch).map(|((from, until), epoch)| Share {
@@ -129,18 +182,32 @@
         "leaving" => enrolment::LEAVING,
         "gone" => enrolment::GONE,
         other => {
-            complain(complaints, "/condition", format!("'{other}' is none of ready, leaving, gone"));
+            complain(
+                complaints,
+                "/condition",
+                format!("'{other}' is none of ready, leaving, gone"),
+            );
             enrolment::GONE
         }
     };
     let ((service, instance), (address, locality)) = ids.zip(place).unwrap_or_default();
     if complaints.is_empty() && address.parse::<std::net::SocketAddr>().is_err() {
-        complain(complaints, "/address", format!("'{address}' is not an IP number and a port"));
+        complain(
+            complaints,
+            "/address",
+            format!("'{address}' is not an IP number and a port"),
+        );
     }
     if complaints.is_empty() && locality.parse::<address::Locality>().is_err() {
-        complain(complaints, "/locality", format!("'{locality}' is not a locality; write region/zone"));
+        complain(
+            complaints,
+            "/locality",
+            format!("'{locality}' is not a locality; write region/zone"),
+        );
     }
-    let (free_slots, beat) = numbers.map(|(free, beat)| (free as u32, beat)).unwrap_or_default();
+    let (free_slots, beat) = numbers
+        .map(|(free, beat)| (free as u32, beat))
+        .unwrap_or_default();
     Upstream {
         service,
         instance,
@@ -163,7 +230,11 @@
     match answer {
         Answer::Redirect { to } => transport::redirect(&to),
         Answer::Sheet(sheet) => transport::json(Code::Fine, &sheet),
-        Answer::Beat { holder, shares, span } => transport::json(Code::Fine, &beat_sheet(holder, shares, span)),
+        Answer::Beat {
+            holder,
+            shares,
+            span,
+        } => transport::json(Code::Fine, &beat_sheet(holder, shares, span)),
         Answer::Setup { edition, bytes } => {
             let mut response = transport::answer(Code::Fine, "application/json", bytes.into());
             response.headers_mut().insert("x-edition", edition.into());
@@ -183,7 +254,10 @@
         }
         Answer::Denied { code, complaints } => {
             let told = complaints.iter().map(|complaint| {
-                Sheet::fields([("path", complaint.path.as_str().into()), ("text", complaint.text.as_str().into())])
+                Sheet::fields([
+                    ("path", complaint.path.as_str().into()),
+                    ("text", complaint.text.as_str().into()),
+                ])
             });
             let sheet = Sheet::fields([
                 ("code", u64::from(code.number()).into()),
@@ -202,7 +276,10 @@
 /// assert_eq!(sheet.to_string(), r#"{"code":1000,"holder":3}"#);
 /// ```
 pub fn beat_sheet(holder: u64, shares: Option<Vec<Share>>, span: Duration) -> Sheet {
-    let mut fields = vec![("code", u64::from(Code::Fine.number()).into()), ("holder", holder.into())];
+    let mut fields = vec![
+        ("code", u64::from(Code::Fine.number()).into()),
+        ("holder", holder.into()),
+    ];
     shares.into_iter().for_each(|shares| {
         let run = |share: Share| {
             Sheet::fields([
@@ -214,5 +291,10 @@
         fields.push(("shares", shares.into_iter().map(run).collect()));
         fields.push(("spanMs", (span.as_millis() as u64).into()));
     });
-    Sheet::Fields(fields.into_iter().map(|(name, sheet)| (name.to_owned(), sheet)).collect())
+    Sheet::Fields(
+        fields
+            .into_iter()
+            .map(|(name, sheet)| (name.to_owned(), sheet))
+            .collect(),
+    )
 }
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -21,9 +21,18 @@
 /// Something to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Write {
-    State { ticket: u64, durable: DurableState },
-    Setup { ticket: u64, digest: String, bytes: Vec<u8> },
-    DropSetup { digest: String },
+    State {
+        ticket: u64,
+        durable: DurableState,
+    },
+    Setup {
+        ticket: u64,
+        digest: String,
+        bytes: Vec<u8>,
+    },
+    DropSetup {
+        digest: String,
+    },
 }
 
 /// What the disk reports.
@@ -49,7 +58,10 @@
 
 impl Default for Pauses {
     fn default() -> Self {
-        Pauses { first: Duration::from_millis(50), longest: Duration::from_secs(2) }
+        Pauses {
+            first: Duration::from_millis(50),
+            longest: Duration::from_secs(2),
+        }
     }
 }
 
@@ -133,7 +145,13 @@
         report: impl Fn(DiskReport) -> bool + Send + 'static,
     ) -> Disk {
         let shared = Arc::new(Shared::default());
-        let worker = Worker { shared: shared.clone(), storage, pauses, clock, report };
+        let worker = Worker {
+            shared: shared.clone(),
+            storage,
+            pauses,
+            clock,
+            report,
+        };
         std::thread::spawn(move || worker.run());
         Disk { shared }
     }
@@ -151,7 +169,10 @@
         } else {
             queue.waiting.push_back(write);
         }
-        self.shared.counts.waiting.store(queue.waiting.len() as u64, Ordering::Relaxed);
+        self.shared
+            .counts
+            .waiting
+            .store(queue.waiting.len() as u64, Ordering::Relaxed);
         self.shared.changed.notify_all();
     }
 
@@ -210,7 +231,9 @@
 impl<R: Fn(DiskReport) -> bool> Worker<R> {
     fn run(mut self) {
         while let Ok(writes) = self.next_writes() {
-            let done = merge(writes).into_iter().try_for_each(|write| self.carry_out(write));
+            let done = merge(writes)
+                .into_iter()
+                .try_for_each(|write| self.carry_out(write));
             if done.is_err() {
                 return;
             }
@@ -232,7 +255,11 @@
             if queue.closed {
                 return Err(Ended);
             }
-            queue = self.shared.changed.wait(queue).unwrap_or_else(PoisonError::into_inner);
+            queue = self
+                .shared
+                .changed
+                .wait(queue)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         let writes = queue.waiting.drain(..).collect();
         self.shared.counts.waiting.store(0, Ordering::Relaxed);
@@ -245,7 +272,11 @@
                 self.retry(|storage| storage.keep(&durable))?;
                 self.tell(DiskReport::Synced { ticket })
             }
-            Write::Setup { ticket, digest, bytes } => {
+            Write::Setup {
+                ticket,
+                digest,
+                bytes,
+            } => {
                 self.retry(|storage| storage.keep_setup(&digest, &bytes))?;
                 self.tell(DiskReport::Synced { ticket })
             }
@@ -259,11 +290,18 @@
     }
 
     fn tell(&self, report: DiskReport) -> Result<(), Ended> {
-        if (self.report)(report) { Ok(()) } else { Err(Ended) }
+        if (self.report)(report) {
+            Ok(())
+        } else {
+            Err(Ended)
+        }
     }
 
     /// Tries a write until it is done.
-    fn retry(&mut self, write: impl Fn(&mut Storage) -> Result<(), Report<StorageError>>) -> Result<(), Ended> {
+    fn retry(
+        &mut self,
+        write: impl Fn(&mut Storage) -> Result<(), Report<StorageError>>,
+    ) -> Result<(), Ended> {
         let first_at = self.clock.now();
         let mut failures = 0;
         loop {
--- a/crates/controller/src/gossip.rs
+++ b/crates/controller/src/gossip.rs
@@ -15,14 +15,20 @@
     pub(crate) fn record_beat(&mut self, now: Duration, upstream: &Upstream) -> bool {
         let newer = self.roll.take(now, upstream.clone());
         if newer {
-            self.heard_here.insert((upstream.service.clone(), upstream.instance.clone()), (upstream.beat, now));
+            self.heard_here.insert(
+                (upstream.service.clone(), upstream.instance.clone()),
+                (upstream.beat, now),
+            );
         }
         newer
     }
 
     /// Takes in a beat that came here; what is news about it goes to all at once.
     pub(crate) fn take_beat(&mut self, now: Duration, upstream: &Upstream) {
-        let before = self.roll.one(now, upstream).map(|known| enrolment::mark(&known));
+        let before = self
+            .roll
+            .one(now, upstream)
+            .map(|known| enrolment::mark(&known));
         if !self.record_beat(now, upstream) {
             return;
         }
@@ -33,28 +39,58 @@
         let unplaced = self.placement.epoch == 0;
         news.into_iter().for_each(|mut known| {
             known.holds.retain(|_| unplaced);
-            let upstreams = vec![Upstream { released: Vec::new(), ..known }];
-            self.tell_postmasters(Payload::Beats(Beats { upstreams, nonce: 0 }));
+            let upstreams = vec![Upstream {
+                released: Vec::new(),
+                ..known
+            }];
+            self.tell_postmasters(Payload::Beats(Beats {
+                upstreams,
+                nonce: 0,
+            }));
         });
     }
 
     /// Tells which upstreams beat here lately, and which are gone: to the own region, and to one postmaster of each
     /// other region, another one each time, which tells it on there.
     pub(crate) fn tell_alive(&mut self, now: Duration) {
-        self.heard_here.retain(|_, (_, heard_at)| now < *heard_at + BATCH_EVERY * TOLD_TIMES);
-        let (far, near) = (self.batch(now, BATCH_EVERY * TOLD_TIMES), self.batch(now, BATCH_EVERY));
+        self.heard_here
+            .retain(|_, (_, heard_at)| now < *heard_at + BATCH_EVERY * TOLD_TIMES);
+        let (far, near) = (
+            self.batch(now, BATCH_EVERY * TOLD_TIMES),
+            self.batch(now, BATCH_EVERY),
+        );
         self.batches += 1;
         let mut regions: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        let there = self.members.iter().filter(|member| member.roles == "postmaster" && member.node != self.me.node);
-        there.for_each(|member| regions.entry(region(&member.locality)).or_default().push(&member.node));
+        let there = self
+            .members
+            .iter()
+            .filter(|member| member.roles == "postmaster" && member.node != self.me.node);
+        there.for_each(|member| {
+            regions
+                .entry(region(&member.locality))
+                .or_default()
+                .push(&member.node)
+        });
         let mine = region(&self.me.locality);
         let sends = regions.into_iter().flat_map(|(there, nodes)| {
             let (tell_on, count) = (there != mine, nodes.len());
             let turn = self.batches % count.max(1);
-            let chosen = nodes.into_iter().enumerate().filter(move |(at, _)| !tell_on || *at == turn);
-            let alive = Alive { tell_on: tell_on && count > 1, ..if tell_on { &far } else { &near }.clone() };
-            let chosen = chosen.filter(|_| !alive.marks.is_empty()).collect::<Vec<_>>().into_iter();
-            chosen.map(move |(_, node)| Effect::Send { to: node.to_owned(), body: Payload::Alive(alive.clone()) })
+            let chosen = nodes
+                .into_iter()
+                .enumerate()
+                .filter(move |(at, _)| !tell_on || *at == turn);
+            let alive = Alive {
+                tell_on: tell_on && count > 1,
+                ..if tell_on { &far } else { &near }.clone()
+            };
+            let chosen = chosen
+                .filter(|_| !alive.marks.is_empty())
+                .collect::<Vec<_>>()
+                .into_iter();
+            chosen.map(move |(_, node)| Effect::Send {
+                to: node.to_owned(),
+                body: Payload::Alive(alive.clone()),
+            })
         });
         let sends: Vec<Effect> = sends.collect();
         self.effects.extend(sends);
@@ -62,11 +98,20 @@
 
     /// Those that beat here within a span and nowhere else since, and those gone lately.
     fn batch(&self, now: Duration, span: Duration) -> Alive {
-        let heard = self.heard_here.iter().filter(|(_, (_, heard_at))| now < *heard_at + span);
+        let heard = self
+            .heard_here
+            .iter()
+            .filter(|(_, (_, heard_at))| now < *heard_at + span);
         let heard = heard.filter_map(|((service, instance), (beat, _))| {
-            let id = Upstream { service: service.clone(), instance: instance.clone(), ..Upstream::default() };
+            let id = Upstream {
+                service: service.clone(),
+                instance: instance.clone(),
+                ..Upstream::default()
+            };
             // A newer beat went elsewhere, and is told from there.
-            self.roll.one(now, &id).filter(|known| known.beat == *beat && known.condition != enrolment::GONE)
+            self.roll
+                .one(now, &id)
+                .filter(|known| known.beat == *beat && known.condition != enrolment::GONE)
         });
         let told: Vec<Upstream> = heard.chain(self.roll.farewells(now)).collect();
         Alive {
@@ -84,12 +129,19 @@
         let told = alive.marks.iter().zip(&alive.beats).zip(&alive.ages_ms);
         told.for_each(|((mark, told_beat), age_ms)| {
             let beat = meant_beat(*mark, *told_beat);
-            if self.roll.marked(now, *mark).is_none_or(|known| known.beat < beat) {
+            if self
+                .roll
+                .marked(now, *mark)
+                .is_none_or(|known| known.beat < beat)
+            {
                 new.marks.push(*mark);
                 new.beats.push(*told_beat);
                 new.ages_ms.push(*age_ms);
             }
-            if !self.roll.keeps_beating(now, *mark, beat, Duration::from_millis(*age_ms)) {
+            if !self
+                .roll
+                .keeps_beating(now, *mark, beat, Duration::from_millis(*age_ms))
+            {
                 wanted.push(*mark);
             }
         });
@@ -101,27 +153,57 @@
                     && member.node != self.me.node
                     && member.node != from
             });
-            let sends = near.map(|member| Effect::Send { to: member.node.clone(), body: Payload::Alive(new.clone()) });
+            let sends = near.map(|member| Effect::Send {
+                to: member.node.clone(),
+                body: Payload::Alive(new.clone()),
+            });
             self.effects.extend(sends.collect::<Vec<_>>());
         }
         if !wanted.is_empty() {
             wanted.truncate(MOST_WANTED);
             self.effects.push_back(Effect::Send {
                 to: from,
-                body: Payload::UpstreamsRequest(UpstreamsRequest { marks: wanted, life: 0 }),
+                body: Payload::UpstreamsRequest(UpstreamsRequest {
+                    marks: wanted,
+                    life: 0,
+                }),
             });
         }
     }
 
     pub(crate) fn roll_asked(&mut self, now: Duration, from: String, ask: UpstreamsRequest) {
         if !ask.marks.is_empty() {
-            let wanted = ask.marks.iter().take(MOST_WANTED).filter_map(|mark| self.roll.marked(now, *mark));
-            let upstreams = wanted.map(|known| Upstream { holds: Vec::new(), released: Vec::new(), ..known }).collect();
-            self.effects.push_back(Effect::Send { to: from, body: Payload::Beats(Beats { upstreams, nonce: 0 }) });
+            let wanted = ask
+                .marks
+                .iter()
+                .take(MOST_WANTED)
+                .filter_map(|mark| self.roll.marked(now, *mark));
+            let upstreams = wanted
+                .map(|known| Upstream {
+                    holds: Vec::new(),
+                    released: Vec::new(),
+                    ..known
+                })
+                .collect();
+            self.effects.push_back(Effect::Send {
+                to: from,
+                body: Payload::Beats(Beats {
+                    upstreams,
+                    nonce: 0,
+                }),
+            });
         } else if self.is_settled(now) {
             let (placement, placed_by) = (self.placement.clone(), self.placed_by.clone());
-            let told = UpstreamsReply { upstreams: self.roll.all(now), placement, placed_by, life: ask.life };
-            self.effects.push_back(Effect::Send { to: from, body: Payload::UpstreamsReply(told) });
+            let told = UpstreamsReply {
+                upstreams: self.roll.all(now),
+                placement,
+                placed_by,
+                life: ask.life,
+            };
+            self.effects.push_back(Effect::Send {
+                to: from,
+                body: Payload::UpstreamsReply(told),
+            });
         }
     }
 }
@@ -135,7 +217,11 @@
 
 /// The beat that a batch means. Of an upstream that is gone it decides only whether its record is asked for.
 fn meant_beat(mark: u64, told: u64) -> u64 {
-    if told == 0 && enrolment::is_gone_mark(mark) { u64::MAX } else { told }
+    if told == 0 && enrolment::is_gone_mark(mark) {
+        u64::MAX
+    } else {
+        told
+    }
 }
 
 fn region(locality: &str) -> &str {
--- a/crates/controller/src/keys.rs
+++ b/crates/controller/src/keys.rs
@@ -32,16 +32,27 @@
             return;
         }
         let counts = self.0.entry(load.service).or_default();
-        load.parts.iter().zip(load.counts).filter(|(part, _)| **part < KEY_PARTS).for_each(|(part, count)| {
-            *counts.entry(*part).or_insert(0.0) += f64::from(count);
-        });
+        load.parts
+            .iter()
+            .zip(load.counts)
+            .filter(|(part, _)| **part < KEY_PARTS)
+            .for_each(|(part, count)| {
+                *counts.entry(*part).or_insert(0.0) += f64::from(count);
+            });
     }
 
     /// What was counted, as a message; nothing is left.
     fn drain(&mut self) -> Vec<KeyLoad> {
         let load = |(service, counts): (String, BTreeMap<u32, f64>)| {
-            let (parts, counts) = counts.into_iter().map(|(part, count)| (part, count as u32)).unzip();
-            KeyLoad { service, parts, counts }
+            let (parts, counts) = counts
+                .into_iter()
+                .map(|(part, count)| (part, count as u32))
+                .unzip();
+            KeyLoad {
+                service,
+                parts,
+                counts,
+            }
         };
         std::mem::take(&mut self.0).into_iter().map(load).collect()
     }
@@ -58,7 +69,11 @@
     /// How a service's requests lie over its keys.
     fn load(&self, service: &str) -> Load {
         let counts = self.0.get(service);
-        let count = |part| counts.and_then(|counts| counts.get(&part)).map_or(0, |count| (count * FINE) as u64);
+        let count = |part| {
+            counts
+                .and_then(|counts| counts.get(&part))
+                .map_or(0, |count| (count * FINE) as u64)
+        };
         Load::new(KEYS, &(0..KEY_PARTS).map(count).collect::<Vec<u64>>())
     }
 }
@@ -81,29 +96,48 @@
         if self.duty.is_some() {
             return self.count_keys(loads);
         }
-        let to = Some(self.placed_by.clone()).filter(|holder| !holder.is_empty() && *holder != self.me.node);
-        let send = to.map(|to| Effect::Send { to, body: Payload::KeyLoads(KeyLoads { loads }) });
+        let to = Some(self.placed_by.clone())
+            .filter(|holder| !holder.is_empty() && *holder != self.me.node);
+        let send = to.map(|to| Effect::Send {
+            to,
+            body: Payload::KeyLoads(KeyLoads { loads }),
+        });
         self.effects.extend(send);
     }
 
     /// Who holds which numeric keys by the upstreams' own state: what is told while no placement is known here, as after
     /// all postmasters started anew. It gives nothing; a request that comes to the wrong one is not run.
     pub(crate) fn heard_shares(&self, now: Duration) -> Vec<ServiceShares> {
-        let numbered = self.setup.services.values().filter(|service| service.keyed && service.numbered);
+        let numbered = self
+            .setup
+            .services
+            .values()
+            .filter(|service| service.keyed && service.numbered);
         let of = |name: &str| {
             let heard = self.roll.heard_within(name, now, self.times.share_span);
             let live = heard.filter(|upstream| upstream.condition != enrolment::GONE);
             let rows = live.flat_map(|upstream| {
-                upstream.holds.iter().map(|share| Share { instance: upstream.instance.clone(), ..share.clone() })
+                upstream.holds.iter().map(|share| Share {
+                    instance: upstream.instance.clone(),
+                    ..share.clone()
+                })
             });
             // Where two say that they hold a key, the later grant counts.
-            ServiceShares { service: name.to_owned(), shares: gazetteer::latest_grants(rows.collect()) }
+            ServiceShares {
+                service: name.to_owned(),
+                shares: gazetteer::latest_grants(rows.collect()),
+            }
         };
         numbered.map(|service| of(&service.name)).collect()
     }
 
     /// All keys that an upstream holds from now on, in answer to its beat.
-    pub(crate) fn give_ranges(&mut self, now: Duration, upstream: &Upstream, epoch: u64) -> Option<Vec<Share>> {
+    pub(crate) fn give_ranges(
+        &mut self,
+        now: Duration,
+        upstream: &Upstream,
+        epoch: u64,
+    ) -> Option<Vec<Share>> {
         let held_at = self.hold_clock.now();
         let terms = Terms {
             hold: self.times.share_span,
@@ -120,7 +154,13 @@
             Some(known) => known.clone(),
             None => Arc::new(self.division_inputs(now, &upstream.service, &duty.counts)),
         };
-        let Duty { since, founding, ranges, inputs: all_inputs, .. } = self.duty.as_mut()?;
+        let Duty {
+            since,
+            founding,
+            ranges,
+            inputs: all_inputs,
+            ..
+        } = self.duty.as_mut()?;
         all_inputs.insert(upstream.service.clone(), inputs.clone());
         let new = || Ranges::new(*since, terms, KEYS, epoch, *founding);
         let ranges = ranges.entry(upstream.service.clone()).or_insert_with(new);
@@ -142,9 +182,18 @@
 
     fn division_inputs(&self, now: Duration, service: &str, counts: &KeyCounts) -> DivisionInputs {
         let capacity = |upstream: &Upstream| upstream.slots.max(upstream.free_slots).max(1);
-        let all = self.roll.of_service(service).filter(|upstream| self.may_hold(upstream));
-        let ready = all.map(|upstream| (upstream.instance.clone(), capacity(upstream))).collect();
-        DivisionInputs { read_at: now, ready, load: counts.load(service) }
+        let all = self
+            .roll
+            .of_service(service)
+            .filter(|upstream| self.may_hold(upstream));
+        let ready = all
+            .map(|upstream| (upstream.instance.clone(), capacity(upstream)))
+            .collect();
+        DivisionInputs {
+            read_at: now,
+            ready,
+            load: counts.load(service),
+        }
     }
 }
 
@@ -165,7 +214,11 @@
 
 /// What a beat says of numeric keys.
 fn heartbeat(upstream: &Upstream) -> Heartbeat {
-    let row = |share: &Share| Row { from: share.from, to: share.until.saturating_sub(1), fence: share.epoch };
+    let row = |share: &Share| Row {
+        from: share.from,
+        to: share.until.saturating_sub(1),
+        fence: share.epoch,
+    };
     let released = |share: &Share| Released {
         from: share.from,
         to: share.until.saturating_sub(1),
@@ -174,8 +227,18 @@
     Heartbeat {
         instance: upstream.instance.clone(),
         sequence: upstream.beat,
-        holdings: upstream.holds.iter().filter(|share| share.from < share.until).map(row).collect(),
-        released: upstream.released.iter().filter(|share| share.from < share.until).map(released).collect(),
+        holdings: upstream
+            .holds
+            .iter()
+            .filter(|share| share.from < share.until)
+            .map(row)
+            .collect(),
+        released: upstream
+            .released
+            .iter()
+            .filter(|share| share.from < share.until)
+            .map(released)
+            .collect(),
     }
 }
 
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -15,7 +15,8 @@
 use lease::Lease;
 use membership::Membership;
 use protocol::{
-    Departure, DurableState, Member, Payload, Placement, Share, Upstream, UpstreamsReply, UpstreamsRequest,
+    Departure, DurableState, Member, Payload, Placement, Share, Upstream, UpstreamsReply,
+    UpstreamsRequest,
 };
 use quorum_register::{Change, OrderId, Register, VoterPhase};
 use std::collections::{BTreeMap, VecDeque};
@@ -289,7 +290,18 @@
     pub fn new(start: Start) -> Self {
         let life = address::spread(&format!("life {}", start.seed)).max(1);
         let mut random = Random::new(start.seed);
-        let Start { me, seeds, roster_size, reader, owners, durable, setups, departures, times, .. } = start;
+        let Start {
+            me,
+            seeds,
+            roster_size,
+            reader,
+            owners,
+            durable,
+            setups,
+            departures,
+            times,
+            ..
+        } = start;
         let mut roll = Roll::default();
         departures.iter().for_each(|departure| {
             roll.depart(Duration::ZERO, departure);
@@ -375,12 +387,16 @@
             Event::Tick => self.tick(now),
             Event::Received { from, body } => self.take(now, from, body),
             Event::Datagram { address, body } => {
-                let effects = self.membership.step(now, membership::Event::Received { address, body });
+                let effects = self
+                    .membership
+                    .step(now, membership::Event::Received { address, body });
                 self.run_membership(now, effects);
             }
             Event::Ask { token, .. } if self.closing => self.refuse(now, token, Code::Closing),
             Event::Ask { token, ask } => self.ask(now, token, ask),
-            Event::Kept { ticket } => self.run_register(now, quorum_register::Event::Kept { ticket }),
+            Event::Kept { ticket } => {
+                self.run_register(now, quorum_register::Event::Kept { ticket })
+            }
             Event::DeparturesKept { ticket } => self.departures_kept(now, ticket),
             Event::DiskFailed => self.run_register(now, quorum_register::Event::DiskFailed),
             Event::DiskRetrying => self.disk_fails = true,
@@ -405,10 +421,14 @@
         if now >= self.next_sweep {
             self.next_sweep = now + BATCH_EVERY;
             // What others hear of comes with their next batch.
-            self.roll.sweep(now, self.times.upstream_silent + BATCH_EVERY);
+            self.roll
+                .sweep(now, self.times.upstream_silent + BATCH_EVERY);
             if !self.is_settled(now) {
                 let life = self.life;
-                self.tell_postmasters(Payload::UpstreamsRequest(UpstreamsRequest { life, ..Default::default() }));
+                self.tell_postmasters(Payload::UpstreamsRequest(UpstreamsRequest {
+                    life,
+                    ..Default::default()
+                }));
             }
             self.tell_loads();
             self.tell_alive(now);
@@ -500,10 +520,16 @@
             self.members = self.membership.members().cloned().collect();
             let present = |node: &String| self.members.iter().any(|member| member.node == *node);
             self.kept.retain(|node, _| present(node));
-            let book = self.members.iter().map(|member| (member.node.clone(), member.link_address.clone()));
+            let book = self
+                .members
+                .iter()
+                .map(|member| (member.node.clone(), member.link_address.clone()));
             self.effects.push_back(Effect::Addresses(book.collect()));
         }
-        let peers = self.members.iter().filter(|member| member.roles == "postmaster");
+        let peers = self
+            .members
+            .iter()
+            .filter(|member| member.roles == "postmaster");
         let peers = peers.map(|member| member.node.clone()).collect();
         self.run_register(now, quorum_register::Event::Peers(peers));
     }
@@ -515,19 +541,36 @@
             quorum_register::Effect::Keep { ticket, durable } => {
                 self.effects.push_back(Effect::Keep { ticket, durable });
             }
-            quorum_register::Effect::KeepSetup { ticket, digest, bytes } => {
-                self.effects.push_back(Effect::KeepSetup { ticket, digest, bytes });
+            quorum_register::Effect::KeepSetup {
+                ticket,
+                digest,
+                bytes,
+            } => {
+                self.effects.push_back(Effect::KeepSetup {
+                    ticket,
+                    digest,
+                    bytes,
+                });
+            }
+            quorum_register::Effect::DropSetup { digest } => {
+                self.effects.push_back(Effect::DropSetup { digest })
+            }
+            quorum_register::Effect::Decided { token, decision } => {
+                self.decided(now, token, decision)
             }
-            quorum_register::Effect::DropSetup { digest } => self.effects.push_back(Effect::DropSetup { digest }),
-            quorum_register::Effect::Decided { token, decision } => self.decided(now, token, decision),
             quorum_register::Effect::Adopted => self.adopted(),
-            quorum_register::Effect::EpochKept { token } => self.run_lease(now, lease::Event::EpochKept { token }),
+            quorum_register::Effect::EpochKept { token } => {
+                self.run_lease(now, lease::Event::EpochKept { token })
+            }
         });
     }
 
     /// Whom the lease asks, and what it may grant, follows every newer state at once.
     fn tell_lease_voters(&mut self, now: Duration) {
-        let (voter_set, epoch) = (self.register.voter_set().clone(), self.register.lease_epoch());
+        let (voter_set, epoch) = (
+            self.register.voter_set().clone(),
+            self.register.lease_epoch(),
+        );
         self.run_lease(now, lease::Event::Voters { voter_set, epoch });
     }
 
@@ -543,22 +586,46 @@
 
     /// A newer state is in force: read its setup once, and tell the carriers with the next news.
     fn adopted(&mut self) {
-        let read = self.register.setup().map(self.reader.0).and_then(Result::ok);
+        let read = self
+            .register
+            .setup()
+            .map(self.reader.0)
+            .and_then(Result::ok);
         self.setup = read.map(Arc::new).unwrap_or_default();
         self.next_news = Duration::ZERO;
         let edition = self.register.state().edition;
-        self.effects.push_back(Effect::Note(format!("edition {edition} is in force")));
+        self.effects
+            .push_back(Effect::Note(format!("edition {edition} is in force")));
     }
 
     pub(crate) fn tell_postmasters(&mut self, body: Payload) {
-        let others = self.members.iter().filter(|member| member.roles == "postmaster" && member.node != self.me.node);
-        let sends = others.map(|member| Effect::Send { to: member.node.clone(), body: body.clone() });
+        let others = self
+            .members
+            .iter()
+            .filter(|member| member.roles == "postmaster" && member.node != self.me.node);
+        let sends = others.map(|member| Effect::Send {
+            to: member.node.clone(),
+            body: body.clone(),
+        });
         self.effects.extend(sends.collect::<Vec<_>>());
     }
 
-    pub(crate) fn change(&mut self, now: Duration, token: u64, change: Change, bytes: Option<Vec<u8>>) {
+    pub(crate) fn change(
+        &mut self,
+        now: Duration,
+        token: u64,
+        change: Change,
+        bytes: Option<Vec<u8>>,
+    ) {
         self.open_order(token);
-        self.run_register(now, quorum_register::Event::Ask { token, change, bytes });
+        self.run_register(
+            now,
+            quorum_register::Event::Ask {
+                token,
+                change,
+                bytes,
+            },
+        );
     }
 
     /// True once this node knows the upstreams well enough to tell carriers of them.
@@ -580,6 +647,8 @@
 
     /// True while a majority confirmed the state lately.
     pub(crate) fn is_current(&self, now: Duration) -> bool {
-        self.register.age(now).is_some_and(|age| age < self.times.stale_after)
+        self.register
+            .age(now)
+            .is_some_and(|age| age < self.times.stale_after)
     }
 }
--- a/crates/controller/src/placement.rs
+++ b/crates/controller/src/placement.rs
@@ -51,7 +51,10 @@
 
     pub(crate) fn tick_duty(&mut self, now: Duration) {
         let Some(epoch) = self.lease.holds(now) else {
-            let lost = self.duty.take().map(|duty| Effect::Note(format!("placement: gave up epoch {}", duty.epoch)));
+            let lost = self
+                .duty
+                .take()
+                .map(|duty| Effect::Note(format!("placement: gave up epoch {}", duty.epoch)));
             self.effects.extend(lost);
             return;
         };
@@ -59,25 +62,30 @@
             // Beats find their way here at once, long before the first decision.
             let me = self.me.node.clone();
             self.counts.leases_held += 1;
-            self.effects.push_back(Effect::Note(format!("placement: held under epoch {epoch}")));
+            self.effects
+                .push_back(Effect::Note(format!("placement: held under epoch {epoch}")));
             self.hear_holder(me, epoch);
             self.tell_postmasters(Payload::Holder(Holder { epoch }));
         }
         let founding = self.lease.is_founder(epoch);
-        let mut duty = self.duty.take().filter(|duty| duty.epoch == epoch).unwrap_or_else(|| Duty {
-            epoch,
-            since: self.hold_clock.now(),
-            founding,
-            counts: KeyCounts::default(),
-            ranges: BTreeMap::new(),
-            inputs: BTreeMap::new(),
-            listen_until: now + LISTEN,
-            placer: None,
-            shares: BTreeMap::new(),
-            told: Vec::new(),
-            next_decide: now,
-            next_tell: now,
-        });
+        let mut duty = self
+            .duty
+            .take()
+            .filter(|duty| duty.epoch == epoch)
+            .unwrap_or_else(|| Duty {
+                epoch,
+                since: self.hold_clock.now(),
+                founding,
+                counts: KeyCounts::default(),
+                ranges: BTreeMap::new(),
+                inputs: BTreeMap::new(),
+                listen_until: now + LISTEN,
+                placer: None,
+                shares: BTreeMap::new(),
+                told: Vec::new(),
+                next_decide: now,
+                next_tell: now,
+            });
         // Without a current state it might decide from an old one.
         if now >= duty.next_decide && now >= duty.listen_until && self.is_current(now) {
             duty.next_decide = now + DECIDE_EVERY;
@@ -88,19 +96,41 @@
 
     fn decide(&mut self, now: Duration, duty: &mut Duty) {
         let (last, times) = (&self.placement, self.times.placement);
-        let mut placer = duty.placer.take().unwrap_or_else(|| Placer::new(now, duty.epoch, last, times));
-        let served = self.members.iter().filter(|member| member.roles.contains("proxy"));
+        let mut placer = duty
+            .placer
+            .take()
+            .unwrap_or_else(|| Placer::new(now, duty.epoch, last, times));
+        let served = self
+            .members
+            .iter()
+            .filter(|member| member.roles.contains("proxy"));
         let served: BTreeSet<String> = served.map(|member| member.locality.clone()).collect();
         let upstreams = self.roll.all(now);
         let evacuated = &self.register.state().evacuated;
         // Where each caller's zone has its own owner, no name has one for everybody.
         let (nothing, all) = (Setup::default(), self.setup.as_ref());
-        let setup = if self.owners == Owners::One { all } else { &nothing };
-        let needs = Needs { setup, evacuated, upstreams: &upstreams, served: &served };
+        let setup = if self.owners == Owners::One {
+            all
+        } else {
+            &nothing
+        };
+        let needs = Needs {
+            setup,
+            evacuated,
+            upstreams: &upstreams,
+            served: &served,
+        };
         let moved = placer.decide(now, &needs);
-        let keyed = |name: &String| self.setup.services.get(name).filter(|service| service.keyed);
-        duty.shares.retain(|name, _| keyed(name).is_some_and(|service| !service.numbered));
-        duty.ranges.retain(|name, _| keyed(name).is_some_and(|service| service.numbered));
+        let keyed = |name: &String| {
+            self.setup
+                .services
+                .get(name)
+                .filter(|service| service.keyed)
+        };
+        duty.shares
+            .retain(|name, _| keyed(name).is_some_and(|service| !service.numbered));
+        duty.ranges
+            .retain(|name, _| keyed(name).is_some_and(|service| service.numbered));
         duty.inputs.retain(|name, _| duty.ranges.contains_key(name));
         duty.counts.fade(DECIDE_EVERY);
         let shares = self.told_shares(now, duty);
@@ -116,7 +146,13 @@
 
     /// What changed since the last, where that is shares alone; else the whole. Where nothing did, its number alone,
     /// so that whoever missed one asks.
-    fn tell_placement(&mut self, now: Duration, placer: &mut Placer, changed: bool, shares: &[ServiceShares]) {
+    fn tell_placement(
+        &mut self,
+        now: Duration,
+        placer: &mut Placer,
+        changed: bool,
+        shares: &[ServiceShares],
+    ) {
         let ageless = self.placement.reservations.is_empty() && self.placement.marks.is_empty();
         if changed || !ageless || self.placement.number == 0 {
             placer.count();
@@ -124,7 +160,9 @@
         self.counts.placements_told += 1;
         let placement = placer.placement(now, shares.to_vec());
         let change = gazetteer::change(&self.placement, &placement).filter(|_| ageless);
-        self.tell_postmasters(Payload::Placement(change.unwrap_or_else(|| placement.clone())));
+        self.tell_postmasters(Payload::Placement(
+            change.unwrap_or_else(|| placement.clone()),
+        ));
         let me = self.me.node.clone();
         self.take_placement(me, placement);
     }
@@ -133,25 +171,41 @@
     /// last is told on for the slots that nobody claimed here yet: their upstreams hold them, or say that they don't.
     fn told_shares(&self, now: Duration, duty: &Duty) -> Vec<ServiceShares> {
         let keyed = self.setup.services.values().filter(|service| service.keyed);
-        let heard = if self.placement.epoch == 0 { self.heard_shares(now) } else { Vec::new() };
+        let heard = if self.placement.epoch == 0 {
+            self.heard_shares(now)
+        } else {
+            Vec::new()
+        };
         let held_at = self.hold_clock.now();
         let told = keyed.map(|service| {
             let name = &service.name;
             let known = match (duty.ranges.get(name), duty.shares.get(name)) {
-                (Some(ranges), _) => Some((crate::keys::held(ranges, held_at), ranges.is_quiet(held_at))),
-                (None, shares) => shares.map(|shares| (shares.all(held_at), shares.is_quiet(held_at))),
+                (Some(ranges), _) => {
+                    Some((crate::keys::held(ranges, held_at), ranges.is_quiet(held_at)))
+                }
+                (None, shares) => {
+                    shares.map(|shares| (shares.all(held_at), shares.is_quiet(held_at)))
+                }
             };
             let (known, quiet) = known.unwrap_or((Vec::new(), true));
             let told = self.placement.shares.iter().chain(&heard);
             let last = told.into_iter().find(|last| last.service == *name && quiet);
-            let kept = last.map(|last| gazetteer::uncovered(&last.shares, &known)).unwrap_or_default();
-            ServiceShares { service: name.clone(), shares: kept.into_iter().chain(known).collect() }
+            let kept = last
+                .map(|last| gazetteer::uncovered(&last.shares, &known))
+                .unwrap_or_default();
+            ServiceShares {
+                service: name.clone(),
+                shares: kept.into_iter().chain(known).collect(),
+            }
         });
         told.collect()
     }
 
     pub(crate) fn take_placement(&mut self, from: String, placement: Placement) {
-        let (at, known) = ((placement.epoch, placement.number), (self.placement.epoch, self.placement.number));
+        let (at, known) = (
+            (placement.epoch, placement.number),
+            (self.placement.epoch, self.placement.number),
+        );
         if at <= known {
             return;
         }
@@ -162,13 +216,19 @@
             gazetteer::take_change(&mut self.placement.shares, &placement.shares);
             self.placement.number = placement.number;
         } else {
-            self.effects.push_back(Effect::Send { to: from, body: Payload::PlacementRequest(PlacementRequest {}) });
+            self.effects.push_back(Effect::Send {
+                to: from,
+                body: Payload::PlacementRequest(PlacementRequest {}),
+            });
         }
     }
 
     pub(crate) fn placement_asked(&mut self, from: String) {
         let placement = self.placement.clone();
-        self.effects.push_back(Effect::Send { to: from, body: Payload::Placement(placement) });
+        self.effects.push_back(Effect::Send {
+            to: from,
+            body: Payload::Placement(placement),
+        });
     }
 
     /// Who holds the duty; a lower epoch was overtaken.
@@ -186,14 +246,25 @@
             // A sign-off lists nothing and proves nothing: its sender may serve on, so its holds run out by themselves.
             return None;
         }
-        if self.setup.services.get(&upstream.service).is_some_and(|service| service.numbered) {
+        if self
+            .setup
+            .services
+            .get(&upstream.service)
+            .is_some_and(|service| service.numbered)
+        {
             return self.give_ranges(now, upstream, epoch);
         }
         let (span, held_at) = (self.times.share_span, self.hold_clock.now());
-        let ready = self.roll.of_service(&upstream.service).filter(|other| self.may_hold(other));
+        let ready = self
+            .roll
+            .of_service(&upstream.service)
+            .filter(|other| self.may_hold(other));
         let ready: BTreeSet<String> = ready.map(|other| other.instance.clone()).collect();
         let duty = self.duty.as_mut().filter(|duty| duty.epoch == epoch)?;
-        let shares = duty.shares.entry(upstream.service.clone()).or_insert_with(|| Shares::new(held_at, span, epoch));
+        let shares = duty
+            .shares
+            .entry(upstream.service.clone())
+            .or_insert_with(|| Shares::new(held_at, span, epoch));
         shares.beat(held_at, upstream, &ready)
     }
 }
--- a/crates/controller/src/requests.rs
+++ b/crates/controller/src/requests.rs
@@ -20,30 +20,75 @@
             return self.ask_out_of_contact(now, token, ask);
         }
         match ask {
-            Ask::Submit { id, base, bytes, in_force } => match (self.reader.0)(&bytes) {
-                Err(complaints) => self.answer(token, Answer::Denied { code: Code::SetupBad, complaints }),
+            Ask::Submit {
+                id,
+                base,
+                bytes,
+                in_force,
+            } => match (self.reader.0)(&bytes) {
+                Err(complaints) => self.answer(
+                    token,
+                    Answer::Denied {
+                        code: Code::SetupBad,
+                        complaints,
+                    },
+                ),
                 Ok(setup) => {
                     let number = setup.number;
                     let digest = protocol::digest(&bytes);
                     self.wait_for_force(now, token, in_force);
-                    self.change(now, token, Change::Setup { id, base, number, digest }, Some(bytes));
+                    self.change(
+                        now,
+                        token,
+                        Change::Setup {
+                            id,
+                            base,
+                            number,
+                            digest,
+                        },
+                        Some(bytes),
+                    );
                 }
             },
-            Ask::Evacuate { id, locality, back, in_force } => {
+            Ask::Evacuate {
+                id,
+                locality,
+                back,
+                in_force,
+            } => {
                 self.wait_for_force(now, token, in_force);
                 if id.id.is_empty() {
                     self.evacuate_anonymously(now, token, locality, back);
                 } else {
-                    self.change(now, token, Change::Evacuate { id, locality, back, seen: None }, None);
+                    self.change(
+                        now,
+                        token,
+                        Change::Evacuate {
+                            id,
+                            locality,
+                            back,
+                            seen: None,
+                        },
+                        None,
+                    );
                 }
             }
             Ask::ChangeVoters { add, remove } => self.change_voters(now, token, add, remove),
             Ask::ReadSetup => {
                 if self.read_waits.len() < MOST_READ_WAITS {
-                    self.read_waits.push(ReadWait { token, asked_at: now });
+                    self.read_waits.push(ReadWait {
+                        token,
+                        asked_at: now,
+                    });
                     self.run_register(now, quorum_register::Event::Confirm);
                 } else {
-                    self.answer(token, Answer::Verdict { code: Code::SetupCrowded, edition: 0 });
+                    self.answer(
+                        token,
+                        Answer::Verdict {
+                            code: Code::SetupCrowded,
+                            edition: 0,
+                        },
+                    );
                 }
             }
             Ask::Status => {
@@ -92,7 +137,13 @@
             Ask::Submit { bytes, .. } => {
                 // What is wrong with it is wrong whoever decides.
                 if let Err(complaints) = (self.reader.0)(&bytes) {
-                    return self.answer(token, Answer::Denied { code: Code::SetupBad, complaints });
+                    return self.answer(
+                        token,
+                        Answer::Denied {
+                            code: Code::SetupBad,
+                            complaints,
+                        },
+                    );
                 }
             }
             Ask::Beat(upstream) => self.take_beat(now, &upstream),
@@ -108,7 +159,11 @@
 
     /// Records that an instance is gone, known here or not.
     fn sign_off(&mut self, now: Duration, instance: String) -> Upstream {
-        let known = self.roll.all(now).into_iter().find(|upstream| upstream.instance == instance);
+        let known = self
+            .roll
+            .all(now)
+            .into_iter()
+            .find(|upstream| upstream.instance == instance);
         let gone = signed_off(instance, known);
         self.take_told(now, gone.clone());
         gone
@@ -126,8 +181,14 @@
             let confirmed = self.register.is_confirmed_since(wait.asked_at);
             let answer = match self.register.setup() {
                 _ if !confirmed => return self.refuse(now, wait.token, Code::Stale),
-                None => Answer::Verdict { code: Code::NoWord, edition },
-                Some(bytes) => Answer::Setup { edition, bytes: bytes.to_vec() },
+                None => Answer::Verdict {
+                    code: Code::NoWord,
+                    edition,
+                },
+                Some(bytes) => Answer::Setup {
+                    edition,
+                    bytes: bytes.to_vec(),
+                },
             };
             self.answer(wait.token, answer);
         });
@@ -140,9 +201,17 @@
     /// The operator wants to hear only once the change is in force everywhere that still serves.
     fn wait_for_force(&mut self, now: Duration, token: u64, in_force: bool) {
         if in_force {
-            let answer = Answer::Verdict { code: Code::SetupUnknown, edition: 0 };
+            let answer = Answer::Verdict {
+                code: Code::SetupUnknown,
+                edition: 0,
+            };
             let until = now + self.times.register.patience * 2;
-            self.waiting_force.push(InForce { token, answer, edition: u64::MAX, until });
+            self.waiting_force.push(InForce {
+                token,
+                answer,
+                edition: u64::MAX,
+                until,
+            });
         }
     }
 
@@ -153,13 +222,22 @@
         let Decision { code, edition } = decision;
         let answer = Answer::Verdict { code, edition };
         if matches!(code, Code::NumberTaken | Code::OrderForgotten) {
-            self.effects.push_back(Effect::Note(format!("an order was not taken: {code}")));
+            self.effects
+                .push_back(Effect::Note(format!("an order was not taken: {code}")));
         }
-        let waiting = self.waiting_force.iter_mut().find(|waiting| waiting.token == token && code == Code::Fine);
+        let waiting = self
+            .waiting_force
+            .iter_mut()
+            .find(|waiting| waiting.token == token && code == Code::Fine);
         match waiting {
             Some(waiting) => {
                 // Every view that was not told has aged out by then.
-                *waiting = InForce { token, answer, edition, until: now + self.times.stale_after };
+                *waiting = InForce {
+                    token,
+                    answer,
+                    edition,
+                    until: now + self.times.stale_after,
+                };
             }
             None => {
                 self.waiting_force.retain(|waiting| waiting.token != token);
@@ -173,12 +251,18 @@
             .into_iter()
             .partition(|waiting| now >= waiting.until || self.all_kept(waiting.edition));
         self.waiting_force = waiting;
-        done.into_iter().for_each(|done| self.answer(done.token, done.answer));
-        let late: Vec<u64> =
-            self.beat_waits.iter().filter(|(_, wait)| now >= wait.until).map(|(nonce, _)| *nonce).collect();
+        done.into_iter()
+            .for_each(|done| self.answer(done.token, done.answer));
+        let late: Vec<u64> = self
+            .beat_waits
+            .iter()
+            .filter(|(_, wait)| now >= wait.until)
+            .map(|(nonce, _)| *nonce)
+            .collect();
         late.into_iter().for_each(|nonce| {
             let wait = self.beat_waits.remove(&nonce);
-            wait.into_iter().for_each(|wait| self.answer_without_holder(now, wait.token));
+            wait.into_iter()
+                .for_each(|wait| self.answer_without_holder(now, wait.token));
         });
     }
 
@@ -204,7 +288,12 @@
     /// The answer to a beat that was taken in: with the keys that the upstream holds from now on, where it has any.
     pub(crate) fn answer_taken_beat(&mut self, now: Duration, token: u64, upstream: Upstream) {
         let may_hold = upstream.condition != enrolment::GONE;
-        let keyed = may_hold && self.setup.services.get(&upstream.service).is_some_and(|service| service.keyed);
+        let keyed = may_hold
+            && self
+                .setup
+                .services
+                .get(&upstream.service)
+                .is_some_and(|service| service.keyed);
         if !keyed || self.placed_by.is_empty() || self.beat_waits.len() >= MOST_BEAT_WAITS {
             return self.answer_beat(token, 0, None);
         }
@@ -214,31 +303,66 @@
         }
         let nonce = self.random.next_u64();
         let to = self.placed_by.clone();
-        self.beat_waits.insert(nonce, BeatWait { token, asked: to.clone(), until: now + BEAT_PATIENCE });
-        self.effects.push_back(Effect::Send { to, body: Payload::SharesRequest(SharesRequest { nonce, upstream }) });
+        self.beat_waits.insert(
+            nonce,
+            BeatWait {
+                token,
+                asked: to.clone(),
+                until: now + BEAT_PATIENCE,
+            },
+        );
+        self.effects.push_back(Effect::Send {
+            to,
+            body: Payload::SharesRequest(SharesRequest { nonce, upstream }),
+        });
     }
 
     pub(crate) fn shares_asked(&mut self, now: Duration, from: String, ask: SharesRequest) {
         self.roll.take(now, ask.upstream.clone());
-        let Some(epoch) = self.lease.holds(now) else { return };
+        let Some(epoch) = self.lease.holds(now) else {
+            return;
+        };
         let shares = self.give_shares(now, &ask.upstream);
-        let span_ms = shares.as_ref().map(|_| self.times.share_span.as_millis() as u64).unwrap_or(0);
-        let given = SharesReply { nonce: ask.nonce, shares: shares.unwrap_or_default(), span_ms, holder: epoch };
-        self.effects.push_back(Effect::Send { to: from, body: Payload::SharesReply(given) });
+        let span_ms = shares
+            .as_ref()
+            .map(|_| self.times.share_span.as_millis() as u64)
+            .unwrap_or(0);
+        let given = SharesReply {
+            nonce: ask.nonce,
+            shares: shares.unwrap_or_default(),
+            span_ms,
+            holder: epoch,
+        };
+        self.effects.push_back(Effect::Send {
+            to: from,
+            body: Payload::SharesReply(given),
+        });
     }
 
     pub(crate) fn shares_given(&mut self, from: &str, given: SharesReply) {
-        if self.beat_waits.get(&given.nonce).is_none_or(|wait| wait.asked != from) {
+        if self
+            .beat_waits
+            .get(&given.nonce)
+            .is_none_or(|wait| wait.asked != from)
+        {
             return;
         }
         let wait = self.beat_waits.remove(&given.nonce);
         let shares = Some(given.shares).filter(|_| given.span_ms > 0);
-        wait.into_iter().for_each(|wait| self.answer_beat(wait.token, given.holder, shares.clone()));
+        wait.into_iter()
+            .for_each(|wait| self.answer_beat(wait.token, given.holder, shares.clone()));
     }
 
     /// Without `shares` the upstream learns nothing new, and what it holds runs out by itself.
     fn answer_beat(&mut self, token: u64, holder: u64, shares: Option<Vec<protocol::Share>>) {
-        self.answer(token, Answer::Beat { holder, shares, span: self.times.share_span });
+        self.answer(
+            token,
+            Answer::Beat {
+                holder,
+                shares,
+                span: self.times.share_span,
+            },
+        );
     }
 
     fn status(&self, now: Duration) -> Sheet {
@@ -256,26 +380,59 @@
                 ("roles", member.roles.as_str().into()),
                 ("locality", member.locality.as_str().into()),
                 ("http", member.http_address.as_str().into()),
-                ("condition", if member.condition == membership::ALIVE { "alive" } else { "suspect" }.into()),
+                (
+                    "condition",
+                    if member.condition == membership::ALIVE {
+                        "alive"
+                    } else {
+                        "suspect"
+                    }
+                    .into(),
+                ),
+            ])
+        });
+        let readers = self.readers.iter().map(|(node, reader)| {
+            Sheet::fields([
+                ("node", node.as_str().into()),
+                ("edition", reader.edition.into()),
             ])
         });
-        let readers = self
-            .readers
-            .iter()
-            .map(|(node, reader)| Sheet::fields([("node", node.as_str().into()), ("edition", reader.edition.into())]));
         let state = self.register.state();
         Sheet::fields([
             ("node", self.me.node.as_str().into()),
             ("standing", phase.into()),
-            ("disk", if self.disk_fails { "failing" } else { "works" }.into()),
+            (
+                "disk",
+                if self.disk_fails { "failing" } else { "works" }.into(),
+            ),
             ("setupMissing", self.register.lacks_accepted_setup().into()),
             ("edition", state.edition.into()),
             ("digest", state.digest.as_str().into()),
             ("decided", state.decided.into()),
-            ("evacuated", state.evacuated.iter().map(|place| Sheet::from(place.as_str())).collect()),
+            (
+                "evacuated",
+                state
+                    .evacuated
+                    .iter()
+                    .map(|place| Sheet::from(place.as_str()))
+                    .collect(),
+            ),
             ("current", self.is_current(now).into()),
-            ("ageMs", self.register.age(now).map(|age| (age.as_millis() as u64).into()).unwrap_or(Sheet::Null)),
-            ("roster", self.register.voter_set().members().map(|voter| Sheet::from(voter.as_str())).collect()),
+            (
+                "ageMs",
+                self.register
+                    .age(now)
+                    .map(|age| (age.as_millis() as u64).into())
+                    .unwrap_or(Sheet::Null),
+            ),
+            (
+                "roster",
+                self.register
+                    .voter_set()
+                    .members()
+                    .map(|voter| Sheet::from(voter.as_str()))
+                    .collect(),
+            ),
             ("voters", self.show_voters(now)),
             ("placement", self.placed_by.as_str().into()),
             ("placementEpoch", self.held_epoch.into()),
--- a/crates/controller/src/shell.rs
+++ b/crates/controller/src/shell.rs
@@ -30,20 +30,55 @@
 
 /// Settings of a postmaster, beside the time values.
 pub const SETTINGS: &[Setting] = &[
-    setting("node", Shape::Id, None, "this process's id, unlike all others"),
+    setting(
+        "node",
+        Shape::Id,
+        None,
+        "this process's id, unlike all others",
+    ),
     setting("locality", Shape::Locality, None, "where it stands"),
-    setting("http", Shape::Address, None, "where operators and upstreams call (HTTP)"),
-    setting("link", Shape::Address, None, "where other processes connect (TCP) and probe (UDP)"),
-    setting("told", Shape::Addresses, Some(""), "the link address that others use, where it is not 'link' itself"),
-    setting("seeds", Shape::Addresses, Some(""), "addresses of other processes, to find them all by"),
-    setting("seed-port", Shape::Count(0, 65_535), Some("0"), "the port of their links, where 'seeds' names others"),
+    setting(
+        "http",
+        Shape::Address,
+        None,
+        "where operators and upstreams call (HTTP)",
+    ),
+    setting(
+        "link",
+        Shape::Address,
+        None,
+        "where other processes connect (TCP) and probe (UDP)",
+    ),
+    setting(
+        "told",
+        Shape::Addresses,
+        Some(""),
+        "the link address that others use, where it is not 'link' itself",
+    ),
+    setting(
+        "seeds",
+        Shape::Addresses,
+        Some(""),
+        "addresses of other processes, to find them all by",
+    ),
+    setting(
+        "seed-port",
+        Shape::Count(0, 65_535),
+        Some("0"),
+        "the port of their links, where 'seeds' names others",
+    ),
     setting(
         "roster-size",
         Shape::Count(0, 31),
         Some("6"),
         "how many vote; a founding needs them all; 0: one a locality",
     ),
-    setting("localities", Shape::Localities, Some(""), "the site's localities"),
+    setting(
+        "localities",
+        Shape::Localities,
+        Some(""),
+        "the site's localities",
+    ),
     setting(
         "owners",
         Shape::OneOf(&["one", "by-caller"]),
@@ -53,8 +88,18 @@
     setting("data", Shape::Folder, None, "the data folder"),
 ];
 
-const fn setting(name: &'static str, shape: Shape, fallback: Option<&'static str>, help: &'static str) -> Setting {
-    Setting { name, shape, fallback, help }
+const fn setting(
+    name: &'static str,
+    shape: Shape,
+    fallback: Option<&'static str>,
+    help: &'static str,
+) -> Setting {
+    Setting {
+        name,
+        shape,
+        fallback,
+        help,
+    }
 }
 
 /// What the postmaster says of itself.
@@ -73,12 +118,18 @@
 /// ```
 pub fn times(settings: &Settings) -> Times {
     Times {
-        register: quorum_register::Times { confirm_every: settings.span("confirm-every-ms"), ..Default::default() },
+        register: quorum_register::Times {
+            confirm_every: settings.span("confirm-every-ms"),
+            ..Default::default()
+        },
         membership: membership::Times {
             probe_every: settings.span("probe-every-ms"),
             suspect_for: settings.span("suspect-for-ms"),
         },
-        lease: lease::Times::new(settings.span("claim-span-ms"), settings.span("claim-margin-ms")),
+        lease: lease::Times::new(
+            settings.span("claim-span-ms"),
+            settings.span("claim-margin-ms"),
+        ),
         placement: gazetteer::Times {
             least_stay: settings.span("least-stay-ms"),
             mark_lifetime: settings.span("mark-lifetime-ms"),
@@ -116,11 +167,19 @@
     let clock = Clock::default();
     let mut reload = transport::reload_signal(&PROGRAM, &settings);
     // Ahead of the sockets: whoever calls meanwhile is refused at once, and tries another node.
-    let Some((storage, contents)) = open_storage(settings.get("data")).await? else { return Ok(()) };
-    contents.damaged.iter().for_each(|what| log::warn!("disk: damaged, counts as missing: {what}"));
+    let Some((storage, contents)) = open_storage(settings.get("data")).await? else {
+        return Ok(());
+    };
+    contents
+        .damaged
+        .iter()
+        .for_each(|what| log::warn!("disk: damaged, counts as missing: {what}"));
     let Doors { http, link, probe } = Doors::open(&settings).await?;
     let probe = Arc::new(probe);
-    let told = Some(settings.get("told")).filter(|told| !told.is_empty()).unwrap_or(settings.get("link")).to_owned();
+    let told = Some(settings.get("told"))
+        .filter(|told| !told.is_empty())
+        .unwrap_or(settings.get("link"))
+        .to_owned();
     let me = Member {
         node: settings.get("node").into(),
         locality: settings.get("locality").into(),
@@ -142,7 +201,11 @@
         },
         seed: transport::chance(),
         reader: dialect.reader,
-        owners: if settings.get("owners") == "one" { Owners::One } else { Owners::ByCaller },
+        owners: if settings.get("owners") == "one" {
+            Owners::One
+        } else {
+            Owners::ByCaller
+        },
         durable: contents.durable,
         setups: contents.setups,
         departures,
@@ -152,7 +215,8 @@
     let (arrivals, mut arrived) = mpsc::channel(MOST_EVENTS);
     let links = Links::open(node, Some(link), arrivals);
     let disk = Disk::start(storage, Pauses::default(), clock, report_to(events.clone()));
-    let departure_log = DepartureWriter::start(departure_log, Pauses::default(), kept_to(events.clone()));
+    let departure_log =
+        DepartureWriter::start(departure_log, Pauses::default(), kept_to(events.clone()));
     let (close, closing) = watch::channel(false);
     let shared = Arc::new(Shared {
         events: events.clone(),
@@ -166,7 +230,9 @@
         dialect,
     });
     let handler = shared.clone();
-    let server = tokio::spawn(transport::serve(http, closing, move |enquiry| serve(handler.clone(), enquiry)));
+    let server = tokio::spawn(transport::serve(http, closing, move |enquiry| {
+        serve(handler.clone(), enquiry)
+    }));
     let mut answers: HashMap<u64, oneshot::Sender<Answer>> = HashMap::new();
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -204,13 +270,21 @@
         let now = clock.now();
         let ticked = matches!(event, Event::Tick);
         let effects = control.step(now, event);
-        run(effects, &links, &probe, (&disk, &departure_log), &mut answers);
+        run(
+            effects,
+            &links,
+            &probe,
+            (&disk, &departure_log),
+            &mut answers,
+        );
         if control.may_end() && end_at.is_none() {
             // What is said now must still leave the process, and what was on its way be answered.
             end_at = Some(now + LAST_WORDS);
         }
         if ticked {
-            shared.ready.store(control.is_current(now), Ordering::Relaxed);
+            shared
+                .ready
+                .store(control.is_current(now), Ordering::Relaxed);
             answers.retain(|_, answer| !answer.is_closed());
             if now >= next_told {
                 next_told = now + Duration::from_secs(5);
@@ -233,11 +307,24 @@
     ) {
         effects.into_iter().for_each(|effect| match effect {
             Effect::Keep { ticket, durable } => disk.write(Write::State { ticket, durable }),
-            Effect::KeepSetup { ticket, digest, bytes } => disk.write(Write::Setup { ticket, digest, bytes }),
-            Effect::KeepDepartures { ticket, departures } => departure_log.write(ticket, departures),
+            Effect::KeepSetup {
+                ticket,
+                digest,
+                bytes,
+            } => disk.write(Write::Setup {
+                ticket,
+                digest,
+                bytes,
+            }),
+            Effect::KeepDepartures { ticket, departures } => {
+                departure_log.write(ticket, departures)
+            }
             Effect::DropSetup { digest } => disk.write(Write::DropSetup { digest }),
             Effect::Answer { token, answer } => {
-                answers.remove(&token).into_iter().for_each(|waiting| drop(waiting.send(answer.clone())));
+                answers
+                    .remove(&token)
+                    .into_iter()
+                    .for_each(|waiting| drop(waiting.send(answer.clone())));
             }
             other => carry(other, links, probe),
         });
@@ -259,7 +346,9 @@
 }
 
 /// Tells the core what the disk reports.
-fn report_to(events: mpsc::Sender<(Event, Option<oneshot::Sender<Answer>>)>) -> impl Fn(DiskReport) -> bool {
+fn report_to(
+    events: mpsc::Sender<(Event, Option<oneshot::Sender<Answer>>)>,
+) -> impl Fn(DiskReport) -> bool {
     move |report| {
         let event = match report {
             DiskReport::Synced { ticket } => Event::Kept { ticket },
@@ -273,7 +362,11 @@
 
 /// Tells the core which departures are kept.
 fn kept_to(events: mpsc::Sender<(Event, Option<oneshot::Sender<Answer>>)>) -> impl Fn(u64) -> bool {
-    move |ticket| events.blocking_send((Event::DeparturesKept { ticket }, None)).is_ok()
+    move |ticket| {
+        events
+            .blocking_send((Event::DeparturesKept { ticket }, None))
+            .is_ok()
+    }
 }
 
 /// Opens the data folder. While the disk is full or failing it is tried again; what only an operator can mend ends the
@@ -293,7 +386,9 @@
             Err(failure) => failure,
         };
         if failures == 1 {
-            log::error!("disk: {folder} can't be opened; it is tried again, and nothing is served before: {failure:#}");
+            log::error!(
+                "disk: {folder} can't be opened; it is tried again, and nothing is served before: {failure:#}"
+            );
         }
         tokio::select! {
             _ = tokio::time::sleep(pauses.after(failures)) => {}
@@ -307,8 +402,12 @@
     shared.asked.fetch_add(1, Ordering::Relaxed);
     match (enquiry.method.as_str(), enquiry.path.as_str()) {
         ("GET", "/live") => transport::verdict(Code::Fine, None),
-        ("GET", "/ready") if shared.closing.load(Ordering::Relaxed) => transport::verdict(Code::Closing, None),
-        ("GET", "/ready") if shared.ready.load(Ordering::Relaxed) => transport::verdict(Code::Fine, None),
+        ("GET", "/ready") if shared.closing.load(Ordering::Relaxed) => {
+            transport::verdict(Code::Closing, None)
+        }
+        ("GET", "/ready") if shared.ready.load(Ordering::Relaxed) => {
+            transport::verdict(Code::Fine, None)
+        }
         ("GET", "/ready") => transport::verdict(Code::Stale, Some(Duration::from_secs(1))),
         ("GET", "/counters") => {
             let count = |counter: &AtomicU64| Sheet::from(counter.load(Ordering::Relaxed));
@@ -320,7 +419,10 @@
                 ("diskMostMs", count(&shared.disk.most_ms)),
                 ("diskWaiting", count(&shared.disk.waiting)),
                 ("diskFailures", count(&shared.disk.failures)),
-                ("diskRetrying", shared.disk.retrying.load(Ordering::Relaxed).into()),
+                (
+                    "diskRetrying",
+                    shared.disk.retrying.load(Ordering::Relaxed).into(),
+                ),
                 ("diskDamaged", shared.damaged.into()),
             ]);
             transport::json(Code::Fine, &sheet)
@@ -337,11 +439,22 @@
     let (answer, answered) = oneshot::channel();
     let event = (Event::Ask { token, ask }, Some(answer));
     if shared.events.try_send(event).is_err() {
-        return (shared.dialect.show)(Answer::Verdict { code: Code::SetupCrowded, edition: 0 });
+        return (shared.dialect.show)(Answer::Verdict {
+            code: Code::SetupCrowded,
+            edition: 0,
+        });
     }
-    let answered = tokio::time::timeout(ASK_WITHIN, answered).await.ok().and_then(Result::ok);
-    let answer = match answered.unwrap_or(Answer::Verdict { code: Code::SetupUnknown, edition: 0 }) {
-        Answer::Redirect { to } => Answer::Redirect { to: format!("http://{to}{target}") },
+    let answered = tokio::time::timeout(ASK_WITHIN, answered)
+        .await
+        .ok()
+        .and_then(Result::ok);
+    let answer = match answered.unwrap_or(Answer::Verdict {
+        code: Code::SetupUnknown,
+        edition: 0,
+    }) {
+        Answer::Redirect { to } => Answer::Redirect {
+            to: format!("http://{to}{target}"),
+        },
         other => other,
     };
     (shared.dialect.show)(answer)
