--- a/crates/controller/src/updates.rs
+++ b/crates/controller/src/updates.rs
@@ -2,7 +2,8 @@
 
 use crate::node::{ControlNode, Effect};
 use protocol::{
-    CarrierAck, ClusterState, Freshness, Payload, Placement, UpdateAck, UpdateRequest, Upstream, ViewUpdate,
+    CarrierAck, ClusterState, Freshness, Payload, Placement, UpdateAck, UpdateRequest, Upstream,
+    ViewUpdate,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +39,8 @@
             return change.clone();
         }
         let change = Some(self.new).filter(|new| ***new != **old);
-        let change = change.map(|new| gazetteer::change(old, new).unwrap_or_else(|| Placement::clone(new)));
+        let change =
+            change.map(|new| gazetteer::change(old, new).unwrap_or_else(|| Placement::clone(new)));
         self.known.push((old.clone(), change.clone()));
         change
     }
@@ -71,7 +73,10 @@
                 number: reader.number,
                 edition: self.register.state().edition,
             };
-            self.effects.push_back(Effect::Send { to: from, body: Payload::Freshness(fresh) });
+            self.effects.push_back(Effect::Send {
+                to: from,
+                body: Payload::Freshness(fresh),
+            });
         }
     }
 
@@ -84,7 +89,8 @@
         self.counts.images += 1;
         let stream = self.random.next_u64().max(1);
         let state = carrier_state(self.register.state());
-        let (placement, edition, whole) = (Arc::new(self.bare_placement(now)), 0, self.is_settled(now));
+        let (placement, edition, whole) =
+            (Arc::new(self.bare_placement(now)), 0, self.is_settled(now));
         // What it keeps of before must not hold those that departed meanwhile.
         let departed = self.roll.departed().filter(|_| !whole);
         let snapshot = ViewUpdate {
@@ -92,21 +98,39 @@
             number: 0,
             setup: self.register.squeezed_setup(),
             state: Some(state.clone()),
-            upstreams: self.roll.all(now).into_iter().chain(departed).map(plain).collect(),
+            upstreams: self
+                .roll
+                .all(now)
+                .into_iter()
+                .chain(departed)
+                .map(plain)
+                .collect(),
             placement: Some(Placement::clone(&placement)),
             keeps_upstreams: !whole,
             age_ms: self.confirmation_age_ms(now),
             asked,
         };
-        let reader = Reader { stream, number: 0, asked_at: now, state, placement, whole, edition };
+        let reader = Reader {
+            stream,
+            number: 0,
+            asked_at: now,
+            state,
+            placement,
+            whole,
+            edition,
+        };
         self.readers.insert(to.to_owned(), reader);
-        self.effects.push_back(Effect::Send { to: to.to_owned(), body: Payload::ViewUpdate(snapshot) });
+        self.effects.push_back(Effect::Send {
+            to: to.to_owned(),
+            body: Payload::ViewUpdate(snapshot),
+        });
     }
 
     pub(crate) fn tick_news(&mut self, now: Duration) {
         if now >= self.next_news {
             self.next_news = now + NEWS_EVERY;
-            self.readers.retain(|_, reader| now < reader.asked_at + READER_PATIENCE);
+            self.readers
+                .retain(|_, reader| now < reader.asked_at + READER_PATIENCE);
             self.tell_news(now);
         }
     }
@@ -114,14 +138,26 @@
     fn tell_news(&mut self, now: Duration) {
         let changed: Vec<Upstream> = self.roll.changes(now).into_iter().map(plain).collect();
         let current = &self.register.state().digest;
-        let wanted = self.readers.values().any(|reader| reader.state.digest != *current);
-        let squeezed = if wanted { self.register.squeezed_setup() } else { None };
+        let wanted = self
+            .readers
+            .values()
+            .any(|reader| reader.state.digest != *current);
+        let squeezed = if wanted {
+            self.register.squeezed_setup()
+        } else {
+            None
+        };
         let state = carrier_state(self.register.state());
         let placement = Arc::new(self.bare_placement(now));
-        let mut changes = PlacementChanges { new: &placement, known: Vec::new() };
+        let mut changes = PlacementChanges {
+            new: &placement,
+            known: Vec::new(),
+        };
         for (node, reader) in &mut self.readers {
             let new_word = Some(&state).filter(|state| **state != reader.state);
-            let new_setup = new_word.filter(|state| state.digest != reader.state.digest).and(squeezed.as_ref());
+            let new_setup = new_word
+                .filter(|state| state.digest != reader.state.digest)
+                .and(squeezed.as_ref());
             let news = ViewUpdate {
                 stream: reader.stream,
                 number: reader.number + 1,
@@ -140,7 +176,10 @@
             reader.number += 1;
             self.counts.changes += 1;
             reader.state = news.state.clone().unwrap_or_else(|| reader.state.clone());
-            self.effects.push_back(Effect::Send { to: node.clone(), body: Payload::ViewUpdate(news) });
+            self.effects.push_back(Effect::Send {
+                to: node.clone(),
+                body: Payload::ViewUpdate(news),
+            });
         }
     }
 
@@ -152,17 +191,27 @@
             bare.shares = self.heard_shares(now);
         }
         bare.number = 0;
-        bare.reservations.iter_mut().for_each(|reservation| reservation.age_ms = 0);
+        bare.reservations
+            .iter_mut()
+            .for_each(|reservation| reservation.age_ms = 0);
         bare.marks.iter_mut().for_each(|mark| mark.age_ms = 0);
         bare
     }
 
     pub(crate) fn news_kept(&mut self, from: &str, kept: &UpdateAck) {
-        let reader = self.readers.get_mut(from).filter(|reader| reader.stream == kept.stream);
-        let newer = reader.filter(|reader| reader.edition < kept.edition).map(|reader| {
-            reader.edition = kept.edition;
-            CarrierAck { node: from.to_owned(), edition: kept.edition }
-        });
+        let reader = self
+            .readers
+            .get_mut(from)
+            .filter(|reader| reader.stream == kept.stream);
+        let newer = reader
+            .filter(|reader| reader.edition < kept.edition)
+            .map(|reader| {
+                reader.edition = kept.edition;
+                CarrierAck {
+                    node: from.to_owned(),
+                    edition: kept.edition,
+                }
+            });
         newer.into_iter().for_each(|kept| {
             self.tell_postmasters(Payload::CarrierAck(kept.clone()));
             self.carrier_kept(kept);
@@ -172,22 +221,38 @@
     pub(crate) fn carrier_kept(&mut self, kept: CarrierAck) {
         let known = self.members.iter().any(|member| member.node == kept.node);
         let edition = kept.edition;
-        Some(kept.node).filter(|_| known).into_iter().for_each(|node| {
-            let last = self.kept.entry(node).or_insert(0);
-            *last = edition.max(*last);
-        });
+        Some(kept.node)
+            .filter(|_| known)
+            .into_iter()
+            .for_each(|node| {
+                let last = self.kept.entry(node).or_insert(0);
+                *last = edition.max(*last);
+            });
     }
 
     /// True where every carrier that membership knows has acknowledged this edition to some postmaster.
     pub(crate) fn all_kept(&self, edition: u64) -> bool {
-        let mut carriers = self.members.iter().filter(|member| member.roles != "postmaster");
-        carriers.all(|member| self.kept.get(&member.node).is_some_and(|kept| *kept >= edition))
+        let mut carriers = self
+            .members
+            .iter()
+            .filter(|member| member.roles != "postmaster");
+        carriers.all(|member| {
+            self.kept
+                .get(&member.node)
+                .is_some_and(|kept| *kept >= edition)
+        })
     }
 }
 
 /// What carriers need of the state: what is remembered of orders stays with the voters.
 fn carrier_state(state: &ClusterState) -> ClusterState {
-    let ClusterState { edition, digest, evacuated, number, .. } = state;
+    let ClusterState {
+        edition,
+        digest,
+        evacuated,
+        number,
+        ..
+    } = state;
     ClusterState {
         edition: *edition,
         digest: digest.clone(),
@@ -199,5 +264,12 @@
 
 /// Ages and key lists stay here; carriers want what requests need.
 fn plain(upstream: Upstream) -> Upstream {
-    Upstream { age_ms: 0, born_ms: 0, holder: 0, holds: Vec::new(), released: Vec::new(), ..upstream }
+    Upstream {
+        age_ms: 0,
+        born_ms: 0,
+        holder: 0,
+        holds: Vec::new(),
+        released: Vec::new(),
+        ..upstream
+    }
 }
--- a/crates/controller/src/voters.rs
+++ b/crates/controller/src/voters.rs
@@ -48,7 +48,9 @@
         }
         self.voter_changes.next_look = now + LOOK_EVERY;
         self.remember_localities();
-        self.voter_changes.leaving.retain(|_, said_at| now < *said_at + LEAVING_FOR);
+        self.voter_changes
+            .leaving
+            .retain(|_, said_at| now < *said_at + LEAVING_FOR);
         self.finish_hand_over(now);
         if self.lease.holds(now).is_some() && self.is_current(now) {
             self.mind_voters(now);
@@ -56,7 +58,10 @@
     }
 
     fn remember_localities(&mut self) {
-        let control_nodes = self.members.iter().filter(|member| member.roles == "postmaster");
+        let control_nodes = self
+            .members
+            .iter()
+            .filter(|member| member.roles == "postmaster");
         for member in control_nodes {
             let localities = &mut self.voter_changes.localities;
             if localities.len() < MAX_LOCALITIES || localities.contains_key(&member.node) {
@@ -75,19 +80,33 @@
         if !self.may_begin_change(now) {
             return;
         }
-        let Some((gone, successor)) = self.replacement(now) else { return };
+        let Some((gone, successor)) = self.replacement(now) else {
+            return;
+        };
         if !self.has_caught_up(&successor) {
             // A round that changes nothing brings it the state in force.
             return self.propose(now, Change::Finish);
         }
-        let mut voters: Vec<String> = voter_set.voters.into_iter().filter(|voter| *voter != gone).collect();
+        let mut voters: Vec<String> = voter_set
+            .voters
+            .into_iter()
+            .filter(|voter| *voter != gone)
+            .collect();
         voters.push(successor.clone());
-        self.effects.push_back(Effect::Note(format!("voters: {successor} takes the place of {gone}")));
+        self.effects.push_back(Effect::Note(format!(
+            "voters: {successor} takes the place of {gone}"
+        )));
         self.propose(now, Change::BeginVoters { epoch, voters });
     }
 
     /// An operator's change of the voters. What is left must have caught up, so that nobody takes a last copy along.
-    pub(crate) fn change_voters(&mut self, now: Duration, token: u64, add: Option<String>, remove: Option<String>) {
+    pub(crate) fn change_voters(
+        &mut self,
+        now: Duration,
+        token: u64,
+        add: Option<String>,
+        remove: Option<String>,
+    ) {
         let edition = self.edition();
         match self.voters_after(now, add, remove) {
             Err(code) => self.answer(token, Answer::Verdict { code, edition }),
@@ -98,7 +117,12 @@
         }
     }
 
-    fn voters_after(&self, now: Duration, add: Option<String>, remove: Option<String>) -> Result<Vec<String>, Code> {
+    fn voters_after(
+        &self,
+        now: Duration,
+        add: Option<String>,
+        remove: Option<String>,
+    ) -> Result<Vec<String>, Code> {
         if !self.is_current(now) {
             return Err(Code::Stale);
         }
@@ -107,14 +131,26 @@
         }
         let voters = &self.register.state().voter_set.voters;
         let unknown = remove.as_ref().is_some_and(|node| !voters.contains(node));
-        let unfit = add.as_ref().is_some_and(|node| !self.candidates(now).contains(node) || !self.has_caught_up(node));
+        let unfit = add
+            .as_ref()
+            .is_some_and(|node| !self.candidates(now).contains(node) || !self.has_caught_up(node));
         if unknown || unfit {
             return Err(Code::VoterUnfit);
         }
-        let kept = voters.iter().filter(|voter| Some(*voter) != remove.as_ref()).cloned();
+        let kept = voters
+            .iter()
+            .filter(|voter| Some(*voter) != remove.as_ref())
+            .cloned();
         let after: Vec<String> = kept.chain(add).collect();
-        let caught_up = after.iter().filter(|voter| self.has_caught_up(voter)).count();
-        if after.is_empty() || caught_up < majority(after.len()) { Err(Code::VoterUnfit) } else { Ok(after) }
+        let caught_up = after
+            .iter()
+            .filter(|voter| self.has_caught_up(voter))
+            .count();
+        if after.is_empty() || caught_up < majority(after.len()) {
+            Err(Code::VoterUnfit)
+        } else {
+            Ok(after)
+        }
     }
 
     fn has_caught_up(&self, node: &str) -> bool {
@@ -124,7 +160,9 @@
     /// A lease that an earlier set of voters granted must have run out before the set after the next may grant one.
     fn may_begin_change(&self, now: Duration) -> bool {
         let least = self.times.lease.span + self.times.lease.margin;
-        self.register.voters_settled_for(now).is_some_and(|settled| settled >= least)
+        self.register
+            .voters_settled_for(now)
+            .is_some_and(|settled| settled >= least)
     }
 
     fn propose(&mut self, now: Duration, change: Change) {
@@ -136,34 +174,49 @@
         let candidates = self.candidates(now);
         let voters = self.register.voter_set().voters.iter();
         let pairs = voters.filter_map(|voter| {
-            let successor = candidates.iter().min_by_key(|candidate| !self.share_locality(voter, candidate))?;
+            let successor = candidates
+                .iter()
+                .min_by_key(|candidate| !self.share_locality(voter, candidate))?;
             let near = self.share_locality(voter, successor);
-            self.is_gone(now, voter, near).then(|| (near, voter.clone(), successor.clone()))
+            self.is_gone(now, voter, near)
+                .then(|| (near, voter.clone(), successor.clone()))
         });
-        pairs.max_by_key(|(near, ..)| *near).map(|(_, voter, successor)| (voter, successor))
+        pairs
+            .max_by_key(|(near, ..)| *near)
+            .map(|(_, voter, successor)| (voter, successor))
     }
 
     /// Control nodes that are there and have no vote.
     fn candidates(&self, now: Duration) -> Vec<String> {
         let voter_set = self.register.voter_set();
         let others = self.members.iter().filter(|member| {
-            member.roles == "postmaster" && member.condition == ALIVE && !voter_set.contains(&member.node)
+            member.roles == "postmaster"
+                && member.condition == ALIVE
+                && !voter_set.contains(&member.node)
+        });
+        let heard = others.filter(|member| {
+            member.node == self.me.node
+                || self.register.silent_for(now, &member.node) < HEARD_WITHIN
         });
-        let heard = others
-            .filter(|member| member.node == self.me.node || self.register.silent_for(now, &member.node) < HEARD_WITHIN);
         heard.map(|member| member.node.clone()).collect()
     }
 
     fn share_locality(&self, one: &str, other: &str) -> bool {
         let localities = &self.voter_changes.localities;
-        localities.get(one).is_some_and(|locality| localities.get(other) == Some(locality))
+        localities
+            .get(one)
+            .is_some_and(|locality| localities.get(other) == Some(locality))
     }
 
     fn is_gone(&self, now: Duration, voter: &str, near: bool) -> bool {
         if voter == self.me.node {
             return self.closing;
         }
-        let patience = if near { REPLACE_AFTER } else { REPLACE_ELSEWHERE_AFTER };
+        let patience = if near {
+            REPLACE_AFTER
+        } else {
+            REPLACE_ELSEWHERE_AFTER
+        };
         let leaves = near && self.voter_changes.leaving.contains_key(voter);
         leaves || self.register.silent_for(now, voter) >= patience
     }
@@ -179,7 +232,9 @@
     pub(crate) fn close(&mut self, now: Duration) {
         self.closing = true;
         let candidates = self.candidates(now);
-        let replaceable = candidates.iter().any(|candidate| self.share_locality(&self.me.node, candidate));
+        let replaceable = candidates
+            .iter()
+            .any(|candidate| self.share_locality(&self.me.node, candidate));
         if replaceable && self.register.is_voter() {
             self.voter_changes.hand_over_until = Some(now + HAND_OVER_WITHIN);
             self.tell_postmasters(Payload::VoterLeaving(VoterLeaving {}));
@@ -190,7 +245,9 @@
     }
 
     fn finish_hand_over(&mut self, now: Duration) {
-        let Some(until) = self.voter_changes.hand_over_until else { return };
+        let Some(until) = self.voter_changes.hand_over_until else {
+            return;
+        };
         if now >= until || !self.register.is_voter() {
             self.voter_changes.hand_over_until = None;
             self.leave(now);
@@ -233,26 +290,52 @@
     /// The voters and the control nodes beside them, for the status page.
     pub(crate) fn show_voters(&self, now: Duration) -> Sheet {
         let voter_set = self.register.voter_set();
-        let role = |node: &str| match (voter_set.voters.iter().any(|voter| voter == node), voter_set.contains(node)) {
-            (true, _) if !voter_set.is_joint() || voter_set.next.iter().any(|voter| voter == node) => "voter",
+        let role = |node: &str| match (
+            voter_set.voters.iter().any(|voter| voter == node),
+            voter_set.contains(node),
+        ) {
+            (true, _)
+                if !voter_set.is_joint() || voter_set.next.iter().any(|voter| voter == node) =>
+            {
+                "voter"
+            }
             (true, _) => "leaving",
             (false, true) => "joining",
             (false, false) => "replica",
         };
-        let beside = self.members.iter().filter(|member| member.roles == "postmaster");
-        let beside = beside.map(|member| &member.node).filter(|node| !voter_set.contains(node));
+        let beside = self
+            .members
+            .iter()
+            .filter(|member| member.roles == "postmaster");
+        let beside = beside
+            .map(|member| &member.node)
+            .filter(|node| !voter_set.contains(node));
         let rows = voter_set.members().chain(beside).map(|node| {
             let mine = *node == self.me.node;
-            let silent_ms = if mine { 0 } else { self.register.silent_for(now, node).as_millis() as u64 };
-            let synced = if mine { None } else { self.register.synced_round(node) };
+            let silent_ms = if mine {
+                0
+            } else {
+                self.register.silent_for(now, node).as_millis() as u64
+            };
+            let synced = if mine {
+                None
+            } else {
+                self.register.synced_round(node)
+            };
             Sheet::fields([
                 ("node", node.as_str().into()),
                 ("role", role(node).into()),
                 ("silentMs", silent_ms.into()),
-                ("syncedRound", synced.map(Sheet::from).unwrap_or(Sheet::Null)),
+                (
+                    "syncedRound",
+                    synced.map(Sheet::from).unwrap_or(Sheet::Null),
+                ),
                 ("caughtUp", self.has_caught_up(node).into()),
             ])
         });
-        Sheet::fields([("epoch", voter_set.epoch.into()), ("members", rows.collect())])
+        Sheet::fields([
+            ("epoch", voter_set.epoch.into()),
+            ("members", rows.collect()),
+        ])
     }
 }
--- a/crates/controller/tests/anonymous_orders.rs
+++ b/crates/controller/tests/anonymous_orders.rs
@@ -9,7 +9,12 @@
 
 /// The code of the answer to an order to evacuate, after a moment.
 fn evacuated(site: &mut Site, back: bool) -> Option<Code> {
-    let ask = Ask::Evacuate { id: Default::default(), locality: "north/n1".into(), back, in_force: false };
+    let ask = Ask::Evacuate {
+        id: Default::default(),
+        locality: "north/n1".into(),
+        back,
+        in_force: false,
+    };
     site.step(Event::Ask { token: 1, ask });
     site.run(Duration::from_millis(100));
     site.answers.pop().and_then(|answer| match answer {
@@ -34,7 +39,11 @@
     let mut site = site();
     let before = site.control.edition();
     site.now += Duration::from_secs(3);
-    assert_eq!(evacuated(&mut site, false), Some(Code::Stale), "it may be three seconds old");
+    assert_eq!(
+        evacuated(&mut site, false),
+        Some(Code::Stale),
+        "it may be three seconds old"
+    );
     assert_eq!(site.control.edition(), before);
     site.run(Duration::from_millis(500));
     assert_eq!(evacuated(&mut site, false), Some(Code::Fine));
--- a/crates/controller/tests/contact.rs
+++ b/crates/controller/tests/contact.rs
@@ -5,7 +5,8 @@
 use controller::{Answer, Ask, ControlNode, Effect, Event, Start};
 use gazetteer::View;
 use protocol::{
-    ClusterState, Departure, DurableState, Heard, Member, Payload, Probe, UpdateRequest, Upstream, ViewUpdate, VoterSet,
+    ClusterState, Departure, DurableState, Heard, Member, Payload, Probe, UpdateRequest, Upstream,
+    ViewUpdate, VoterSet,
 };
 use quorum_register::OrderId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -64,27 +65,64 @@
     }
 
     fn introduce(&mut self, at: usize) {
-        let members = NODES.iter().filter(|node| **node != NODES[at]).map(|node| member(node)).collect();
-        let probe = Payload::Probe(Probe { members, ..Probe::default() });
-        self.step(at, Event::Datagram { address: NODES[(at + 1) % NODES.len()].into(), body: probe });
+        let members = NODES
+            .iter()
+            .filter(|node| **node != NODES[at])
+            .map(|node| member(node))
+            .collect();
+        let probe = Payload::Probe(Probe {
+            members,
+            ..Probe::default()
+        });
+        self.step(
+            at,
+            Event::Datagram {
+                address: NODES[(at + 1) % NODES.len()].into(),
+                body: probe,
+            },
+        );
     }
 
     fn step(&mut self, at: usize, event: Event) {
         let now = self.local(at);
         let effects = self.nodes[at].step(now, event);
         effects.into_iter().for_each(|effect| match effect {
-            Effect::Send { to, body } => self.send(at, &to, |from| Event::Received { from, body: body.clone() }, &body),
-            Effect::Datagram { address, body: Payload::Probe(probe) } => {
+            Effect::Send { to, body } => self.send(
+                at,
+                &to,
+                |from| Event::Received {
+                    from,
+                    body: body.clone(),
+                },
+                &body,
+            ),
+            Effect::Datagram {
+                address,
+                body: Payload::Probe(probe),
+            } => {
                 // Everybody is there, whatever is cut: membership is no matter of these tests.
-                let heard = Heard { nonce: probe.nonce, node: address.clone(), ..Heard::default() };
-                self.queue.push_back((self.now + DELAY, at, Event::Datagram { address, body: Payload::Heard(heard) }));
+                let heard = Heard {
+                    nonce: probe.nonce,
+                    node: address.clone(),
+                    ..Heard::default()
+                };
+                self.queue.push_back((
+                    self.now + DELAY,
+                    at,
+                    Event::Datagram {
+                        address,
+                        body: Payload::Heard(heard),
+                    },
+                ));
             }
             Effect::Keep { ticket, .. } | Effect::KeepSetup { ticket, .. } => {
-                self.queue.push_back((self.now + 1, at, Event::Kept { ticket }));
+                self.queue
+                    .push_back((self.now + 1, at, Event::Kept { ticket }));
             }
             Effect::KeepDepartures { ticket, departures } => {
                 self.departures[at] = departures;
-                self.queue.push_back((self.now + 1, at, Event::DeparturesKept { ticket }));
+                self.queue
+                    .push_back((self.now + 1, at, Event::DeparturesKept { ticket }));
             }
             Effect::Answer { token, answer } => {
                 self.answers.insert(token, (self.now, answer));
@@ -102,9 +140,12 @@
         if to == CARRIER {
             self.told_carrier.push(body.clone());
         }
-        let Some(to) = NODES.iter().position(|node| *node == to) else { return };
+        let Some(to) = NODES.iter().position(|node| *node == to) else {
+            return;
+        };
         if !self.cuts.contains(&(from, to)) && !(self.loses)(from, to, body) {
-            self.queue.push_back((self.now + DELAY, to, event(NODES[from].to_owned())));
+            self.queue
+                .push_back((self.now + DELAY, to, event(NODES[from].to_owned())));
         }
     }
 
@@ -112,10 +153,12 @@
         let until = self.now + span;
         while self.now < until {
             self.now += 1;
-            let (due, later): (VecDeque<_>, VecDeque<_>) =
-                std::mem::take(&mut self.queue).into_iter().partition(|(at, ..)| *at <= self.now);
+            let (due, later): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.queue)
+                .into_iter()
+                .partition(|(at, ..)| *at <= self.now);
             self.queue = later;
-            due.into_iter().for_each(|(_, to, event)| self.step(to, event));
+            due.into_iter()
+                .for_each(|(_, to, event)| self.step(to, event));
             if self.now.is_multiple_of(TICK) {
                 (0..self.nodes.len()).for_each(|at| self.step(at, Event::Tick));
             }
@@ -145,15 +188,19 @@
     }
 
     fn cut_off(&mut self, at: usize, hears: bool, speaks: bool) {
-        (0..NODES.len()).filter(|other| *other != at).for_each(|other| {
-            self.cuts.extend((!speaks).then_some((at, other)));
-            self.cuts.extend((!hears).then_some((other, at)));
-        });
+        (0..NODES.len())
+            .filter(|other| *other != at)
+            .for_each(|other| {
+                self.cuts.extend((!speaks).then_some((at, other)));
+                self.cuts.extend((!hears).then_some((other, at)));
+            });
     }
 
     fn holder(&self) -> usize {
         let holds = |at: &usize| self.nodes[*at].holds_placement(self.local(*at));
-        (0..NODES.len()).find(holds).expect("somebody holds the placement lease")
+        (0..NODES.len())
+            .find(holds)
+            .expect("somebody holds the placement lease")
     }
 
     /// A node that does not hold the placement lease.
@@ -163,14 +210,20 @@
 
     /// Splits the nodes into two parts that do not hear each other.
     fn split(&mut self, part: &[usize]) {
-        let pairs = (0..NODES.len()).flat_map(|one| (0..NODES.len()).map(move |other| (one, other)));
-        self.cuts.extend(pairs.filter(|(one, other)| part.contains(one) != part.contains(other)));
+        let pairs =
+            (0..NODES.len()).flat_map(|one| (0..NODES.len()).map(move |other| (one, other)));
+        self.cuts
+            .extend(pairs.filter(|(one, other)| part.contains(one) != part.contains(other)));
     }
 
     /// Kills a process and starts it again at once: its memory and what was on its way to it are gone.
     fn restart(&mut self, at: usize) {
         self.queue.retain(|(_, to, _)| *to != at);
-        let kept = if self.forgets_departures { Vec::new() } else { self.departures[at].clone() };
+        let kept = if self.forgets_departures {
+            Vec::new()
+        } else {
+            self.departures[at].clone()
+        };
         self.nodes[at] = control(NODES[at], kept);
         self.started[at] = self.now;
         self.introduce(at);
@@ -181,11 +234,22 @@
     fn followed(&mut self, at: usize, known: Upstream) -> Option<Vec<String>> {
         self.told_carrier.clear();
         let ask = Payload::UpdateRequest(UpdateRequest::default());
-        self.step(at, Event::Received { from: CARRIER.into(), body: ask });
+        self.step(
+            at,
+            Event::Received {
+                from: CARRIER.into(),
+                body: ask,
+            },
+        );
         let told = std::mem::take(&mut self.told_carrier);
-        let vouched = told.iter().any(|body| matches!(body, Payload::Freshness(_)));
+        let vouched = told
+            .iter()
+            .any(|body| matches!(body, Payload::Freshness(_)));
         let mut view = View::default();
-        let before = ViewUpdate { upstreams: vec![known], ..ViewUpdate::default() };
+        let before = ViewUpdate {
+            upstreams: vec![known],
+            ..ViewUpdate::default()
+        };
         view.take(before, true).expect("no setup");
         told.into_iter().for_each(|body| {
             if let Payload::ViewUpdate(update) = body {
@@ -200,9 +264,15 @@
 
     /// What a node knows of an instance.
     fn condition(&mut self, at: usize, instance: &str) -> Option<String> {
-        let Some(Answer::Sheet(sheet)) = self.answer_at_once(at, Ask::Upstreams) else { return None };
-        let tariff::Sheet::List(rows) = sheet else { return None };
-        let row = rows.iter().find(|row| row.text("instance") == Some(instance))?;
+        let Some(Answer::Sheet(sheet)) = self.answer_at_once(at, Ask::Upstreams) else {
+            return None;
+        };
+        let tariff::Sheet::List(rows) = sheet else {
+            return None;
+        };
+        let row = rows
+            .iter()
+            .find(|row| row.text("instance") == Some(instance))?;
         row.text("condition").map(str::to_owned)
     }
 }
@@ -223,7 +293,10 @@
 fn control(node: &str, departures: Vec<Departure>) -> ControlNode {
     let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).expect("no flags");
     let roster: Vec<String> = NODES.iter().map(|node| (*node).to_owned()).collect();
-    let accepted = ClusterState { voter_set: VoterSet::new(roster.clone()), ..ClusterState::default() };
+    let accepted = ClusterState {
+        voter_set: VoterSet::new(roster.clone()),
+        ..ClusterState::default()
+    };
     ControlNode::new(Start {
         reader: Default::default(),
         owners: Default::default(),
@@ -231,7 +304,12 @@
         seeds: vec![],
         roster_size: NODES.len(),
         seed: u64::from(node.as_bytes()[0]),
-        durable: DurableState { disk: 7, roster, accepted, ..DurableState::default() },
+        durable: DurableState {
+            disk: 7,
+            roster,
+            accepted,
+            ..DurableState::default()
+        },
         setups: Default::default(),
         departures,
         times: controller::shell::times(&settings),
@@ -252,7 +330,12 @@
 }
 
 fn evacuate(id: &str) -> Ask {
-    Ask::Evacuate { id: OrderId::from(id), locality: "north/a".into(), back: false, in_force: false }
+    Ask::Evacuate {
+        id: OrderId::from(id),
+        locality: "north/a".into(),
+        back: false,
+        in_force: false,
+    }
 }
 
 fn acknowledged(answer: &Option<Answer>) -> bool {
@@ -267,9 +350,16 @@
         Ask::ReadSetup,
         evacuate(&format!("order-{turn}")),
         Ask::Beat(beat(turn + 2, enrolment::READY)),
-        Ask::Beat(Upstream { instance: "leaver".into(), ..beat(turn + 2, enrolment::LEAVING) }),
-        Ask::SignOff { instance: "u".into() },
-        Ask::SignOff { instance: "nobody-knows-it".into() },
+        Ask::Beat(Upstream {
+            instance: "leaver".into(),
+            ..beat(turn + 2, enrolment::LEAVING)
+        }),
+        Ask::SignOff {
+            instance: "u".into(),
+        },
+        Ask::SignOff {
+            instance: "nobody-knows-it".into(),
+        },
         Ask::Upstreams,
         Ask::Reservations,
         Ask::Marks,
@@ -283,26 +373,44 @@
     questions(1).into_iter().for_each(|ask| {
         let told = format!("{ask:?}");
         let answer = site.answer(at, ask);
-        assert!(acknowledged(&answer) || matches!(answer, Some(Answer::Sheet(_))), "{told}: {answer:?}");
+        assert!(
+            acknowledged(&answer) || matches!(answer, Some(Answer::Sheet(_))),
+            "{told}: {answer:?}"
+        );
     });
 }
 
 #[test]
 fn a_node_out_of_contact_says_so_at_once_whatever_is_asked() {
-    [(false, false), (false, true)].into_iter().for_each(|(hears, speaks)| {
-        [true, false].into_iter().for_each(|holder| {
-            let mut site = Site::settled();
-            site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
-            let at = if holder { site.holder() } else { site.bystander() };
-            site.cut_off(at, hears, speaks);
-            site.run_for(2000);
-            questions(1).into_iter().for_each(|ask| {
-                let told = format!("{ask:?}, hears {hears}, speaks {speaks}");
-                let answer = site.answer_at_once(at, ask);
-                assert!(matches!(answer, Some(Answer::Verdict { code: Code::Stale, .. })), "{told}: {answer:?}");
+    [(false, false), (false, true)]
+        .into_iter()
+        .for_each(|(hears, speaks)| {
+            [true, false].into_iter().for_each(|holder| {
+                let mut site = Site::settled();
+                site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
+                let at = if holder {
+                    site.holder()
+                } else {
+                    site.bystander()
+                };
+                site.cut_off(at, hears, speaks);
+                site.run_for(2000);
+                questions(1).into_iter().for_each(|ask| {
+                    let told = format!("{ask:?}, hears {hears}, speaks {speaks}");
+                    let answer = site.answer_at_once(at, ask);
+                    assert!(
+                        matches!(
+                            answer,
+                            Some(Answer::Verdict {
+                                code: Code::Stale,
+                                ..
+                            })
+                        ),
+                        "{told}: {answer:?}"
+                    );
+                });
             });
         });
-    });
 }
 
 /// One that still hears who holds the placement lease, which a majority granted, sends callers there.
@@ -316,31 +424,46 @@
         let told = format!("{ask:?}");
         let answer = site.answer_at_once(at, ask);
         let to = format!("{}:80", NODES[holder]);
-        assert!(matches!(&answer, Some(Answer::Redirect { to: told }) if *told == to), "{told}: {answer:?}");
+        assert!(
+            matches!(&answer, Some(Answer::Redirect { to: told }) if *told == to),
+            "{told}: {answer:?}"
+        );
     });
 }
 
 #[test]
 fn a_node_that_lost_contact_this_instant_confirms_no_order_reading_or_leaving() {
-    [(false, false), (true, false), (false, true)].into_iter().for_each(|(hears, speaks)| {
-        let mut site = Site::settled();
-        site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
-        let at = site.bystander();
-        site.cut_off(at, hears, speaks);
-        let asks = [
-            Ask::ReadSetup,
-            evacuate("order"),
-            Ask::Beat(beat(2, enrolment::LEAVING)),
-            Ask::SignOff { instance: "u".into() },
-            Ask::SignOff { instance: "nobody-knows-it".into() },
-        ];
-        let tokens: Vec<(String, u64)> = asks.into_iter().map(|ask| (format!("{ask:?}"), site.ask(at, ask))).collect();
-        site.run_for(20_000);
-        tokens.into_iter().for_each(|(told, token)| {
-            let answer = site.answers.remove(&token).map(|(_, answer)| answer);
-            assert!(answer.is_some() && !acknowledged(&answer), "{told}: {answer:?}");
+    [(false, false), (true, false), (false, true)]
+        .into_iter()
+        .for_each(|(hears, speaks)| {
+            let mut site = Site::settled();
+            site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
+            let at = site.bystander();
+            site.cut_off(at, hears, speaks);
+            let asks = [
+                Ask::ReadSetup,
+                evacuate("order"),
+                Ask::Beat(beat(2, enrolment::LEAVING)),
+                Ask::SignOff {
+                    instance: "u".into(),
+                },
+                Ask::SignOff {
+                    instance: "nobody-knows-it".into(),
+                },
+            ];
+            let tokens: Vec<(String, u64)> = asks
+                .into_iter()
+                .map(|ask| (format!("{ask:?}"), site.ask(at, ask)))
+                .collect();
+            site.run_for(20_000);
+            tokens.into_iter().for_each(|(told, token)| {
+                let answer = site.answers.remove(&token).map(|(_, answer)| answer);
+                assert!(
+                    answer.is_some() && !acknowledged(&answer),
+                    "{told}: {answer:?}"
+                );
+            });
         });
-    });
 }
 
 #[test]
@@ -352,8 +475,21 @@
     let token = site.ask(at, evacuate("order"));
     site.run_for(1500);
     let (answered_at, answer) = site.answers.remove(&token).expect("it is answered");
-    assert!(answered_at < asked_at + 1300, "after {} ms", answered_at - asked_at);
-    assert!(matches!(answer, Answer::Verdict { code: Code::SetupUnknown, .. }), "{answer:?}");
+    assert!(
+        answered_at < asked_at + 1300,
+        "after {} ms",
+        answered_at - asked_at
+    );
+    assert!(
+        matches!(
+            answer,
+            Answer::Verdict {
+                code: Code::SetupUnknown,
+                ..
+            }
+        ),
+        "{answer:?}"
+    );
 }
 
 /// It speaks but hears nobody: a round that it begins can't end, and would end those of the others.
@@ -365,7 +501,15 @@
     site.run_for(1300);
     let rounds_begun = |site: &mut Site| {
         let effects = site.nodes[at].step(MS(site.now), Event::Tick);
-        let begun = |effect: &&Effect| matches!(effect, Effect::Send { body: Payload::Prepare(_), .. });
+        let begun = |effect: &&Effect| {
+            matches!(
+                effect,
+                Effect::Send {
+                    body: Payload::Prepare(_),
+                    ..
+                }
+            )
+        };
         effects.iter().filter(begun).count()
     };
     let begun: usize = (0..1000)
@@ -382,35 +526,46 @@
 fn orders_are_not_lost_while_a_majority_lives() {
     let lengths = [500, 1000, 1500, 2500, 5000, 10_000, 20_000, 30_000];
     let ways = [(false, false), (true, false), (false, true)];
-    lengths.into_iter().flat_map(|length| ways.map(|way| (length, way))).for_each(|(length, (hears, speaks))| {
-        let mut site = Site::settled();
-        let cut = site.holder();
-        site.cut_off(cut, hears, speaks);
-        let begun_at = site.now;
-        let mut number = 0;
-        while site.now < begun_at + length {
-            number += 1;
-            let (asked_at, mut at, mut hops) = (site.now, cut, 0);
-            let taken = loop {
-                let token = site.ask(at, evacuate(&format!("order-{number}")));
-                let waited_from = site.now;
-                while !site.answers.contains_key(&token) && site.now < waited_from + SILENCE {
-                    site.run_for(TICK);
-                }
-                match site.answers.remove(&token).map(|(_, answer)| answer) {
-                    Some(Answer::Verdict { code: Code::Fine, .. }) => break site.now - asked_at,
-                    Some(Answer::Redirect { to }) if hops < 2 => {
-                        hops += 1;
-                        at = NODES.iter().position(|node| to.starts_with(node)).expect("a node");
+    lengths
+        .into_iter()
+        .flat_map(|length| ways.map(|way| (length, way)))
+        .for_each(|(length, (hears, speaks))| {
+            let mut site = Site::settled();
+            let cut = site.holder();
+            site.cut_off(cut, hears, speaks);
+            let begun_at = site.now;
+            let mut number = 0;
+            while site.now < begun_at + length {
+                number += 1;
+                let (asked_at, mut at, mut hops) = (site.now, cut, 0);
+                let taken = loop {
+                    let token = site.ask(at, evacuate(&format!("order-{number}")));
+                    let waited_from = site.now;
+                    while !site.answers.contains_key(&token) && site.now < waited_from + SILENCE {
+                        site.run_for(TICK);
                     }
-                    _ => (at, hops) = ((at + 1) % NODES.len(), 0),
-                }
-                assert!(site.now < asked_at + 4000, "cut of {length} ms, hears {hears}, speaks {speaks}");
-            };
-            assert!(taken <= 4000);
-            site.run_for(700);
-        }
-    });
+                    match site.answers.remove(&token).map(|(_, answer)| answer) {
+                        Some(Answer::Verdict {
+                            code: Code::Fine, ..
+                        }) => break site.now - asked_at,
+                        Some(Answer::Redirect { to }) if hops < 2 => {
+                            hops += 1;
+                            at = NODES
+                                .iter()
+                                .position(|node| to.starts_with(node))
+                                .expect("a node");
+                        }
+                        _ => (at, hops) = ((at + 1) % NODES.len(), 0),
+                    }
+                    assert!(
+                        site.now < asked_at + 4000,
+                        "cut of {length} ms, hears {hears}, speaks {speaks}"
+                    );
+                };
+                assert!(taken <= 4000);
+                site.run_for(700);
+            }
+        });
 }
 
 /// Whoever becomes current by a question asked after the acknowledgement knows of the leaving, also where what was told
@@ -422,14 +577,24 @@
     let other = |at: usize| (at + 1) % NODES.len();
     // What is said of upstreams between two nodes gets lost, both ways; confirmations don't.
     site.loses = |from, to, body| {
-        let told = matches!(body, Payload::Beats(_) | Payload::Alive(_) | Payload::UpstreamsRequest(_));
+        let told = matches!(
+            body,
+            Payload::Beats(_) | Payload::Alive(_) | Payload::UpstreamsRequest(_)
+        );
         told && (from.min(to), from.max(to)) != (1, 2) && (from == 3 || to == 3)
     };
     let at = other(0);
-    assert!(acknowledged(&site.answer(at, Ask::Beat(beat(2, enrolment::LEAVING)))));
+    assert!(acknowledged(
+        &site.answer(at, Ask::Beat(beat(2, enrolment::LEAVING)))
+    ));
     site.run_for(600);
     assert_eq!(site.condition(3, "u").as_deref(), Some("leaving"));
-    assert!(acknowledged(&site.answer(at, Ask::SignOff { instance: "u".into() })));
+    assert!(acknowledged(&site.answer(
+        at,
+        Ask::SignOff {
+            instance: "u".into()
+        }
+    )));
     site.run_for(600);
     assert_eq!(site.condition(3, "u").as_deref(), Some("gone"));
 }
@@ -450,19 +615,31 @@
     let asked_at = site.now;
     site.run_for(200);
     let (answered_at, answer) = site.answers.remove(&token).expect("an answer");
-    assert!(acknowledged(&Some(answer)) && answered_at <= asked_at + 3 * DELAY, "quick on a calm day");
+    assert!(
+        acknowledged(&Some(answer)) && answered_at <= asked_at + 3 * DELAY,
+        "quick on a calm day"
+    );
 }
 
 /// The sign-off came to a node that did not know the upstream, and another one still had a beat of it in its sockets.
 #[test]
 fn a_signed_off_upstream_stays_gone_where_nobody_knew_it() {
     let mut site = Site::settled();
-    assert!(acknowledged(&site.answer(0, Ask::SignOff { instance: "u".into() })));
+    assert!(acknowledged(&site.answer(
+        0,
+        Ask::SignOff {
+            instance: "u".into()
+        }
+    )));
     site.answer(2, Ask::Beat(beat(9, enrolment::READY)));
     site.run_for(600);
     (0..NODES.len()).for_each(|at| {
         let known = site.condition(at, "u");
-        assert!(known.as_deref().is_none_or(|known| known == "gone"), "{}: {known:?}", NODES[at]);
+        assert!(
+            known.as_deref().is_none_or(|known| known == "gone"),
+            "{}: {known:?}",
+            NODES[at]
+        );
     });
 }
 
@@ -473,10 +650,16 @@
     site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
     let at = site.bystander();
     site.cut_off(at, false, false);
-    assert!(!acknowledged(&site.answer(at, Ask::SignOff { instance: "u".into() })));
+    assert!(!acknowledged(&site.answer(
+        at,
+        Ask::SignOff {
+            instance: "u".into()
+        }
+    )));
     site.cuts.clear();
     site.run_for(1500);
-    (0..NODES.len()).for_each(|node| assert_eq!(site.condition(node, "u").as_deref(), Some("gone"), "{node}"));
+    (0..NODES.len())
+        .for_each(|node| assert_eq!(site.condition(node, "u").as_deref(), Some("gone"), "{node}"));
 }
 
 /// Two nodes that heard nothing of it, and one that took it in: a majority without the others that did.
@@ -500,14 +683,25 @@
 
 /// The ways to depart: with beats that go on, without any, and at a node that did not know the upstream.
 fn departures() -> [Ask; 3] {
-    let unknown = Ask::SignOff { instance: "unknown".into() };
-    [Ask::Beat(beat(2, enrolment::LEAVING)), Ask::SignOff { instance: "u".into() }, unknown]
+    let unknown = Ask::SignOff {
+        instance: "unknown".into(),
+    };
+    [
+        Ask::Beat(beat(2, enrolment::LEAVING)),
+        Ask::SignOff {
+            instance: "u".into(),
+        },
+        unknown,
+    ]
 }
 
 /// What the carrier knows of the upstream of [`departures`].
 fn known_to_the_carrier(departure: &Ask) -> Upstream {
     match departure {
-        Ask::SignOff { instance } => Upstream { instance: instance.clone(), ..beat(1, enrolment::READY) },
+        Ask::SignOff { instance } => Upstream {
+            instance: instance.clone(),
+            ..beat(1, enrolment::READY)
+        },
         _ => beat(1, enrolment::READY),
     }
 }
@@ -530,7 +724,10 @@
                 .map(|view| format!("{} after {after} ms: {view:?}", NODES[*at]))
         };
         breaches.extend(views.iter().filter_map(vouching));
-        all_vouch_after = all_vouch_after.or(views.iter().all(|(_, view)| view.is_some()).then_some(after));
+        all_vouch_after = all_vouch_after.or(views
+            .iter()
+            .all(|(_, view)| view.is_some())
+            .then_some(after));
     }
     (breaches, all_vouch_after.expect("a majority is in contact"))
 }
@@ -560,11 +757,17 @@
     let [leaving, signed_off, unknown] = departures();
     // What nobody else knew is vouched for only by nodes that have yet to hear of upstreams at all.
     let all = [0, 1, 2, 3, 4].as_slice();
-    [([2].as_slice(), leaving.clone()), (&[2], signed_off.clone()), (all, leaving), (all, signed_off), (all, unknown)]
-        .into_iter()
-        .for_each(|(restarted, departure)| {
-            let told = format!("{restarted:?} {departure:?}");
-            let (breaches, _) = vouched_for_after(restarted, departure, true);
-            assert!(!breaches.is_empty(), "{told}");
-        });
+    [
+        ([2].as_slice(), leaving.clone()),
+        (&[2], signed_off.clone()),
+        (all, leaving),
+        (all, signed_off),
+        (all, unknown),
+    ]
+    .into_iter()
+    .for_each(|(restarted, departure)| {
+        let told = format!("{restarted:?} {departure:?}");
+        let (breaches, _) = vouched_for_after(restarted, departure, true);
+        assert!(!breaches.is_empty(), "{told}");
+    });
 }
--- a/crates/controller/tests/disk.rs
+++ b/crates/controller/tests/disk.rs
@@ -18,14 +18,24 @@
 
 const FOLDER: &str = "/data";
 const SOON: Duration = Duration::from_secs(20);
-const PAUSES: Pauses = Pauses { first: Duration::from_millis(1), longest: Duration::from_millis(4) };
+const PAUSES: Pauses = Pauses {
+    first: Duration::from_millis(1),
+    longest: Duration::from_millis(4),
+};
 
 fn state(number: u64) -> DurableState {
-    DurableState { disk: 1, lease_epoch: number, ..Default::default() }
+    DurableState {
+        disk: 1,
+        lease_epoch: number,
+        ..Default::default()
+    }
 }
 
 fn write(number: u64) -> Write {
-    Write::State { ticket: number, durable: state(number) }
+    Write::State {
+        ticket: number,
+        durable: state(number),
+    }
 }
 
 fn setup(number: u64) -> (String, Vec<u8>) {
@@ -36,11 +46,18 @@
 fn start(files: &SimulatedDisk) -> (Disk, Receiver<DiskReport>) {
     let (storage, _) = Storage::open_on(Arc::new(files.clone()), Path::new(FOLDER)).unwrap();
     let (tell, told) = channel();
-    (Disk::start(storage, PAUSES, Clock::default(), move |report| tell.send(report).is_ok()), told)
+    (
+        Disk::start(storage, PAUSES, Clock::default(), move |report| {
+            tell.send(report).is_ok()
+        }),
+        told,
+    )
 }
 
 fn after_power_loss(files: &SimulatedDisk) -> Contents {
-    let files = files.platter().after(&mut Random::new(1), Loss::All, Omits::Nothing);
+    let files = files
+        .platter()
+        .after(&mut Random::new(1), Loss::All, Omits::Nothing);
     let opened = Storage::open_on(Arc::new(files), Path::new(FOLDER)).unwrap();
     opened.1
 }
@@ -49,8 +66,16 @@
 type Fault = (&'static str, fn(&SimulatedDisk), fn(&SimulatedDisk));
 
 const FAULTS: [Fault; 2] = [
-    ("full", |files| files.set_room(Some(0)), |files| files.set_room(None)),
-    ("failing syncs", |files| files.set_syncs_fail(true), |files| files.set_syncs_fail(false)),
+    (
+        "full",
+        |files| files.set_room(Some(0)),
+        |files| files.set_room(None),
+    ),
+    (
+        "failing syncs",
+        |files| files.set_syncs_fail(true),
+        |files| files.set_syncs_fail(false),
+    ),
 ];
 
 #[test]
@@ -59,14 +84,26 @@
         let files = SimulatedDisk::new(Omits::Nothing);
         let (disk, told) = start(&files);
         disk.write(write(1));
-        assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Synced { ticket: 1 }), "{name}");
+        assert_eq!(
+            told.recv_timeout(SOON),
+            Ok(DiskReport::Synced { ticket: 1 }),
+            "{name}"
+        );
         break_it(&files);
         let (digest, bytes) = setup(2);
-        disk.write(Write::Setup { ticket: 2, digest: digest.clone(), bytes });
+        disk.write(Write::Setup {
+            ticket: 2,
+            digest: digest.clone(),
+            bytes,
+        });
         disk.write(write(3));
         disk.write(write(4));
         assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Retrying), "{name}");
-        let tries = || disk.counts().failures.load(std::sync::atomic::Ordering::Relaxed);
+        let tries = || {
+            disk.counts()
+                .failures
+                .load(std::sync::atomic::Ordering::Relaxed)
+        };
         while tries() < 20 {
             std::thread::yield_now();
         }
@@ -83,7 +120,10 @@
             }
             let found = after_power_loss(&files);
             assert!(found.setups.contains_key(&digest), "{name}");
-            assert!(synced.last() < Some(&3) || found.durable == state(4), "{name}: {synced:?}");
+            assert!(
+                synced.last() < Some(&3) || found.durable == state(4),
+                "{name}: {synced:?}"
+            );
         }
         assert!(synced.is_sorted(), "{name}: {synced:?}");
         assert_eq!(after_power_loss(&files).durable, state(4), "{name}");
@@ -100,7 +140,10 @@
         assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Retrying));
         files.set_room(None);
         assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Recovered));
-        assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Synced { ticket: number }));
+        assert_eq!(
+            told.recv_timeout(SOON),
+            Ok(DiskReport::Synced { ticket: number })
+        );
     }
 }
 
@@ -123,7 +166,9 @@
 
     /// Waits until the disk's thread stands in an operation: what it took from the queue by then is fixed.
     fn wait_until_reached(&self) {
-        self.reached.recv_timeout(SOON).expect("the disk's thread reaches the disk");
+        self.reached
+            .recv_timeout(SOON)
+            .expect("the disk's thread reaches the disk");
     }
 
     fn end(self) {
@@ -143,7 +188,11 @@
     stall.wait_until_reached();
     let (digest, bytes) = setup(0);
     (2..=400).for_each(|number| match number {
-        300 => disk.write(Write::Setup { ticket: 300, digest: digest.clone(), bytes: bytes.clone() }),
+        300 => disk.write(Write::Setup {
+            ticket: 300,
+            digest: digest.clone(),
+            bytes: bytes.clone(),
+        }),
         number => disk.write(write(number)),
     });
     // It goes on, and takes whatever waited.
@@ -159,7 +208,10 @@
     // The first write was under way, and the queue took as many more as it has room for.
     assert_eq!(last, 1 + QUEUE_ROOM);
     disk.write(write(401));
-    assert_eq!(told.recv_timeout(SOON), Err(std::sync::mpsc::RecvTimeoutError::Disconnected));
+    assert_eq!(
+        told.recv_timeout(SOON),
+        Err(std::sync::mpsc::RecvTimeoutError::Disconnected)
+    );
     files.unwatch();
     assert_eq!(after_power_loss(&files).durable, state(last));
 }
@@ -172,7 +224,11 @@
     let stall = Stall::of(&files);
     disk.write(write(1));
     stall.wait_until_reached();
-    (0..400).for_each(|number| disk.write(Write::DropSetup { digest: setup(number).0 }));
+    (0..400).for_each(|number| {
+        disk.write(Write::DropSetup {
+            digest: setup(number).0,
+        })
+    });
     (2..100).for_each(|number| disk.write(write(number)));
     stall.end();
     let mut last = 0;
@@ -192,7 +248,10 @@
     disk.write(write(1));
     assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Retrying));
     drop(disk);
-    assert_eq!(told.recv_timeout(SOON), Err(std::sync::mpsc::RecvTimeoutError::Disconnected));
+    assert_eq!(
+        told.recv_timeout(SOON),
+        Err(std::sync::mpsc::RecvTimeoutError::Disconnected)
+    );
 }
 
 /// The register of a single voter, with a queue of writes that a test carries out as it likes.
@@ -208,10 +267,23 @@
     fn new(seed: u64) -> OneVoter {
         let times = Times::default();
         let (durable, setups) = Default::default();
-        let start = Start { me: "pm".into(), roster_size: 1, seed, durable, setups, times };
+        let start = Start {
+            me: "pm".into(),
+            roster_size: 1,
+            seed,
+            durable,
+            setups,
+            times,
+        };
         let register = Register::new(start);
         let (now, waiting) = (Duration::ZERO, VecDeque::new());
-        let mut voter = OneVoter { register, now, waiting, most_waiting: 0, token: 0 };
+        let mut voter = OneVoter {
+            register,
+            now,
+            waiting,
+            most_waiting: 0,
+            token: 0,
+        };
         voter.step(Event::Peers(vec!["pm".into()]));
         while *voter.register.phase() != VoterPhase::Active {
             voter.step(Event::Tick);
@@ -224,9 +296,19 @@
         self.now += Duration::from_millis(10);
         for effect in self.register.step(self.now, event) {
             match effect {
-                Effect::Keep { ticket, durable } => self.waiting.push_back(Write::State { ticket, durable }),
-                Effect::KeepSetup { ticket, digest, bytes } => {
-                    self.waiting.push_back(Write::Setup { ticket, digest, bytes });
+                Effect::Keep { ticket, durable } => {
+                    self.waiting.push_back(Write::State { ticket, durable })
+                }
+                Effect::KeepSetup {
+                    ticket,
+                    digest,
+                    bytes,
+                } => {
+                    self.waiting.push_back(Write::Setup {
+                        ticket,
+                        digest,
+                        bytes,
+                    });
                 }
                 Effect::DropSetup { digest } => self.waiting.push_back(Write::DropSetup { digest }),
                 _ => {}
@@ -239,7 +321,9 @@
     fn report(&mut self, count: usize) {
         for _ in 0..count {
             match self.waiting.pop_front() {
-                Some(Write::State { ticket, .. } | Write::Setup { ticket, .. }) => self.step(Event::Kept { ticket }),
+                Some(Write::State { ticket, .. } | Write::Setup { ticket, .. }) => {
+                    self.step(Event::Kept { ticket })
+                }
                 Some(Write::DropSetup { .. }) => {}
                 None => return,
             }
@@ -249,8 +333,17 @@
     fn submit(&mut self, number: u64) {
         let (digest, bytes) = setup(number);
         self.token += 1;
-        let change = Change::Setup { id: format!("{number}").into(), base: None, number: None, digest };
-        self.step(Event::Ask { token: self.token, change, bytes: Some(bytes) });
+        let change = Change::Setup {
+            id: format!("{number}").into(),
+            base: None,
+            number: None,
+            digest,
+        };
+        self.step(Event::Ask {
+            token: self.token,
+            change,
+            bytes: Some(bytes),
+        });
     }
 }
 
@@ -265,7 +358,11 @@
             let stalls = number / 100 % 2 == 1;
             voter.report(if stalls { 0 } else { random.below(6) as usize });
         }
-        assert!(voter.most_waiting < 128, "{} writes waited", voter.most_waiting);
+        assert!(
+            voter.most_waiting < 128,
+            "{} writes waited",
+            voter.most_waiting
+        );
     }
 }
 
@@ -278,7 +375,8 @@
 
 /// Plays a storm against batches of random length, and looks at the disk after every single write.
 fn play_batches(seed: u64, merge: impl Fn(Vec<Write>) -> Vec<Write>) -> Result<(), String> {
-    let (mut voter, mut random, mut held) = (OneVoter::new(seed), Random::new(seed), Held::default());
+    let (mut voter, mut random, mut held) =
+        (OneVoter::new(seed), Random::new(seed), Held::default());
     for number in 0..200 {
         (0..random.below(3)).for_each(|_| voter.submit(number * 8 + random.below(8)));
         voter.step(Event::Tick);
@@ -301,9 +399,13 @@
             };
             let digest = &held.state.accepted.digest;
             if !digest.is_empty() && !held.setups.contains(digest) {
-                return Err(format!("the state on the disk names {digest}, which is not there"));
+                return Err(format!(
+                    "the state on the disk names {digest}, which is not there"
+                ));
             }
-            ticket.into_iter().for_each(|ticket| voter.step(Event::Kept { ticket }));
+            ticket
+                .into_iter()
+                .for_each(|ticket| voter.step(Event::Kept { ticket }));
         }
     }
     Ok(())
@@ -320,8 +422,9 @@
 #[test]
 fn the_checker_sees_a_state_ahead_of_its_setup() {
     let hasty = |batch: Vec<Write>| {
-        let (states, others): (Vec<Write>, Vec<Write>) =
-            batch.into_iter().partition(|write| matches!(write, Write::State { .. }));
+        let (states, others): (Vec<Write>, Vec<Write>) = batch
+            .into_iter()
+            .partition(|write| matches!(write, Write::State { .. }));
         states.into_iter().chain(others).collect()
     };
     assert!((0..60).any(|seed| play_batches(seed, hasty).is_err()));
--- a/crates/controller/tests/gossip.rs
+++ b/crates/controller/tests/gossip.rs
@@ -1,7 +1,9 @@
 //! What postmasters tell one another of upstreams, and how lost news is made good.
 
 use controller::{Ask, ControlNode, Effect, Event, Start};
-use protocol::{Alive, Heard, Member, Message, Payload, Probe, Upstream, UpstreamsReply, UpstreamsRequest};
+use protocol::{
+    Alive, Heard, Member, Message, Payload, Probe, Upstream, UpstreamsReply, UpstreamsRequest,
+};
 use std::time::Duration;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -21,8 +23,17 @@
 /// A postmaster that knows one other in its zone, and two in another region.
 fn control(node: &str) -> ControlNode {
     let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).expect("no flags");
-    let all = [("a", "north/n1"), ("b", "north/n1"), ("c", "south/s1"), ("d", "south/s2")];
-    let place = all.iter().find(|(other, _)| *other == node).map(|(_, place)| *place).unwrap_or_default();
+    let all = [
+        ("a", "north/n1"),
+        ("b", "north/n1"),
+        ("c", "south/s1"),
+        ("d", "south/s2"),
+    ];
+    let place = all
+        .iter()
+        .find(|(other, _)| *other == node)
+        .map(|(_, place)| *place)
+        .unwrap_or_default();
     let mut control = ControlNode::new(Start {
         reader: Default::default(),
         owners: Default::default(),
@@ -35,9 +46,22 @@
         departures: vec![],
         times: controller::shell::times(&settings),
     });
-    let members = all.iter().filter(|(other, _)| *other != node).map(|(node, place)| member(node, place)).collect();
-    let probe = Probe { members, ..Probe::default() };
-    control.step(MS(0), Event::Datagram { address: "b".into(), body: Payload::Probe(probe) });
+    let members = all
+        .iter()
+        .filter(|(other, _)| *other != node)
+        .map(|(node, place)| member(node, place))
+        .collect();
+    let probe = Probe {
+        members,
+        ..Probe::default()
+    };
+    control.step(
+        MS(0),
+        Event::Datagram {
+            address: "b".into(),
+            body: Payload::Probe(probe),
+        },
+    );
     control
 }
 
@@ -60,13 +84,30 @@
     effects
         .into_iter()
         .filter_map(|effect| match effect {
-            Effect::Send { to, body: body @ (Payload::Alive(_) | Payload::Beats(_)) } => Some((to, body)),
-            Effect::Send { to, body: Payload::UpstreamsRequest(ask) } if !ask.marks.is_empty() => {
-                Some((to, Payload::UpstreamsRequest(ask)))
-            }
-            Effect::Datagram { address, body: Payload::Probe(probe) } => {
-                let heard = Heard { nonce: probe.nonce, node: address.clone(), ..Heard::default() };
-                control.step(MS(at), Event::Datagram { address, body: Payload::Heard(heard) });
+            Effect::Send {
+                to,
+                body: body @ (Payload::Alive(_) | Payload::Beats(_)),
+            } => Some((to, body)),
+            Effect::Send {
+                to,
+                body: Payload::UpstreamsRequest(ask),
+            } if !ask.marks.is_empty() => Some((to, Payload::UpstreamsRequest(ask))),
+            Effect::Datagram {
+                address,
+                body: Payload::Probe(probe),
+            } => {
+                let heard = Heard {
+                    nonce: probe.nonce,
+                    node: address.clone(),
+                    ..Heard::default()
+                };
+                control.step(
+                    MS(at),
+                    Event::Datagram {
+                        address,
+                        body: Payload::Heard(heard),
+                    },
+                );
                 None
             }
             _ => None,
@@ -75,69 +116,170 @@
 }
 
 fn beat(control: &mut ControlNode, at: u64, upstream: Upstream) -> Vec<(String, Payload)> {
-    said(control, at, Event::Ask { token: at, ask: Ask::Beat(upstream) })
+    said(
+        control,
+        at,
+        Event::Ask {
+            token: at,
+            ask: Ask::Beat(upstream),
+        },
+    )
 }
 
 /// All it says from one moment until another, ticking.
 fn ticked(control: &mut ControlNode, from: u64, until: u64) -> Vec<(String, Payload)> {
-    (from..until).step_by(50).flat_map(|at| said(control, at, Event::Tick)).collect()
+    (from..until)
+        .step_by(50)
+        .flat_map(|at| said(control, at, Event::Tick))
+        .collect()
 }
 
 fn batches(said: &[(String, Payload)]) -> Vec<(&str, &Alive)> {
     said.iter()
-        .filter_map(|(to, body)| if let Payload::Alive(alive) = body { Some((to.as_str(), alive)) } else { None })
+        .filter_map(|(to, body)| {
+            if let Payload::Alive(alive) = body {
+                Some((to.as_str(), alive))
+            } else {
+                None
+            }
+        })
         .collect()
 }
 
 #[test]
 fn news_goes_to_all_at_once_and_what_goes_on_in_batches_by_turns() {
     let mut a = control("a");
-    let told: Vec<String> = beat(&mut a, 1000, unit(1, enrolment::READY)).into_iter().map(|(to, _)| to).collect();
+    let told: Vec<String> = beat(&mut a, 1000, unit(1, enrolment::READY))
+        .into_iter()
+        .map(|(to, _)| to)
+        .collect();
     assert_eq!(told, ["b", "c", "d"]);
     ticked(&mut a, 1000, 1400);
     assert_eq!(beat(&mut a, 1400, unit(2, enrolment::READY)), vec![]);
     let told = ticked(&mut a, 1450, 2500);
-    let far: Vec<(&str, bool)> =
-        batches(&told).into_iter().filter(|(to, _)| *to != "b").map(|(to, alive)| (to, alive.tell_on)).collect();
-    assert!(far.contains(&("c", true)) && far.contains(&("d", true)), "each in its turn: {far:?}");
-    assert!(batches(&told).iter().any(|(to, alive)| *to == "b" && alive.beats == [2] && !alive.tell_on));
-    assert!(told.iter().all(|(_, body)| matches!(body, Payload::Alive(_))), "nothing in full");
-    let told: Vec<String> = beat(&mut a, 2500, unit(3, enrolment::GONE)).into_iter().map(|(to, _)| to).collect();
+    let far: Vec<(&str, bool)> = batches(&told)
+        .into_iter()
+        .filter(|(to, _)| *to != "b")
+        .map(|(to, alive)| (to, alive.tell_on))
+        .collect();
+    assert!(
+        far.contains(&("c", true)) && far.contains(&("d", true)),
+        "each in its turn: {far:?}"
+    );
+    assert!(
+        batches(&told)
+            .iter()
+            .any(|(to, alive)| *to == "b" && alive.beats == [2] && !alive.tell_on)
+    );
+    assert!(
+        told.iter()
+            .all(|(_, body)| matches!(body, Payload::Alive(_))),
+        "nothing in full"
+    );
+    let told: Vec<String> = beat(&mut a, 2500, unit(3, enrolment::GONE))
+        .into_iter()
+        .map(|(to, _)| to)
+        .collect();
     assert_eq!(told, ["b", "c", "d"]);
 }
 
 #[test]
 fn lost_news_and_a_lost_farewell_are_asked_for_with_the_next_batch() {
     let (mut a, mut c, mut d) = (control("a"), control("c"), control("d"));
-    [(1, enrolment::READY), (2, enrolment::LEAVING), (3, enrolment::GONE)].into_iter().for_each(
-        |(number, condition)| {
-            let at = 1000 * number;
-            // What is told at once gets lost.
-            beat(&mut a, at, unit(number, condition));
-            let told = ticked(&mut a, at, at + 600);
-            let (to, alive) =
-                batches(&told).into_iter().find(|(_, alive)| alive.tell_on).expect("a batch to the south");
-            let (near, other) = if to == "c" { (&mut c, &mut d) } else { (&mut d, &mut c) };
-            let (near_name, other_name) = if to == "c" { ("c", "d") } else { ("d", "c") };
-            let event = Event::Received { from: "a".into(), body: Payload::Alive(alive.clone()) };
-            let answers = said(near, at + 600, event);
-            let ask = answers.iter().find(|(to, _)| to == "a").expect("it asks").1.clone();
-            let on = answers.iter().find(|(to, _)| to == other_name).expect("it tells on").1.clone();
-            let record = said(&mut a, at + 601, Event::Received { from: near_name.into(), body: ask }).remove(0).1;
-            said(near, at + 602, Event::Received { from: "a".into(), body: record });
-            // The other one has it from there.
-            let ask = said(other, at + 603, Event::Received { from: near_name.into(), body: on }).remove(0);
-            assert_eq!(ask.0, near_name);
-            let event = Event::Received { from: other_name.into(), body: ask.1 };
-            let record = said(near, at + 604, event).remove(0).1;
-            let Payload::Beats(beats) = &record else { panic!("{record:?}") };
-            assert_eq!((beats.upstreams[0].beat, beats.upstreams[0].condition), (number, condition));
-            said(other, at + 605, Event::Received { from: near_name.into(), body: record });
-            // Known now: the same batch asks for nothing more.
-            let event = Event::Received { from: "a".into(), body: Payload::Alive(alive.clone()) };
-            assert_eq!(said(other, at + 606, event), vec![]);
-        },
-    );
+    [
+        (1, enrolment::READY),
+        (2, enrolment::LEAVING),
+        (3, enrolment::GONE),
+    ]
+    .into_iter()
+    .for_each(|(number, condition)| {
+        let at = 1000 * number;
+        // What is told at once gets lost.
+        beat(&mut a, at, unit(number, condition));
+        let told = ticked(&mut a, at, at + 600);
+        let (to, alive) = batches(&told)
+            .into_iter()
+            .find(|(_, alive)| alive.tell_on)
+            .expect("a batch to the south");
+        let (near, other) = if to == "c" {
+            (&mut c, &mut d)
+        } else {
+            (&mut d, &mut c)
+        };
+        let (near_name, other_name) = if to == "c" { ("c", "d") } else { ("d", "c") };
+        let event = Event::Received {
+            from: "a".into(),
+            body: Payload::Alive(alive.clone()),
+        };
+        let answers = said(near, at + 600, event);
+        let ask = answers
+            .iter()
+            .find(|(to, _)| to == "a")
+            .expect("it asks")
+            .1
+            .clone();
+        let on = answers
+            .iter()
+            .find(|(to, _)| to == other_name)
+            .expect("it tells on")
+            .1
+            .clone();
+        let record = said(
+            &mut a,
+            at + 601,
+            Event::Received {
+                from: near_name.into(),
+                body: ask,
+            },
+        )
+        .remove(0)
+        .1;
+        said(
+            near,
+            at + 602,
+            Event::Received {
+                from: "a".into(),
+                body: record,
+            },
+        );
+        // The other one has it from there.
+        let ask = said(
+            other,
+            at + 603,
+            Event::Received {
+                from: near_name.into(),
+                body: on,
+            },
+        )
+        .remove(0);
+        assert_eq!(ask.0, near_name);
+        let event = Event::Received {
+            from: other_name.into(),
+            body: ask.1,
+        };
+        let record = said(near, at + 604, event).remove(0).1;
+        let Payload::Beats(beats) = &record else {
+            panic!("{record:?}")
+        };
+        assert_eq!(
+            (beats.upstreams[0].beat, beats.upstreams[0].condition),
+            (number, condition)
+        );
+        said(
+            other,
+            at + 605,
+            Event::Received {
+                from: near_name.into(),
+                body: record,
+            },
+        );
+        // Known now: the same batch asks for nothing more.
+        let event = Event::Received {
+            from: "a".into(),
+            body: Payload::Alive(alive.clone()),
+        };
+        assert_eq!(said(other, at + 606, event), vec![]);
+    });
 }
 
 /// A sign-off counts as the last beat there can be. Told as such a number it took ten bytes for each batch and upstream,
@@ -146,28 +288,100 @@
 fn a_sign_off_takes_no_more_room_in_a_batch_than_a_beat() {
     let (mut a, mut c, mut d) = (control("a"), control("c"), control("d"));
     let batch_to_the_south = |told: &[(String, Payload)]| {
-        let far = batches(told).into_iter().find(|(_, alive)| alive.tell_on).expect("a batch to the south");
+        let far = batches(told)
+            .into_iter()
+            .find(|(_, alive)| alive.tell_on)
+            .expect("a batch to the south");
         (far.0.to_owned(), far.1.clone())
     };
     beat(&mut a, 1000, unit(1, enrolment::READY));
     let (_, ready) = batch_to_the_south(&ticked(&mut a, 1000, 1600));
     // What is told at once gets lost.
-    said(&mut a, 2000, Event::Ask { token: 2000, ask: Ask::SignOff { instance: "u".into() } });
+    said(
+        &mut a,
+        2000,
+        Event::Ask {
+            token: 2000,
+            ask: Ask::SignOff {
+                instance: "u".into(),
+            },
+        },
+    );
     let (to, gone) = batch_to_the_south(&ticked(&mut a, 2000, 2600));
     assert_eq!(gone.beats.len(), 1);
-    let age = |alive: &Alive| Alive { ages_ms: vec![0], ..alive.clone() };
-    assert!(age(&gone).encoded_len() <= age(&ready).encoded_len(), "{gone:?} {ready:?}");
-    let (near, near_name) = if to == "c" { (&mut c, "c") } else { (&mut d, "d") };
+    let age = |alive: &Alive| Alive {
+        ages_ms: vec![0],
+        ..alive.clone()
+    };
+    assert!(
+        age(&gone).encoded_len() <= age(&ready).encoded_len(),
+        "{gone:?} {ready:?}"
+    );
+    let (near, near_name) = if to == "c" {
+        (&mut c, "c")
+    } else {
+        (&mut d, "d")
+    };
     // Whoever heard of beats that are not known elsewhere yet asks too, tells it on, and learns that it is over.
-    said(near, 2500, Event::Ask { token: 2500, ask: Ask::Beat(unit(9, enrolment::READY)) });
-    let answers = said(near, 2600, Event::Received { from: "a".into(), body: Payload::Alive(gone.clone()) });
-    assert!(answers.iter().any(|(_, body)| matches!(body, Payload::Alive(on) if on.beats == gone.beats)));
-    let ask = answers.into_iter().find(|(to, _)| to == "a").expect("it asks").1;
-    let record = said(&mut a, 2601, Event::Received { from: near_name.into(), body: ask }).remove(0).1;
-    let Payload::Beats(beats) = &record else { panic!("{record:?}") };
-    assert_eq!((beats.upstreams[0].beat, beats.upstreams[0].condition), (u64::MAX, enrolment::GONE));
-    said(near, 2602, Event::Received { from: "a".into(), body: record });
-    let again = said(near, 2603, Event::Received { from: "a".into(), body: Payload::Alive(gone) });
+    said(
+        near,
+        2500,
+        Event::Ask {
+            token: 2500,
+            ask: Ask::Beat(unit(9, enrolment::READY)),
+        },
+    );
+    let answers = said(
+        near,
+        2600,
+        Event::Received {
+            from: "a".into(),
+            body: Payload::Alive(gone.clone()),
+        },
+    );
+    assert!(
+        answers
+            .iter()
+            .any(|(_, body)| matches!(body, Payload::Alive(on) if on.beats == gone.beats))
+    );
+    let ask = answers
+        .into_iter()
+        .find(|(to, _)| to == "a")
+        .expect("it asks")
+        .1;
+    let record = said(
+        &mut a,
+        2601,
+        Event::Received {
+            from: near_name.into(),
+            body: ask,
+        },
+    )
+    .remove(0)
+    .1;
+    let Payload::Beats(beats) = &record else {
+        panic!("{record:?}")
+    };
+    assert_eq!(
+        (beats.upstreams[0].beat, beats.upstreams[0].condition),
+        (u64::MAX, enrolment::GONE)
+    );
+    said(
+        near,
+        2602,
+        Event::Received {
+            from: "a".into(),
+            body: record,
+        },
+    );
+    let again = said(
+        near,
+        2603,
+        Event::Received {
+            from: "a".into(),
+            body: Payload::Alive(gone),
+        },
+    );
     assert_eq!(again, vec![], "known now");
 }
 
@@ -185,19 +399,36 @@
 #[test]
 fn an_answer_to_an_earlier_lifes_question_settles_nothing() {
     let mut control = control("a");
-    let asked = sent(&mut control, 1000, Event::Tick).into_iter().find_map(|body| match body {
-        Payload::UpstreamsRequest(ask) if ask.marks.is_empty() => Some(ask.life),
-        _ => None,
-    });
+    let asked = sent(&mut control, 1000, Event::Tick)
+        .into_iter()
+        .find_map(|body| match body {
+            Payload::UpstreamsRequest(ask) if ask.marks.is_empty() => Some(ask.life),
+            _ => None,
+        });
     let life = asked.expect("it asks the others");
     let settled = |control: &mut ControlNode| {
-        let ask = Payload::UpstreamsRequest(UpstreamsRequest { life: 9, ..UpstreamsRequest::default() });
-        let told = sent(control, 1100, Event::Received { from: "b".into(), body: ask });
-        told.iter().any(|body| matches!(body, Payload::UpstreamsReply(told) if told.life == 9))
+        let ask = Payload::UpstreamsRequest(UpstreamsRequest {
+            life: 9,
+            ..UpstreamsRequest::default()
+        });
+        let told = sent(
+            control,
+            1100,
+            Event::Received {
+                from: "b".into(),
+                body: ask,
+            },
+        );
+        told.iter()
+            .any(|body| matches!(body, Payload::UpstreamsReply(told) if told.life == 9))
     };
     let answer = |life: u64| Event::Received {
         from: "b".into(),
-        body: Payload::UpstreamsReply(UpstreamsReply { upstreams: vec![unit(1, 0)], life, ..Default::default() }),
+        body: Payload::UpstreamsReply(UpstreamsReply {
+            upstreams: vec![unit(1, 0)],
+            life,
+            ..Default::default()
+        }),
     };
     sent(&mut control, 1050, answer(life ^ 1));
     assert!(!settled(&mut control), "of another life");
--- a/crates/controller/tests/keys.rs
+++ b/crates/controller/tests/keys.rs
@@ -4,7 +4,8 @@
 use address::KEYS;
 use controller::{Answer, Ask, ControlNode, Effect, Event, Start};
 use protocol::{
-    DurableState, Holder, Member, Payload, Share, SharesReply, SharesRequest, UpdateRequest, Upstream, ViewUpdate,
+    DurableState, Holder, Member, Payload, Share, SharesReply, SharesRequest, UpdateRequest,
+    Upstream, ViewUpdate,
 };
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -31,12 +32,29 @@
     trusts_jumps: bool,
 }
 
-fn control(durable: DurableState, setups: BTreeMap<String, Vec<u8>>, seed: u64, trusts_jumps: bool) -> ControlNode {
+fn control(
+    durable: DurableState,
+    setups: BTreeMap<String, Vec<u8>>,
+    seed: u64,
+    trusts_jumps: bool,
+) -> ControlNode {
     let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).expect("no flags");
-    let me = Member { node: "a".into(), locality: "n/n1".into(), roles: "postmaster".into(), ..Member::default() };
+    let me = Member {
+        node: "a".into(),
+        locality: "n/n1".into(),
+        roles: "postmaster".into(),
+        ..Member::default()
+    };
     let times = controller::shell::times(&settings);
-    let longest_step = if trusts_jumps { Duration::MAX } else { times.longest_step };
-    let times = controller::Times { longest_step, ..times };
+    let longest_step = if trusts_jumps {
+        Duration::MAX
+    } else {
+        times.longest_step
+    };
+    let times = controller::Times {
+        longest_step,
+        ..times
+    };
     let (reader, owners) = Default::default();
     ControlNode::new(Start {
         me,
@@ -59,9 +77,24 @@
         let (durable, setups) = Default::default();
         let now = Duration::ZERO;
         let (answers, asked, told) = (vec![], vec![], vec![]);
-        let mut site = Site { control, now, durable, setups, answers, asked, told, token: 0, trusts_jumps };
+        let mut site = Site {
+            control,
+            now,
+            durable,
+            setups,
+            answers,
+            asked,
+            told,
+            token: 0,
+            trusts_jumps,
+        };
         site.until_held();
-        let ask = Ask::Submit { id: "x".into(), base: None, bytes: SETUP.into(), in_force: false };
+        let ask = Ask::Submit {
+            id: "x".into(),
+            base: None,
+            bytes: SETUP.into(),
+            in_force: false,
+        };
         site.step(Event::Ask { token: 0, ask });
         site.wait(2000);
         assert_eq!(site.control.edition(), 1);
@@ -80,21 +113,36 @@
     fn step(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            self.control.step(self.now, event).into_iter().for_each(|effect| match effect {
-                Effect::Keep { ticket, durable } => {
-                    self.durable = durable;
-                    events.push(Event::Kept { ticket });
-                }
-                Effect::KeepSetup { ticket, digest, bytes } => {
-                    self.setups.insert(digest, bytes);
-                    events.push(Event::Kept { ticket });
-                }
-                Effect::KeepDepartures { ticket, .. } => events.push(Event::DeparturesKept { ticket }),
-                Effect::Answer { token, answer } => self.answers.push((token, answer)),
-                Effect::Send { body: Payload::SharesRequest(ask), .. } => self.asked.push(ask),
-                Effect::Send { body: Payload::ViewUpdate(update), .. } => self.told.push(update),
-                _ => {}
-            });
+            self.control
+                .step(self.now, event)
+                .into_iter()
+                .for_each(|effect| match effect {
+                    Effect::Keep { ticket, durable } => {
+                        self.durable = durable;
+                        events.push(Event::Kept { ticket });
+                    }
+                    Effect::KeepSetup {
+                        ticket,
+                        digest,
+                        bytes,
+                    } => {
+                        self.setups.insert(digest, bytes);
+                        events.push(Event::Kept { ticket });
+                    }
+                    Effect::KeepDepartures { ticket, .. } => {
+                        events.push(Event::DeparturesKept { ticket })
+                    }
+                    Effect::Answer { token, answer } => self.answers.push((token, answer)),
+                    Effect::Send {
+                        body: Payload::SharesRequest(ask),
+                        ..
+                    } => self.asked.push(ask),
+                    Effect::Send {
+                        body: Payload::ViewUpdate(update),
+                        ..
+                    } => self.told.push(update),
+                    _ => {}
+                });
         }
     }
 
@@ -108,7 +156,12 @@
 
     /// The process ends, and another one starts from its disk.
     fn restart(&mut self) {
-        self.control = control(self.durable.clone(), self.setups.clone(), 2, self.trusts_jumps);
+        self.control = control(
+            self.durable.clone(),
+            self.setups.clone(),
+            2,
+            self.trusts_jumps,
+        );
         self.now = Duration::ZERO;
     }
 
@@ -116,7 +169,10 @@
     fn beat(&mut self, instance: &str, beat: u64, holds: &[Share]) -> Option<Vec<Share>> {
         self.token += 1;
         let unit = unit(instance, beat, holds);
-        self.step(Event::Ask { token: self.token, ask: Ask::Beat(unit) });
+        self.step(Event::Ask {
+            token: self.token,
+            ask: Ask::Beat(unit),
+        });
         match self.answers.pop() {
             Some((token, Answer::Beat { shares, .. })) if token == self.token => shares,
             other => panic!("no answer: {other:?}"),
@@ -138,14 +194,22 @@
 }
 
 fn keys(shares: &Option<Vec<Share>>) -> u32 {
-    shares.iter().flatten().map(|share| share.until - share.from).sum()
+    shares
+        .iter()
+        .flatten()
+        .map(|share| share.until - share.from)
+        .sum()
 }
 
 /// Holds of 3 s: how many keys another one is given when the holder of all fell silent so long ago, and the lease
 /// holder's clock jumped so often by so much meanwhile.
 fn given_after(silent_ms: u64, jumps: &[u64], trusts_jumps: bool) -> u32 {
     let mut site = Site::new(trusts_jumps);
-    assert_eq!(keys(&site.beat("u", 1, &[])), KEYS, "the founder gives at once");
+    assert_eq!(
+        keys(&site.beat("u", 1, &[])),
+        KEYS,
+        "the founder gives at once"
+    );
     let mut beat = 0;
     let mut other = |site: &mut Site| {
         beat += 1;
@@ -167,10 +231,21 @@
 fn no_jumps_of_the_lease_holders_clock_free_a_key_early() {
     assert_eq!(given_after(2900, &[], false), 0);
     assert_ne!(given_after(3900, &[], false), 0, "it has surely run out");
-    [&[450][..], &[450, 450], &[300, 300, 300], &[200, 200, 200, 200, 200]].into_iter().for_each(|jumps| {
+    [
+        &[450][..],
+        &[450, 450],
+        &[300, 300, 300],
+        &[200, 200, 200, 200, 200],
+    ]
+    .into_iter()
+    .for_each(|jumps| {
         assert_eq!(given_after(2900, jumps, false), 0, "{jumps:?}");
     });
-    assert_ne!(given_after(2900, &[450, 450], true), 0, "the check sees one that counts jumps as time");
+    assert_ne!(
+        given_after(2900, &[450, 450], true),
+        0,
+        "the check sees one that counts jumps as time"
+    );
 }
 
 /// A node that starts again under a new epoch remembers nothing of what it gave.
@@ -184,12 +259,23 @@
     assert_eq!(site.beat("u", 2, &held), None);
     assert_eq!(keys(&site.beat("v", 1, &[])), 0);
     site.wait(1700);
-    assert_eq!(site.beat("u", 3, &held), Some(held.clone()), "what it lists it keeps, under its old fence");
+    assert_eq!(
+        site.beat("u", 3, &held),
+        Some(held.clone()),
+        "what it lists it keeps, under its old fence"
+    );
     site.wait(1000);
     assert_eq!(keys(&site.beat("v", 2, &[])), 0);
     site.wait(1200);
-    assert_eq!(keys(&site.beat("v", 3, &[])), 0, "all are held by the one that listed them");
-    let (known, next) = (held[0].epoch, site.beat("u", 4, &held).expect("an answer")[0].epoch);
+    assert_eq!(
+        keys(&site.beat("v", 3, &[])),
+        0,
+        "all are held by the one that listed them"
+    );
+    let (known, next) = (
+        held[0].epoch,
+        site.beat("u", 4, &held).expect("an answer")[0].epoch,
+    );
     assert_eq!(known, next);
 }
 
@@ -204,7 +290,12 @@
     let second = site.beat("v", 1, &[]).expect("all have run out")[0].epoch;
     assert!(second >> 24 > first >> 24, "{first} {second}");
     // A fence that this lease never gave is not believed.
-    let forged = Share { from: 0, until: KEYS, epoch: second + 5, ..Share::default() };
+    let forged = Share {
+        from: 0,
+        until: KEYS,
+        epoch: second + 5,
+        ..Share::default()
+    };
     assert_eq!(keys(&site.beat("w", 1, &[forged])), 0);
 }
 
@@ -212,14 +303,33 @@
 #[test]
 fn an_answer_to_a_question_of_another_life_is_not_passed_on() {
     let follower = |site: &mut Site| {
-        site.step(Event::Received { from: "b".into(), body: Payload::Holder(Holder { epoch: 1000 }) });
-        site.step(Event::Ask { token: 70, ask: Ask::Beat(unit("u", 1, &[])) });
+        site.step(Event::Received {
+            from: "b".into(),
+            body: Payload::Holder(Holder { epoch: 1000 }),
+        });
+        site.step(Event::Ask {
+            token: 70,
+            ask: Ask::Beat(unit("u", 1, &[])),
+        });
         site.asked.pop().expect("it asks the holder").nonce
     };
     let reply = |nonce| {
-        let shares = vec![Share { until: KEYS, epoch: 1000 << 24, instance: "u".into(), ..Share::default() }];
-        let reply = SharesReply { nonce, shares, span_ms: 3000, holder: 1000 };
-        Event::Received { from: "b".into(), body: Payload::SharesReply(reply) }
+        let shares = vec![Share {
+            until: KEYS,
+            epoch: 1000 << 24,
+            instance: "u".into(),
+            ..Share::default()
+        }];
+        let reply = SharesReply {
+            nonce,
+            shares,
+            span_ms: 3000,
+            holder: 1000,
+        };
+        Event::Received {
+            from: "b".into(),
+            body: Payload::SharesReply(reply),
+        }
     };
     let mut site = Site::new(false);
     let earlier = follower(&mut site);
@@ -230,7 +340,20 @@
     site.step(reply(earlier));
     assert!(site.answers.is_empty(), "{:?}", site.answers);
     site.step(reply(later));
-    assert!(matches!(&site.answers[..], [(70, Answer::Beat { shares: Some(_), .. })]), "{:?}", site.answers);
+    assert!(
+        matches!(
+            &site.answers[..],
+            [(
+                70,
+                Answer::Beat {
+                    shares: Some(_),
+                    ..
+                }
+            )]
+        ),
+        "{:?}",
+        site.answers
+    );
     site.answers.clear();
     site.step(reply(later));
     assert!(site.answers.is_empty(), "a second answer finds no question");
@@ -239,17 +362,33 @@
 /// Holds of 3 s: how many keys another one is given so long after the holder of all signed off.
 fn given_after_signing_off(waited_ms: u64) -> u32 {
     let mut site = Site::new(false);
-    assert_eq!(keys(&site.beat("u", 1, &[])), KEYS, "the founder gives at once");
-    site.step(Event::Ask { token: 99, ask: Ask::SignOff { instance: "u".into() } });
+    assert_eq!(
+        keys(&site.beat("u", 1, &[])),
+        KEYS,
+        "the founder gives at once"
+    );
+    site.step(Event::Ask {
+        token: 99,
+        ask: Ask::SignOff {
+            instance: "u".into(),
+        },
+    });
     let (token, answer) = site.answers.pop().expect("the sign-off is answered");
-    assert!(token == 99 && matches!(answer, Answer::Beat { .. }), "{answer:?}");
+    assert!(
+        token == 99 && matches!(answer, Answer::Beat { .. }),
+        "{answer:?}"
+    );
     site.wait(waited_ms);
     keys(&site.beat("v", 1, &[]))
 }
 
 #[test]
 fn an_upstream_that_signed_off_may_hold_its_keys_until_they_run_out() {
-    assert_eq!(given_after_signing_off(1000), 0, "it may serve on after its sign-off");
+    assert_eq!(
+        given_after_signing_off(1000),
+        0,
+        "it may serve on after its sign-off"
+    );
     assert_eq!(given_after_signing_off(2900), 0);
     assert_eq!(given_after_signing_off(4500), KEYS);
 }
@@ -267,18 +406,30 @@
     let width = KEYS / (UPSTREAMS * ROWS);
     (0..UPSTREAMS).for_each(|upstream| {
         let from = |row| (row * UPSTREAMS + upstream) * width;
-        let row = |row| Share { from: from(row), until: from(row) + width, epoch: 1 << 24, ..Share::default() };
+        let row = |row| Share {
+            from: from(row),
+            until: from(row) + width,
+            epoch: 1 << 24,
+            ..Share::default()
+        };
         let holds: Vec<Share> = (0..ROWS).map(row).collect();
         site.beat(&format!("u-{upstream}"), 1, &holds);
     });
     let begun_at = Instant::now();
     (0..CARRIERS).for_each(|carrier| {
         let ask = Payload::UpdateRequest(UpdateRequest::default());
-        site.step(Event::Received { from: format!("c-{carrier}"), body: ask });
+        site.step(Event::Received {
+            from: format!("c-{carrier}"),
+            body: ask,
+        });
     });
     let spent = begun_at.elapsed();
     assert!(!site.control.holds_placement(site.now));
-    let snapshot = site.told.iter().rfind(|update| update.number == 0).expect("a snapshot");
+    let snapshot = site
+        .told
+        .iter()
+        .rfind(|update| update.number == 0)
+        .expect("a snapshot");
     let shares = &snapshot.placement.as_ref().expect("a placement").shares[0].shares;
     assert_eq!(shares.len() as u32, UPSTREAMS * ROWS);
     assert!(spent < Duration::from_secs(2), "{spent:?}");
--- a/crates/controller/tests/repair.rs
+++ b/crates/controller/tests/repair.rs
@@ -11,11 +11,29 @@
 /// A voter whose state names a setup, with or without its bytes.
 fn start(setups: BTreeMap<String, Vec<u8>>) -> ControlNode {
     let roster: Vec<String> = ["pm-1", "pm-2", "pm-3"].map(String::from).to_vec();
-    let voter_set = VoterSet { voters: roster.clone(), ..Default::default() };
-    let accepted = ClusterState { edition: 3, digest: protocol::digest(SETUP), voter_set, ..Default::default() };
-    let durable = DurableState { disk: 7, endorsed: roster.clone(), roster, accepted, ..Default::default() };
+    let voter_set = VoterSet {
+        voters: roster.clone(),
+        ..Default::default()
+    };
+    let accepted = ClusterState {
+        edition: 3,
+        digest: protocol::digest(SETUP),
+        voter_set,
+        ..Default::default()
+    };
+    let durable = DurableState {
+        disk: 7,
+        endorsed: roster.clone(),
+        roster,
+        accepted,
+        ..Default::default()
+    };
     let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap();
-    let me = Member { node: "pm-1".into(), roles: "postmaster".into(), ..Default::default() };
+    let me = Member {
+        node: "pm-1".into(),
+        roles: "postmaster".into(),
+        ..Default::default()
+    };
     ControlNode::new(Start {
         me,
         seeds: vec![],
@@ -31,17 +49,32 @@
 }
 
 fn alarms(effects: &[Effect]) -> usize {
-    effects.iter().filter(|effect| matches!(effect, Effect::Alarm(_))).count()
+    effects
+        .iter()
+        .filter(|effect| matches!(effect, Effect::Alarm(_)))
+        .count()
 }
 
 fn repairs(effects: &[Effect]) -> usize {
-    effects.iter().filter(|effect| matches!(effect, Effect::Note(text) if text.starts_with("repaired"))).count()
+    effects
+        .iter()
+        .filter(|effect| matches!(effect, Effect::Note(text) if text.starts_with("repaired")))
+        .count()
 }
 
 fn status(control: &mut ControlNode, now: Duration) -> Sheet {
-    let effects = control.step(now, Event::Ask { token: 1, ask: Ask::Status });
+    let effects = control.step(
+        now,
+        Event::Ask {
+            token: 1,
+            ask: Ask::Status,
+        },
+    );
     let sheet = effects.into_iter().find_map(|effect| match effect {
-        Effect::Answer { answer: Answer::Sheet(sheet), .. } => Some(sheet),
+        Effect::Answer {
+            answer: Answer::Sheet(sheet),
+            ..
+        } => Some(sheet),
         _ => None,
     });
     sheet.unwrap()
@@ -53,19 +86,42 @@
     let ms = Duration::from_millis;
     let effects = control.step(ms(1), Event::Tick);
     assert_eq!(alarms(&effects), 1);
-    assert_eq!(status(&mut control, ms(2)).get("setupMissing"), Some(&Sheet::Truth(true)));
+    assert_eq!(
+        status(&mut control, ms(2)).get("setupMissing"),
+        Some(&Sheet::Truth(true))
+    );
     let digest = protocol::digest(SETUP);
     let asks = |effect: &&Effect| matches!(effect, Effect::Send { body: Payload::SetupAsk(SetupAsk { digest: asked }), .. } if *asked == digest);
-    assert_eq!(effects.iter().filter(asks).count(), 2, "both others are asked");
+    assert_eq!(
+        effects.iter().filter(asks).count(),
+        2,
+        "both others are asked"
+    );
     let again = control.step(ms(900), Event::Tick);
     assert_eq!(alarms(&again), 0, "once is enough");
     assert_eq!(again.iter().filter(asks).count(), 2, "until one has them");
-    let body = Payload::SetupBytes(SetupBytes { digest: digest.clone(), squeezed: protocol::squeeze(SETUP) });
-    let effects = control.step(ms(950), Event::Received { from: "pm-2".into(), body });
-    assert!(effects.iter().any(|effect| matches!(effect, Effect::KeepSetup { .. })));
+    let body = Payload::SetupBytes(SetupBytes {
+        digest: digest.clone(),
+        squeezed: protocol::squeeze(SETUP),
+    });
+    let effects = control.step(
+        ms(950),
+        Event::Received {
+            from: "pm-2".into(),
+            body,
+        },
+    );
+    assert!(
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::KeepSetup { .. }))
+    );
     let effects = control.step(ms(1000), Event::Tick);
     assert_eq!(repairs(&effects), 1);
-    assert_eq!(status(&mut control, ms(1001)).get("setupMissing"), Some(&Sheet::Truth(false)));
+    assert_eq!(
+        status(&mut control, ms(1001)).get("setupMissing"),
+        Some(&Sheet::Truth(false))
+    );
 }
 
 #[test]
@@ -73,7 +129,10 @@
     let mut control = start([(protocol::digest(SETUP), SETUP.to_vec())].into());
     let effects = control.step(Duration::from_millis(1), Event::Tick);
     assert_eq!(alarms(&effects), 0);
-    assert_eq!(status(&mut control, Duration::from_millis(2)).get("setupMissing"), Some(&Sheet::Truth(false)));
+    assert_eq!(
+        status(&mut control, Duration::from_millis(2)).get("setupMissing"),
+        Some(&Sheet::Truth(false))
+    );
 }
 
 #[test]
--- a/crates/controller/tests/site/mod.rs
+++ b/crates/controller/tests/site/mod.rs
@@ -40,16 +40,26 @@
             departures: vec![],
             times: controller::shell::times(&settings),
         });
-        Site { control, now: Duration::ZERO, answers: Vec::new(), updates: Vec::new() }
+        Site {
+            control,
+            now: Duration::ZERO,
+            answers: Vec::new(),
+            updates: Vec::new(),
+        }
     }
 
     pub fn step(&mut self, event: Event) {
         let effects = self.control.step(self.now, event);
         effects.into_iter().for_each(|effect| match effect {
-            Effect::Keep { ticket, .. } | Effect::KeepSetup { ticket, .. } => self.step(Event::Kept { ticket }),
+            Effect::Keep { ticket, .. } | Effect::KeepSetup { ticket, .. } => {
+                self.step(Event::Kept { ticket })
+            }
             Effect::KeepDepartures { ticket, .. } => self.step(Event::DeparturesKept { ticket }),
             Effect::Answer { answer, .. } => self.answers.push(answer),
-            Effect::Send { body: Payload::ViewUpdate(update), .. } => self.updates.push(update),
+            Effect::Send {
+                body: Payload::ViewUpdate(update),
+                ..
+            } => self.updates.push(update),
             _ => {}
         });
     }
@@ -65,18 +75,32 @@
     pub fn order(&mut self, ask: Ask) {
         self.step(Event::Ask { token: 1, ask });
         self.run(Duration::from_millis(100));
-        let fine = matches!(self.answers.pop(), Some(Answer::Verdict { code: Code::Fine, .. }));
+        let fine = matches!(
+            self.answers.pop(),
+            Some(Answer::Verdict {
+                code: Code::Fine,
+                ..
+            })
+        );
         assert!(fine, "an order was not taken");
     }
 
     pub fn evacuate(&mut self, at: usize, back: bool) {
         let id = format!("evacuation-{at}").into();
-        self.order(Ask::Evacuate { id, locality: "north/n1".into(), back, in_force: false });
+        self.order(Ask::Evacuate {
+            id,
+            locality: "north/n1".into(),
+            back,
+            in_force: false,
+        });
     }
 
     /// A carrier asks for the first time; the snapshot that it gets.
     pub fn snapshot(&mut self, carrier: &str) -> ViewUpdate {
-        self.step(Event::Received { from: carrier.into(), body: Payload::UpdateRequest(UpdateRequest::default()) });
+        self.step(Event::Received {
+            from: carrier.into(),
+            body: Payload::UpdateRequest(UpdateRequest::default()),
+        });
         self.updates.pop().expect("a snapshot")
     }
 }
@@ -85,6 +109,11 @@
 pub fn site() -> Site {
     let mut site = Site::new();
     site.run(Duration::from_secs(10));
-    site.order(Ask::Submit { id: "first".into(), base: None, bytes: SETUP.into(), in_force: false });
+    site.order(Ask::Submit {
+        id: "first".into(),
+        base: None,
+        bytes: SETUP.into(),
+        in_force: false,
+    });
     site
 }
--- a/crates/controller/tests/updates.rs
+++ b/crates/controller/tests/updates.rs
@@ -12,7 +12,10 @@
     (0..200).for_each(|at| site.evacuate(at, at % 2 == 1));
     let after = site.snapshot("c-2").encoded_len();
     // The edition takes a byte more.
-    assert!(after <= before + 4, "{before} bytes before 200 orders, {after} after them");
+    assert!(
+        after <= before + 4,
+        "{before} bytes before 200 orders, {after} after them"
+    );
 }
 
 #[test]
@@ -22,9 +25,16 @@
     site.snapshot("c-1");
     site.updates.clear();
     site.evacuate(200, false);
-    let told: Vec<usize> =
-        site.updates.iter().filter(|update| update.state.is_some()).map(Message::encoded_len).collect();
-    assert!(told.len() == 1 && told[0] < 200, "{told:?} bytes were told of one evacuation");
+    let told: Vec<usize> = site
+        .updates
+        .iter()
+        .filter(|update| update.state.is_some())
+        .map(Message::encoded_len)
+        .collect();
+    assert!(
+        told.len() == 1 && told[0] < 200,
+        "{told:?} bytes were told of one evacuation"
+    );
 }
 
 #[test]
@@ -34,5 +44,11 @@
     site.snapshot("c-1");
     site.updates.clear();
     site.evacuate(1, false);
-    assert_eq!(site.updates.iter().filter(|update| update.state.is_some()).count(), 0);
+    assert_eq!(
+        site.updates
+            .iter()
+            .filter(|update| update.state.is_some())
+            .count(),
+        0
+    );
 }
--- a/crates/drill/src/breaches.rs
+++ b/crates/drill/src/breaches.rs
@@ -23,11 +23,21 @@
 }
 
 fn ran(work: &str, try_id: &str) -> Fact {
-    Fact::Ran { work: work.into(), try_id: try_id.into(), once: true }
+    Fact::Ran {
+        work: work.into(),
+        try_id: try_id.into(),
+        once: true,
+    }
 }
 
 fn answered(success: bool, whole: bool, not_run: bool) -> Fact {
-    Fact::Answered { try_id: "t1".into(), code: 1000, success, whole, not_run }
+    Fact::Answered {
+        try_id: "t1".into(),
+        code: 1000,
+        success,
+        whole,
+        not_run,
+    }
 }
 
 fn holds(instance: &str, until_ms: u64) -> Fact {
@@ -36,75 +46,187 @@
 
 fn holds_keys(instance: &str, keys: Range<u32>, until_ms: u64) -> Fact {
     let until = Duration::from_millis(until_ms);
-    Fact::Holds { service: "payment".into(), keys, instance: instance.into(), until }
+    Fact::Holds {
+        service: "payment".into(),
+        keys,
+        instance: instance.into(),
+        until,
+    }
 }
 
 fn read_back(edition: u64, digest: &str) -> Fact {
-    Fact::ReadBack { node: "pm-1".into(), edition, digest: digest.into(), asked_at: Duration::from_millis(1) }
+    Fact::ReadBack {
+        node: "pm-1".into(),
+        edition,
+        digest: digest.into(),
+        asked_at: Duration::from_millis(1),
+    }
 }
 
 fn in_force(edition: u64) -> Fact {
-    Fact::InForce { node: "c-1".into(), edition }
+    Fact::InForce {
+        node: "c-1".into(),
+        edition,
+    }
 }
 
 fn isolated() -> Seen {
-    at(0, Fact::Isolated { node: "pm-1".into() })
+    at(
+        0,
+        Fact::Isolated {
+            node: "pm-1".into(),
+        },
+    )
 }
 
 fn joined() -> Seen {
-    at(1500, Fact::Joined { node: "pm-1".into() })
+    at(
+        1500,
+        Fact::Joined {
+            node: "pm-1".into(),
+        },
+    )
 }
 
 fn vouched(what: Vouched, asked_at_ms: u64) -> Fact {
-    Fact::Vouched { node: "pm-1".into(), what, asked_at: Duration::from_millis(asked_at_ms) }
+    Fact::Vouched {
+        node: "pm-1".into(),
+        what,
+        asked_at: Duration::from_millis(asked_at_ms),
+    }
 }
 
 fn evacuated(back: bool) -> Fact {
-    Fact::Evacuated { locality: "north/n1".into(), back }
+    Fact::Evacuated {
+        locality: "north/n1".into(),
+        back,
+    }
 }
 
 fn terms() -> Terms {
     let homes = BTreeSet::from(["north".to_owned()]);
-    Terms { homes: [("booking".to_owned(), homes)].into_iter().collect(), warm_up_per_second: 1 }
+    Terms {
+        homes: [("booking".to_owned(), homes)].into_iter().collect(),
+        warm_up_per_second: 1,
+    }
 }
 
 /// For each rule: what breaks it, and what just doesn't.
 fn cases() -> Vec<(u32, Vec<Seen>, Vec<Seen>)> {
-    let leaving = || at(0, Fact::Leaving { instance: "unit-1".into() });
+    let leaving = || {
+        at(
+            0,
+            Fact::Leaving {
+                instance: "unit-1".into(),
+            },
+        )
+    };
     let setup = |edition: u64, mark| {
         let (digest, took) = ("d".into(), Duration::ZERO);
-        at(edition - 2, Fact::Submitted { edition, digest, mark, took })
+        at(
+            edition - 2,
+            Fact::Submitted {
+                edition,
+                digest,
+                mark,
+                took,
+            },
+        )
+    };
+    let offered = |number, digest: &str| {
+        at(
+            0,
+            Fact::Offered {
+                number,
+                digest: digest.into(),
+            },
+        )
     };
-    let offered = |number, digest: &str| at(0, Fact::Offered { number, digest: digest.into() });
     let numbered = |number| at(0, Fact::Acknowledged { number });
     let submitted = || setup(2, 2);
-    let probed = |ms, mark| at(ms, Fact::Probed { node: "c-1".into(), mark });
-    let resent = |count: u64| (0..count).map(|ms| at(ms, arrived("t1", "north/n1", false))).collect::<Vec<_>>();
-    let cold =
-        |count: u64| (0..count).map(|ms| at(ms, arrived(&format!("t{ms}"), "north/n1", true))).collect::<Vec<_>>();
+    let probed = |ms, mark| {
+        at(
+            ms,
+            Fact::Probed {
+                node: "c-1".into(),
+                mark,
+            },
+        )
+    };
+    let resent = |count: u64| {
+        (0..count)
+            .map(|ms| at(ms, arrived("t1", "north/n1", false)))
+            .collect::<Vec<_>>()
+    };
+    let cold = |count: u64| {
+        (0..count)
+            .map(|ms| at(ms, arrived(&format!("t{ms}"), "north/n1", true)))
+            .collect::<Vec<_>>()
+    };
     let called = || {
-        let order = Order::Setup { number: None, base: None, digest: "d".into() };
-        at(0, Fact::Called { call: "c".into(), order })
+        let order = Order::Setup {
+            number: None,
+            base: None,
+            digest: "d".into(),
+        };
+        at(
+            0,
+            Fact::Called {
+                call: "c".into(),
+                order,
+            },
+        )
     };
     let returned = |ms, edition| {
-        let reply = Reply::Decided { code: Code::Fine, edition: Some(edition) };
-        at(ms, Fact::Returned { call: "c".into(), reply })
+        let reply = Reply::Decided {
+            code: Code::Fine,
+            edition: Some(edition),
+        };
+        at(
+            ms,
+            Fact::Returned {
+                call: "c".into(),
+                reply,
+            },
+        )
     };
     let accepted = || at(0, Fact::Accepted { edition: 2 });
-    let let_go = |keys: Range<u32>| Fact::LetGo { service: "payment".into(), keys, instance: "a".into() };
+    let let_go = |keys: Range<u32>| Fact::LetGo {
+        service: "payment".into(),
+        keys,
+        instance: "a".into(),
+    };
     let holds_all = || at(0, holds_keys("a", 0..100, 100));
     vec![
-        (1, vec![at(0, ran("w", "t1")), at(1, ran("w", "t2"))], vec![at(0, ran("w", "t1")), at(1, ran("x", "t2"))]),
+        (
+            1,
+            vec![at(0, ran("w", "t1")), at(1, ran("w", "t2"))],
+            vec![at(0, ran("w", "t1")), at(1, ran("x", "t2"))],
+        ),
         (
             2,
             vec![at(0, answered(false, false, true)), at(9, ran("w", "t1"))],
             vec![at(0, answered(false, false, true))],
         ),
-        (3, vec![at(0, answered(true, false, false))], vec![at(0, answered(true, true, false))]),
+        (
+            3,
+            vec![at(0, answered(true, false, false))],
+            vec![at(0, answered(true, true, false))],
+        ),
         (
             4,
-            vec![at(0, Fact::AddressUsed { age: Duration::from_millis(5001) })],
-            vec![at(0, Fact::AddressUsed { age: Duration::from_millis(5000) })],
+            vec![at(
+                0,
+                Fact::AddressUsed {
+                    age: Duration::from_millis(5001),
+                },
+            )],
+            vec![at(
+                0,
+                Fact::AddressUsed {
+                    age: Duration::from_millis(5000),
+                },
+            )],
         ),
         (
             5,
@@ -113,32 +235,78 @@
         ),
         (
             6,
-            vec![at(0, evacuated(false)), at(5001, arrived("t", "north/n1", false))],
-            vec![at(0, evacuated(false)), at(1, evacuated(true)), at(5001, arrived("t", "north/n1", false))],
+            vec![
+                at(0, evacuated(false)),
+                at(5001, arrived("t", "north/n1", false)),
+            ],
+            vec![
+                at(0, evacuated(false)),
+                at(1, evacuated(true)),
+                at(5001, arrived("t", "north/n1", false)),
+            ],
+        ),
+        (
+            7,
+            vec![at(0, in_force(2)), at(1, in_force(1))],
+            vec![at(0, in_force(1)), at(1, in_force(2))],
+        ),
+        (
+            7,
+            vec![accepted(), at(3001, in_force(1))],
+            vec![accepted(), at(3000, in_force(1))],
+        ),
+        (
+            7,
+            vec![submitted(), setup(3, 3), probed(3002, 2)],
+            vec![submitted(), setup(3, 3), probed(3001, 2)],
         ),
-        (7, vec![at(0, in_force(2)), at(1, in_force(1))], vec![at(0, in_force(1)), at(1, in_force(2))]),
-        (7, vec![accepted(), at(3001, in_force(1))], vec![accepted(), at(3000, in_force(1))]),
-        (7, vec![submitted(), setup(3, 3), probed(3002, 2)], vec![submitted(), setup(3, 3), probed(3001, 2)]),
         (
             7,
             vec![submitted(), setup(3, 3), probed(9, 3), probed(1010, 2)],
             vec![setup(2, 2), probed(9, 2), probed(10, 2)],
         ),
-        (8, vec![submitted(), at(1, read_back(2, "e"))], vec![submitted(), at(1, read_back(2, "d"))]),
         (
             8,
-            vec![at(0, Fact::Accepted { edition: 3 }), at(1, read_back(1, "d"))],
+            vec![submitted(), at(1, read_back(2, "e"))],
+            vec![submitted(), at(1, read_back(2, "d"))],
+        ),
+        (
+            8,
+            vec![
+                at(0, Fact::Accepted { edition: 3 }),
+                at(1, read_back(1, "d")),
+            ],
             vec![accepted(), at(1, read_back(2, "d"))],
         ),
         (
             8,
-            vec![offered(3, "d"), offered(4, "e"), numbered(4), at(1, read_back(2, "d"))],
-            vec![offered(3, "d"), offered(4, "e"), numbered(3), at(1, read_back(2, "d"))],
+            vec![
+                offered(3, "d"),
+                offered(4, "e"),
+                numbered(4),
+                at(1, read_back(2, "d")),
+            ],
+            vec![
+                offered(3, "d"),
+                offered(4, "e"),
+                numbered(3),
+                at(1, read_back(2, "d")),
+            ],
         ),
         (
             8,
-            vec![offered(3, "d"), offered(4, "e"), at(0, read_back(2, "e")), at(1, read_back(2, "d"))],
-            vec![offered(3, "d"), offered(4, "e"), at(0, read_back(2, "d")), at(1, read_back(3, "e"))],
+            vec![
+                offered(3, "d"),
+                offered(4, "e"),
+                at(0, read_back(2, "e")),
+                at(1, read_back(2, "d")),
+            ],
+            vec![
+                offered(3, "d"),
+                offered(4, "e"),
+                at(0, read_back(2, "d")),
+                at(1, read_back(3, "e")),
+            ],
         ),
         (9, resent(12), resent(11)),
         (10, cold(9), cold(8)),
@@ -150,7 +318,11 @@
         (
             11,
             vec![at(0, holds("a", 100)), at(9, holds("b", 200))],
-            vec![at(0, holds("a", 100)), at(8, let_go(3..4)), at(9, holds("b", 200))],
+            vec![
+                at(0, holds("a", 100)),
+                at(8, let_go(3..4)),
+                at(9, holds("b", 200)),
+            ],
         ),
         (
             11,
@@ -159,13 +331,29 @@
         ),
         (
             11,
-            vec![holds_all(), at(8, let_go(10..21)), at(9, holds_keys("b", 10..22, 200))],
-            vec![holds_all(), at(8, let_go(10..21)), at(9, holds_keys("b", 10..21, 200))],
+            vec![
+                holds_all(),
+                at(8, let_go(10..21)),
+                at(9, holds_keys("b", 10..22, 200)),
+            ],
+            vec![
+                holds_all(),
+                at(8, let_go(10..21)),
+                at(9, holds_keys("b", 10..21, 200)),
+            ],
         ),
         (
             11,
-            vec![holds_all(), at(8, holds_keys("a", 10..21, 200)), at(150, holds_keys("b", 0..11, 300))],
-            vec![holds_all(), at(8, holds_keys("a", 10..21, 200)), at(150, holds_keys("b", 0..10, 300))],
+            vec![
+                holds_all(),
+                at(8, holds_keys("a", 10..21, 200)),
+                at(150, holds_keys("b", 0..11, 300)),
+            ],
+            vec![
+                holds_all(),
+                at(8, holds_keys("a", 10..21, 200)),
+                at(150, holds_keys("b", 0..10, 300)),
+            ],
         ),
         (
             14,
@@ -175,11 +363,27 @@
         (
             14,
             vec![isolated(), at(1600, vouched(Vouched::Heartbeat, 1501))],
-            vec![isolated(), joined(), at(1600, vouched(Vouched::Leaving, 1501))],
+            vec![
+                isolated(),
+                joined(),
+                at(1600, vouched(Vouched::Leaving, 1501)),
+            ],
+        ),
+        (
+            13,
+            vec![called(), at(9, read_back(1, "e"))],
+            vec![called(), at(9, read_back(1, "d"))],
+        ),
+        (
+            13,
+            vec![called(), returned(1, 1), returned(5, 2)],
+            vec![called(), returned(1, 1), returned(5, 1)],
+        ),
+        (
+            12,
+            vec![at(0, arrived("t", "south/s1", false))],
+            vec![at(0, arrived("t", "north/n1", false))],
         ),
-        (13, vec![called(), at(9, read_back(1, "e"))], vec![called(), at(9, read_back(1, "d"))]),
-        (13, vec![called(), returned(1, 1), returned(5, 2)], vec![called(), returned(1, 1), returned(5, 1)]),
-        (12, vec![at(0, arrived("t", "south/s1", false))], vec![at(0, arrived("t", "north/n1", false))]),
     ]
 }
 
@@ -187,13 +391,22 @@
 fn every_checker_catches_its_breach_and_passes_what_is_lawful() {
     cases().into_iter().for_each(|(rule, breach, lawful)| {
         let caught = judge(&breach, &terms());
-        assert!(caught.iter().any(|violation| violation.rule == rule), "rule {rule} missed {breach:?}");
-        assert_eq!(judge(&lawful, &terms()), vec![], "rule {rule} blames {lawful:?}");
+        assert!(
+            caught.iter().any(|violation| violation.rule == rule),
+            "rule {rule} missed {breach:?}"
+        );
+        assert_eq!(
+            judge(&lawful, &terms()),
+            vec![],
+            "rule {rule} blames {lawful:?}"
+        );
     });
 }
 
 #[test]
 fn every_checker_has_a_breach() {
     let broken: BTreeSet<u32> = cases().into_iter().map(|(rule, ..)| rule).collect();
-    CHECKERS.iter().for_each(|(rule, name, _)| assert!(broken.contains(rule), "no breach for '{name}'"));
+    CHECKERS
+        .iter()
+        .for_each(|(rule, name, _)| assert!(broken.contains(rule), "no breach for '{name}'"));
 }
--- a/crates/drill/src/changes.rs
+++ b/crates/drill/src/changes.rs
@@ -78,7 +78,10 @@
         let is_late = |(age, behind): (&Option<Duration>, &u64)| {
             age.is_none_or(|age| age > max_age) || *behind > max_editions_behind
         };
-        let looks_before = looks.map(is_late).rposition(|late| late).map_or(0, |at| at + 1);
+        let looks_before = looks
+            .map(is_late)
+            .rposition(|late| late)
+            .map_or(0, |at| at + 1);
         (looks_before < self.ages.len()).then(|| self.gap * looks_before as u32)
     }
 }
@@ -138,7 +141,9 @@
 }
 
 fn remove(folder: &Option<PathBuf>) {
-    folder.iter().for_each(|folder| drop(std::fs::remove_dir_all(folder)));
+    folder
+        .iter()
+        .for_each(|folder| drop(std::fs::remove_dir_all(folder)));
 }
 
 fn register(name: &str, trial: &Trial, seed: u64, contents: &Contents) -> Register {
@@ -161,7 +166,9 @@
             name: name.clone(),
             register: register(name, &trial, at as u64 + 1, &Contents::default()),
             disk: match &trial.folder {
-                Some(folder) if at == 0 => Disk::Real(Box::new(Storage::open(folder).expect("a data folder").0)),
+                Some(folder) if at == 0 => {
+                    Disk::Real(Box::new(Storage::open(folder).expect("a data folder").0))
+                }
                 _ => Disk::Memory(Box::default()),
             },
             writes: VecDeque::new(),
@@ -191,12 +198,20 @@
 
     fn at(&mut self, at: Duration, node: usize, what: What) {
         self.number += 1;
-        self.queue.push(std::cmp::Reverse((at, self.number, node, self.nodes[node].life, what)));
+        self.queue.push(std::cmp::Reverse((
+            at,
+            self.number,
+            node,
+            self.nodes[node].life,
+            what,
+        )));
     }
 
     fn run_until(&mut self, until: Duration) {
         while self.queue.peek().is_some_and(|item| item.0.0 <= until) {
-            let Some(std::cmp::Reverse((at, _, node, life, what))) = self.queue.pop() else { break };
+            let Some(std::cmp::Reverse((at, _, node, life, what))) = self.queue.pop() else {
+                break;
+            };
             self.now = at;
             let alive = self.nodes[node].life == life && self.nodes[node].up;
             match what {
@@ -204,7 +219,12 @@
                 _ if !alive => {}
                 What::Tick => {
                     self.at(at + TICK, node, What::Tick);
-                    let peers = self.nodes.iter().filter(|node| node.up).map(|node| node.name.clone()).collect();
+                    let peers = self
+                        .nodes
+                        .iter()
+                        .filter(|node| node.up)
+                        .map(|node| node.name.clone())
+                        .collect();
                     self.step(node, Event::Peers(peers));
                     self.step(node, Event::Tick);
                 }
@@ -215,11 +235,16 @@
     }
 
     fn deliver(&mut self, node: usize, id: usize, alive: bool) {
-        let Some((from, body)) = self.messages.remove(&id) else { return };
+        let Some((from, body)) = self.messages.remove(&id) else {
+            return;
+        };
         let receiver = &mut self.nodes[node];
         receiver.on_link = receiver.on_link.saturating_sub(1);
         if alive {
-            let parcel = Envelope { from: from.clone(), body: Some(body.clone()) };
+            let parcel = Envelope {
+                from: from.clone(),
+                body: Some(body.clone()),
+            };
             let counted = receiver.received.entry(protocol::kind(&body)).or_default();
             *counted = (counted.0 + 1, counted.1 + parcel.encoded_len() as u64);
             self.step(node, Event::Received { from, body });
@@ -232,7 +257,11 @@
             match effect {
                 Effect::Send { to, body } => self.send(at, &to, body),
                 Effect::Keep { ticket, durable } => self.write(at, Write::State(ticket, durable)),
-                Effect::KeepSetup { ticket, digest, bytes } => self.write(at, Write::Setup(ticket, digest, bytes)),
+                Effect::KeepSetup {
+                    ticket,
+                    digest,
+                    bytes,
+                } => self.write(at, Write::Setup(ticket, digest, bytes)),
                 Effect::DropSetup { digest } => self.write(at, Write::Drop(digest)),
                 Effect::Decided { decision, .. } => {
                     self.accepted += usize::from(decision.code == address::Code::Fine);
@@ -243,8 +272,13 @@
     }
 
     fn send(&mut self, from: usize, to: &str, body: Payload) {
-        let Some(to) = self.nodes.iter().position(|node| node.name == to) else { return };
-        let parcel = Envelope { from: self.nodes[from].name.clone(), body: Some(body.clone()) };
+        let Some(to) = self.nodes.iter().position(|node| node.name == to) else {
+            return;
+        };
+        let parcel = Envelope {
+            from: self.nodes[from].name.clone(),
+            body: Some(body.clone()),
+        };
         let bytes = parcel.encoded_len() as u64;
         let counted = self.sent.entry(protocol::kind(&body)).or_default();
         *counted = (counted.0 + 1, counted.1 + bytes);
@@ -252,11 +286,14 @@
         if !node.up || node.on_link >= MAX_ON_LINK {
             return;
         }
-        let takes = node.bits.map(|bits| Duration::from_secs_f64(bytes as f64 * 8.0 / bits as f64));
+        let takes = node
+            .bits
+            .map(|bits| Duration::from_secs_f64(bytes as f64 * 8.0 / bits as f64));
         node.link_free_at = node.link_free_at.max(self.now) + takes.unwrap_or_default();
         node.on_link += 1;
         let (at, id) = (node.link_free_at + WAY, self.number as usize);
-        self.messages.insert(id, (self.nodes[from].name.clone(), body));
+        self.messages
+            .insert(id, (self.nodes[from].name.clone(), body));
         self.at(at, to, What::Message(id));
     }
 
@@ -269,18 +306,28 @@
 
     fn write_one(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        let Some(write) = node.writes.pop_front() else { return };
+        let Some(write) = node.writes.pop_front() else {
+            return;
+        };
         let ticket = node.disk.apply(write);
         if !node.writes.is_empty() {
             self.at(self.now + SYNC, at, What::Disk);
         }
-        ticket.into_iter().for_each(|ticket| self.step(at, Event::Kept { ticket }));
+        ticket
+            .into_iter()
+            .for_each(|ticket| self.step(at, Event::Kept { ticket }));
     }
 
     fn bytes_of_change(&self) -> Vec<u8> {
-        let size = Size { routes: self.trial.routes, services: 40, ..crate::hollow::TODAY };
+        let size = Size {
+            routes: self.trial.routes,
+            services: 40,
+            ..crate::hollow::TODAY
+        };
         // Each change is another one, of the same size.
-        size.setup(0).replace("\"r0\"", &format!("\"r0-{:06}\"", self.asked)).into_bytes()
+        size.setup(0)
+            .replace("\"r0\"", &format!("\"r0-{:06}\"", self.asked))
+            .into_bytes()
     }
 
     /// So many changes, all handed to one node: what a race of two costs is another question.
@@ -289,12 +336,29 @@
             self.asked += 1;
             let bytes = self.bytes_of_change();
             let digest = protocol::digest(&bytes);
-            let up: Vec<usize> = (0..self.nodes.len()).filter(|at| self.nodes[*at].up).collect();
+            let up: Vec<usize> = (0..self.nodes.len())
+                .filter(|at| self.nodes[*at].up)
+                .collect();
             let node = up[1 % up.len()];
             let since = Some(self.nodes[node].register.state().decided);
-            let id = OrderId { id: format!("change-{:012}", self.asked), since };
-            let change = Change::Setup { id, base: None, number: None, digest };
-            self.step(node, Event::Ask { token: self.asked as u64, change, bytes: Some(bytes) });
+            let id = OrderId {
+                id: format!("change-{:012}", self.asked),
+                since,
+            };
+            let change = Change::Setup {
+                id,
+                base: None,
+                number: None,
+                digest,
+            };
+            self.step(
+                node,
+                Event::Ask {
+                    token: self.asked as u64,
+                    change,
+                    bytes: Some(bytes),
+                },
+            );
             self.run_until(self.now + self.trial.gap);
         }
     }
@@ -362,7 +426,10 @@
             took = there.then(|| self.now - begun_at);
         }
         self.nodes[last].bits = None;
-        CatchUp { took, received: self.nodes[last].received.clone() }
+        CatchUp {
+            took,
+            received: self.nodes[last].received.clone(),
+        }
     }
 
     /// The last node comes back behind a link of so many bits a second, and so many changes are made: how long ago a
@@ -374,13 +441,27 @@
         let ages = (0..changes).map(|_| {
             self.change(1);
             let register = &self.nodes[last].register;
-            let age = register.age(self.now).filter(|_| register.setup().is_some());
-            (age, self.nodes[0].register.state().edition.saturating_sub(register.state().edition))
+            let age = register
+                .age(self.now)
+                .filter(|_| register.setup().is_some());
+            (
+                age,
+                self.nodes[0]
+                    .register
+                    .state()
+                    .edition
+                    .saturating_sub(register.state().edition),
+            )
         });
         let (ages, editions_behind) = ages.unzip();
         self.nodes[last].bits = None;
         let gap = self.trial.gap;
-        Following { ages, editions_behind, gap, received: self.nodes[last].received.clone() }
+        Following {
+            ages,
+            editions_behind,
+            gap,
+            received: self.nodes[last].received.clone(),
+        }
     }
 
     fn start_last(&mut self, blank: bool, bits: u64) {
@@ -433,7 +514,10 @@
 }
 
 fn folder_size(folder: &Path) -> (u64, usize) {
-    let entries = std::fs::read_dir(folder).into_iter().flatten().filter_map(Result::ok);
+    let entries = std::fs::read_dir(folder)
+        .into_iter()
+        .flatten()
+        .filter_map(Result::ok);
     let sizes = entries.filter_map(|entry| match entry.metadata().ok()? {
         about if about.is_dir() => Some(folder_size(&entry.path())),
         about => Some((about.len(), 1)),
@@ -444,7 +528,13 @@
 /// A number from a file of the system's about this process.
 fn about_this_process(file: &str, name: &str) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/self/{file}")).unwrap_or_default();
-    let line = text.lines().find_map(|line| line.strip_prefix(name)?.split_whitespace().next()?.parse().ok());
+    let line = text.lines().find_map(|line| {
+        line.strip_prefix(name)?
+            .split_whitespace()
+            .next()?
+            .parse()
+            .ok()
+    });
     line.unwrap_or(0)
 }
 
@@ -460,13 +550,18 @@
         site.change(each);
         site.settle();
         let written = about_this_process("io", "wchar:") - written;
-        Checkpoint { written_per_change: written / each as u64, ..site.restart_first() }
+        Checkpoint {
+            written_per_change: written / each as u64,
+            ..site.restart_first()
+        }
     });
     checkpoints.collect()
 }
 
 fn show_sent(sent: &Sent) -> String {
-    let kinds = sent.iter().map(|(kind, (count, bytes))| format!("{kind} {count} of {bytes} B"));
+    let kinds = sent
+        .iter()
+        .map(|(kind, (count, bytes))| format!("{kind} {count} of {bytes} B"));
     kinds.collect::<Vec<_>>().join(", ")
 }
 
@@ -483,9 +578,14 @@
     for checkpoint in storm(&mut site, 10) {
         println!("{checkpoint:?}");
     }
-    println!("{} of {changes} changes accepted; sent per change:", site.accepted);
-    let per_change =
-        site.sent.iter().map(|(kind, (count, bytes))| (*kind, (count / changes as u64, bytes / changes as u64)));
+    println!(
+        "{} of {changes} changes accepted; sent per change:",
+        site.accepted
+    );
+    let per_change = site
+        .sent
+        .iter()
+        .map(|(kind, (count, bytes))| (*kind, (count / changes as u64, bytes / changes as u64)));
     println!("  {}", show_sent(&per_change.collect()));
     for (blank, bits, storm) in [
         (false, 2_000_000, false),
@@ -507,7 +607,12 @@
             show_sent(&back.received)
         );
     }
-    for (blank, bits) in [(false, 2_000_000), (true, 2_000_000), (true, 1_000_000), (true, 500_000)] {
+    for (blank, bits) in [
+        (false, 2_000_000),
+        (true, 2_000_000),
+        (true, 1_000_000),
+        (true, 500_000),
+    ] {
         site.stop_last();
         site.change(40);
         site.settle();
--- a/crates/drill/src/explore.rs
+++ b/crates/drill/src/explore.rs
@@ -1,8 +1,9 @@
 //! The bounded explorer of the register and the lease, with budgets from the command line.
 
 use explorer::{
-    ControlBudget, ControlModel, ControlScenario, LeaseBudget, LeaseModel, Limits, Model, RegisterModel, Scenario,
-    Schedule, Trace, control_scenarios, lease_scenarios, register_scenarios, replay, search,
+    ControlBudget, ControlModel, ControlScenario, LeaseBudget, LeaseModel, Limits, Model,
+    RegisterModel, Scenario, Schedule, Trace, control_scenarios, lease_scenarios,
+    register_scenarios, replay, search,
 };
 use std::time::Duration;
 
@@ -28,7 +29,14 @@
         let small = || value.parse::<u8>().map_err(|_| wrong());
         match name {
             "scenario" => self.scenario = Some(value.to_owned()),
-            "voters" => self.voters = Some(number().ok().filter(|n| (1..=7).contains(n)).ok_or_else(wrong)? as usize),
+            "voters" => {
+                self.voters = Some(
+                    number()
+                        .ok()
+                        .filter(|n| (1..=7).contains(n))
+                        .ok_or_else(wrong)? as usize,
+                )
+            }
             "depth" => self.depth = Some(number()? as usize),
             "states" => self.states = Some(number()?),
             "seconds" => self.seconds = Some(number()?),
@@ -36,7 +44,8 @@
             "crashes" => self.crashes = Some(small()?),
             "wipes" => self.wipes = Some(small()?),
             "replay" => {
-                let choices: Option<Vec<usize>> = value.split(',').map(|choice| choice.parse().ok()).collect();
+                let choices: Option<Vec<usize>> =
+                    value.split(',').map(|choice| choice.parse().ok()).collect();
                 self.replay = Some(choices.ok_or_else(wrong)?);
             }
             _ => return Err(format!("--{name} is unknown")),
@@ -46,7 +55,8 @@
 
     fn limits(&self) -> Limits {
         let default = Limits::default();
-        let threads = std::thread::available_parallelism().map_or(4, |count| usize::from(count).div_ceil(2));
+        let threads =
+            std::thread::available_parallelism().map_or(4, |count| usize::from(count).div_ceil(2));
         Limits {
             depth: self.depth.unwrap_or(default.depth),
             states: self.states.unwrap_or(default.states),
@@ -60,17 +70,21 @@
     }
 
     fn schedule(&self, schedule: Schedule) -> Schedule {
-        self.strays.map_or(schedule, |strays| Schedule::InOrder { strays })
+        self.strays
+            .map_or(schedule, |strays| Schedule::InOrder { strays })
     }
 
     fn scenario(&self, mut scenario: Scenario) -> Scenario {
         let voters = self.voters.unwrap_or(scenario.voters);
         // Replicas are named after the voters.
         let moved = voters.saturating_sub(scenario.voters);
-        scenario.replacements.iter_mut().for_each(|(gone, successor)| {
-            *gone += moved;
-            *successor += moved;
-        });
+        scenario
+            .replacements
+            .iter_mut()
+            .for_each(|(gone, successor)| {
+                *gone += moved;
+                *successor += moved;
+            });
         scenario.voters = voters;
         scenario.schedule = self.schedule(scenario.schedule);
         scenario.budget.crashes = self.crashes.unwrap_or(scenario.budget.crashes);
@@ -106,7 +120,11 @@
             return trace.violation.is_none();
         }
         let report = search(model, self.limits());
-        let end = if report.complete { "searched to the end" } else { "bounded" };
+        let end = if report.complete {
+            "searched to the end"
+        } else {
+            "bounded"
+        };
         println!(
             "{name:<26} {:>9} states {:>9} transitions, depth {:>3}, {end}, {:.1} s",
             report.states,
@@ -125,32 +143,56 @@
 
 /// Complains of a scenario that does not exist.
 pub fn check(exploration: &Exploration) -> Result<(), String> {
-    let names = register_scenarios().into_iter().map(|scenario| scenario.name);
+    let names = register_scenarios()
+        .into_iter()
+        .map(|scenario| scenario.name);
     let names = names.chain(lease_scenarios().into_iter().map(|(name, _)| name));
-    let names: Vec<&str> = names.chain(control_scenarios().into_iter().map(|scenario| scenario.name)).collect();
+    let names: Vec<&str> = names
+        .chain(
+            control_scenarios()
+                .into_iter()
+                .map(|scenario| scenario.name),
+        )
+        .collect();
     let known = names.iter().any(|name| exploration.is_wanted(name));
-    known.then_some(()).ok_or_else(|| format!("--scenario: one of {}", names.join(", ")))?;
+    known
+        .then_some(())
+        .ok_or_else(|| format!("--scenario: one of {}", names.join(", ")))?;
     let one = exploration.scenario.is_some();
     let alone = exploration.replay.is_none() || one;
-    alone.then_some(()).ok_or_else(|| "--replay wants the --scenario that the trace is of".to_owned())
+    alone
+        .then_some(())
+        .ok_or_else(|| "--replay wants the --scenario that the trace is of".to_owned())
 }
 
 /// Explores all that is wanted; true where no invariant broke.
 pub fn run(exploration: &Exploration) -> bool {
-    let scenarios = register_scenarios().into_iter().filter(|scenario| exploration.is_wanted(scenario.name));
+    let scenarios = register_scenarios()
+        .into_iter()
+        .filter(|scenario| exploration.is_wanted(scenario.name));
     let registers = scenarios.map(|scenario| {
         let name = scenario.name;
         exploration.explore(name, &RegisterModel::new(exploration.scenario(scenario)))
     });
-    let budgets = lease_scenarios().into_iter().filter(|(name, _)| exploration.is_wanted(name));
+    let budgets = lease_scenarios()
+        .into_iter()
+        .filter(|(name, _)| exploration.is_wanted(name));
     let leases = budgets.map(|(name, budget)| {
         let voters = exploration.voters.unwrap_or(3);
-        exploration.explore(name, &LeaseModel::new(voters, exploration.lease_budget(budget)))
+        exploration.explore(
+            name,
+            &LeaseModel::new(voters, exploration.lease_budget(budget)),
+        )
     });
-    let scenarios = control_scenarios().into_iter().filter(|scenario| exploration.is_wanted(scenario.name));
+    let scenarios = control_scenarios()
+        .into_iter()
+        .filter(|scenario| exploration.is_wanted(scenario.name));
     let controls = scenarios.map(|scenario| {
         let name = scenario.name;
-        exploration.explore(name, &ControlModel::new(exploration.control_scenario(scenario)))
+        exploration.explore(
+            name,
+            &ControlModel::new(exploration.control_scenario(scenario)),
+        )
     });
     // Each is explored, also after one that found something.
     let explored: Vec<bool> = registers.chain(leases).chain(controls).collect();
--- a/crates/drill/src/facts.rs
+++ b/crates/drill/src/facts.rs
@@ -36,10 +36,7 @@
         once: bool,
     },
     /// An origin made a try.
-    Tried {
-        work: String,
-        try_id: String,
-    },
+    Tried { work: String, try_id: String },
     /// An origin got the final answer of a try. `whole`: a success whose seal, try and work are right.
     Answered {
         try_id: String,
@@ -49,28 +46,16 @@
         not_run: bool,
     },
     /// An origin used an address this long after the directory gave it.
-    AddressUsed {
-        age: Duration,
-    },
+    AddressUsed { age: Duration },
     /// An upstream told that it leaves.
-    Leaving {
-        instance: String,
-    },
+    Leaving { instance: String },
     /// The system said yes to an evacuation; or an operator asked to take the place back, which may be in force before
     /// the yes comes.
-    Evacuated {
-        locality: String,
-        back: bool,
-    },
+    Evacuated { locality: String, back: bool },
     /// The system said yes to an edition.
-    Accepted {
-        edition: u64,
-    },
+    Accepted { edition: u64 },
     /// A node that says it serves has this edition in force.
-    InForce {
-        node: String,
-        edition: u64,
-    },
+    InForce { node: String, edition: u64 },
     /// An operator read the setup back from a node.
     ReadBack {
         node: String,
@@ -86,31 +71,17 @@
         took: Duration,
     },
     /// An operator asks for a setup with a number of its own.
-    Offered {
-        number: u64,
-        digest: String,
-    },
+    Offered { number: u64, digest: String },
     /// The system said yes to such a one, which it may have because a higher one holds.
-    Acknowledged {
-        number: u64,
-    },
+    Acknowledged { number: u64 },
     /// An operator calls for something, by a name of the call's own, however often it is sent.
-    Called {
-        call: String,
-        order: Order,
-    },
+    Called { call: String, order: Order },
     /// An operator is told the outcome of a call; again where it was sent again.
-    Returned {
-        call: String,
-        reply: Reply,
-    },
+    Returned { call: String, reply: Reply },
     /// What was left after a lost majority was put in force.
     Rescued,
     /// A probe through this proxy came to a marking upstream.
-    Probed {
-        node: String,
-        mark: usize,
-    },
+    Probed { node: String, mark: usize },
     /// An upstream holds slots, or numeric keys, of a keyed service until a moment, unless it lets go.
     Holds {
         service: String,
@@ -124,13 +95,9 @@
         instance: String,
     },
     /// A control node is cut off from all others from now on, in one direction at least.
-    Isolated {
-        node: String,
-    },
+    Isolated { node: String },
     /// It is no longer.
-    Joined {
-        node: String,
-    },
+    Joined { node: String },
     /// A control node that was cut off vouched for something that it was asked at that moment.
     Vouched {
         node: String,
@@ -138,9 +105,7 @@
         asked_at: Duration,
     },
     /// A fault was brought about, or healed.
-    Fault {
-        what: String,
-    },
+    Fault { what: String },
 }
 
 /// A fact and when it was seen.
@@ -160,7 +125,10 @@
     /// assert_eq!(record.all().len(), 1);
     /// ```
     pub fn note(&self, at: Duration, fact: Fact) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push((at, fact));
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push((at, fact));
     }
 
     /// All facts, in the order of their moments.
@@ -169,7 +137,11 @@
     /// assert!(drill::facts::Record::default().all().is_empty());
     /// ```
     pub fn all(&self) -> Vec<Seen> {
-        let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let mut all = self
+            .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         all.sort_by_key(|(at, _)| *at);
         all
     }
--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -49,17 +49,26 @@
             self.spawn()?;
             let ended = (0..STARTED_AFTER.as_millis() / 10).find_map(|_| {
                 std::thread::sleep(Duration::from_millis(10));
-                self.child.as_mut().and_then(|child| child.try_wait().ok().flatten())
+                self.child
+                    .as_mut()
+                    .and_then(|child| child.try_wait().ok().flatten())
             });
             if ended.and_then(|status| status.code()) != Some(transport::exit::NO_START) {
                 return Ok(());
             }
         }
-        Err(io::Error::other(format!("{} does not start; see {}", self.node, self.log.display())))
+        Err(io::Error::other(format!(
+            "{} does not start; see {}",
+            self.node,
+            self.log.display()
+        )))
     }
 
     fn spawn(&mut self) -> io::Result<()> {
-        let log = std::fs::File::options().create(true).append(true).open(&self.log)?;
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(&self.log)?;
         let child = Command::new(&self.program)
             .args(&self.flags)
             .stdin(Stdio::null())
@@ -81,20 +90,27 @@
     /// Sends it a signal by name (TERM, STOP, CONT).
     pub fn signal(&self, name: &str) {
         self.child.iter().for_each(|child| {
-            let _ = Command::new("kill").arg(format!("-{name}")).arg(child.id().to_string()).status();
+            let _ = Command::new("kill")
+                .arg(format!("-{name}"))
+                .arg(child.id().to_string())
+                .status();
         });
     }
 
     /// The most memory it ever held, in KiB.
     pub fn peak_memory(&self) -> Option<u64> {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.as_ref()?.id())).ok()?;
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.as_ref()?.id())).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
         line.split_whitespace().nth(1)?.parse().ok()
     }
 
     /// Waits until it has ended by itself; its exit code.
     pub fn wait(&mut self) -> Option<i32> {
-        self.child.take().and_then(|mut child| child.wait().ok()).and_then(|status| status.code())
+        self.child
+            .take()
+            .and_then(|mut child| child.wait().ok())
+            .and_then(|status| status.code())
     }
 
     /// Empties its data folder. Only while it does not run.
@@ -116,7 +132,10 @@
     let found = (0..50).find_map(|_| {
         let tcp = TcpListener::bind((ip, 0)).ok()?;
         let address = tcp.local_addr().ok()?;
-        UdpSocket::bind(address).ok().map(|_| address.to_string()).filter(|address| taken.insert(address.clone()))
+        UdpSocket::bind(address)
+            .ok()
+            .map(|_| address.to_string())
+            .filter(|address| taken.insert(address.clone()))
     });
     found.ok_or_else(|| io::Error::other("no free port"))
 }
@@ -127,17 +146,35 @@
         std::fs::create_dir_all(folder)?;
         // Loopback numbers of its own for each site and machine keep their ports apart.
         let site = 64 + SITES.fetch_add(1, Ordering::Relaxed) % 64;
-        let ip = |machine: usize| format!("127.{site}.{}.{}", 1 + std::process::id() % 200, 1 + machine);
+        let ip = |machine: usize| {
+            format!(
+                "127.{site}.{}.{}",
+                1 + std::process::id() % 200,
+                1 + machine
+            )
+        };
         let on_machine = |machine: usize| if machine < shape.disks { 2 } else { 1 };
         let (mut ends, mut taken) = (Vec::new(), BTreeSet::new());
         for machine in 0..shape.machines {
             for _ in 0..on_machine(machine) {
-                let mut address = |ip: &str| free_address(ip, &mut taken)?.parse().map_err(io::Error::other);
-                ends.push(End { machine, link: address(&ip(machine))?, told: address(&ip(machine))? });
+                let mut address = |ip: &str| {
+                    free_address(ip, &mut taken)?
+                        .parse()
+                        .map_err(io::Error::other)
+                };
+                ends.push(End {
+                    machine,
+                    link: address(&ip(machine))?,
+                    told: address(&ip(machine))?,
+                });
             }
         }
         let first = |machine: usize| ends.iter().find(|end| end.machine == machine);
-        let seeds = (0..3).filter_map(first).map(|end| end.told.to_string()).collect::<Vec<_>>().join(",");
+        let seeds = (0..3)
+            .filter_map(first)
+            .map(|end| end.told.to_string())
+            .collect::<Vec<_>>()
+            .join(",");
         let mut process = |kind: &str, end: &End, more: &[String], data: Option<PathBuf>| {
             let machine = end.machine;
             let http = free_address(&ip(machine), &mut taken)?;
@@ -150,10 +187,21 @@
                 ("--told", &end.told.to_string()),
                 ("--seeds", &seeds),
             ];
-            let flags = flags.iter().flat_map(|(name, value)| [(*name).to_owned(), (*value).to_owned()]);
+            let flags = flags
+                .iter()
+                .flat_map(|(name, value)| [(*name).to_owned(), (*value).to_owned()]);
             let flags = flags.chain(more.iter().cloned()).collect();
             let (program, log) = (programs.join(kind), folder.join(format!("{node}.log")));
-            io::Result::Ok(Process { node, machine, http, program, flags, log, data, child: None })
+            io::Result::Ok(Process {
+                node,
+                machine,
+                http,
+                program,
+                flags,
+                log,
+                data,
+                child: None,
+            })
         };
         let folder = folder.to_owned();
         let mut fleet = Fleet {
@@ -164,14 +212,24 @@
             programs: programs.to_owned(),
         };
         for (at, end) in ends.iter().enumerate() {
-            let is_office = end.machine < shape.disks && first(end.machine).is_some_and(|first| first.link == end.link);
+            let is_office = end.machine < shape.disks
+                && first(end.machine).is_some_and(|first| first.link == end.link);
             if is_office {
                 let data = fleet.folder.join(format!("data-{}", end.machine));
-                let more = ["--roster-size", &shape.disks.to_string(), "--data", &data.to_string_lossy()];
+                let more = [
+                    "--roster-size",
+                    &shape.disks.to_string(),
+                    "--data",
+                    &data.to_string_lossy(),
+                ];
                 let more: Vec<String> = more.iter().map(|flag| (*flag).to_owned()).collect();
-                fleet.postmasters.push(process("postmaster", &ends[at], &more, Some(data))?);
+                fleet
+                    .postmasters
+                    .push(process("postmaster", &ends[at], &more, Some(data))?);
             } else {
-                fleet.carriers.push(process("carrier", &ends[at], &[], None)?);
+                fleet
+                    .carriers
+                    .push(process("carrier", &ends[at], &[], None)?);
             }
         }
         Ok(fleet)
@@ -179,7 +237,11 @@
 
     /// Lays a site out with its wires. Ports that the kernel gave may be taken by others before they are used: then it
     /// is laid out anew.
-    pub async fn laid(shape: &Shape, programs: &Path, folder: &Path) -> io::Result<(Fleet, Arc<Wires>)> {
+    pub async fn laid(
+        shape: &Shape,
+        programs: &Path,
+        folder: &Path,
+    ) -> io::Result<(Fleet, Arc<Wires>)> {
         let mut last = io::Error::other("not tried");
         for _ in 0..5 {
             let fleet = Fleet::new(shape, programs, folder)?;
@@ -198,7 +260,10 @@
 
     /// Runs the operator's tool to its end; what it complained of where it did not do it.
     pub fn clerk(&self, args: &[&str]) -> Result<(), String> {
-        let done = Command::new(self.programs.join("clerk")).args(args).output().map_err(|e| e.to_string())?;
+        let done = Command::new(self.programs.join("clerk"))
+            .args(args)
+            .output()
+            .map_err(|e| e.to_string())?;
         let told = String::from_utf8_lossy(&done.stderr).into_owned();
         done.status.success().then_some(()).ok_or(told)
     }
@@ -210,7 +275,11 @@
 
     /// Every node's HTTP address, carriers first.
     pub fn nodes(&self) -> Vec<String> {
-        self.carriers.iter().chain(&self.postmasters).map(|process| process.http.clone()).collect()
+        self.carriers
+            .iter()
+            .chain(&self.postmasters)
+            .map(|process| process.http.clone())
+            .collect()
     }
 
     /// Waits until all these answer that they are ready. False where that took longer than `within`.
@@ -219,8 +288,15 @@
         let until = tokio::time::Instant::now() + within;
         for address in addresses {
             loop {
-                let called =
-                    caller.call(address, "GET", "/ready", &[], bytes::Bytes::new(), Duration::from_secs(2), false);
+                let called = caller.call(
+                    address,
+                    "GET",
+                    "/ready",
+                    &[],
+                    bytes::Bytes::new(),
+                    Duration::from_secs(2),
+                    false,
+                );
                 if called.await.is_ok_and(|reply| reply.status == 200) {
                     break;
                 }
--- a/crates/drill/src/history.rs
+++ b/crates/drill/src/history.rs
@@ -19,7 +19,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// A setup, with the operator's own number or the edition it was made from, where it has one.
-    Setup { number: Option<u64>, base: Option<u64>, digest: String },
+    Setup {
+        number: Option<u64>,
+        base: Option<u64>,
+        digest: String,
+    },
     /// Evacuates a locality, or takes it back.
     Evacuate { locality: String, back: bool },
     /// Reads the setup back.
@@ -107,25 +111,41 @@
 
 impl Model {
     fn new() -> Model {
-        Model { edition: Some(0), ..Model::default() }
+        Model {
+            edition: Some(0),
+            ..Model::default()
+        }
     }
 
     /// The state after a call, where its answer fits; without an answer, only where it changes something.
     fn after(&self, call: &Call) -> Option<Model> {
         match (&call.order, call.returned.as_ref().map(|(_, reply)| reply)) {
-            (Order::Rescue, _) => Some(Model { edition: None, ..self.clone() }),
-            (Order::Read, Some(Reply::Read { edition, digest })) => {
-                (*digest == self.digest).then(|| self.at_edition(Some(*edition))).flatten()
-            }
+            (Order::Rescue, _) => Some(Model {
+                edition: None,
+                ..self.clone()
+            }),
+            (Order::Read, Some(Reply::Read { edition, digest })) => (*digest == self.digest)
+                .then(|| self.at_edition(Some(*edition)))
+                .flatten(),
             (Order::Read, _) => None,
             (order, None) => self.changed(order),
-            (order, Some(Reply::Decided { code: Code::Fine, edition })) => match self.changed(order) {
+            (
+                order,
+                Some(Reply::Decided {
+                    code: Code::Fine,
+                    edition,
+                }),
+            ) => match self.changed(order) {
                 Some(changed) => changed.at_edition(*edition),
-                None => self.stands(order).then(|| self.at_edition(*edition)).flatten(),
+                None => self
+                    .stands(order)
+                    .then(|| self.at_edition(*edition))
+                    .flatten(),
             },
-            (order, Some(Reply::Decided { code, edition })) => {
-                self.refuses(order, *code).then(|| self.at_edition(*edition)).flatten()
-            }
+            (order, Some(Reply::Decided { code, edition })) => self
+                .refuses(order, *code)
+                .then(|| self.at_edition(*edition))
+                .flatten(),
             (_, Some(Reply::Read { .. })) => None,
         }
     }
@@ -133,17 +153,26 @@
     /// This state, where it may have the edition that an answer told.
     fn at_edition(&self, told: Option<u64>) -> Option<Model> {
         let fits = told.is_none() || self.edition.is_none() || told == self.edition;
-        fits.then(|| Model { edition: told.or(self.edition), ..self.clone() })
+        fits.then(|| Model {
+            edition: told.or(self.edition),
+            ..self.clone()
+        })
     }
 
     /// The state after an order that changes something.
     fn changed(&self, order: &Order) -> Option<Model> {
         let mut next = self.clone();
         match order {
-            Order::Setup { base, .. } if base.is_some_and(|base| self.edition.is_some_and(|known| known != base)) => {
+            Order::Setup { base, .. }
+                if base.is_some_and(|base| self.edition.is_some_and(|known| known != base)) =>
+            {
                 return None;
             }
-            Order::Setup { number: Some(number), digest, .. } => {
+            Order::Setup {
+                number: Some(number),
+                digest,
+                ..
+            } => {
                 if self.number.is_some_and(|held| *number <= held) {
                     return None;
                 }
@@ -152,8 +181,14 @@
                 next.digest.clone_from(digest);
             }
             Order::Setup { digest, .. } => next.digest.clone_from(digest),
-            Order::Evacuate { locality, back: false } if !next.evacuated.insert(locality.clone()) => return None,
-            Order::Evacuate { locality, back: true } if !next.evacuated.remove(locality) => return None,
+            Order::Evacuate {
+                locality,
+                back: false,
+            } if !next.evacuated.insert(locality.clone()) => return None,
+            Order::Evacuate {
+                locality,
+                back: true,
+            } if !next.evacuated.remove(locality) => return None,
             Order::Evacuate { .. } => {}
             Order::Read | Order::Rescue => return None,
         }
@@ -164,7 +199,11 @@
     /// True where an order that changes nothing finds what it asks for.
     fn stands(&self, order: &Order) -> bool {
         match order {
-            Order::Setup { number: Some(number), digest, .. } => self.numbers.get(number) == Some(digest),
+            Order::Setup {
+                number: Some(number),
+                digest,
+                ..
+            } => self.numbers.get(number) == Some(digest),
             Order::Evacuate { locality, back } => self.evacuated.contains(locality) != *back,
             _ => false,
         }
@@ -172,14 +211,25 @@
 
     /// True where an order that changes nothing is rightly told so with this code.
     fn refuses(&self, order: &Order, code: Code) -> bool {
-        let Order::Setup { number, base, digest } = order else { return false };
+        let Order::Setup {
+            number,
+            base,
+            digest,
+        } = order
+        else {
+            return false;
+        };
         match code {
-            Code::SetupBehind => base.is_some() && (self.edition.is_none() || *base != self.edition),
+            Code::SetupBehind => {
+                base.is_some() && (self.edition.is_none() || *base != self.edition)
+            }
             Code::NumberTaken => {
                 let known = number.and_then(|number| self.numbers.get(&number));
                 known.is_some_and(|known| known != digest)
             }
-            Code::Overtaken => number.is_some_and(|number| self.number.is_some_and(|held| number < held)),
+            Code::Overtaken => {
+                number.is_some_and(|number| self.number.is_some_and(|held| number < held))
+            }
             _ => false,
         }
     }
@@ -217,7 +267,10 @@
 
 impl<'a> Search<'a> {
     fn new(calls: &'a [Call]) -> Self {
-        let starts = calls.iter().enumerate().map(|(at, call)| (call.called_at, false, at));
+        let starts = calls
+            .iter()
+            .enumerate()
+            .map(|(at, call)| (call.called_at, false, at));
         let ends = calls.iter().enumerate().filter_map(|(at, call)| {
             let (returned_at, _) = call.returned.as_ref()?;
             Some((*returned_at, true, at))
@@ -226,22 +279,47 @@
         let mut moments: Vec<(Duration, bool, usize)> = starts.chain(ends).collect();
         moments.sort();
         let count = moments.len();
-        let mut events =
-            vec![Event { call: NONE, is_return: false, before: NONE, after: if count > 0 { 1 } else { NONE } }];
+        let mut events = vec![Event {
+            call: NONE,
+            is_return: false,
+            before: NONE,
+            after: if count > 0 { 1 } else { NONE },
+        }];
         let mut returns = vec![NONE; calls.len()];
-        moments.into_iter().enumerate().for_each(|(at, (_, is_return, call))| {
-            let after = if at + 1 < count { at + 2 } else { NONE };
-            events.push(Event { call, is_return, before: at, after });
-            if is_return {
-                returns[call] = at + 1;
-            }
-        });
+        moments
+            .into_iter()
+            .enumerate()
+            .for_each(|(at, (_, is_return, call))| {
+                let after = if at + 1 < count { at + 2 } else { NONE };
+                events.push(Event {
+                    call,
+                    is_return,
+                    before: at,
+                    after,
+                });
+                if is_return {
+                    returns[call] = at + 1;
+                }
+            });
         let open = returns.iter().filter(|at| **at != NONE).count();
         let ordered = vec![0; calls.len().div_ceil(64)];
         let mut awaited = BTreeMap::new();
-        calls.iter().filter_map(Call::told_edition).for_each(|edition| *awaited.entry(edition).or_insert(0) += 1);
+        calls
+            .iter()
+            .filter_map(Call::told_edition)
+            .for_each(|edition| *awaited.entry(edition).or_insert(0) += 1);
         let (model, tried, stuck) = (Model::new(), HashSet::new(), None);
-        Search { calls, events, returns, open, ordered, awaited, model, tried, stuck }
+        Search {
+            calls,
+            events,
+            returns,
+            open,
+            ordered,
+            awaited,
+            model,
+            tried,
+            stuck,
+        }
     }
 
     fn run(mut self) -> Result<(), Flaw> {
@@ -263,7 +341,9 @@
             }
             // An answer whose call is not in order yet: what was chosen last was wrong.
             self.stuck = self.stuck.max(Some(at));
-            let Some(last) = self.take_back(&mut chosen) else { return Err(self.flaw()) };
+            let Some(last) = self.take_back(&mut chosen) else {
+                return Err(self.flaw());
+            };
             at = self.events[last].after;
         }
         Err(Flaw::TooLong)
@@ -271,9 +351,16 @@
 
     fn flaw(&self) -> Flaw {
         let call = self.stuck.map(|at| &self.calls[self.events[at].call]);
-        let at = call.and_then(|call| call.returned.as_ref()).map(|(at, _)| *at).unwrap_or_default();
-        let told = call.map(|call| format!("{} {:?} -> {:?}", call.name, call.order, call.returned));
-        Flaw::NoOrder { call: told.unwrap_or_default(), at }
+        let at = call
+            .and_then(|call| call.returned.as_ref())
+            .map(|(at, _)| *at)
+            .unwrap_or_default();
+        let told =
+            call.map(|call| format!("{} {:?} -> {:?}", call.name, call.order, call.returned));
+        Flaw::NoOrder {
+            call: told.unwrap_or_default(),
+            at,
+        }
     }
 
     /// Puts a call next in order, where its answer fits and that was not tried; gives the state before it.
@@ -282,7 +369,11 @@
         let after = self.model.after(&self.calls[call])?;
         self.mark(call);
         self.await_edition(call, false);
-        let went_past = self.awaited.first_key_value().zip(after.edition).is_some_and(|((first, _), now)| *first < now);
+        let went_past = self
+            .awaited
+            .first_key_value()
+            .zip(after.edition)
+            .is_some_and(|((first, _), now)| *first < now);
         if went_past || !self.tried.insert(self.fingerprint(&after)) {
             self.mark(call);
             self.await_edition(call, true);
@@ -322,7 +413,9 @@
 
     /// Notes that a call's edition is awaited, or no longer.
     fn await_edition(&mut self, call: usize, awaited: bool) {
-        let Some(edition) = self.calls[call].told_edition() else { return };
+        let Some(edition) = self.calls[call].told_edition() else {
+            return;
+        };
         let count = self.awaited.entry(edition).or_insert(0);
         *count = if awaited { *count + 1 } else { *count - 1 };
         if *count == 0 {
@@ -372,22 +465,44 @@
     seen.iter().for_each(|(at, fact)| match fact {
         Fact::Called { call, order } => {
             known.insert(call, calls.len());
-            calls.push(Call { name: call.clone(), called_at: *at, order: order.clone(), returned: None });
+            calls.push(Call {
+                name: call.clone(),
+                called_at: *at,
+                order: order.clone(),
+                returned: None,
+            });
         }
         Fact::Returned { call, reply } => {
             let call = known.get(call.as_str()).map(|at| &mut calls[*at]);
             let open = call.filter(|call| call.returned.is_none() && is_clear(reply));
-            open.into_iter().for_each(|call| call.returned = Some((*at, reply.clone())));
+            open.into_iter()
+                .for_each(|call| call.returned = Some((*at, reply.clone())));
         }
-        Fact::ReadBack { node, edition, digest, asked_at } => calls.push(Call {
+        Fact::ReadBack {
+            node,
+            edition,
+            digest,
+            asked_at,
+        } => calls.push(Call {
             name: format!("read at {node}"),
             called_at: *asked_at,
             order: Order::Read,
-            returned: Some((*at, Reply::Read { edition: *edition, digest: digest.clone() })),
+            returned: Some((
+                *at,
+                Reply::Read {
+                    edition: *edition,
+                    digest: digest.clone(),
+                },
+            )),
         }),
         Fact::Rescued => {
             let name = "rescue".to_owned();
-            calls.push(Call { name, called_at: *at, order: Order::Rescue, returned: None });
+            calls.push(Call {
+                name,
+                called_at: *at,
+                order: Order::Rescue,
+                returned: None,
+            });
         }
         _ => {}
     });
@@ -398,8 +513,14 @@
 /// been in force before.
 fn is_clear(reply: &Reply) -> bool {
     match reply {
-        Reply::Decided { code: Code::OrderForgotten, .. } => false,
-        Reply::Decided { code: Code::Overtaken, edition: None } => false,
+        Reply::Decided {
+            code: Code::OrderForgotten,
+            ..
+        } => false,
+        Reply::Decided {
+            code: Code::Overtaken,
+            edition: None,
+        } => false,
         Reply::Decided { .. } | Reply::Read { .. } => true,
     }
 }
@@ -413,11 +534,16 @@
     let mut first: BTreeMap<&str, &Reply> = BTreeMap::new();
     let mut changed = Vec::new();
     seen.iter().for_each(|(at, fact)| {
-        let Fact::Returned { call, reply } = fact else { return };
+        let Fact::Returned { call, reply } = fact else {
+            return;
+        };
         if is_clear(reply) {
             let known = first.entry(call).or_insert(reply);
             if *known != reply {
-                changed.push((*at, format!("{call} was told {known:?}, and later {reply:?}")));
+                changed.push((
+                    *at,
+                    format!("{call} was told {known:?}, and later {reply:?}"),
+                ));
             }
         }
     });
--- a/crates/drill/src/hollow/calls.rs
+++ b/crates/drill/src/hollow/calls.rs
@@ -43,9 +43,21 @@
     pub(crate) fn order_setup(&mut self, at: Option<usize>) {
         let number = self.calls.asked;
         // Each is another one, of the same size.
-        let text = self.size.setup(0).replace("\"r0\"", &format!("\"r0-{number:06}\""));
+        let text = self
+            .size
+            .setup(0)
+            .replace("\"r0\"", &format!("\"r0-{number:06}\""));
         let (id, bytes) = (format!("order-{number}").into(), text.into_bytes());
-        self.call(at, "submit", Ask::Submit { id, base: None, bytes, in_force: false });
+        self.call(
+            at,
+            "submit",
+            Ask::Submit {
+                id,
+                base: None,
+                bytes,
+                in_force: false,
+            },
+        );
     }
 
     /// An upstream says that it ends now, and does.
@@ -56,7 +68,9 @@
     }
 
     fn call(&mut self, at: Option<usize>, kind: &'static str, ask: Ask) {
-        let Some(at) = at.or_else(|| self.some_control_node()) else { return };
+        let Some(at) = at.or_else(|| self.some_control_node()) else {
+            return;
+        };
         let token = self.token();
         self.calls.asked += 1;
         self.calls.asked_at.insert(token, self.now);
@@ -65,9 +79,14 @@
 
     /// True where the answer was one to such a call.
     pub(super) fn answer_call(&mut self, token: u64, answer: &Answer) -> bool {
-        let Some(asked_at) = self.calls.asked_at.remove(&token) else { return false };
+        let Some(asked_at) = self.calls.asked_at.remove(&token) else {
+            return false;
+        };
         match answer {
-            Answer::Verdict { code: address::Code::Fine, edition } => {
+            Answer::Verdict {
+                code: address::Code::Fine,
+                edition,
+            } => {
                 self.calls.taken_after.push(self.now - asked_at);
                 self.calls.awaited.push((*edition, asked_at));
             }
@@ -83,12 +102,19 @@
         let until = self.now + span;
         while self.now < until {
             self.run_for(step.min(until - self.now));
-            let everywhere = self.views().map(|(_, _, view)| view.edition).min().unwrap_or(0);
+            let everywhere = self
+                .views()
+                .map(|(_, _, view)| view.edition)
+                .min()
+                .unwrap_or(0);
             let now = self.now;
-            let (done, awaited): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.calls.awaited).into_iter().partition(|(edition, _)| *edition <= everywhere);
+            let (done, awaited): (Vec<_>, Vec<_>) = std::mem::take(&mut self.calls.awaited)
+                .into_iter()
+                .partition(|(edition, _)| *edition <= everywhere);
             self.calls.awaited = awaited;
-            self.calls.in_force_after.extend(done.into_iter().map(|(_, asked_at)| now - asked_at));
+            self.calls
+                .in_force_after
+                .extend(done.into_iter().map(|(_, asked_at)| now - asked_at));
         }
     }
 }
--- a/crates/drill/src/hollow/count.rs
+++ b/crates/drill/src/hollow/count.rs
@@ -19,7 +19,13 @@
     Upstream,
 }
 
-pub const ROLES: [Role; 5] = [Role::Carrier, Role::Voter, Role::Holder, Role::Replica, Role::Upstream];
+pub const ROLES: [Role; 5] = [
+    Role::Carrier,
+    Role::Voter,
+    Role::Holder,
+    Role::Replica,
+    Role::Upstream,
+];
 
 impl fmt::Display for Role {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -160,7 +166,11 @@
     }
 
     fn sum(&self, counts: impl Fn(&Way) -> bool) -> Flow {
-        self.flows.iter().filter(|(way, _)| counts(way)).map(|(_, flow)| *flow).sum()
+        self.flows
+            .iter()
+            .filter(|(way, _)| counts(way))
+            .map(|(_, flow)| *flow)
+            .sum()
     }
 
     /// Everything by kind.
@@ -172,12 +182,14 @@
     /// assert_eq!(ledger.totals()["probe"].bytes, 100);
     /// ```
     pub fn totals(&self) -> BTreeMap<&'static str, Flow> {
-        self.flows.iter().fold(BTreeMap::new(), |mut totals, ((_, _, kind, _), flow)| {
-            let total: &mut Flow = totals.entry(kind).or_default();
-            total.messages += flow.messages;
-            total.bytes += flow.bytes;
-            totals
-        })
+        self.flows
+            .iter()
+            .fold(BTreeMap::new(), |mut totals, ((_, _, kind, _), flow)| {
+                let total: &mut Flow = totals.entry(kind).or_default();
+                total.messages += flow.messages;
+                total.bytes += flow.bytes;
+                totals
+            })
     }
 
     /// Out of and into a role, by kind.
@@ -190,8 +202,14 @@
         let mut kinds: BTreeMap<&'static str, (Flow, Flow)> = BTreeMap::new();
         self.flows.iter().for_each(|((from, to, kind, _), flow)| {
             let (out, into) = kinds.entry(kind).or_default();
-            *out = [*out, *flow].into_iter().take(1 + usize::from(*from == role)).sum();
-            *into = [*into, *flow].into_iter().take(1 + usize::from(*to == role)).sum();
+            *out = [*out, *flow]
+                .into_iter()
+                .take(1 + usize::from(*from == role))
+                .sum();
+            *into = [*into, *flow]
+                .into_iter()
+                .take(1 + usize::from(*to == role))
+                .sum();
         });
         kinds.retain(|_, (out, into)| out.messages + into.messages > 0);
         kinds
@@ -204,7 +222,11 @@
     /// assert!(Ledger::default().steps(Role::Carrier).is_empty());
     /// ```
     pub fn steps(&self, role: Role) -> BTreeMap<&'static str, Steps> {
-        self.steps.iter().filter(|((of, _), _)| *of == role).map(|((_, kind), steps)| (*kind, *steps)).collect()
+        self.steps
+            .iter()
+            .filter(|((of, _), _)| *of == role)
+            .map(|((_, kind), steps)| (*kind, *steps))
+            .collect()
     }
 
     /// The time in step functions of each process of a role.
@@ -214,7 +236,11 @@
     /// assert!(Ledger::default().busy(Role::Carrier).is_empty());
     /// ```
     pub fn busy(&self, role: Role) -> Vec<Duration> {
-        self.busy.iter().filter(|((of, _), _)| *of == role).map(|(_, took)| *took).collect()
+        self.busy
+            .iter()
+            .filter(|((of, _), _)| *of == role)
+            .map(|(_, took)| *took)
+            .collect()
     }
 }
 
@@ -236,7 +262,9 @@
     /// assert!(drill::hollow::Stopwatch::start().took() < std::time::Duration::from_secs(1));
     /// ```
     pub fn start() -> Self {
-        Stopwatch { started_at: processor_time() }
+        Stopwatch {
+            started_at: processor_time(),
+        }
     }
 
     /// The time since then.
@@ -247,7 +275,12 @@
     /// assert!(sum > 0 && watch.took() > std::time::Duration::ZERO);
     /// ```
     pub fn took(&self) -> Duration {
-        let looking = *LOOKING.get_or_init(|| (0..1000).map(|_| Stopwatch::start().plain()).min().unwrap_or_default());
+        let looking = *LOOKING.get_or_init(|| {
+            (0..1000)
+                .map(|_| Stopwatch::start().plain())
+                .min()
+                .unwrap_or_default()
+        });
         self.plain().saturating_sub(looking)
     }
 
--- a/crates/drill/src/hollow/figures.rs
+++ b/crates/drill/src/hollow/figures.rs
@@ -27,7 +27,10 @@
     /// assert_eq!(drill::hollow::Figures::default().get("a"), None);
     /// ```
     pub fn get(&self, name: &str) -> Option<f64> {
-        self.0.iter().find(|(known, _)| known == name).map(|(_, figure)| *figure)
+        self.0
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, figure)| *figure)
     }
 
     /// A line as [`Figures`] writes it, read again.
@@ -37,14 +40,22 @@
     /// assert_eq!(read.get("carrier.core%"), Some(0.25));
     /// ```
     pub fn read(line: &str) -> Figures {
-        let pairs = line.split_whitespace().filter_map(|word| word.split_once('='));
-        Figures(pairs.filter_map(|(name, figure)| Some((name.to_owned(), figure.parse().ok()?))).collect())
+        let pairs = line
+            .split_whitespace()
+            .filter_map(|word| word.split_once('='));
+        Figures(
+            pairs
+                .filter_map(|(name, figure)| Some((name.to_owned(), figure.parse().ok()?)))
+                .collect(),
+        )
     }
 
     /// Rates of a window: by role and process, a second.
     pub(crate) fn of(ledger: &Ledger, size: &Size, window: Duration) -> Figures {
         let mut figures = Figures::default();
-        let there = ROLES.into_iter().filter(|role| *role != Role::Replica || processes(ledger, size, *role) > 0);
+        let there = ROLES
+            .into_iter()
+            .filter(|role| *role != Role::Replica || processes(ledger, size, *role) > 0);
         there.for_each(|role| figures.add_role(ledger, size, window, role));
         figures
     }
@@ -57,18 +68,30 @@
         self.add(format!("{role}.out.bytes"), out.bytes as f64 / each);
         self.add(format!("{role}.in.bytes"), into.bytes as f64 / each);
         REACHES.into_iter().for_each(|reach| {
-            let both = ledger.out(role, Some(reach)).bytes + ledger.into_role(role, Some(reach)).bytes;
+            let both =
+                ledger.out(role, Some(reach)).bytes + ledger.into_role(role, Some(reach)).bytes;
             self.add(format!("{role}.{reach}.bytes"), both as f64 / each);
         });
-        let shares = ledger.busy(role).into_iter().map(|busy| busy.as_secs_f64() * 100.0 / window.as_secs_f64());
+        let shares = ledger
+            .busy(role)
+            .into_iter()
+            .map(|busy| busy.as_secs_f64() * 100.0 / window.as_secs_f64());
         let shares: Vec<f64> = shares.collect();
         if !shares.is_empty() {
             let held = shares.len() as f64;
             let mean = shares.iter().sum::<f64>() / held;
-            let spread = (shares.iter().map(|share| (share - mean).powi(2)).sum::<f64>() / held).sqrt();
+            let spread = (shares
+                .iter()
+                .map(|share| (share - mean).powi(2))
+                .sum::<f64>()
+                / held)
+                .sqrt();
             self.add(format!("{role}.core%"), mean);
             self.add(format!("{role}.core%.spread"), spread);
-            self.add(format!("{role}.core%.most"), shares.iter().copied().fold(0.0, f64::max));
+            self.add(
+                format!("{role}.core%.most"),
+                shares.iter().copied().fold(0.0, f64::max),
+            );
         }
     }
 }
@@ -76,10 +99,18 @@
 impl std::fmt::Display for Figures {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let shown = |figure: f64| {
-            let places = if figure.abs() >= 100.0 || figure == figure.trunc() { 0 } else { 4 };
+            let places = if figure.abs() >= 100.0 || figure == figure.trunc() {
+                0
+            } else {
+                4
+            };
             format!("{figure:.places$}")
         };
-        let line: Vec<String> = self.0.iter().map(|(name, figure)| format!("{name}={}", shown(*figure))).collect();
+        let line: Vec<String> = self
+            .0
+            .iter()
+            .map(|(name, figure)| format!("{name}={}", shown(*figure)))
+            .collect();
         f.write_str(&line.join(" "))
     }
 }
@@ -97,7 +128,9 @@
 
 /// Tables of one window by kind of message and cause of step.
 pub(crate) fn print_kinds(ledger: &Ledger, size: &Size, window: Duration) {
-    let shown = ROLES.into_iter().filter(|role| *role != Role::Upstream && processes(ledger, size, *role) > 0);
+    let shown = ROLES
+        .into_iter()
+        .filter(|role| *role != Role::Upstream && processes(ledger, size, *role) > 0);
     shown.for_each(|role| {
         let each = processes(ledger, size, role) as f64 * window.as_secs_f64();
         println!("{role}, one process, a second:");
--- a/crates/drill/src/hollow/fit.rs
+++ b/crates/drill/src/hollow/fit.rs
@@ -61,8 +61,17 @@
 
 impl fmt::Display for Fit {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Fit { growth, start, slope, residual } = self;
-        write!(f, "{start:.4} + {slope:.4e} {growth}, residual {:.1} %", residual * 100.0)
+        let Fit {
+            growth,
+            start,
+            slope,
+            residual,
+        } = self;
+        write!(
+            f,
+            "{start:.4} + {slope:.4e} {growth}, residual {:.1} %",
+            residual * 100.0
+        )
     }
 }
 
@@ -75,7 +84,10 @@
 /// assert!(fit(&square)[0].residual < 1e-9);
 /// ```
 pub fn fit(points: &[(f64, f64)]) -> Vec<Fit> {
-    let mut fits: Vec<Fit> = GROWTHS.iter().map(|growth| least_squares(*growth, points)).collect();
+    let mut fits: Vec<Fit> = GROWTHS
+        .iter()
+        .map(|growth| least_squares(*growth, points))
+        .collect();
     fits.sort_by(|a, b| a.residual.total_cmp(&b.residual));
     fits
 }
@@ -86,10 +98,23 @@
     let mean_x = xs.iter().sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
     let spread: f64 = xs.iter().map(|x| (x - mean_x).powi(2)).sum();
-    let shared: f64 = xs.iter().zip(points).map(|(x, (_, y))| (x - mean_x) * (y - mean_y)).sum();
+    let shared: f64 = xs
+        .iter()
+        .zip(points)
+        .map(|(x, (_, y))| (x - mean_x) * (y - mean_y))
+        .sum();
     let slope = if spread > 0.0 { shared / spread } else { 0.0 };
     let start = mean_y - slope * mean_x;
-    let off: f64 = xs.iter().zip(points).map(|(x, (_, y))| (y - start - slope * x).powi(2)).sum();
+    let off: f64 = xs
+        .iter()
+        .zip(points)
+        .map(|(x, (_, y))| (y - start - slope * x).powi(2))
+        .sum();
     let residual = (off / count).sqrt() / mean_y.abs().max(f64::MIN_POSITIVE);
-    Fit { growth, start, slope, residual }
+    Fit {
+        growth,
+        start,
+        slope,
+        residual,
+    }
 }
--- a/crates/drill/src/hollow/flags.rs
+++ b/crates/drill/src/hollow/flags.rs
@@ -64,11 +64,16 @@
 
 fn act(wish: &Wish) -> Result<(), String> {
     match &wish.grid {
-        Some(grid) if wish.recorded.is_some() => recorded(grid, wish.recorded.as_deref().unwrap_or_default()),
+        Some(grid) if wish.recorded.is_some() => {
+            recorded(grid, wish.recorded.as_deref().unwrap_or_default())
+        }
         Some(grid) => gridded(grid, wish),
         None => {
             let figures = one(&wish.run)?;
-            println!("what={} seed={} {} {figures}", wish.run.what, wish.run.seed, wish.run.size);
+            println!(
+                "what={} seed={} {} {figures}",
+                wish.run.what, wish.run.seed, wish.run.size
+            );
             Ok(())
         }
     }
@@ -91,8 +96,13 @@
         ("routes", &mut size.routes),
         ("services", &mut size.services),
     ];
-    let at = known.into_iter().find(|(name, _)| *name == grid).map(|(_, number)| *number);
-    Some(at).filter(|at| at.is_some() || grid == "all").ok_or(format!("--grid '{grid}'"))
+    let at = known
+        .into_iter()
+        .find(|(name, _)| *name == grid)
+        .map(|(_, number)| *number);
+    Some(at)
+        .filter(|at| at.is_some() || grid == "all")
+        .ok_or(format!("--grid '{grid}'"))
 }
 
 fn gridded(grid: &str, wish: &Wish) -> Result<(), String> {
@@ -100,7 +110,15 @@
     let program = std::env::current_exe().map_err(|failure| failure.to_string())?;
     let flags = |n: usize| -> Vec<String> {
         if grid == "all" {
-            let Size { nodes, postmasters, upstreams, services, routes, regions, zones } = Size::shrunk(n);
+            let Size {
+                nodes,
+                postmasters,
+                upstreams,
+                services,
+                routes,
+                regions,
+                zones,
+            } = Size::shrunk(n);
             let all = [
                 ("nodes", nodes),
                 ("postmasters", postmasters),
@@ -110,7 +128,9 @@
                 ("regions", regions),
                 ("zones", zones),
             ];
-            all.into_iter().flat_map(|(name, number)| [format!("--{name}"), number.to_string()]).collect()
+            all.into_iter()
+                .flat_map(|(name, number)| [format!("--{name}"), number.to_string()])
+                .collect()
         } else {
             vec![format!("--{grid}"), n.to_string()]
         }
@@ -126,10 +146,15 @@
             })
             .collect();
         for (n, child) in started {
-            let output = child.and_then(|child| child.wait_with_output()).map_err(|failure| failure.to_string())?;
+            let output = child
+                .and_then(|child| child.wait_with_output())
+                .map_err(|failure| failure.to_string())?;
             let text = String::from_utf8_lossy(&output.stdout).into_owned();
             print!("{text}");
-            let line = text.lines().rfind(|line| line.starts_with("what=")).map(Figures::read);
+            let line = text
+                .lines()
+                .rfind(|line| line.starts_with("what="))
+                .map(Figures::read);
             lines.extend(line.map(|line| (n as f64, line)));
         }
     }
@@ -142,9 +167,20 @@
     dimension(&mut TODAY.clone(), grid)?;
     let text = std::fs::read_to_string(file).map_err(|failure| format!("{file}: {failure}"))?;
     let number = if grid == "all" { "nodes" } else { grid };
-    let runs = text.lines().filter(|line| line.starts_with("what=")).map(Figures::read);
-    let by_size: BTreeMap<u64, Figures> = runs.filter_map(|run| Some((run.get(number)? as u64, run))).collect();
-    print_fits(grid, &by_size.into_iter().map(|(n, run)| (n as f64, run)).collect::<Vec<_>>());
+    let runs = text
+        .lines()
+        .filter(|line| line.starts_with("what="))
+        .map(Figures::read);
+    let by_size: BTreeMap<u64, Figures> = runs
+        .filter_map(|run| Some((run.get(number)? as u64, run)))
+        .collect();
+    print_fits(
+        grid,
+        &by_size
+            .into_iter()
+            .map(|(n, run)| (n as f64, run))
+            .collect::<Vec<_>>(),
+    );
     Ok(())
 }
 
@@ -160,25 +196,45 @@
     let (Some((_, first)), true) = (lines.first(), lines.len() >= 4) else {
         return println!("no fits: {} runs of at least 4", lines.len());
     };
-    let sized = ["seed", "nodes", "postmasters", "upstreams", "services", "routes", "regions", "zones"];
-    first.0.iter().filter(|(name, _)| !sized.contains(&name.as_str())).for_each(|(name, _)| {
-        let points: Vec<(f64, f64)> = lines.iter().filter_map(|(n, line)| Some((*n, line.get(name)?))).collect();
-        let fine =
-            points.len() >= 4 && points.iter().all(|(_, y)| y.is_finite()) && points.iter().any(|(_, y)| *y != 0.0);
-        if fine {
-            let fits = fit(&points);
-            println!(
-                "fit {name} over {grid}: best {}; at {target}: {:.4}; {}",
-                fits[0],
-                fits[0].at(target),
-                others(&fits)
-            );
-        }
-    });
+    let sized = [
+        "seed",
+        "nodes",
+        "postmasters",
+        "upstreams",
+        "services",
+        "routes",
+        "regions",
+        "zones",
+    ];
+    first
+        .0
+        .iter()
+        .filter(|(name, _)| !sized.contains(&name.as_str()))
+        .for_each(|(name, _)| {
+            let points: Vec<(f64, f64)> = lines
+                .iter()
+                .filter_map(|(n, line)| Some((*n, line.get(name)?)))
+                .collect();
+            let fine = points.len() >= 4
+                && points.iter().all(|(_, y)| y.is_finite())
+                && points.iter().any(|(_, y)| *y != 0.0);
+            if fine {
+                let fits = fit(&points);
+                println!(
+                    "fit {name} over {grid}: best {}; at {target}: {:.4}; {}",
+                    fits[0],
+                    fits[0].at(target),
+                    others(&fits)
+                );
+            }
+        });
 }
 
 fn others(fits: &[super::fit::Fit]) -> String {
-    let others = fits.iter().skip(1).map(|fit| format!("{} off by {:.1} %", fit.growth, fit.residual * 100.0));
+    let others = fits
+        .iter()
+        .skip(1)
+        .map(|fit| format!("{} off by {:.1} %", fit.growth, fit.residual * 100.0));
     others.collect::<Vec<_>>().join(", ")
 }
 
@@ -193,14 +249,23 @@
         replicas: 0,
         kinds: false,
     };
-    let mut wish = Wish { run, grid: None, sizes: Vec::new(), jobs: 1, recorded: None, passed: Vec::new() };
+    let mut wish = Wish {
+        run,
+        grid: None,
+        sizes: Vec::new(),
+        jobs: 1,
+        recorded: None,
+        passed: Vec::new(),
+    };
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next().map_err(|failure| failure.to_string())? {
         use lexopt::Arg::{Long, Value};
         let name = match arg {
             Long("help") => {
                 println!("{HELP}\n");
-                TRIALS.iter().for_each(|(name, what)| println!("  {name:<10} {what}"));
+                TRIALS
+                    .iter()
+                    .for_each(|(name, what)| println!("  {name:<10} {what}"));
                 return Ok(None);
             }
             Value(word) if word == "hollow" => continue,
@@ -217,15 +282,25 @@
             Long(name) => name.to_owned(),
             other => return Err(other.unexpected().to_string()),
         };
-        let value = parser.value().map_err(|failure| failure.to_string())?.to_string_lossy().into_owned();
+        let value = parser
+            .value()
+            .map_err(|failure| failure.to_string())?
+            .to_string_lossy()
+            .into_owned();
         take(&mut wish, &name, value)?;
     }
     Ok(Some(wish))
 }
 
 fn take(wish: &mut Wish, name: &str, value: String) -> Result<(), String> {
-    let number = |value: &str| value.parse::<usize>().map_err(|_| format!("--{name} '{value}'"));
-    let some = |value: &str| number(value).and_then(|n| Some(n).filter(|n| *n > 0).ok_or(format!("--{name} 0")));
+    let number = |value: &str| {
+        value
+            .parse::<usize>()
+            .map_err(|_| format!("--{name} '{value}'"))
+    };
+    let some = |value: &str| {
+        number(value).and_then(|n| Some(n).filter(|n| *n > 0).ok_or(format!("--{name} 0")))
+    };
     match name {
         "grid" => wish.grid = Some(value),
         "sizes" => wish.sizes = value.split(',').map(some).collect::<Result<_, _>>()?,
--- a/crates/drill/src/hollow/fleet.rs
+++ b/crates/drill/src/hollow/fleet.rs
@@ -105,9 +105,13 @@
             cut: None,
             control_nodes: size.nodes..size.nodes + size.postmasters,
         };
-        let carriers = (0..size.nodes).map(|at| (format!("carrier-{at}"), size.zone(at), Role::Carrier));
-        let control_nodes = (0..size.postmasters).map(|at| (format!("postmaster-{at}"), size.zone(at), Role::Voter));
-        carriers.chain(control_nodes).for_each(|(name, zone, role)| fleet.push(name, zone, role));
+        let carriers =
+            (0..size.nodes).map(|at| (format!("carrier-{at}"), size.zone(at), Role::Carrier));
+        let control_nodes = (0..size.postmasters)
+            .map(|at| (format!("postmaster-{at}"), size.zone(at), Role::Voter));
+        carriers
+            .chain(control_nodes)
+            .for_each(|(name, zone, role)| fleet.push(name, zone, role));
         (0..fleet.nodes.len()).for_each(|at| fleet.start(at));
         fleet.lay_out_units();
         fleet
@@ -131,8 +135,19 @@
 
     fn member(&self, at: usize) -> Member {
         let node = &self.nodes[at];
-        let roles = if node.role == Role::Carrier { "proxy,directory" } else { "postmaster" };
-        let port = |port: u32| format!("10.{}.{}.{}:{port}", 100 + at / 62_500, at / 250 % 250, at % 250);
+        let roles = if node.role == Role::Carrier {
+            "proxy,directory"
+        } else {
+            "postmaster"
+        };
+        let port = |port: u32| {
+            format!(
+                "10.{}.{}.{}:{port}",
+                100 + at / 62_500,
+                at / 250 % 250,
+                at % 250
+            )
+        };
         // Links are found by node id here; the address only has its true length.
         Member {
             node: node.name.clone(),
@@ -150,7 +165,12 @@
     pub(crate) fn start(&mut self, at: usize) {
         let me = self.member(at);
         self.named.insert(me.probe_address.clone(), at);
-        let seeds = self.control_nodes.clone().take(3).map(|at| self.member(at).probe_address).collect();
+        let seeds = self
+            .control_nodes
+            .clone()
+            .take(3)
+            .map(|at| self.member(at).probe_address)
+            .collect();
         let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap_or_default();
         let seed = self.random.next_u64();
         let without_vote = self.nodes[at].role == Role::Replica;
@@ -163,11 +183,21 @@
         node.core = if node.role == Role::Carrier {
             let times = carrier::shell::times(&settings);
             Core::Carrier(
-                Box::new(Carrier::new(carrier::Start { me, seeds, seed, reader: Default::default(), times })),
+                Box::new(Carrier::new(carrier::Start {
+                    me,
+                    seeds,
+                    seed,
+                    reader: Default::default(),
+                    times,
+                })),
                 Box::default(),
             )
         } else {
-            node.role = if without_vote { Role::Replica } else { Role::Voter };
+            node.role = if without_vote {
+                Role::Replica
+            } else {
+                Role::Voter
+            };
             let (durable, setups) = (node.durable.clone(), node.setups.clone());
             let times = controller::shell::times(&settings);
             Core::ControlNode(Box::new(ControlNode::new(controller::Start {
@@ -187,8 +217,18 @@
         let first = self.now + Duration::from_micros(self.random.below(TICK.as_micros() as u64));
         if !self.load.cold {
             let members = (0..self.nodes.len()).map(|at| self.member(at)).collect();
-            let body = Payload::Heard(Heard { members, ..Heard::default() });
-            self.queue.push(first, Happening::Datagram { node: at, from: at, body });
+            let body = Payload::Heard(Heard {
+                members,
+                ..Heard::default()
+            });
+            self.queue.push(
+                first,
+                Happening::Datagram {
+                    node: at,
+                    from: at,
+                    body,
+                },
+            );
         }
         self.queue.push(first, Happening::Tick { node: at, life });
     }
@@ -216,7 +256,11 @@
     pub(crate) fn grow_replicas(&mut self, count: usize) {
         (0..count).for_each(|number| {
             let at = self.nodes.len();
-            self.push(format!("replica-{number}"), self.size.zone(number), Role::Replica);
+            self.push(
+                format!("replica-{number}"),
+                self.size.zone(number),
+                Role::Replica,
+            );
             self.start(at);
         });
     }
@@ -251,7 +295,11 @@
     /// let took = fleet.run_until(std::time::Duration::from_millis(50), |_| false);
     /// assert_eq!(took, None);
     /// ```
-    pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Fleet) -> bool) -> Option<Duration> {
+    pub fn run_until(
+        &mut self,
+        limit: Duration,
+        done: impl Fn(&Fleet) -> bool,
+    ) -> Option<Duration> {
         let (from, each) = (self.now, Duration::from_millis(10));
         while !done(self) {
             if self.now >= from + limit {
@@ -266,7 +314,8 @@
         match what {
             Happening::Tick { node, life } => {
                 if self.nodes[node].life == life {
-                    self.queue.push(self.now + TICK, Happening::Tick { node, life });
+                    self.queue
+                        .push(self.now + TICK, Happening::Tick { node, life });
                     self.step(node, "tick", carrier::Event::Tick, controller::Event::Tick);
                 }
             }
@@ -274,13 +323,27 @@
             Happening::Datagram { node, from, body } => {
                 let (address, kind) = (self.member(from).probe_address, kind(&body));
                 match self.nodes[node].role {
-                    Role::Carrier => self.step_carrier(node, kind, carrier::Event::Datagram { address, body }),
-                    _ => self.step_control(node, kind, controller::Event::Datagram { address, body }),
+                    Role::Carrier => {
+                        self.step_carrier(node, kind, carrier::Event::Datagram { address, body })
+                    }
+                    _ => {
+                        self.step_control(node, kind, controller::Event::Datagram { address, body })
+                    }
                 }
             }
-            Happening::Synced { node, life, ticket, write } => self.synced(node, life, ticket, write),
+            Happening::Synced {
+                node,
+                life,
+                ticket,
+                write,
+            } => self.synced(node, life, ticket, write),
             Happening::Beat { unit, life } => self.beat(unit, life),
-            Happening::BeatComes { node, unit, life, told } => self.beat_comes(node, unit, life, *told),
+            Happening::BeatComes {
+                node,
+                unit,
+                life,
+                told,
+            } => self.beat_comes(node, unit, life, *told),
             Happening::BeatAnswered { unit, answered } => self.beat_answered(unit, answered),
             Happening::Submit { bytes, asked } => self.ask_to_submit(bytes, asked),
             Happening::Verdict { asked, answer } => self.verdict(asked, &answer),
--- a/crates/drill/src/hollow/queue.rs
+++ b/crates/drill/src/hollow/queue.rs
@@ -9,15 +9,48 @@
 
 /// What happens at a moment.
 pub enum Happening {
-    Tick { node: usize, life: u64 },
-    Envelope { node: usize, from: usize, body: Payload },
-    Datagram { node: usize, from: usize, body: Payload },
-    Synced { node: usize, life: u64, ticket: u64, write: Write },
-    Beat { unit: usize, life: u64 },
-    BeatComes { node: usize, unit: usize, life: u64, told: Box<Upstream> },
-    BeatAnswered { unit: usize, answered: Answered },
-    Submit { bytes: Vec<u8>, asked: u32 },
-    Verdict { asked: u32, answer: Answer },
+    Tick {
+        node: usize,
+        life: u64,
+    },
+    Envelope {
+        node: usize,
+        from: usize,
+        body: Payload,
+    },
+    Datagram {
+        node: usize,
+        from: usize,
+        body: Payload,
+    },
+    Synced {
+        node: usize,
+        life: u64,
+        ticket: u64,
+        write: Write,
+    },
+    Beat {
+        unit: usize,
+        life: u64,
+    },
+    BeatComes {
+        node: usize,
+        unit: usize,
+        life: u64,
+        told: Box<Upstream>,
+    },
+    BeatAnswered {
+        unit: usize,
+        answered: Answered,
+    },
+    Submit {
+        bytes: Vec<u8>,
+        asked: u32,
+    },
+    Verdict {
+        asked: u32,
+        answer: Answer,
+    },
 }
 
 /// What a disk is asked to keep.
@@ -62,12 +95,22 @@
 impl Queue {
     pub fn push(&mut self, at: Duration, what: Happening) {
         self.number += 1;
-        self.items.push(Reverse(Item { at, number: self.number, what }));
+        self.items.push(Reverse(Item {
+            at,
+            number: self.number,
+            what,
+        }));
     }
 
     /// The next that happens no later than `until`.
     pub fn pop(&mut self, until: Duration) -> Option<(Duration, Happening)> {
-        let due = self.items.peek().is_some_and(|Reverse(item)| item.at <= until);
-        Some(()).filter(|()| due).and_then(|()| self.items.pop()).map(|Reverse(item)| (item.at, item.what))
+        let due = self
+            .items
+            .peek()
+            .is_some_and(|Reverse(item)| item.at <= until);
+        Some(())
+            .filter(|()| due)
+            .and_then(|()| self.items.pop())
+            .map(|Reverse(item)| (item.at, item.what))
     }
 }
