--- a/crates/drill/src/hollow/request.rs
+++ b/crates/drill/src/hollow/request.rs
@@ -23,7 +23,12 @@
 pub fn request_path(size: &Size, requests: usize) -> Figures {
     let mut view = view(size);
     let board = Board::default();
-    let site = Site::new("carrier-0", view.proxies[0].locality.clone(), Duration::from_secs(2), Duration::ZERO);
+    let site = Site::new(
+        "carrier-0",
+        view.proxies[0].locality.clone(),
+        Duration::from_secs(2),
+        Duration::ZERO,
+    );
     let mut figures = Figures::default();
     let mut served = 0;
     let took: Vec<Duration> = (0..requests)
@@ -37,21 +42,45 @@
     figures.add("served", served as f64);
     spread(&mut figures, "journey", took);
     let looked = (0..requests.min(2000)).map(|at| {
-        let (name, origin) = (format!("name-{}", at % size.routes), &view.proxies[at % view.proxies.len()].locality);
+        let (name, origin) = (
+            format!("name-{}", at % size.routes),
+            &view.proxies[at % view.proxies.len()].locality,
+        );
         let watch = Stopwatch::start();
-        let listed = gazetteer::list(&view, &name, origin, Duration::from_secs(2), (gazetteer::Owners::One, 3));
+        let listed = gazetteer::list(
+            &view,
+            &name,
+            origin,
+            Duration::from_secs(2),
+            (gazetteer::Owners::One, 3),
+        );
         assert!(black_box(listed).is_ok(), "{name} has an owner");
         watch.took()
     });
     spread(&mut figures, "look-up", looked.collect());
     (0..size.upstreams).for_each(|at| drop(board.seat(&format!("unit-{at}"))));
-    let known = |instance: &str| view.upstreams.values().any(|known| known.contains_key(instance));
+    let known = |instance: &str| {
+        view.upstreams
+            .values()
+            .any(|known| known.contains_key(instance))
+    };
     spread(&mut figures, "sweep", times(|| board.sweep(NOW, known)));
-    spread(&mut figures, "publish", times(|| drop(black_box(view.clone()))));
+    spread(
+        &mut figures,
+        "publish",
+        times(|| drop(black_box(view.clone()))),
+    );
     let mut moved = view.clone();
-    spread(&mut figures, "settle-senders", times(|| moved.settle_senders(NOW)));
+    spread(
+        &mut figures,
+        "settle-senders",
+        times(|| moved.settle_senders(NOW)),
+    );
     // A beat that tells of other room, while requests hold the view before it.
-    let change = || ViewUpdate { upstreams: vec![upstream(size, 7)], ..ViewUpdate::default() };
+    let change = || ViewUpdate {
+        upstreams: vec![upstream(size, 7)],
+        ..ViewUpdate::default()
+    };
     let took = (0..20).map(|_| {
         let (held, news) = (view.clone(), change());
         let watch = Stopwatch::start();
@@ -106,7 +135,8 @@
 
 fn spread(figures: &mut Figures, name: &str, mut took: Vec<Duration>) {
     took.sort();
-    let micros = |part: usize| took[(took.len() * part / 1000).min(took.len() - 1)].as_secs_f64() * 1e6;
+    let micros =
+        |part: usize| took[(took.len() * part / 1000).min(took.len() - 1)].as_secs_f64() * 1e6;
     let mean = took.iter().sum::<Duration>().as_secs_f64() * 1e6 / took.len() as f64;
     figures.add(format!("{name}.us"), mean);
     figures.add(format!("{name}.us.p50"), micros(500));
@@ -134,25 +164,43 @@
         epoch: 1,
         ..Reservation::default()
     });
-    let shares = (0..size.services).filter(|service| size.is_keyed(*service)).map(|service| {
-        let holders: Vec<usize> = (0..size.upstreams).filter(|at| at % size.services == service).collect();
-        let given = (0..address::SLOTS).filter(|_| !holders.is_empty()).map(|slot| protocol::Share {
-            from: slot,
-            until: slot + 1,
-            epoch: 1,
-            instance: format!("unit-{}", holders[slot as usize % holders.len().max(1)]),
-            ..protocol::Share::default()
+    let shares = (0..size.services)
+        .filter(|service| size.is_keyed(*service))
+        .map(|service| {
+            let holders: Vec<usize> = (0..size.upstreams)
+                .filter(|at| at % size.services == service)
+                .collect();
+            let given = (0..address::SLOTS)
+                .filter(|_| !holders.is_empty())
+                .map(|slot| protocol::Share {
+                    from: slot,
+                    until: slot + 1,
+                    epoch: 1,
+                    instance: format!("unit-{}", holders[slot as usize % holders.len().max(1)]),
+                    ..protocol::Share::default()
+                });
+            protocol::ServiceShares {
+                service: format!("service-{service}"),
+                shares: given.collect(),
+            }
         });
-        protocol::ServiceShares { service: format!("service-{service}"), shares: given.collect() }
-    });
-    Placement { epoch: 1, number: 1, reservations: owned.collect(), shares: shares.collect(), ..Placement::default() }
+    Placement {
+        epoch: 1,
+        number: 1,
+        reservations: owned.collect(),
+        shares: shares.collect(),
+        ..Placement::default()
+    }
 }
 
 /// A fresh view: the site's setup, and every name owned by the first proxy's zone, as for a proxy that serves them all.
 fn view(size: &Size) -> View {
     let mut view = View::default();
     let news = ViewUpdate {
-        state: Some(ClusterState { edition: 1, ..ClusterState::default() }),
+        state: Some(ClusterState {
+            edition: 1,
+            ..ClusterState::default()
+        }),
         setup: Some(size.setup(0).into_bytes()),
         upstreams: (0..size.upstreams).map(|at| upstream(size, at)).collect(),
         placement: Some(placement(size)),
--- a/crates/drill/src/hollow/sights.rs
+++ b/crates/drill/src/hollow/sights.rs
@@ -22,19 +22,34 @@
         self.accepted = None;
         self.awaited += 1;
         let bytes = self.size.setup(extra).into_bytes();
-        self.queue.push(self.now, Happening::Submit { bytes, asked: self.awaited });
+        self.queue.push(
+            self.now,
+            Happening::Submit {
+                bytes,
+                asked: self.awaited,
+            },
+        );
     }
 
     pub(super) fn ask_to_submit(&mut self, bytes: Vec<u8>, asked: u32) {
         if asked != self.awaited || self.accepted.is_some() {
             return;
         }
-        let Some(at) = self.some_control_node() else { return };
+        let Some(at) = self.some_control_node() else {
+            return;
+        };
         let token = self.token();
         self.submitted.insert(token, (asked, bytes.clone()));
-        let ask =
-            Ask::Submit { id: format!("setup-{asked}").into(), base: None, bytes: bytes.clone(), in_force: false };
-        self.queue.push(self.now + Duration::from_secs(3), Happening::Submit { bytes, asked });
+        let ask = Ask::Submit {
+            id: format!("setup-{asked}").into(),
+            base: None,
+            bytes: bytes.clone(),
+            in_force: false,
+        };
+        self.queue.push(
+            self.now + Duration::from_secs(3),
+            Happening::Submit { bytes, asked },
+        );
         self.step_control(at, "submit", controller::Event::Ask { token, ask });
     }
 
@@ -42,14 +57,26 @@
         if !self.answer_beat(at, token, &answer) && !self.answer_call(token, &answer) {
             let asked = self.submitted.remove(&token);
             asked.into_iter().for_each(|(asked, _)| {
-                self.queue.push(self.now, Happening::Verdict { asked, answer: answer.clone() });
+                self.queue.push(
+                    self.now,
+                    Happening::Verdict {
+                        asked,
+                        answer: answer.clone(),
+                    },
+                );
             });
         }
     }
 
     pub(super) fn verdict(&mut self, asked: u32, answer: &Answer) {
-        if let Answer::Verdict { code: address::Code::Fine, edition } = answer {
-            self.accepted = Some((*edition, self.now)).filter(|_| asked == self.awaited).or(self.accepted);
+        if let Answer::Verdict {
+            code: address::Code::Fine,
+            edition,
+        } = answer
+        {
+            self.accepted = Some((*edition, self.now))
+                .filter(|_| asked == self.awaited)
+                .or(self.accepted);
         }
     }
 
@@ -69,13 +96,19 @@
 
     /// From now on it is noted who has these nodes in the book no more.
     pub(crate) fn watch(&mut self, nodes: &[usize]) {
-        self.watched = nodes.iter().map(|at| self.nodes[*at].name.clone()).collect();
+        self.watched = nodes
+            .iter()
+            .map(|at| self.nodes[*at].name.clone())
+            .collect();
         self.nodes.iter_mut().for_each(|node| node.lacks = None);
     }
 
     /// When each of those that know that all that are watched are gone came to know it, the first of them first.
     pub(crate) fn noticed(&self) -> Vec<Duration> {
-        let up = self.nodes.iter().filter(|node| !matches!(node.core, Core::Down));
+        let up = self
+            .nodes
+            .iter()
+            .filter(|node| !matches!(node.core, Core::Down));
         let mut times: Vec<Duration> = up.filter_map(|node| node.lacks).collect();
         times.sort();
         times
@@ -88,15 +121,21 @@
 
     /// How many processes are up.
     pub(crate) fn up(&self) -> usize {
-        self.nodes.iter().filter(|node| !matches!(node.core, Core::Down)).count()
+        self.nodes
+            .iter()
+            .filter(|node| !matches!(node.core, Core::Down))
+            .count()
     }
 
     /// The carriers' views with the time that each counts.
     pub(crate) fn views(&self) -> impl Iterator<Item = (usize, Duration, &View)> {
-        self.nodes.iter().enumerate().filter_map(|(at, node)| match &node.core {
-            Core::Carrier(carrier, _) => Some((at, self.now - node.started_at, carrier.view())),
-            _ => None,
-        })
+        self.nodes
+            .iter()
+            .enumerate()
+            .filter_map(|(at, node)| match &node.core {
+                Core::Carrier(carrier, _) => Some((at, self.now - node.started_at, carrier.view())),
+                _ => None,
+            })
     }
 
     /// How many carriers serve by this edition or a later one.
@@ -107,7 +146,9 @@
     /// assert_eq!(fleet.in_force(0), 0, "no view is fresh yet");
     /// ```
     pub fn in_force(&self, edition: u64) -> usize {
-        self.views().filter(|(_, now, view)| view.edition >= edition && view.is_fresh(*now, STALE_AFTER)).count()
+        self.views()
+            .filter(|(_, now, view)| view.edition >= edition && view.is_fresh(*now, STALE_AFTER))
+            .count()
     }
 
     /// How many carriers could serve every name: a fresh view in which each has an owner that is served.
@@ -138,7 +179,14 @@
 
     /// The processes in a zone, and the upstreams there.
     pub(crate) fn in_zone(&self, zone: usize) -> (Vec<usize>, Vec<usize>) {
-        let nodes = (0..self.nodes.len()).filter(|at| self.nodes[*at].zone == zone).collect();
-        (nodes, (0..self.units.len()).filter(|at| self.units[*at].zone == zone).collect())
+        let nodes = (0..self.nodes.len())
+            .filter(|at| self.nodes[*at].zone == zone)
+            .collect();
+        (
+            nodes,
+            (0..self.units.len())
+                .filter(|at| self.units[*at].zone == zone)
+                .collect(),
+        )
     }
 }
--- a/crates/drill/src/hollow/size.rs
+++ b/crates/drill/src/hollow/size.rs
@@ -13,12 +13,26 @@
 }
 
 /// Roadwise as it is.
-pub const TODAY: Size =
-    Size { nodes: 13, postmasters: 6, upstreams: 36, services: 3, routes: 20, regions: 3, zones: 6 };
+pub const TODAY: Size = Size {
+    nodes: 13,
+    postmasters: 6,
+    upstreams: 36,
+    services: 3,
+    routes: 20,
+    regions: 3,
+    zones: 6,
+};
 
 /// The size that the site is designed for.
-pub const TARGET: Size =
-    Size { nodes: 1200, postmasters: 6, upstreams: 8500, services: 390, routes: 1900, regions: 15, zones: 46 };
+pub const TARGET: Size = Size {
+    nodes: 1200,
+    postmasters: 6,
+    upstreams: 8500,
+    services: 390,
+    routes: 1900,
+    regions: 15,
+    zones: 46,
+};
 
 impl Size {
     /// The target shrunk to so many nodes, in everything alike; never smaller than today.
@@ -108,13 +122,25 @@
             format!(r#"{{"id": "r{at}", "name": "name-{at}", "path": "/", "service": "service-{service}"}}"#)
         });
         let list = |items: Vec<String>| items.join(",\n");
-        format!("{{\"services\": [\n{}\n], \"routes\": [\n{}\n]}}\n", list(services.collect()), list(routes.collect()))
+        format!(
+            "{{\"services\": [\n{}\n], \"routes\": [\n{}\n]}}\n",
+            list(services.collect()),
+            list(routes.collect())
+        )
     }
 }
 
 impl std::fmt::Display for Size {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let Size { nodes, postmasters, upstreams, services, routes, regions, zones } = self;
+        let Size {
+            nodes,
+            postmasters,
+            upstreams,
+            services,
+            routes,
+            regions,
+            zones,
+        } = self;
         write!(
             f,
             "nodes={nodes} postmasters={postmasters} upstreams={upstreams} services={services} routes={routes} \
--- a/crates/drill/src/hollow/steps.rs
+++ b/crates/drill/src/hollow/steps.rs
@@ -11,7 +11,13 @@
 const FRAME: usize = 4;
 
 impl Fleet {
-    pub(super) fn step(&mut self, at: usize, kind: &'static str, carrier: carrier::Event, control: controller::Event) {
+    pub(super) fn step(
+        &mut self,
+        at: usize,
+        kind: &'static str,
+        carrier: carrier::Event,
+        control: controller::Event,
+    ) {
         match self.nodes[at].role {
             Role::Carrier => self.step_carrier(at, kind, carrier),
             _ => self.step_control(at, kind, control),
@@ -30,10 +36,15 @@
         let now = self.now;
         let node = &mut self.nodes[at];
         let local = now - node.started_at;
-        let Core::Carrier(carrier, view) = &mut node.core else { return };
+        let Core::Carrier(carrier, view) = &mut node.core else {
+            return;
+        };
         let watch = Stopwatch::start();
         let effects = carrier.step(local, event);
-        if effects.iter().any(|effect| matches!(effect, carrier::Effect::Publish)) {
+        if effects
+            .iter()
+            .any(|effect| matches!(effect, carrier::Effect::Publish))
+        {
             **view = carrier.view().clone();
         }
         self.ledger.stepped(Role::Carrier, at, kind, watch.took());
@@ -49,7 +60,9 @@
         let now = self.now;
         let node = &mut self.nodes[at];
         let local = now - node.started_at;
-        let Core::ControlNode(control) = &mut node.core else { return };
+        let Core::ControlNode(control) = &mut node.core else {
+            return;
+        };
         let watch = Stopwatch::start();
         let effects = control.step(local, event);
         let took = watch.took();
@@ -62,8 +75,14 @@
         effects.into_iter().for_each(|effect| match effect {
             controller::Effect::Send { to, body } => self.send(at, &to, body, true),
             controller::Effect::Datagram { address, body } => self.send(at, &address, body, false),
-            controller::Effect::Keep { ticket, durable } => self.keep(at, ticket, Write::State(durable)),
-            controller::Effect::KeepSetup { ticket, digest, bytes } => {
+            controller::Effect::Keep { ticket, durable } => {
+                self.keep(at, ticket, Write::State(durable))
+            }
+            controller::Effect::KeepSetup {
+                ticket,
+                digest,
+                bytes,
+            } => {
                 self.keep(at, ticket, Write::Setup(digest, bytes));
             }
             controller::Effect::KeepDepartures { ticket, .. } => {
@@ -80,7 +99,15 @@
         let node = &mut self.nodes[at];
         node.synced_at = node.synced_at.max(self.now) + SYNC;
         let life = node.life;
-        self.queue.push(node.synced_at, Happening::Synced { node: at, life, ticket, write });
+        self.queue.push(
+            node.synced_at,
+            Happening::Synced {
+                node: at,
+                life,
+                ticket,
+                write,
+            },
+        );
     }
 
     pub(super) fn synced(&mut self, at: usize, life: u64, ticket: u64, write: Write) {
@@ -97,22 +124,51 @@
 
     /// Sends a message over a link, or as a datagram.
     fn send(&mut self, from: usize, to: &str, body: Payload, linked: bool) {
-        let Some(to) = self.named.get(to).copied() else { return };
+        let Some(to) = self.named.get(to).copied() else {
+            return;
+        };
         let kind = kind(&body);
-        let parcel =
-            Envelope { from: if linked { self.nodes[from].name.clone() } else { String::new() }, body: Some(body) };
+        let parcel = Envelope {
+            from: if linked {
+                self.nodes[from].name.clone()
+            } else {
+                String::new()
+            },
+            body: Some(body),
+        };
         let bytes = parcel.encoded_len() + if linked { FRAME } else { 0 };
         let (here, there) = (self.nodes[from].zone, self.nodes[to].zone);
-        let way = (self.nodes[from].role, self.nodes[to].role, kind, self.reach(here, there));
+        let way = (
+            self.nodes[from].role,
+            self.nodes[to].role,
+            kind,
+            self.reach(here, there),
+        );
         self.ledger.sent(way, bytes as u64);
-        let (Some(delay), Some(body)) = (self.delay(here, there), parcel.body) else { return };
+        let (Some(delay), Some(body)) = (self.delay(here, there), parcel.body) else {
+            return;
+        };
         let at = self.now + delay;
         if linked {
             let last = self.in_order.entry((from, to)).or_default();
             *last = at.max(*last + Duration::from_nanos(1));
-            self.queue.push(*last, Happening::Envelope { node: to, from, body });
+            self.queue.push(
+                *last,
+                Happening::Envelope {
+                    node: to,
+                    from,
+                    body,
+                },
+            );
         } else {
-            self.queue.push(at, Happening::Datagram { node: to, from, body });
+            self.queue.push(
+                at,
+                Happening::Datagram {
+                    node: to,
+                    from,
+                    body,
+                },
+            );
         }
     }
 
@@ -127,7 +183,9 @@
     /// How long a message takes from zone to zone; none where it is lost.
     pub(super) fn delay(&mut self, from: usize, to: usize) -> Option<Duration> {
         let within = |region: usize, zone: usize| self.size.region(zone) == region;
-        let lost = self.cut.is_some_and(|region| within(region, from) != within(region, to));
+        let lost = self
+            .cut
+            .is_some_and(|region| within(region, from) != within(region, to));
         let base = match self.reach(from, to) {
             Reach::Zone => 200,
             Reach::Region => 1500,
@@ -139,7 +197,10 @@
 
     /// One of the postmasters that are up.
     pub(super) fn some_control_node(&mut self) -> Option<usize> {
-        let all = self.control_nodes.clone().filter(|at| !matches!(self.nodes[*at].core, Core::Down));
+        let all = self
+            .control_nodes
+            .clone()
+            .filter(|at| !matches!(self.nodes[*at].core, Core::Down));
         let up: Vec<usize> = all.collect();
         up.get(self.random.below(up.len() as u64) as usize).copied()
     }
--- a/crates/drill/src/hollow/trials.rs
+++ b/crates/drill/src/hollow/trials.rs
@@ -10,14 +10,32 @@
     ("idle", "nothing happens; upstreams beat"),
     ("config", "a setup with one further route"),
     ("orders", "a setup every 100 ms, all to one control node"),
-    ("order-race", "a setup every 100 ms, each to another control node"),
-    ("departures", "an upstream says every 100 ms that it ends now"),
+    (
+        "order-race",
+        "a setup every 100 ms, each to another control node",
+    ),
+    (
+        "departures",
+        "an upstream says every 100 ms that it ends now",
+    ),
     ("node-loss", "one carrier dies without a word"),
-    ("rack-loss", "twelve carriers of one zone, or as many as it has, die at once"),
+    (
+        "rack-loss",
+        "twelve carriers of one zone, or as many as it has, die at once",
+    ),
     ("zone-loss", "all processes and upstreams of a zone die"),
-    ("cold-start", "every process is killed and started again on its disk"),
-    ("region-cut", "a region is cut off for the window, then whole again"),
-    ("memory", "twelve further carriers start, and what the process grows by"),
+    (
+        "cold-start",
+        "every process is killed and started again on its disk",
+    ),
+    (
+        "region-cut",
+        "a region is cut off for the window, then whole again",
+    ),
+    (
+        "memory",
+        "twelve further carriers start, and what the process grows by",
+    ),
 ];
 
 const READY_WITHIN: Duration = Duration::from_secs(60);
@@ -73,7 +91,10 @@
         other => return Err(format!("--what '{other}' is unknown")),
     }
     let ledger = fleet.take_ledger();
-    let window = figures.get("window.s").map(Duration::from_secs_f64).unwrap_or(run.window);
+    let window = figures
+        .get("window.s")
+        .map(Duration::from_secs_f64)
+        .unwrap_or(run.window);
     let all = ledger.all();
     figures.add("all.msgs", all.messages as f64);
     figures.add("all.bytes", all.bytes as f64);
@@ -98,7 +119,12 @@
     fleet.submit(0);
     let all = run.size.nodes;
     let ready = fleet.run_until(READY_WITHIN, |fleet| fleet.serving() == all);
-    let ready = ready.ok_or_else(|| format!("{} of {all} carriers serve after {READY_WITHIN:?}", fleet.serving()))?;
+    let ready = ready.ok_or_else(|| {
+        format!(
+            "{} of {all} carriers serve after {READY_WITHIN:?}",
+            fleet.serving()
+        )
+    })?;
     fleet.grow_replicas(run.replicas);
     fleet.run_for(run.settle);
     Ok((fleet, ready + Duration::from_secs(3)))
@@ -113,11 +139,15 @@
     fleet.submit(1);
     let first = fleet.run_until(READY_WITHIN, |fleet| fleet.accepted().is_some());
     let edition = fleet.accepted().unwrap_or(u64::MAX);
-    let all = fleet.run_until(READY_WITHIN, |fleet| fleet.in_force(edition) == run.size.nodes);
+    let all = fleet.run_until(READY_WITHIN, |fleet| {
+        fleet.in_force(edition) == run.size.nodes
+    });
     let (first, all) = (seconds(first), seconds(all));
     figures.add("accepted.s", first);
     figures.add("in-force.s", first + all);
-    let rest = run.window.saturating_sub(Duration::from_secs_f64((first + all).max(0.0)));
+    let rest = run
+        .window
+        .saturating_sub(Duration::from_secs_f64((first + all).max(0.0)));
     fleet.run_for(rest);
 }
 
@@ -144,7 +174,10 @@
     let until = fleet.now() + run.window;
     let mut leaving = 0..run.size.upstreams;
     while fleet.now() < until {
-        leaving.next().into_iter().for_each(|unit| fleet.sign_off_unit(unit));
+        leaving
+            .next()
+            .into_iter()
+            .for_each(|unit| fleet.sign_off_unit(unit));
         fleet.run_for(CALL_EVERY);
     }
     fleet.run_for(LAST_CALLS);
@@ -165,7 +198,11 @@
 fn add_spread(figures: &mut Figures, name: &str, times: &[Duration]) {
     let mut times = times.to_vec();
     times.sort();
-    let at = |part: usize| times.get((times.len() * part / 100).min(times.len().saturating_sub(1))).copied();
+    let at = |part: usize| {
+        times
+            .get((times.len() * part / 100).min(times.len().saturating_sub(1)))
+            .copied()
+    };
     figures.add(format!("{name}.p50.s"), seconds(at(50)));
     figures.add(format!("{name}.p99.s"), seconds(at(99)));
     figures.add(format!("{name}.most.s"), seconds(at(100)));
@@ -181,7 +218,11 @@
 
 fn rack_loss(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
     let (nodes, _) = fleet.in_zone(run.size.zones - 1);
-    let lost: Vec<usize> = nodes.into_iter().filter(|at| *at < run.size.nodes).take(12).collect();
+    let lost: Vec<usize> = nodes
+        .into_iter()
+        .filter(|at| *at < run.size.nodes)
+        .take(12)
+        .collect();
     let lost_at = fleet.now();
     lost.iter().for_each(|at| fleet.kill(*at));
     fleet.watch(&lost);
@@ -209,7 +250,11 @@
     units.iter().for_each(|at| fleet.crash_unit(*at));
     fleet.watch(&nodes);
     let moved = fleet.run_until(NOTICE_WITHIN, |fleet| {
-        fleet.views().all(|(_, _, view)| view.reservations.values().all(|owned| owned.locality != place))
+        fleet.views().all(|(_, _, view)| {
+            view.reservations
+                .values()
+                .all(|owned| owned.locality != place)
+        })
     });
     figures.add("lost.nodes", nodes.len() as f64);
     figures.add("lost.upstreams", units.len() as f64);
@@ -224,10 +269,15 @@
     fleet.take_ledger();
     (0..all).for_each(|at| fleet.start(at));
     let first = fleet.run_until(READY_WITHIN, |fleet| fleet.serving() > 0);
-    let soon = fleet.run_until(Duration::from_secs(2), |fleet| fleet.serving() == run.size.nodes);
+    let soon = fleet.run_until(Duration::from_secs(2), |fleet| {
+        fleet.serving() == run.size.nodes
+    });
     // Those that are late: without a fresh view, or with one that names no owners.
     figures.add("late.stale", (run.size.nodes - fleet.in_force(1)) as f64);
-    figures.add("late.no-owners", (fleet.in_force(1) - fleet.serving()) as f64);
+    figures.add(
+        "late.no-owners",
+        (fleet.in_force(1) - fleet.serving()) as f64,
+    );
     let rest = fleet.run_until(READY_WITHIN, |fleet| fleet.serving() == run.size.nodes);
     let rest = rest.map(|rest| rest + soon.unwrap_or(Duration::from_secs(2)));
     let (first, rest) = (seconds(first), seconds(rest));
@@ -241,11 +291,24 @@
     fleet.cut(Some(region));
     fleet.run_for(run.window);
     let during = fleet.take_ledger().all();
-    figures.add("cut.msgs/s", during.messages as f64 / run.window.as_secs_f64());
-    figures.add("cut.bytes/s", during.bytes as f64 / run.window.as_secs_f64());
+    figures.add(
+        "cut.msgs/s",
+        during.messages as f64 / run.window.as_secs_f64(),
+    );
+    figures.add(
+        "cut.bytes/s",
+        during.bytes as f64 / run.window.as_secs_f64(),
+    );
     figures.add("cut.serving", fleet.serving() as f64);
     figures.add("cut.in-force", fleet.in_force(1) as f64);
-    figures.add("cut.names", fleet.views().map(|(_, _, view)| view.reservations.len()).min().unwrap_or(0) as f64);
+    figures.add(
+        "cut.names",
+        fleet
+            .views()
+            .map(|(_, _, view)| view.reservations.len())
+            .min()
+            .unwrap_or(0) as f64,
+    );
     fleet.cut(None);
     let healed = fleet.run_until(NOTICE_WITHIN, |fleet| fleet.serving() == run.size.nodes);
     figures.add("healed.s", seconds(healed));
@@ -259,9 +322,15 @@
     let all = run.size.nodes + MORE;
     let served = fleet.run_until(READY_WITHIN, |fleet| fleet.serving() == all);
     figures.add("more-serve.s", seconds(served));
-    figures.add("one-more-carrier.mb", resident().saturating_sub(before) as f64 / 1e6 / MORE as f64);
+    figures.add(
+        "one-more-carrier.mb",
+        resident().saturating_sub(before) as f64 / 1e6 / MORE as f64,
+    );
     fleet.run_for(run.window);
-    figures.add("window.s", (served.unwrap_or(READY_WITHIN) + run.window).as_secs_f64());
+    figures.add(
+        "window.s",
+        (served.unwrap_or(READY_WITHIN) + run.window).as_secs_f64(),
+    );
 }
 
 /// The bytes of memory that this process has in use, as the kernel counts it.
--- a/crates/drill/src/hollow/units.rs
+++ b/crates/drill/src/hollow/units.rs
@@ -43,9 +43,16 @@
                 ..Upstream::default()
             };
             let keyed = self.size.is_keyed(service);
-            self.units.push(Unit { zone, up: true, life: 1, keyed, told });
+            self.units.push(Unit {
+                zone,
+                up: true,
+                life: 1,
+                keyed,
+                told,
+            });
             let first = Duration::from_secs(1) + Duration::from_micros(self.random.below(500_000));
-            self.queue.push(first, Happening::Beat { unit: at, life: 1 });
+            self.queue
+                .push(first, Happening::Beat { unit: at, life: 1 });
         });
     }
 
@@ -57,7 +64,8 @@
 
     pub(super) fn beat(&mut self, at: usize, life: u64) {
         if self.units[at].up && self.units[at].life == life {
-            self.queue.push(self.now + BEAT_EVERY, Happening::Beat { unit: at, life });
+            self.queue
+                .push(self.now + BEAT_EVERY, Happening::Beat { unit: at, life });
             self.beat_once(at);
         }
     }
@@ -65,7 +73,9 @@
     fn beat_once(&mut self, at: usize) {
         let changes = self.random.below(1000) < self.load.changing_per_mille;
         let free = self.random.below(u64::from(SLOTS_EACH)) as u32;
-        let Some(control) = self.some_control_node() else { return };
+        let Some(control) = self.some_control_node() else {
+            return;
+        };
         let unit = &mut self.units[at];
         unit.told.beat += 1;
         if changes {
@@ -75,30 +85,63 @@
         let bytes = described(&told).to_string().len();
         let reach = self.reach(zone, self.nodes[control].zone);
         let to = self.nodes[control].role;
-        self.ledger.sent((Role::Upstream, to, "beat", reach), bytes as u64);
+        self.ledger
+            .sent((Role::Upstream, to, "beat", reach), bytes as u64);
         if let Some(delay) = self.delay(zone, self.nodes[control].zone) {
             let told = Box::new(told);
-            self.queue.push(self.now + delay, Happening::BeatComes { node: control, unit: at, life, told });
+            self.queue.push(
+                self.now + delay,
+                Happening::BeatComes {
+                    node: control,
+                    unit: at,
+                    life,
+                    told,
+                },
+            );
         }
     }
 
     pub(super) fn beat_comes(&mut self, node: usize, unit: usize, life: u64, told: Upstream) {
         let token = self.token();
         self.beats.insert(token, (unit, life, told.beat));
-        self.step_control(node, "beat", controller::Event::Ask { token, ask: Ask::Beat(told) });
+        self.step_control(
+            node,
+            "beat",
+            controller::Event::Ask {
+                token,
+                ask: Ask::Beat(told),
+            },
+        );
     }
 
     /// True where the answer was one to a beat.
     pub(super) fn answer_beat(&mut self, node: usize, token: u64, answer: &Answer) -> bool {
-        let Some((unit, life, beat)) = self.beats.remove(&token) else { return false };
-        let Answer::Beat { holder, shares, span } = answer else { return true };
+        let Some((unit, life, beat)) = self.beats.remove(&token) else {
+            return false;
+        };
+        let Answer::Beat {
+            holder,
+            shares,
+            span,
+        } = answer
+        else {
+            return true;
+        };
         let sheet = controller::beat_sheet(*holder, shares.clone(), *span);
         let (from, to) = (self.nodes[node].zone, self.units[unit].zone);
         let (role, reach) = (self.nodes[node].role, self.reach(from, to));
-        self.ledger.sent((role, Role::Upstream, "beat answer", reach), sheet.to_string().len() as u64);
+        self.ledger.sent(
+            (role, Role::Upstream, "beat answer", reach),
+            sheet.to_string().len() as u64,
+        );
         if let Some(delay) = self.delay(from, to) {
-            let answered = Answered { life, beat, sheet: sheet.clone() };
-            self.queue.push(self.now + delay, Happening::BeatAnswered { unit, answered });
+            let answered = Answered {
+                life,
+                beat,
+                sheet: sheet.clone(),
+            };
+            self.queue
+                .push(self.now + delay, Happening::BeatAnswered { unit, answered });
         }
         true
     }
@@ -114,8 +157,14 @@
         unit.told.holder = holder;
         if sheet.get("shares").is_some() {
             let given = given_slots(&sheet).into_iter();
-            unit.told.holds =
-                given.map(|(slot, epoch)| Share { from: slot, until: slot + 1, epoch, ..Share::default() }).collect();
+            unit.told.holds = given
+                .map(|(slot, epoch)| Share {
+                    from: slot,
+                    until: slot + 1,
+                    epoch,
+                    ..Share::default()
+                })
+                .collect();
         }
         // The next beat proves that it knows the new holder: the sooner, the less runs out.
         if new_holder && holder > 0 && unit.keyed {
--- a/crates/drill/src/hollow/ways.rs
+++ b/crates/drill/src/hollow/ways.rs
@@ -3,7 +3,9 @@
 use super::figures::Figures;
 use super::request::{placement, upstream};
 use super::size::Size;
-use protocol::{Beats, ClusterState, Envelope, Member, Message, Payload, Placement, Probe, Upstream, ViewUpdate};
+use protocol::{
+    Beats, ClusterState, Envelope, Member, Message, Payload, Placement, Probe, Upstream, ViewUpdate,
+};
 
 /// Encoded bytes of each way.
 ///
@@ -15,14 +17,27 @@
 pub fn ways(size: &Size) -> Figures {
     let mut figures = Figures::default();
     let mut add = |name: &str, body: Payload, parts: usize| {
-        let parcel = Envelope { from: "postmaster-0".into(), body: Some(body) };
+        let parcel = Envelope {
+            from: "postmaster-0".into(),
+            body: Some(body),
+        };
         figures.add(name, (parcel.encoded_len() + 4) as f64 / parts as f64);
     };
     let all: Vec<Upstream> = (0..size.upstreams).map(|at| upstream(size, at)).collect();
-    let state = || Some(ClusterState { edition: 1, digest: protocol::digest(b"setup"), ..ClusterState::default() });
+    let state = || {
+        Some(ClusterState {
+            edition: 1,
+            digest: protocol::digest(b"setup"),
+            ..ClusterState::default()
+        })
+    };
     let placed = placement(size);
     let image = |upstreams| {
-        let (state, setup, placement) = (state(), Some(size.setup(0).into_bytes()), Some(placed.clone()));
+        let (state, setup, placement) = (
+            state(),
+            Some(size.setup(0).into_bytes()),
+            Some(placed.clone()),
+        );
         Payload::ViewUpdate(ViewUpdate {
             stream: u64::MAX,
             state,
@@ -33,38 +48,94 @@
         })
     };
     // A zone's carriers send to the services of the names that it owns: one zone's part of the routes.
-    let here =
-        |service: usize| (0..size.routes).any(|route| route % size.zones == 0 && route % size.services == service);
-    let needed: Vec<Upstream> =
-        (0..size.upstreams).filter(|at| here(at % size.services)).map(|at| all[at].clone()).collect();
+    let here = |service: usize| {
+        (0..size.routes).any(|route| route % size.zones == 0 && route % size.services == service)
+    };
+    let needed: Vec<Upstream> = (0..size.upstreams)
+        .filter(|at| here(at % size.services))
+        .map(|at| all[at].clone())
+        .collect();
     add("image.bytes", image(all.clone()), 1);
     add("image.by-need.bytes", image(needed), 1);
-    let change = |news| Payload::ViewUpdate(ViewUpdate { stream: u64::MAX, number: 300, ..news });
+    let change = |news| {
+        Payload::ViewUpdate(ViewUpdate {
+            stream: u64::MAX,
+            number: 300,
+            ..news
+        })
+    };
     let setup = Some(size.setup(1).into_bytes());
-    add("setup-change.whole.bytes", change(ViewUpdate { state: state(), setup, ..ViewUpdate::default() }), 1);
+    add(
+        "setup-change.whole.bytes",
+        change(ViewUpdate {
+            state: state(),
+            setup,
+            ..ViewUpdate::default()
+        }),
+        1,
+    );
     let route = br#"{"id": "r1900", "name": "name-1900", "path": "/", "service": "service-340"}"#;
     add(
         "setup-change.one-route.bytes",
-        change(ViewUpdate { state: state(), setup: Some(route.to_vec()), ..ViewUpdate::default() }),
+        change(ViewUpdate {
+            state: state(),
+            setup: Some(route.to_vec()),
+            ..ViewUpdate::default()
+        }),
         1,
     );
-    let placement_change = |placement| change(ViewUpdate { placement: Some(placement), ..ViewUpdate::default() });
-    let one = Placement { reservations: placed.reservations[..1].to_vec(), epoch: 1, ..Placement::default() };
+    let placement_change = |placement| {
+        change(ViewUpdate {
+            placement: Some(placement),
+            ..ViewUpdate::default()
+        })
+    };
+    let one = Placement {
+        reservations: placed.reservations[..1].to_vec(),
+        epoch: 1,
+        ..Placement::default()
+    };
     add("placement-change.whole.bytes", placement_change(placed), 1);
     add("placement-change.one-name.bytes", placement_change(one), 1);
-    let room = |upstreams| change(ViewUpdate { upstreams, ..ViewUpdate::default() });
-    add("room-change.whole-record.bytes", room(all.iter().cycle().take(100).cloned().collect()), 100);
+    let room = |upstreams| {
+        change(ViewUpdate {
+            upstreams,
+            ..ViewUpdate::default()
+        })
+    };
+    add(
+        "room-change.whole-record.bytes",
+        room(all.iter().cycle().take(100).cloned().collect()),
+        100,
+    );
     let slots = |upstream: &Upstream| Upstream {
         instance: upstream.instance.clone(),
         free_slots: upstream.free_slots,
         beat: upstream.beat,
         ..Upstream::default()
     };
-    add("room-change.room-alone.bytes", room(all.iter().cycle().take(100).map(slots).collect()), 100);
-    let beats = |upstreams| Payload::Beats(Beats { upstreams, ..Beats::default() });
+    add(
+        "room-change.room-alone.bytes",
+        room(all.iter().cycle().take(100).map(slots).collect()),
+        100,
+    );
+    let beats = |upstreams| {
+        Payload::Beats(Beats {
+            upstreams,
+            ..Beats::default()
+        })
+    };
     add("told-on.one.bytes", beats(all[..1].to_vec()), 1);
-    add("told-on.hundred.bytes", beats(all.iter().cycle().take(100).cloned().collect()), 100);
-    add("told-on.digest.bytes", beats(all.iter().cycle().take(100).map(slots).collect()), 100);
+    add(
+        "told-on.hundred.bytes",
+        beats(all.iter().cycle().take(100).cloned().collect()),
+        100,
+    );
+    add(
+        "told-on.digest.bytes",
+        beats(all.iter().cycle().take(100).map(slots).collect()),
+        100,
+    );
     let probe = |count: usize| {
         let members = (0..count).map(|at| Member {
             node: format!("carrier-{at}"),
@@ -76,7 +147,11 @@
             http_address: format!("10.100.0.{}:8000", at % 250),
             ..Member::default()
         });
-        Payload::Probe(Probe { nonce: u64::MAX, members: members.collect(), ..Probe::default() })
+        Payload::Probe(Probe {
+            nonce: u64::MAX,
+            members: members.collect(),
+            ..Probe::default()
+        })
     };
     add("probe.thirteen-records.bytes", probe(13), 1);
     add("probe.own-record.bytes", probe(1), 1);
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -57,7 +57,9 @@
     let code = match read_flags() {
         Ok(None) => {
             println!("{HELP}\n\nplans for a fleet:");
-            plans::PLANS.iter().for_each(|(name, what)| println!("  {name:<9} {what}"));
+            plans::PLANS
+                .iter()
+                .for_each(|(name, what)| println!("  {name:<9} {what}"));
             let faults: Vec<&str> = drill::sim::fault_names().collect();
             println!("\nfaults for sim: {}", faults.join(", "));
             0
@@ -98,7 +100,13 @@
 }
 
 fn read_flags() -> Result<Option<Wish>, String> {
-    let mut sim = seeds::Sim { from: 1, until: 50, plan: None, show: None, shape: drill::shapes::ROADWISE };
+    let mut sim = seeds::Sim {
+        from: 1,
+        until: 50,
+        plan: None,
+        show: None,
+        shape: drill::shapes::ROADWISE,
+    };
     let mut exploration = explore::Exploration::default();
     let mut run = runs::Run {
         shape: drill::shapes::ROADWISE,
@@ -110,7 +118,13 @@
     };
     let folder = Some(std::env::temp_dir().join(format!("drill-changes-{}", std::process::id())));
     let gap = Duration::from_millis(120);
-    let mut trial = drill::changes::Trial { nodes: 3, routes: 400, changes: 10_000, gap, folder };
+    let mut trial = drill::changes::Trial {
+        nodes: 3,
+        routes: 400,
+        changes: 10_000,
+        gap,
+        folder,
+    };
     let mut verb = None;
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next().map_err(|failure| failure.to_string())? {
@@ -132,13 +146,24 @@
             }
             other => return Err(other.unexpected().to_string()),
         };
-        let value = parser.value().map_err(|failure| failure.to_string())?.to_string_lossy().into_owned();
-        let number =
-            || value.parse::<u64>().ok().filter(|n| (1..=100_000).contains(n)).ok_or(format!("--{name} '{value}'"));
+        let value = parser
+            .value()
+            .map_err(|failure| failure.to_string())?
+            .to_string_lossy()
+            .into_owned();
+        let number = || {
+            value
+                .parse::<u64>()
+                .ok()
+                .filter(|n| (1..=100_000).contains(n))
+                .ok_or(format!("--{name} '{value}'"))
+        };
         match name.as_str() {
             name if verb.as_deref() == Some("explore") => exploration.read_flag(name, &value)?,
             "seeds" => {
-                let ends = value.split_once("..").and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
+                let ends = value
+                    .split_once("..")
+                    .and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
                 (sim.from, sim.until) = ends.ok_or(format!("--seeds '{value}': FROM..UNTIL"))?;
             }
             "count" => trial.changes = number()?.max(10) as usize,
@@ -147,15 +172,18 @@
             "show" => sim.show = Some(value),
             "plan" if verb.as_deref() == Some("sim") => sim.plan = Some(value),
             "shape" => {
-                run.shape =
-                    Shape::named(&value).ok_or(format!("--shape '{value}': roadwise, kalam or, simulated, ledger"))?;
+                run.shape = Shape::named(&value).ok_or(format!(
+                    "--shape '{value}': roadwise, kalam or, simulated, ledger"
+                ))?;
                 sim.shape = run.shape.clone();
             }
             "seconds" => run.load = Duration::from_secs(number()?),
             "rate" => run.per_second = Some(number()?),
             "plan" => {
                 let known = plans::PLANS.iter().any(|(name, _)| *name == value);
-                run.plan = Some(value.clone()).filter(|_| known).ok_or(format!("--plan '{value}' is unknown"))?;
+                run.plan = Some(value.clone())
+                    .filter(|_| known)
+                    .ok_or(format!("--plan '{value}' is unknown"))?;
             }
             "keep" => run.keep = Some(value.into()),
             _ => return Err(format!("--{name} is unknown")),
--- a/crates/drill/src/measure.rs
+++ b/crates/drill/src/measure.rs
@@ -26,24 +26,57 @@
     messages();
     let record = Record::default();
     let clock = Clock::default();
-    let programs = std::env::current_exe().map_err(|e| e.to_string())?.parent().map(PathBuf::from).unwrap_or_default();
+    let programs = std::env::current_exe()
+        .map_err(|e| e.to_string())?
+        .parent()
+        .map(PathBuf::from)
+        .unwrap_or_default();
     let folder = std::env::temp_dir().join(format!("measure-{}", std::process::id()));
-    let (mut fleet, _wires) = Fleet::laid(&ROADWISE, &programs, &folder).await.map_err(|e| e.to_string())?;
+    let (mut fleet, _wires) = Fleet::laid(&ROADWISE, &programs, &folder)
+        .await
+        .map_err(|e| e.to_string())?;
     fleet.start().map_err(|e| e.to_string())?;
     let nodes = Arc::new(fleet.nodes());
     if !Fleet::ready(&nodes, LIMIT).await {
         return Err("the fleet was not ready".into());
     }
-    submit(&Caller::default(), &record, &clock, &nodes[0], "first", &ROADWISE, 0).await?;
+    submit(
+        &Caller::default(),
+        &record,
+        &clock,
+        &nodes[0],
+        "first",
+        &ROADWISE,
+        0,
+    )
+    .await?;
     let work = ROADWISE.services[0];
     let mut units = Vec::new();
     for at in 0..6 {
         let (name, place) = (format!("unit-{at}"), ROADWISE.locality(at));
-        let unit = Unit::start(ANY, work, name, place, true, nodes.clone(), clock, record.clone());
+        let unit = Unit::start(
+            ANY,
+            work,
+            name,
+            place,
+            true,
+            nodes.clone(),
+            clock,
+            record.clone(),
+        );
         units.push(unit.await.map_err(|e| e.to_string())?);
     }
-    let origins = Origins::new(ROADWISE, nodes[..ROADWISE.machines].to_vec(), clock, record.clone());
-    while !origins.ended().iter().any(|ended| ended.service == work.service && ended.code == 1000) {
+    let origins = Origins::new(
+        ROADWISE,
+        nodes[..ROADWISE.machines].to_vec(),
+        clock,
+        record.clone(),
+    );
+    while !origins
+        .ended()
+        .iter()
+        .any(|ended| ended.service == work.service && ended.code == 1000)
+    {
         origins.one().await;
     }
     latency(&nodes[0], &units[0], work.service).await?;
@@ -91,8 +124,14 @@
             locality: "north/north-1".into(),
             ..Upstream::default()
         });
-        view.take(ViewUpdate { upstreams: upstreams.collect(), ..ViewUpdate::default() }, true)
-            .expect("no setup to misread");
+        view.take(
+            ViewUpdate {
+                upstreams: upstreams.collect(),
+                ..ViewUpdate::default()
+            },
+            true,
+        )
+        .expect("no setup to misread");
         let median = |mut all: Vec<Duration>| {
             all.sort();
             all[all.len() / 2]
@@ -107,12 +146,19 @@
         let shared = median(shared.collect());
         let whole = (0..2000).map(|_| {
             let started_at = Instant::now();
-            let copy: Vec<Upstream> =
-                view.upstreams.values().flat_map(|known| known.values()).map(|up| (**up).clone()).collect();
+            let copy: Vec<Upstream> = view
+                .upstreams
+                .values()
+                .flat_map(|known| known.values())
+                .map(|up| (**up).clone())
+                .collect();
             std::hint::black_box(copy);
             started_at.elapsed()
         });
-        println!("  {count} upstreams: {shared:?} sharing them, {:?} copying them", median(whole.collect()));
+        println!(
+            "  {count} upstreams: {shared:?} sharing them, {:?} copying them",
+            median(whole.collect())
+        );
     });
 }
 
@@ -127,7 +173,16 @@
             let headers = [("x-try-id", try_id.as_str()), ("x-remaining-ms", "3000")];
             let routed = format!("/r/{service}/{service}");
             let listed = format!("/directory?name={service}&region=north&zone=north-1");
-            direct.push(timed(&caller, &unit.address, "POST", &format!("/{service}"), &headers).await?);
+            direct.push(
+                timed(
+                    &caller,
+                    &unit.address,
+                    "POST",
+                    &format!("/{service}"),
+                    &headers,
+                )
+                .await?,
+            );
             proxied.push(timed(&caller, node, "POST", &routed, &headers).await?);
             looked.push(timed(&caller, node, "GET", &listed, &[]).await?);
         }
@@ -138,10 +193,17 @@
         let (direct, proxied, looked) = (median(direct), median(proxied), median(looked));
         let ratio = proxied.as_secs_f64() / direct.as_secs_f64();
         ratios.push(ratio);
-        println!("  direct {direct:?}, through a proxy {proxied:?} ({ratio:.2} times), directory {looked:?}");
+        println!(
+            "  direct {direct:?}, through a proxy {proxied:?} ({ratio:.2} times), directory {looked:?}"
+        );
     }
     ratios.sort_by(f64::total_cmp);
-    println!("  proxy to direct: median {:.2}, from {:.2} to {:.2}", ratios[ROUNDS / 2], ratios[0], ratios[ROUNDS - 1]);
+    println!(
+        "  proxy to direct: median {:.2}, from {:.2} to {:.2}",
+        ratios[ROUNDS / 2],
+        ratios[0],
+        ratios[ROUNDS - 1]
+    );
     Ok(())
 }
 
@@ -153,15 +215,30 @@
     headers: &[(&str, &str)],
 ) -> Result<Duration, String> {
     let started_at = Instant::now();
-    let called = caller.call(node, method, path, headers, Bytes::from_static(b"work"), LIMIT, false).await;
+    let called = caller
+        .call(
+            node,
+            method,
+            path,
+            headers,
+            Bytes::from_static(b"work"),
+            LIMIT,
+            false,
+        )
+        .await;
     let reply = called.map_err(|e| format!("{path}: {e:?}"))?;
-    Some(started_at.elapsed()).filter(|_| reply.status == 200).ok_or(format!("{path}: {}", reply.status))
+    Some(started_at.elapsed())
+        .filter(|_| reply.status == 200)
+        .ok_or(format!("{path}: {}", reply.status))
 }
 
 /// From the asking to the edition in force at the last carrier.
 async fn news(record: &Record, clock: &Clock, nodes: &[String]) -> Result<(), String> {
     let carriers = &nodes[..ROADWISE.machines];
-    println!("a setup, from the asking until the yes and until it is in force at all {} carriers:", carriers.len());
+    println!(
+        "a setup, from the asking until the yes and until it is in force at all {} carriers:",
+        carriers.len()
+    );
     let caller = Caller::default();
     for round in 0..3 {
         for extra in [0, 1000, 5000, 15000] {
@@ -172,14 +249,24 @@
             let mut behind: BTreeSet<&String> = carriers.iter().collect();
             while !behind.is_empty() {
                 for node in behind.clone() {
-                    let called = caller.call(node, "GET", "/node", &[], Bytes::new(), LIMIT, true).await;
-                    let sheet = called.ok().and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
-                    if sheet.and_then(|sheet| sheet.count("edition")).is_some_and(|known| known >= edition) {
+                    let called = caller
+                        .call(node, "GET", "/node", &[], Bytes::new(), LIMIT, true)
+                        .await;
+                    let sheet = called
+                        .ok()
+                        .and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
+                    if sheet
+                        .and_then(|sheet| sheet.count("edition"))
+                        .is_some_and(|known| known >= edition)
+                    {
                         behind.remove(node);
                     }
                 }
             }
-            println!("  {bytes} bytes: yes after {yes:?}, everywhere after {:?}", started_at.elapsed());
+            println!(
+                "  {bytes} bytes: yes after {yes:?}, everywhere after {:?}",
+                started_at.elapsed()
+            );
         }
     }
     Ok(())
--- a/crates/drill/src/origins.rs
+++ b/crates/drill/src/origins.rs
@@ -47,7 +47,12 @@
 
 impl Origins {
     /// Origins that ask these directory nodes.
-    pub fn new(shape: Shape, directories: Vec<String>, clock: Clock, record: Record) -> Arc<Origins> {
+    pub fn new(
+        shape: Shape,
+        directories: Vec<String>,
+        clock: Clock,
+        record: Record,
+    ) -> Arc<Origins> {
         Arc::new(Origins {
             shape,
             directories,
@@ -76,7 +81,10 @@
 
     /// How all work ended so far.
     pub fn ended(&self) -> Vec<Ended> {
-        self.ended.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.ended
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// One piece of work, tried until it is done, surely lost, or out of time.
@@ -99,7 +107,9 @@
             tries += 1;
             let left = (started_at + WITHIN).saturating_sub(self.clock.now());
             let try_id = format!("try-{number}-{tries}");
-            let (code, wait) = self.attempt(&mut random, id, &place, &key, &name, &try_id, left).await;
+            let (code, wait) = self
+                .attempt(&mut random, id, &place, &key, &name, &try_id, left)
+                .await;
             last = code.map(Code::number).unwrap_or(0);
             if code.is_some_and(|code| code.kind() != Kind::NotRun) {
                 break;
@@ -111,8 +121,17 @@
             tokio::time::sleep(wait).await;
         }
         let now = self.clock.now();
-        let ended = Ended { at: now, took: now - started_at, service: work.service, code: last, tries };
-        self.ended.lock().unwrap_or_else(PoisonError::into_inner).push(ended);
+        let ended = Ended {
+            at: now,
+            took: now - started_at,
+            service: work.service,
+            code: last,
+            tries,
+        };
+        self.ended
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(ended);
     }
 
     /// One try: its code (none where surely nothing was reached) and when to come back.
@@ -128,34 +147,84 @@
         left: Duration,
     ) -> (Option<Code>, Duration) {
         let soon = Duration::from_millis(200);
-        let Some(known) = self.ask(random, service, place).await else { return (None, soon) };
+        let Some(known) = self.ask(random, service, place).await else {
+            return (None, soon);
+        };
         let at = random.below(known.proxies.len() as u64) as usize;
-        self.record.note(self.clock.now(), Fact::AddressUsed { age: self.clock.now() - known.asked_at });
-        self.record.note(self.clock.now(), Fact::Tried { work: work.into(), try_id: try_id.into() });
+        self.record.note(
+            self.clock.now(),
+            Fact::AddressUsed {
+                age: self.clock.now() - known.asked_at,
+            },
+        );
+        self.record.note(
+            self.clock.now(),
+            Fact::Tried {
+                work: work.into(),
+                try_id: try_id.into(),
+            },
+        );
         let remaining = left.as_millis().max(1).to_string();
-        let headers = [("x-try-id", try_id), ("x-remaining-ms", remaining.as_str()), ("x-key", key)];
+        let headers = [
+            ("x-try-id", try_id),
+            ("x-remaining-ms", remaining.as_str()),
+            ("x-key", key),
+        ];
         let path = format!("/r/{service}.{}.example/{service}", self.shape.name);
         let patience = left + Duration::from_millis(500);
         let body = bytes::Bytes::from(work.to_owned());
-        let called = self.caller.call(&known.proxies[at], "POST", &path, &headers, body, patience, false).await;
+        let called = self
+            .caller
+            .call(
+                &known.proxies[at],
+                "POST",
+                &path,
+                &headers,
+                body,
+                patience,
+                false,
+            )
+            .await;
         match called {
             Err(transport::Called::NotConnected) => {
-                self.known.lock().unwrap_or_else(PoisonError::into_inner).clear();
+                self.known
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .clear();
                 (None, soon)
             }
             Err(_) => (Some(Code::Lost), soon),
             Ok(reply) => {
-                let code = reply.header("x-code").parse().ok().and_then(Code::from_number);
+                let code = reply
+                    .header("x-code")
+                    .parse()
+                    .ok()
+                    .and_then(Code::from_number);
                 let success = reply.status == 200;
-                let seal = protocol::seal(try_id, reply.header("x-instance"), reply.status, &reply.body);
+                let seal = protocol::seal(
+                    try_id,
+                    reply.header("x-instance"),
+                    reply.status,
+                    &reply.body,
+                );
                 let whole = reply.header("x-seal") == seal
                     && reply.header("x-try-id") == try_id
                     && reply.body == work.as_bytes();
                 let code = code.unwrap_or(Code::Garbage);
                 let not_run = !success && code.kind() == Kind::NotRun;
-                let answered = Fact::Answered { try_id: try_id.into(), code: code.number(), success, whole, not_run };
+                let answered = Fact::Answered {
+                    try_id: try_id.into(),
+                    code: code.number(),
+                    success,
+                    whole,
+                    not_run,
+                };
                 self.record.note(self.clock.now(), answered);
-                let wait = reply.header("retry-after").parse().map(Duration::from_secs).unwrap_or(soon);
+                let wait = reply
+                    .header("retry-after")
+                    .parse()
+                    .map(Duration::from_secs)
+                    .unwrap_or(soon);
                 (Some(code), wait)
             }
         }
@@ -163,16 +232,35 @@
 
     async fn ask(&self, random: &mut Random, service: &'static str, place: &str) -> Option<Known> {
         let id = (place.to_owned(), service);
-        let known = self.known.lock().unwrap_or_else(PoisonError::into_inner).get(&id).cloned();
+        let known = self
+            .known
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(&id)
+            .cloned();
         let live = known.filter(|known| self.clock.now() < known.asked_at + known.lifetime);
         if live.is_some() {
             return live;
         }
         let (region, zone) = place.split_once('/')?;
-        let path = format!("/directory?name={service}.{}.example&region={region}&zone={zone}", self.shape.name);
+        let path = format!(
+            "/directory?name={service}.{}.example&region={region}&zone={zone}",
+            self.shape.name
+        );
         let asked_at = self.clock.now();
         let node = &self.directories[random.below(self.directories.len() as u64) as usize];
-        let called = self.caller.call(node, "GET", &path, &[], bytes::Bytes::new(), Duration::from_secs(1), true).await;
+        let called = self
+            .caller
+            .call(
+                node,
+                "GET",
+                &path,
+                &[],
+                bytes::Bytes::new(),
+                Duration::from_secs(1),
+                true,
+            )
+            .await;
         let reply = called.ok().filter(|reply| reply.status == 200)?;
         let sheet = Sheet::read(std::str::from_utf8(&reply.body).ok()?).ok()?;
         let proxies: Vec<String> = sheet
@@ -184,8 +272,16 @@
             })
             .collect();
         let lifetime = Duration::from_millis(sheet.count("lifetimeMs")?);
-        let known = Some(Known { proxies, asked_at, lifetime }).filter(|known| !known.proxies.is_empty())?;
-        self.known.lock().unwrap_or_else(PoisonError::into_inner).insert(id, known.clone());
+        let known = Some(Known {
+            proxies,
+            asked_at,
+            lifetime,
+        })
+        .filter(|known| !known.proxies.is_empty())?;
+        self.known
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(id, known.clone());
         Some(known)
     }
 }
--- a/crates/drill/src/overload.rs
+++ b/crates/drill/src/overload.rs
@@ -21,31 +21,95 @@
 
 const MIX: [u64; 3] = [50, 30, 20];
 const CASES: [Case; 9] = [
-    Case { name: "0.5 of capacity", per_second: FULL / 2, percent: MIX, plan: "quiet" },
-    Case { name: "0.8", per_second: FULL * 4 / 5, percent: MIX, plan: "quiet" },
-    Case { name: "1", per_second: FULL, percent: MIX, plan: "quiet" },
-    Case { name: "2", per_second: FULL * 2, percent: MIX, plan: "quiet" },
-    Case { name: "5", per_second: FULL * 5, percent: MIX, plan: "quiet" },
-    Case { name: "one service at 3", per_second: FULL * 3 / 2, percent: [90, 5, 5], plan: "quiet" },
-    Case { name: "0.5, a key 70 %", per_second: FULL / 2, percent: MIX, plan: "hot-key" },
-    Case { name: "0.8, a zone lost", per_second: FULL * 4 / 5, percent: MIX, plan: "dark-zone" },
-    Case { name: "0.8, all cold", per_second: FULL * 4 / 5, percent: MIX, plan: "cold-all" },
+    Case {
+        name: "0.5 of capacity",
+        per_second: FULL / 2,
+        percent: MIX,
+        plan: "quiet",
+    },
+    Case {
+        name: "0.8",
+        per_second: FULL * 4 / 5,
+        percent: MIX,
+        plan: "quiet",
+    },
+    Case {
+        name: "1",
+        per_second: FULL,
+        percent: MIX,
+        plan: "quiet",
+    },
+    Case {
+        name: "2",
+        per_second: FULL * 2,
+        percent: MIX,
+        plan: "quiet",
+    },
+    Case {
+        name: "5",
+        per_second: FULL * 5,
+        percent: MIX,
+        plan: "quiet",
+    },
+    Case {
+        name: "one service at 3",
+        per_second: FULL * 3 / 2,
+        percent: [90, 5, 5],
+        plan: "quiet",
+    },
+    Case {
+        name: "0.5, a key 70 %",
+        per_second: FULL / 2,
+        percent: MIX,
+        plan: "hot-key",
+    },
+    Case {
+        name: "0.8, a zone lost",
+        per_second: FULL * 4 / 5,
+        percent: MIX,
+        plan: "dark-zone",
+    },
+    Case {
+        name: "0.8, all cold",
+        per_second: FULL * 4 / 5,
+        percent: MIX,
+        plan: "cold-all",
+    },
 ];
 
 /// The ways to compare: today's, without a waitlist, and with every origin coming back after 1 s.
 fn ways() -> [(&'static str, Load); 3] {
     let ms = Duration::from_millis;
-    let load = Load { slots: 2, takes: (ms(60), ms(100)), some_slow: true, ..Load::default() };
+    let load = Load {
+        slots: 2,
+        takes: (ms(60), ms(100)),
+        some_slow: true,
+        ..Load::default()
+    };
     [
         ("today's", load),
-        ("no waitlist", Load { wait_for: Duration::ZERO, ..load }),
-        ("back after 1 s", Load { come_back: Some(ms(1000)), ..load }),
+        (
+            "no waitlist",
+            Load {
+                wait_for: Duration::ZERO,
+                ..load
+            },
+        ),
+        (
+            "back after 1 s",
+            Load {
+                come_back: Some(ms(1000)),
+                ..load
+            },
+        ),
     ]
 }
 
 /// Prints one row for each case and way.
 pub fn all() {
-    println!("means of {SEEDS} seeds; served, of each service, of 1000; latencies of what was served");
+    println!(
+        "means of {SEEDS} seeds; served, of each service, of 1000; latencies of what was served"
+    );
     println!(
         "{:<18} {:<15} {:>7} {:>16} {:>6} {:>6} {:>7} {:>7} {:>6} {:>6}",
         "case", "way", "done/s", "by service", "p50", "p99", "denied", "resent", "burst", "rules"
@@ -53,8 +117,13 @@
     CASES.iter().for_each(|case| {
         ways().into_iter().for_each(|(way, load)| {
             let outcomes: Vec<Outcome> = std::thread::scope(|scope| {
-                let seeds: Vec<_> = (1..=SEEDS).map(|seed| scope.spawn(move || one(case, load, seed))).collect();
-                seeds.into_iter().map(|seed| seed.join().expect("no run panics")).collect()
+                let seeds: Vec<_> = (1..=SEEDS)
+                    .map(|seed| scope.spawn(move || one(case, load, seed)))
+                    .collect();
+                seeds
+                    .into_iter()
+                    .map(|seed| seed.join().expect("no run panics"))
+                    .collect()
             });
             row(case, way, &outcomes);
         });
@@ -64,24 +133,56 @@
 fn one(case: &Case, load: Load, seed: u64) -> Outcome {
     let mut shape: Shape = ROADWISE;
     shape.per_second = case.per_second;
-    shape.services.iter_mut().zip(case.percent).for_each(|(work, percent)| work.percent = percent);
-    World::loaded(seed, Plan::named(case.plan, seed).unwrap_or_default(), shape, load).run()
+    shape
+        .services
+        .iter_mut()
+        .zip(case.percent)
+        .for_each(|(work, percent)| work.percent = percent);
+    World::loaded(
+        seed,
+        Plan::named(case.plan, seed).unwrap_or_default(),
+        shape,
+        load,
+    )
+    .run()
 }
 
 fn row(case: &Case, way: &str, outcomes: &[Outcome]) {
     let ended: Vec<_> = outcomes.iter().flat_map(|outcome| &outcome.ended).collect();
     let served: Vec<_> = ended.iter().filter(|ended| ended.code == 1000).collect();
-    let first = ended.iter().map(|ended| ended.at.saturating_sub(ended.took)).min().unwrap_or_default();
-    let last = ended.iter().map(|ended| ended.at.saturating_sub(ended.took)).max().unwrap_or_default();
+    let first = ended
+        .iter()
+        .map(|ended| ended.at.saturating_sub(ended.took))
+        .min()
+        .unwrap_or_default();
+    let last = ended
+        .iter()
+        .map(|ended| ended.at.saturating_sub(ended.took))
+        .max()
+        .unwrap_or_default();
     let seconds = (last - first).as_secs_f64() * outcomes.len() as f64;
-    let mut took: Vec<u64> = served.iter().map(|ended| ended.took.as_millis() as u64).collect();
+    let mut took: Vec<u64> = served
+        .iter()
+        .map(|ended| ended.took.as_millis() as u64)
+        .collect();
     took.sort_unstable();
     let at = |part: usize| took.get(took.len() * part / 100).copied().unwrap_or(0);
     let share = |service: &str| {
-        let all = ended.iter().filter(|ended| ended.service == service).count();
-        served.iter().filter(|ended| ended.service == service).count() * 1000 / all.max(1)
+        let all = ended
+            .iter()
+            .filter(|ended| ended.service == service)
+            .count();
+        served
+            .iter()
+            .filter(|ended| ended.service == service)
+            .count()
+            * 1000
+            / all.max(1)
     };
-    let shares = ROADWISE.services.map(|work| share(work.service).to_string()).join("/");
+    let shares = ROADWISE
+        .services
+        .map(|work| share(work.service).to_string())
+        .join("/");
     let (mut denied, mut arrived, mut first) = (0usize, 0usize, std::collections::BTreeSet::new());
     let mut tries: BTreeMap<(usize, u128), usize> = BTreeMap::new();
     outcomes.iter().enumerate().for_each(|(run, outcome)| {
@@ -97,7 +198,10 @@
     });
     let mean = tries.values().sum::<usize>() as f64 / tries.len().max(1) as f64;
     let burst = tries.values().max().copied().unwrap_or(0) as f64 / mean;
-    let violations: usize = outcomes.iter().map(|outcome| outcome.violations.len()).sum();
+    let violations: usize = outcomes
+        .iter()
+        .map(|outcome| outcome.violations.len())
+        .sum();
     println!(
         "{:<18} {way:<15} {:>7.0} {shares:>16} {:>6} {:>6} {:>7.0} {:>6.1}% {burst:>6.2} {violations:>6}",
         case.name,
--- a/crates/drill/src/plans.rs
+++ b/crates/drill/src/plans.rs
@@ -17,32 +17,86 @@
 /// What to break, with a sentence for --help.
 pub const PLANS: &[(&str, &str)] = &[
     ("quiet", "nothing"),
-    ("wipe", "kill one disk machine, wipe its disk, start it again"),
+    (
+        "wipe",
+        "kill one disk machine, wipe its disk, start it again",
+    ),
     ("kill", "kill three machines at once, start them again"),
-    ("dark-zone", "a zone's machines and upstreams lose power, and come back"),
-    ("dark-region", "a region's machines and upstreams lose power, and come back"),
-    ("freeze", "stop two machines' processes for a quarter of the run, let them go on"),
-    ("rolling", "end every machine politely in turn and start it again"),
+    (
+        "dark-zone",
+        "a zone's machines and upstreams lose power, and come back",
+    ),
+    (
+        "dark-region",
+        "a region's machines and upstreams lose power, and come back",
+    ),
+    (
+        "freeze",
+        "stop two machines' processes for a quarter of the run, let them go on",
+    ),
+    (
+        "rolling",
+        "end every machine politely in turn and start it again",
+    ),
     ("evacuate", "evacuate a zone, take it back"),
-    ("release", "replace a third of the upstreams, each with notice"),
+    (
+        "release",
+        "replace a third of the upstreams, each with notice",
+    ),
     ("cold", "replace half the upstreams at once by cold ones"),
-    ("crash", "crash a third of the upstreams without a word, bring new ones"),
+    (
+        "crash",
+        "crash a third of the upstreams without a word, bring new ones",
+    ),
     ("cut-zone", "cut a zone's links for a quarter of the run"),
-    ("cut-region", "cut a region's links for a quarter of the run"),
-    ("cut-machine", "cut one disk machine's links for a quarter of the run"),
+    (
+        "cut-region",
+        "cut a region's links for a quarter of the run",
+    ),
+    (
+        "cut-machine",
+        "cut one disk machine's links for a quarter of the run",
+    ),
     ("evacuate-cut", "evacuate a zone whose links are cut"),
     ("storm", "submit 30 setups at once through many nodes"),
-    ("race", "operators submit setups made from one edition, at the same moment, eight times"),
-    ("garble", "a third of the upstreams lose, cut, swap or garble 300 of 1000 verdicts"),
-    ("reuse", "upstreams vanish, and others of another service take their addresses"),
-    ("pause", "three upstreams stand still for a quarter of the run, then go on"),
-    ("deaf-units", "requests of one zone's proxies never come through to the upstreams of two"),
-    ("mute-units", "verdicts for one zone's proxies are lost by the upstreams of two"),
+    (
+        "race",
+        "operators submit setups made from one edition, at the same moment, eight times",
+    ),
+    (
+        "garble",
+        "a third of the upstreams lose, cut, swap or garble 300 of 1000 verdicts",
+    ),
+    (
+        "reuse",
+        "upstreams vanish, and others of another service take their addresses",
+    ),
+    (
+        "pause",
+        "three upstreams stand still for a quarter of the run, then go on",
+    ),
+    (
+        "deaf-units",
+        "requests of one zone's proxies never come through to the upstreams of two",
+    ),
+    (
+        "mute-units",
+        "verdicts for one zone's proxies are lost by the upstreams of two",
+    ),
     ("herd", "kill all postmasters at once, start them again"),
     ("split", "cut the three regions from one another"),
-    ("holder", "kill the placement holder, four times, each started again"),
-    ("rescue", "kill all postmasters, lose three disks for good, and do what the operators' page says"),
-    ("founding", "kill postmasters and wipe a disk while the site founds itself"),
+    (
+        "holder",
+        "kill the placement holder, four times, each started again",
+    ),
+    (
+        "rescue",
+        "kill all postmasters, lose three disks for good, and do what the operators' page says",
+    ),
+    (
+        "founding",
+        "kill postmasters and wipe a disk while the site founds itself",
+    ),
 ];
 
 /// Everything that a plan may touch.
@@ -58,7 +112,8 @@
 
 impl Scene<'_> {
     fn note(&self, what: &str) {
-        self.record.note(self.clock.now(), Fact::Fault { what: what.into() });
+        self.record
+            .note(self.clock.now(), Fact::Fault { what: what.into() });
     }
 
     async fn wait(&self) {
@@ -90,25 +145,65 @@
             "crash" => self.replace("crash", |at| at % 3 == 0, false, true).await,
             "storm" => self.storm().await,
             "race" => self.race().await,
-            "garble" => self.sicken(|at| at % 3 == 0, |_| Ill { garbles_per_mille: 300, ..Ill::default() }).await,
+            "garble" => {
+                self.sicken(
+                    |at| at % 3 == 0,
+                    |_| Ill {
+                        garbles_per_mille: 300,
+                        ..Ill::default()
+                    },
+                )
+                .await
+            }
             "pause" => {
                 let until = self.clock.now() + self.span / 4;
-                self.sicken(|at| at % 13 == 0, |_| Ill { paused_until: until, ..Ill::default() }).await
+                self.sicken(
+                    |at| at % 13 == 0,
+                    |_| Ill {
+                        paused_until: until,
+                        ..Ill::default()
+                    },
+                )
+                .await
             }
             "deaf-units" | "mute-units" => {
-                let here = |process: &&Process| self.shape.locality(process.machine) == self.shape.locality(0);
-                let zone = self.fleet.carriers.iter().filter(here).map(|process| process.node.clone());
+                let here = |process: &&Process| {
+                    self.shape.locality(process.machine) == self.shape.locality(0)
+                };
+                let zone = self
+                    .fleet
+                    .carriers
+                    .iter()
+                    .filter(here)
+                    .map(|process| process.node.clone());
                 let proxies: Vec<String> = zone.collect();
                 let deaf = plan == "deaf-units";
                 let ill = |_: usize| match deaf {
-                    true => Ill { deaf_to: proxies.clone(), ..Ill::default() },
-                    false => Ill { mute_to: proxies.clone(), ..Ill::default() },
+                    true => Ill {
+                        deaf_to: proxies.clone(),
+                        ..Ill::default()
+                    },
+                    false => Ill {
+                        mute_to: proxies.clone(),
+                        ..Ill::default()
+                    },
                 };
                 self.sicken(|at| at % 6 < 2, ill).await
             }
             "reuse" => self.reuse().await,
-            "herd" => self.kill(&(0..self.shape.disks).collect::<Vec<_>>(), false).await,
-            "split" => self.cut_all(self.shape.regions.map(|region| Cut::Place(region.into())).to_vec()).await,
+            "herd" => {
+                self.kill(&(0..self.shape.disks).collect::<Vec<_>>(), false)
+                    .await
+            }
+            "split" => {
+                self.cut_all(
+                    self.shape
+                        .regions
+                        .map(|region| Cut::Place(region.into()))
+                        .to_vec(),
+                )
+                .await
+            }
             "holder" => self.kill_holder().await,
             "rescue" => self.rescue().await,
             _ => Ok(()),
@@ -116,14 +211,20 @@
     }
 
     async fn kill(&mut self, machines: &[usize], wipe: bool) -> Result<(), String> {
-        self.note(&format!("machines {machines:?} killed{}", if wipe { ", disk wiped" } else { "" }));
+        self.note(&format!(
+            "machines {machines:?} killed{}",
+            if wipe { ", disk wiped" } else { "" }
+        ));
         let hit = |machine: usize| machines.contains(&machine);
-        self.fleet.all().filter(|process| hit(process.machine)).for_each(|process| {
-            process.kill();
-            if wipe {
-                process.wipe();
-            }
-        });
+        self.fleet
+            .all()
+            .filter(|process| hit(process.machine))
+            .for_each(|process| {
+                process.kill();
+                if wipe {
+                    process.wipe();
+                }
+            });
         self.wait().await;
         self.note(&format!("machines {machines:?} started again"));
         let started_at = self.clock.now();
@@ -133,17 +234,26 @@
             back.push(process.http.clone());
         }
         self.must_be_ready(&back).await?;
-        println!("the killed machines were ready after {:?}", self.clock.now() - started_at);
+        println!(
+            "the killed machines were ready after {:?}",
+            self.clock.now() - started_at
+        );
         Ok(())
     }
 
     /// Some upstreams fall ill for a quarter of the run.
-    async fn sicken(&mut self, chosen: impl Fn(usize) -> bool, ill: impl Fn(usize) -> Ill) -> Result<(), String> {
+    async fn sicken(
+        &mut self,
+        chosen: impl Fn(usize) -> bool,
+        ill: impl Fn(usize) -> Ill,
+    ) -> Result<(), String> {
         self.note("upstreams fall ill");
         let hit = (0..self.units.len()).filter(|at| chosen(*at));
         hit.for_each(|at| self.units[at].fall_ill(ill(at)));
         self.wait().await;
-        self.units.iter().for_each(|unit| unit.fall_ill(Ill::default()));
+        self.units
+            .iter()
+            .for_each(|unit| unit.fall_ill(Ill::default()));
         self.note("upstreams are well again");
         Ok(())
     }
@@ -155,13 +265,26 @@
         for at in (0..self.units.len()).filter(|at| at % 9 == 1) {
             let old = self.units[at].clone();
             let services = self.shape.services;
-            let known = services.iter().position(|work| work.service == old.work.service).unwrap_or(0);
+            let known = services
+                .iter()
+                .position(|work| work.service == old.work.service)
+                .unwrap_or(0);
             let (work, instance) = (services[(known + 1) % 3], format!("{}-heir", old.instance));
             old.crash();
             let mut heir = None;
             for _ in 0..100 {
-                let (place, nodes, record) = (old.locality.clone(), nodes.clone(), self.record.clone());
-                let start = Unit::start(&old.address, work, instance.clone(), place, true, nodes, self.clock, record);
+                let (place, nodes, record) =
+                    (old.locality.clone(), nodes.clone(), self.record.clone());
+                let start = Unit::start(
+                    &old.address,
+                    work,
+                    instance.clone(),
+                    place,
+                    true,
+                    nodes,
+                    self.clock,
+                    record,
+                );
                 heir = start.await.ok();
                 if heir.is_some() {
                     break;
@@ -181,10 +304,27 @@
         for round in 0..8usize {
             let edition = self.edition().await?;
             let one = |at: usize| {
-                let (node, shape) = (nodes[(round * 3 + at * 7) % nodes.len()].clone(), self.shape.clone());
-                let (id, record, clock) =
-                    (format!("race-{round}-{at}&base={edition}"), self.record.clone(), self.clock);
-                async move { submit(&Caller::default(), &record, &clock, &node, &id, &shape, round * 2 + at).await }
+                let (node, shape) = (
+                    nodes[(round * 3 + at * 7) % nodes.len()].clone(),
+                    self.shape.clone(),
+                );
+                let (id, record, clock) = (
+                    format!("race-{round}-{at}&base={edition}"),
+                    self.record.clone(),
+                    self.clock,
+                );
+                async move {
+                    submit(
+                        &Caller::default(),
+                        &record,
+                        &clock,
+                        &node,
+                        &id,
+                        &shape,
+                        round * 2 + at,
+                    )
+                    .await
+                }
             };
             let done = futures::future::join_all((0..2).map(one)).await;
             let won = done.iter().filter(|done| done.is_ok()).count();
@@ -198,10 +338,21 @@
     async fn status(&self) -> Result<Sheet, String> {
         for node in self.fleet.nodes() {
             let caller = Caller::default();
-            let called = caller.call(&node, "GET", "/status", &[], Bytes::new(), Duration::from_secs(2), false);
+            let called = caller.call(
+                &node,
+                "GET",
+                "/status",
+                &[],
+                Bytes::new(),
+                Duration::from_secs(2),
+                false,
+            );
             let reply = called.await.ok().filter(|reply| reply.status == 200);
-            let sheet = reply.and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
-            if let Some(sheet) = sheet.filter(|sheet| sheet.get("current") == Some(&Sheet::Truth(true))) {
+            let sheet =
+                reply.and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
+            if let Some(sheet) =
+                sheet.filter(|sheet| sheet.get("current") == Some(&Sheet::Truth(true)))
+            {
                 return Ok(sheet);
             }
         }
@@ -212,9 +363,20 @@
     async fn edition(&self) -> Result<u64, String> {
         let caller = Caller::default();
         for node in self.fleet.nodes() {
-            let called = caller.call(&node, "GET", "/setup", &[], Bytes::new(), Duration::from_secs(3), false);
+            let called = caller.call(
+                &node,
+                "GET",
+                "/setup",
+                &[],
+                Bytes::new(),
+                Duration::from_secs(3),
+                false,
+            );
             if let Some(reply) = called.await.ok().filter(|reply| reply.status == 200) {
-                return reply.header("x-edition").parse().map_err(|_| "an edition that is no number".to_owned());
+                return reply
+                    .header("x-edition")
+                    .parse()
+                    .map_err(|_| "an edition that is no number".to_owned());
             }
         }
         Err("no node reads the setup back".into())
@@ -222,9 +384,18 @@
 
     async fn kill_holder(&mut self) -> Result<(), String> {
         for _ in 0..4 {
-            let holder = self.status().await?.text("placement").unwrap_or_default().to_owned();
+            let holder = self
+                .status()
+                .await?
+                .text("placement")
+                .unwrap_or_default()
+                .to_owned();
             self.note(&format!("placement holder {holder} killed"));
-            let process = self.fleet.postmasters.iter_mut().find(|process| process.node == holder);
+            let process = self
+                .fleet
+                .postmasters
+                .iter_mut()
+                .find(|process| process.node == holder);
             let process = process.ok_or("nobody holds the placement")?;
             process.kill();
             tokio::time::sleep(self.span / 16).await;
@@ -240,8 +411,19 @@
         let edition = self.edition().await?;
         self.note("all postmasters killed, three disks lost for good");
         self.fleet.postmasters.iter_mut().for_each(Process::kill);
-        self.fleet.postmasters.iter().skip(3).for_each(Process::wipe);
-        let folder = |process: &Process| process.data.clone().unwrap_or_default().to_string_lossy().into_owned();
+        self.fleet
+            .postmasters
+            .iter()
+            .skip(3)
+            .for_each(Process::wipe);
+        let folder = |process: &Process| {
+            process
+                .data
+                .clone()
+                .unwrap_or_default()
+                .to_string_lossy()
+                .into_owned()
+        };
         let file = |name: &str| self.fleet.folder.join(name).to_string_lossy().into_owned();
         let clerk = |args: &[&str]| self.fleet.clerk(args);
         let (inheritance, mut files, mut lost) = (file("inheritance"), Vec::new(), Vec::new());
@@ -256,7 +438,10 @@
         }
         let settle = |lost: &str| {
             let words: Vec<&str> = ["settle", inheritance.as_str()].into_iter().collect();
-            let words = words.into_iter().chain(files.iter().map(String::as_str)).chain(["--lost", lost]);
+            let words = words
+                .into_iter()
+                .chain(files.iter().map(String::as_str))
+                .chain(["--lost", lost]);
             clerk(&words.collect::<Vec<_>>())
         };
         if settle(&lost[1..].join(",")).is_ok() {
@@ -274,7 +459,9 @@
         let after = self.edition().await?;
         self.note("rescued");
         println!("edition {edition} before the loss, {after} after the rescue");
-        (after > edition).then_some(()).ok_or_else(|| "the edition did not rise".to_owned())
+        (after > edition)
+            .then_some(())
+            .ok_or_else(|| "the edition did not rise".to_owned())
     }
 
     async fn cut(&mut self, cut: Cut) -> Result<(), String> {
@@ -289,7 +476,10 @@
         let mended_at = self.clock.now();
         self.wires.cut(Vec::new());
         self.all_ready().await?;
-        println!("all were ready {:?} after the links were mended", self.clock.now() - mended_at);
+        println!(
+            "all were ready {:?} after the links were mended",
+            self.clock.now() - mended_at
+        );
         Ok(())
     }
 
@@ -300,11 +490,18 @@
     /// Machines and upstreams of a place go at once; both come back.
     async fn darken(&mut self, place: &str) -> Result<(), String> {
         let hit = |locality: &str| locality.starts_with(place);
-        self.units.iter().filter(|unit| hit(&unit.locality)).for_each(|unit| unit.crash());
-        let machines: Vec<usize> = (0..self.shape.machines).filter(|at| hit(&self.shape.locality(*at))).collect();
+        self.units
+            .iter()
+            .filter(|unit| hit(&unit.locality))
+            .for_each(|unit| unit.crash());
+        let machines: Vec<usize> = (0..self.shape.machines)
+            .filter(|at| hit(&self.shape.locality(*at)))
+            .collect();
         self.kill(&machines, false).await?;
         let nodes = Arc::new(self.fleet.nodes());
-        let gone: Vec<usize> = (0..self.units.len()).filter(|at| hit(&self.units[*at].locality)).collect();
+        let gone: Vec<usize> = (0..self.units.len())
+            .filter(|at| hit(&self.units[*at].locality))
+            .collect();
         for at in gone {
             self.renew(at, true, nodes.clone()).await?;
         }
@@ -312,28 +509,54 @@
     }
 
     /// A new instance in the place of an upstream.
-    async fn renew(&mut self, at: usize, warm: bool, nodes: Arc<Vec<String>>) -> Result<(), String> {
+    async fn renew(
+        &mut self,
+        at: usize,
+        warm: bool,
+        nodes: Arc<Vec<String>>,
+    ) -> Result<(), String> {
         let old = self.units[at].clone();
         let (instance, place) = (format!("{}-again", old.instance), old.locality.clone());
-        let unit = Unit::start(ANY, old.work, instance, place, warm, nodes, self.clock, self.record.clone());
+        let unit = Unit::start(
+            ANY,
+            old.work,
+            instance,
+            place,
+            warm,
+            nodes,
+            self.clock,
+            self.record.clone(),
+        );
         self.units[at] = unit.await.map_err(|e| e.to_string())?;
         Ok(())
     }
 
     async fn must_be_ready(&self, nodes: &[String]) -> Result<(), String> {
         let ready = Fleet::ready(nodes, BACK_WITHIN).await;
-        ready.then_some(()).ok_or_else(|| "what was broken did not come back".to_owned())
+        ready
+            .then_some(())
+            .ok_or_else(|| "what was broken did not come back".to_owned())
     }
 
     async fn freeze(&mut self) -> Result<(), String> {
         self.note("machines 0 and 9 frozen");
         let hit = |machine: usize| [0, 9].contains(&machine);
-        self.fleet.all().filter(|process| hit(process.machine)).for_each(|process| process.signal("STOP"));
+        self.fleet
+            .all()
+            .filter(|process| hit(process.machine))
+            .for_each(|process| process.signal("STOP"));
         self.wait().await;
         self.note("machines 0 and 9 go on");
-        self.fleet.all().filter(|process| hit(process.machine)).for_each(|process| process.signal("CONT"));
-        let back: Vec<String> =
-            self.fleet.all().filter(|process| hit(process.machine)).map(|process| process.http.clone()).collect();
+        self.fleet
+            .all()
+            .filter(|process| hit(process.machine))
+            .for_each(|process| process.signal("CONT"));
+        let back: Vec<String> = self
+            .fleet
+            .all()
+            .filter(|process| hit(process.machine))
+            .map(|process| process.http.clone())
+            .collect();
         self.must_be_ready(&back).await
     }
 
@@ -342,9 +565,16 @@
         for machine in 0..self.shape.machines {
             let asked = self.clock.now();
             self.note(&format!("machine {machine} ended politely"));
-            self.fleet.all().filter(|process| process.machine == machine).for_each(|process| process.signal("TERM"));
+            self.fleet
+                .all()
+                .filter(|process| process.machine == machine)
+                .for_each(|process| process.signal("TERM"));
             let mut back = Vec::new();
-            for process in self.fleet.all().filter(|process| process.machine == machine) {
+            for process in self
+                .fleet
+                .all()
+                .filter(|process| process.machine == machine)
+            {
                 let code = tokio::task::block_in_place(|| process.wait());
                 if code != Some(0) {
                     return Err(format!("{} ended with {code:?}", process.node));
@@ -355,7 +585,11 @@
             if took > Duration::from_secs(6) {
                 return Err(format!("machine {machine} took {took:?} to end"));
             }
-            for process in self.fleet.all().filter(|process| process.machine == machine) {
+            for process in self
+                .fleet
+                .all()
+                .filter(|process| process.machine == machine)
+            {
                 process.start().map_err(|e| e.to_string())?;
             }
             self.must_be_ready(&back).await?;
@@ -366,13 +600,32 @@
     async fn evacuate(&mut self) -> Result<(), String> {
         let (place, caller) = (self.shape.locality(0), Caller::default());
         for (id, back) in [("out", false), ("back", true)] {
-            let path = format!("/evacuations?id={id}&locality={}&back={back}", place.replace('/', "%2F"));
+            let path = format!(
+                "/evacuations?id={id}&locality={}&back={back}",
+                place.replace('/', "%2F")
+            );
             let node = self.fleet.carriers[if back { 4 } else { 8 }].http.clone();
             if back {
                 // Work may go there from the moment it is asked for.
-                self.record.note(self.clock.now(), Fact::Evacuated { locality: place.clone(), back });
+                self.record.note(
+                    self.clock.now(),
+                    Fact::Evacuated {
+                        locality: place.clone(),
+                        back,
+                    },
+                );
             }
-            let called = caller.call(&node, "POST", &path, &[], Bytes::new(), Duration::from_secs(10), false).await;
+            let called = caller
+                .call(
+                    &node,
+                    "POST",
+                    &path,
+                    &[],
+                    Bytes::new(),
+                    Duration::from_secs(10),
+                    false,
+                )
+                .await;
             let reply = called.map_err(|e| format!("evacuation: {e:?}"))?;
             let sheet = Sheet::read(&String::from_utf8_lossy(&reply.body))?;
             if reply.status != 200 {
@@ -380,16 +633,32 @@
             }
             let (at, edition) = (self.clock.now(), sheet.count("edition").unwrap_or(0));
             if !back {
-                self.record.note(at, Fact::Evacuated { locality: place.clone(), back });
+                self.record.note(
+                    at,
+                    Fact::Evacuated {
+                        locality: place.clone(),
+                        back,
+                    },
+                );
             }
             self.record.note(at, Fact::Accepted { edition });
-            self.note(if back { "zone taken back" } else { "zone evacuated" });
+            self.note(if back {
+                "zone taken back"
+            } else {
+                "zone evacuated"
+            });
             self.wait().await;
         }
         Ok(())
     }
 
-    async fn replace(&mut self, what: &str, chosen: fn(usize) -> bool, notice: bool, warm: bool) -> Result<(), String> {
+    async fn replace(
+        &mut self,
+        what: &str,
+        chosen: fn(usize) -> bool,
+        notice: bool,
+        warm: bool,
+    ) -> Result<(), String> {
         self.note(&format!("{what} of upstreams"));
         let nodes = Arc::new(self.fleet.nodes());
         let caller = Caller::default();
@@ -422,9 +691,22 @@
         let one = |at: usize| {
             let (node, shape) = (nodes[at % nodes.len()].clone(), self.shape.clone());
             let (record, clock) = (self.record.clone(), self.clock);
-            async move { submit(&Caller::default(), &record, &clock, &node, &format!("storm-{at}"), &shape, at * 21).await }
+            async move {
+                submit(
+                    &Caller::default(),
+                    &record,
+                    &clock,
+                    &node,
+                    &format!("storm-{at}"),
+                    &shape,
+                    at * 21,
+                )
+                .await
+            }
         };
         let done = futures::future::join_all((1..=30).map(one)).await;
-        done.into_iter().collect::<Result<Vec<u64>, String>>().map(drop)
+        done.into_iter()
+            .collect::<Result<Vec<u64>, String>>()
+            .map(drop)
     }
 }
--- a/crates/drill/src/report.rs
+++ b/crates/drill/src/report.rs
@@ -15,26 +15,49 @@
 pub fn print(title: &str, seen: &[Seen], ended: &[Ended], violations: &[Violation]) {
     println!("== {title}");
     let mut codes: BTreeMap<u32, u64> = BTreeMap::new();
-    ended.iter().for_each(|ended| *codes.entry(ended.code).or_insert(0) += 1);
-    let told: Vec<String> = codes.iter().map(|(code, count)| format!("{code}: {count}")).collect();
+    ended
+        .iter()
+        .for_each(|ended| *codes.entry(ended.code).or_insert(0) += 1);
+    let told: Vec<String> = codes
+        .iter()
+        .map(|(code, count)| format!("{code}: {count}"))
+        .collect();
     println!("work ended: {} ({})", ended.len(), told.join(", "));
     print_latency(ended);
     print_sends(seen, ended);
     print_faults(seen, ended);
     CHECKERS.iter().for_each(|(rule, name, _)| {
-        let count = violations.iter().filter(|violation| violation.rule == *rule).count();
+        let count = violations
+            .iter()
+            .filter(|violation| violation.rule == *rule)
+            .count();
         println!("rule {rule:>2}: {count:>4} violations  {name}");
     });
-    violations.iter().take(20).for_each(|v| println!("  rule {} at {:?}: {}", v.rule, v.at, v.text));
+    violations
+        .iter()
+        .take(20)
+        .for_each(|v| println!("  rule {} at {:?}: {}", v.rule, v.at, v.text));
 }
 
 fn print_latency(ended: &[Ended]) {
-    let mut took: Vec<Duration> = ended.iter().filter(|ended| ended.code == 1000).map(|ended| ended.took).collect();
+    let mut took: Vec<Duration> = ended
+        .iter()
+        .filter(|ended| ended.code == 1000)
+        .map(|ended| ended.took)
+        .collect();
     took.sort();
     let at = |part: usize| {
-        took.get((took.len() * part / 1000).min(took.len().saturating_sub(1))).copied().unwrap_or_default()
+        took.get((took.len() * part / 1000).min(took.len().saturating_sub(1)))
+            .copied()
+            .unwrap_or_default()
     };
-    println!("served in: p50 {:?}, p95 {:?}, p99 {:?}, most {:?}", at(500), at(950), at(990), at(1000));
+    println!(
+        "served in: p50 {:?}, p95 {:?}, p99 {:?}, most {:?}",
+        at(500),
+        at(950),
+        at(990),
+        at(1000)
+    );
 }
 
 fn print_sends(seen: &[Seen], ended: &[Ended]) {
--- a/crates/drill/src/rules.rs
+++ b/crates/drill/src/rules.rs
@@ -30,21 +30,69 @@
 pub const CHECKERS: &[Checker] = &[
     (1, "once-work runs once", runs_once),
     (2, "'busy' only for what did not run", busy_did_not_run),
-    (3, "no partial, unsealed or foreign success", successes_are_whole),
+    (
+        3,
+        "no partial, unsealed or foreign success",
+        successes_are_whole,
+    ),
     (4, "no address held over 5 s", addresses_are_fresh),
-    (5, "nothing to a leaving upstream after 3 s", leaving_is_left_alone),
-    (6, "nothing to an evacuated zone after 5 s", evacuated_is_empty),
-    (7, "an edition is in force within 3 s and never goes back", editions_only_rise),
-    (7, "traffic goes by an edition in force, and never back", traffic_only_rises),
-    (8, "an accepted setup is not lost and reads back alike", accepted_is_kept),
-    (8, "the highest acknowledged number holds", highest_number_holds),
-    (9, "resends within a fifth and the allowance", resends_are_few),
-    (10, "a cold upstream stays within its warm-up rate", warm_up_is_kept),
+    (
+        5,
+        "nothing to a leaving upstream after 3 s",
+        leaving_is_left_alone,
+    ),
+    (
+        6,
+        "nothing to an evacuated zone after 5 s",
+        evacuated_is_empty,
+    ),
+    (
+        7,
+        "an edition is in force within 3 s and never goes back",
+        editions_only_rise,
+    ),
+    (
+        7,
+        "traffic goes by an edition in force, and never back",
+        traffic_only_rises,
+    ),
+    (
+        8,
+        "an accepted setup is not lost and reads back alike",
+        accepted_is_kept,
+    ),
+    (
+        8,
+        "the highest acknowledged number holds",
+        highest_number_holds,
+    ),
+    (
+        9,
+        "resends within a fifth and the allowance",
+        resends_are_few,
+    ),
+    (
+        10,
+        "a cold upstream stays within its warm-up rate",
+        warm_up_is_kept,
+    ),
     (11, "no two upstreams hold a key", keys_have_one_holder),
     (12, "region-bound work stays inside", homes_are_kept),
-    (13, "operators' calls happen one at a time", calls_are_linearizable),
-    (13, "an order sent again gets its first answer", answers_stay),
-    (14, "nothing is vouched for out of contact with the others", vouches_in_contact),
+    (
+        13,
+        "operators' calls happen one at a time",
+        calls_are_linearizable,
+    ),
+    (
+        13,
+        "an order sent again gets its first answer",
+        answers_stay,
+    ),
+    (
+        14,
+        "nothing is vouched for out of contact with the others",
+        vouches_in_contact,
+    ),
 ];
 
 /// Rules that hold within a span: on a machine that others share, real time may break them by itself, and the
@@ -57,7 +105,10 @@
 /// assert!(drill::rules::judge(&[], &Default::default()).is_empty());
 /// ```
 pub fn judge(seen: &[Seen], terms: &Terms) -> Vec<Violation> {
-    CHECKERS.iter().flat_map(|(_, _, check)| check(seen, terms)).collect()
+    CHECKERS
+        .iter()
+        .flat_map(|(_, _, check)| check(seen, terms))
+        .collect()
 }
 
 fn violation(rule: u32, at: Duration, text: String) -> Violation {
@@ -67,7 +118,11 @@
 fn runs_once(seen: &[Seen], _: &Terms) -> Vec<Violation> {
     let mut ran = BTreeSet::new();
     let again = |(at, fact): &Seen| match fact {
-        Fact::Ran { work, once: true, try_id } if !ran.insert(work.clone()) => {
+        Fact::Ran {
+            work,
+            once: true,
+            try_id,
+        } if !ran.insert(work.clone()) => {
             Some(violation(1, *at, format!("{work} ran again as {try_id}")))
         }
         _ => None,
@@ -90,10 +145,26 @@
         Fact::Joined { node } => {
             isolated.remove(node.as_str());
         }
-        Fact::Vouched { node, what, asked_at } => {
-            let allowed = if *what == Vouched::Heartbeat { HEARD_FOR } else { ON_ITS_WAY };
-            let late = isolated.get(node.as_str()).filter(|since| *asked_at > **since + allowed);
-            found.extend(late.map(|_| violation(14, *at, format!("{node} vouched for {what:?} out of contact"))));
+        Fact::Vouched {
+            node,
+            what,
+            asked_at,
+        } => {
+            let allowed = if *what == Vouched::Heartbeat {
+                HEARD_FOR
+            } else {
+                ON_ITS_WAY
+            };
+            let late = isolated
+                .get(node.as_str())
+                .filter(|since| *asked_at > **since + allowed);
+            found.extend(late.map(|_| {
+                violation(
+                    14,
+                    *at,
+                    format!("{node} vouched for {what:?} out of contact"),
+                )
+            }));
         }
         _ => {}
     });
@@ -109,9 +180,16 @@
         })
         .collect();
     let lied = |(at, fact): &Seen| match fact {
-        Fact::Answered { try_id, code, not_run: true, .. } if ran.contains(try_id.as_str()) => {
-            Some(violation(2, *at, format!("{try_id} was answered {code}, but ran")))
-        }
+        Fact::Answered {
+            try_id,
+            code,
+            not_run: true,
+            ..
+        } if ran.contains(try_id.as_str()) => Some(violation(
+            2,
+            *at,
+            format!("{try_id} was answered {code}, but ran"),
+        )),
         _ => None,
     };
     seen.iter().filter_map(lied).collect()
@@ -119,9 +197,16 @@
 
 fn successes_are_whole(seen: &[Seen], _: &Terms) -> Vec<Violation> {
     let bad = |(at, fact): &Seen| match fact {
-        Fact::Answered { try_id, success: true, whole: false, .. } => {
-            Some(violation(3, *at, format!("{try_id} got a success that is not its own whole one")))
-        }
+        Fact::Answered {
+            try_id,
+            success: true,
+            whole: false,
+            ..
+        } => Some(violation(
+            3,
+            *at,
+            format!("{try_id} got a success that is not its own whole one"),
+        )),
         _ => None,
     };
     seen.iter().filter_map(bad).collect()
@@ -129,9 +214,11 @@
 
 fn addresses_are_fresh(seen: &[Seen], _: &Terms) -> Vec<Violation> {
     let old = |(at, fact): &Seen| match fact {
-        Fact::AddressUsed { age } if *age > Duration::from_secs(5) => {
-            Some(violation(4, *at, format!("an address was used after {age:?}")))
-        }
+        Fact::AddressUsed { age } if *age > Duration::from_secs(5) => Some(violation(
+            4,
+            *at,
+            format!("an address was used after {age:?}"),
+        )),
         _ => None,
     };
     seen.iter().filter_map(old).collect()
@@ -144,9 +231,19 @@
         Fact::Leaving { instance } => {
             noticed.entry(instance.clone()).or_insert(*at);
         }
-        Fact::Arrived { instance, try_id, .. } => {
-            let late = noticed.get(instance).filter(|noticed| *at > **noticed + Duration::from_secs(3));
-            found.extend(late.map(|_| violation(5, *at, format!("{try_id} reached {instance}, which is leaving"))));
+        Fact::Arrived {
+            instance, try_id, ..
+        } => {
+            let late = noticed
+                .get(instance)
+                .filter(|noticed| *at > **noticed + Duration::from_secs(3));
+            found.extend(late.map(|_| {
+                violation(
+                    5,
+                    *at,
+                    format!("{try_id} reached {instance}, which is leaving"),
+                )
+            }));
         }
         _ => {}
     });
@@ -157,15 +254,27 @@
     let mut empty: BTreeMap<String, Duration> = BTreeMap::new();
     let mut found = Vec::new();
     seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Evacuated { locality, back: false } => {
+        Fact::Evacuated {
+            locality,
+            back: false,
+        } => {
             empty.insert(locality.clone(), *at);
         }
-        Fact::Evacuated { locality, back: true } => {
+        Fact::Evacuated {
+            locality,
+            back: true,
+        } => {
             empty.remove(locality);
         }
-        Fact::Arrived { locality, try_id, .. } => {
-            let late = empty.get(locality).filter(|told| *at > **told + Duration::from_secs(5));
-            found.extend(late.map(|_| violation(6, *at, format!("{try_id} reached evacuated {locality}"))));
+        Fact::Arrived {
+            locality, try_id, ..
+        } => {
+            let late = empty
+                .get(locality)
+                .filter(|told| *at > **told + Duration::from_secs(5));
+            found.extend(
+                late.map(|_| violation(6, *at, format!("{try_id} reached evacuated {locality}"))),
+            );
         }
         _ => {}
     });
@@ -181,13 +290,23 @@
         Fact::InForce { node, edition } => {
             let known = highest.entry(node.clone()).or_insert(0);
             if edition < known {
-                found.push(violation(7, *at, format!("{node} went back from {known} to {edition}")));
+                found.push(violation(
+                    7,
+                    *at,
+                    format!("{node} went back from {known} to {edition}"),
+                ));
             }
             *known = (*known).max(*edition);
-            let due = accepted.iter().filter(|(told, _)| *at > *told + Duration::from_secs(3));
+            let due = accepted
+                .iter()
+                .filter(|(told, _)| *at > *told + Duration::from_secs(3));
             let due = due.map(|(_, edition)| *edition).max().unwrap_or(0);
             if *edition < due {
-                found.push(violation(7, *at, format!("{node} serves {edition}, but {due} was due")));
+                found.push(violation(
+                    7,
+                    *at,
+                    format!("{node} serves {edition}, but {due} was due"),
+                ));
             }
         }
         _ => {}
@@ -207,28 +326,57 @@
         })
         .collect();
     // When each edition was over: 3 s after the yes to any newer one.
-    let over = |edition: u64| setups.iter().filter(|(_, newer, _)| *newer > edition).map(|(at, ..)| *at + late).min();
-    let spans: Vec<(u64, usize, Option<Duration>)> =
-        setups.iter().map(|(_, edition, mark)| (*edition, *mark, over(*edition))).collect();
+    let over = |edition: u64| {
+        setups
+            .iter()
+            .filter(|(_, newer, _)| *newer > edition)
+            .map(|(at, ..)| *at + late)
+            .min()
+    };
+    let spans: Vec<(u64, usize, Option<Duration>)> = setups
+        .iter()
+        .map(|(_, edition, mark)| (*edition, *mark, over(*edition)))
+        .collect();
     let mut floors: BTreeMap<&str, Vec<(Duration, u64)>> = BTreeMap::new();
     let mut found = Vec::new();
     seen.iter().for_each(|(at, fact)| {
-        let Fact::Probed { node, mark } = fact else { return };
-        let mut marked = spans.iter().filter(|(_, other, _)| other == mark).peekable();
+        let Fact::Probed { node, mark } = fact else {
+            return;
+        };
+        let mut marked = spans
+            .iter()
+            .filter(|(_, other, _)| other == mark)
+            .peekable();
         if marked.peek().is_none() {
             return;
         }
-        let lawful: Vec<u64> =
-            marked.filter(|(.., over)| over.is_none_or(|over| *at <= over)).map(|(edition, ..)| *edition).collect();
+        let lawful: Vec<u64> = marked
+            .filter(|(.., over)| over.is_none_or(|over| *at <= over))
+            .map(|(edition, ..)| *edition)
+            .collect();
         let (least, most) = (lawful.iter().min().copied(), lawful.iter().max().copied());
         if most.is_none() {
-            found.push(violation(7, *at, format!("{node} sent a probe to mark-{mark}, by a setup that was over")));
+            found.push(violation(
+                7,
+                *at,
+                format!("{node} sent a probe to mark-{mark}, by a setup that was over"),
+            ));
         }
         // Two requests on their way may overtake one another within a second.
         let settled = floors.entry(node.as_str()).or_default();
-        let floor = settled.iter().filter(|(then, _)| *then + Duration::from_secs(1) < *at).map(|(_, least)| *least);
-        if most.zip(floor.max()).is_some_and(|(most, floor)| most < floor) {
-            found.push(violation(7, *at, format!("{node} went back to mark-{mark}")));
+        let floor = settled
+            .iter()
+            .filter(|(then, _)| *then + Duration::from_secs(1) < *at)
+            .map(|(_, least)| *least);
+        if most
+            .zip(floor.max())
+            .is_some_and(|(most, floor)| most < floor)
+        {
+            found.push(violation(
+                7,
+                *at,
+                format!("{node} went back to mark-{mark}"),
+            ));
         }
         settled.extend(least.map(|least| (*at, least)));
     });
@@ -241,18 +389,42 @@
     let mut found = Vec::new();
     seen.iter().for_each(|(at, fact)| match fact {
         Fact::Accepted { edition } => accepted.push((*at, *edition)),
-        Fact::Submitted { edition, digest, .. } => {
-            let other = submitted.insert(*edition, digest.clone()).filter(|other| other != digest);
-            found.extend(other.map(|_| violation(8, *at, format!("edition {edition} was given twice"))));
+        Fact::Submitted {
+            edition, digest, ..
+        } => {
+            let other = submitted
+                .insert(*edition, digest.clone())
+                .filter(|other| other != digest);
+            found.extend(
+                other.map(|_| violation(8, *at, format!("edition {edition} was given twice"))),
+            );
         }
-        Fact::ReadBack { node, edition, digest, asked_at } => {
-            let known = accepted.iter().filter(|(told, _)| told < asked_at).map(|(_, edition)| *edition);
+        Fact::ReadBack {
+            node,
+            edition,
+            digest,
+            asked_at,
+        } => {
+            let known = accepted
+                .iter()
+                .filter(|(told, _)| told < asked_at)
+                .map(|(_, edition)| *edition);
             let newest = known.max().unwrap_or(0);
             if *edition < newest {
-                found.push(violation(8, *at, format!("{node} reads back {edition}, {newest} was accepted")));
+                found.push(violation(
+                    8,
+                    *at,
+                    format!("{node} reads back {edition}, {newest} was accepted"),
+                ));
             }
             let other = submitted.get(edition).filter(|known| *known != digest);
-            found.extend(other.map(|_| violation(8, *at, format!("{node} reads back another edition {edition}"))));
+            found.extend(other.map(|_| {
+                violation(
+                    8,
+                    *at,
+                    format!("{node} reads back another edition {edition}"),
+                )
+            }));
         }
         _ => {}
     });
@@ -269,13 +441,26 @@
             numbers.insert(digest, *number);
         }
         Fact::Acknowledged { number } => known.push((*at, *number)),
-        Fact::ReadBack { node, digest, asked_at, .. } => {
-            let newest = known.iter().filter(|(told, _)| told < asked_at).map(|(_, number)| *number).max();
+        Fact::ReadBack {
+            node,
+            digest,
+            asked_at,
+            ..
+        } => {
+            let newest = known
+                .iter()
+                .filter(|(told, _)| told < asked_at)
+                .map(|(_, number)| *number)
+                .max();
             numbers.get(digest.as_str()).into_iter().for_each(|number| {
                 let older = newest.filter(|newest| number < newest);
-                found.extend(
-                    older.map(|newest| violation(8, *at, format!("{node} reads back number {number} after {newest}"))),
-                );
+                found.extend(older.map(|newest| {
+                    violation(
+                        8,
+                        *at,
+                        format!("{node} reads back number {number} after {newest}"),
+                    )
+                }));
                 known.push((*at, *number));
             });
         }
@@ -290,8 +475,14 @@
     let mut known: BTreeSet<&str> = BTreeSet::new();
     let mut sends: BTreeMap<&str, Vec<(Duration, bool)>> = BTreeMap::new();
     seen.iter().for_each(|(at, fact)| {
-        if let Fact::Arrived { try_id, service, .. } = fact {
-            sends.entry(service.as_str()).or_default().push((*at, !known.insert(try_id.as_str())));
+        if let Fact::Arrived {
+            try_id, service, ..
+        } = fact
+        {
+            sends
+                .entry(service.as_str())
+                .or_default()
+                .push((*at, !known.insert(try_id.as_str())));
         }
     });
     let mut found = Vec::new();
@@ -312,7 +503,11 @@
                 start += 1;
             }
             if again > firsts / 5 + 10 {
-                found.push(violation(9, *at, format!("{service}: {again} resends on {firsts} sends in 10 s")));
+                found.push(violation(
+                    9,
+                    *at,
+                    format!("{service}: {again} resends on {firsts} sends in 10 s"),
+                ));
             }
         });
     });
@@ -326,12 +521,21 @@
     let mut arrived: BTreeMap<&str, Vec<Duration>> = BTreeMap::new();
     let mut found = Vec::new();
     seen.iter().for_each(|(at, fact)| {
-        if let Fact::Arrived { instance, cold: true, .. } = fact {
+        if let Fact::Arrived {
+            instance,
+            cold: true,
+            ..
+        } = fact
+        {
             let times = arrived.entry(instance.as_str()).or_default();
             times.retain(|time| *time + window > *at);
             times.push(*at);
             if times.len() as u64 > most {
-                found.push(violation(10, *at, format!("cold {instance} got {} in 2 s", times.len())));
+                found.push(violation(
+                    10,
+                    *at,
+                    format!("cold {instance} got {} in 2 s", times.len()),
+                ));
             }
         }
     });
@@ -348,7 +552,11 @@
 /// What is held beside these keys.
 fn beside(held: &Held, keys: &Range<u32>) -> Held {
     let parts = held.iter().flat_map(|(known, until)| {
-        [known.start..known.end.min(keys.start), known.start.max(keys.end)..known.end].map(|part| (part, *until))
+        [
+            known.start..known.end.min(keys.start),
+            known.start.max(keys.end)..known.end,
+        ]
+        .map(|part| (part, *until))
     });
     parts.filter(|(part, _)| !part.is_empty()).collect()
 }
@@ -357,22 +565,43 @@
     let mut held: BTreeMap<&str, BTreeMap<&str, Held>> = BTreeMap::new();
     let mut found = Vec::new();
     seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Holds { service, keys, instance, until } => {
+        Fact::Holds {
+            service,
+            keys,
+            instance,
+            until,
+        } => {
             let holders = held.entry(service).or_default();
-            holders.values_mut().for_each(|rows| rows.retain(|(_, until)| until > at));
+            holders
+                .values_mut()
+                .for_each(|rows| rows.retain(|(_, until)| until > at));
             let others = holders.iter().filter(|(other, _)| *other != instance);
             let twice = others.flat_map(|(other, rows)| {
-                rows.iter().map(move |(row, _)| (overlap(row, keys), other)).filter(|(both, _)| !both.is_empty())
+                rows.iter()
+                    .map(move |(row, _)| (overlap(row, keys), other))
+                    .filter(|(both, _)| !both.is_empty())
             });
             found.extend(twice.map(|(both, other)| {
-                violation(11, *at, format!("{both:?} of {service} is held by {other} and {instance}"))
+                violation(
+                    11,
+                    *at,
+                    format!("{both:?} of {service} is held by {other} and {instance}"),
+                )
             }));
             let mine = holders.entry(instance).or_default();
             *mine = beside(mine, keys);
             mine.push((keys.clone(), *until));
         }
-        Fact::LetGo { service, keys, instance } => {
-            let mine = held.entry(service).or_default().entry(instance).or_default();
+        Fact::LetGo {
+            service,
+            keys,
+            instance,
+        } => {
+            let mine = held
+                .entry(service)
+                .or_default()
+                .entry(instance)
+                .or_default();
             *mine = beside(mine, keys);
         }
         _ => {}
@@ -382,9 +611,17 @@
 
 fn homes_are_kept(seen: &[Seen], terms: &Terms) -> Vec<Violation> {
     let outside = |(at, fact): &Seen| match fact {
-        Fact::Arrived { service, locality, try_id, .. } => {
+        Fact::Arrived {
+            service,
+            locality,
+            try_id,
+            ..
+        } => {
             let region = locality.split('/').next().unwrap_or_default();
-            let homes = terms.homes.get(service).filter(|homes| !homes.contains(region));
+            let homes = terms
+                .homes
+                .get(service)
+                .filter(|homes| !homes.contains(region));
             homes.map(|_| violation(12, *at, format!("{try_id} of {service} went to {locality}")))
         }
         _ => None,
@@ -393,13 +630,24 @@
 }
 
 fn calls_are_linearizable(seen: &[Seen], _: &Terms) -> Vec<Violation> {
-    let found = history::check(&history::calls(seen)).err().map(|flaw| match flaw {
-        Flaw::NoOrder { call, at } => violation(13, at, format!("no order of the calls explains {call}")),
-        Flaw::TooLong => violation(13, Duration::ZERO, "too many orders of the calls to judge them".into()),
-    });
+    let found = history::check(&history::calls(seen))
+        .err()
+        .map(|flaw| match flaw {
+            Flaw::NoOrder { call, at } => {
+                violation(13, at, format!("no order of the calls explains {call}"))
+            }
+            Flaw::TooLong => violation(
+                13,
+                Duration::ZERO,
+                "too many orders of the calls to judge them".into(),
+            ),
+        });
     found.into_iter().collect()
 }
 
 fn answers_stay(seen: &[Seen], _: &Terms) -> Vec<Violation> {
-    history::changed_answers(seen).into_iter().map(|(at, text)| violation(13, at, text)).collect()
+    history::changed_answers(seen)
+        .into_iter()
+        .map(|(at, text)| violation(13, at, text))
+        .collect()
 }
--- a/crates/drill/src/runs.rs
+++ b/crates/drill/src/runs.rs
@@ -44,12 +44,25 @@
 async fn bring_up(run: Run) -> Result<bool, String> {
     let clock = Clock::default();
     let record = Record::default();
-    let programs = std::env::current_exe().map_err(|e| e.to_string())?.parent().map(PathBuf::from).unwrap_or_default();
-    let folder = run.keep.clone().unwrap_or_else(|| std::env::temp_dir().join(format!("drill-{}", std::process::id())));
-    let (mut fleet, wires) = Fleet::laid(&run.shape, &programs, &folder).await.map_err(|e| e.to_string())?;
-    fleet.start().map_err(|e| format!("cannot start the daemons beside drill: {e}"))?;
+    let programs = std::env::current_exe()
+        .map_err(|e| e.to_string())?
+        .parent()
+        .map(PathBuf::from)
+        .unwrap_or_default();
+    let folder = run
+        .keep
+        .clone()
+        .unwrap_or_else(|| std::env::temp_dir().join(format!("drill-{}", std::process::id())));
+    let (mut fleet, wires) = Fleet::laid(&run.shape, &programs, &folder)
+        .await
+        .map_err(|e| e.to_string())?;
+    fleet
+        .start()
+        .map_err(|e| format!("cannot start the daemons beside drill: {e}"))?;
     if run.plan == "founding" {
-        interrupt_founding(&mut fleet).await.map_err(|e| e.to_string())?;
+        interrupt_founding(&mut fleet)
+            .await
+            .map_err(|e| e.to_string())?;
     }
     let nodes = Arc::new(fleet.nodes());
     if !Fleet::ready(&nodes, READY_WITHIN).await {
@@ -76,8 +89,17 @@
             units.push(unit.await.map_err(|e| e.to_string())?);
         }
     }
-    let directories: Vec<String> = fleet.carriers.iter().map(|carrier| carrier.http.clone()).collect();
-    let origins = Origins::new(run.shape.clone(), directories.clone(), clock, record.clone());
+    let directories: Vec<String> = fleet
+        .carriers
+        .iter()
+        .map(|carrier| carrier.http.clone())
+        .collect();
+    let origins = Origins::new(
+        run.shape.clone(),
+        directories.clone(),
+        clock,
+        record.clone(),
+    );
     served_once(&origins).await?;
     println!("every service served after {:?}", clock.now());
     let warm_up = origins.ended().len();
@@ -87,7 +109,15 @@
     let loading = origins.clone();
     let (per_second, span) = (run.per_second.unwrap_or(run.shape.per_second), run.load);
     let load = tokio::spawn(async move { loading.load(per_second, span).await });
-    let scene = Scene { wires, fleet: &mut fleet, units: &mut units, shape: &run.shape, record: &record, clock, span };
+    let scene = Scene {
+        wires,
+        fleet: &mut fleet,
+        units: &mut units,
+        shape: &run.shape,
+        record: &record,
+        clock,
+        span,
+    };
     scene.play(&run.plan).await?;
     load.await.map_err(|e| e.to_string())?;
     watcher.abort();
@@ -97,16 +127,41 @@
     let seen = record.all();
     let violations = rules::judge(&seen, &run.shape.terms());
     let ended: Vec<_> = origins.ended().into_iter().skip(warm_up).collect();
-    let title = format!("{} at {per_second}/s for {span:?}, plan {}", run.shape.name, run.plan);
+    let title = format!(
+        "{} at {per_second}/s for {span:?}, plan {}",
+        run.shape.name, run.plan
+    );
     report::print(&title, &seen, &ended, &violations);
-    let fine = violations.iter().all(|violation| run.untimed && rules::TIMED.contains(&violation.rule));
-    let healed_at = seen.iter().filter(|(_, fact)| matches!(fact, Fact::Fault { .. })).map(|(at, _)| *at).max();
-    let failed = ended.iter().filter(|ended| ended.code != 1000).map(|ended| ended.at.saturating_sub(ended.took));
-    let resumed = failed.max().unwrap_or_default().saturating_sub(healed_at.unwrap_or_default());
+    let fine = violations
+        .iter()
+        .all(|violation| run.untimed && rules::TIMED.contains(&violation.rule));
+    let healed_at = seen
+        .iter()
+        .filter(|(_, fact)| matches!(fact, Fact::Fault { .. }))
+        .map(|(at, _)| *at)
+        .max();
+    let failed = ended
+        .iter()
+        .filter(|ended| ended.code != 1000)
+        .map(|ended| ended.at.saturating_sub(ended.took));
+    let resumed = failed
+        .max()
+        .unwrap_or_default()
+        .saturating_sub(healed_at.unwrap_or_default());
     println!("last failure {resumed:?} after the last fault ended");
     let fine = fine && (run.untimed || resumed <= RESUME_WITHIN);
-    println!("postmasters that read the same setup back: {alike} of {}", fleet.postmasters.len());
-    let peak = |processes: &[Process]| processes.iter().filter_map(Process::peak_memory).max().unwrap_or(0) / 1024;
+    println!(
+        "postmasters that read the same setup back: {alike} of {}",
+        fleet.postmasters.len()
+    );
+    let peak = |processes: &[Process]| {
+        processes
+            .iter()
+            .filter_map(Process::peak_memory)
+            .max()
+            .unwrap_or(0)
+            / 1024
+    };
     let (carriers, postmasters) = (peak(&fleet.carriers), peak(&fleet.postmasters));
     println!("most memory of one carrier: {carriers} MiB, of one postmaster: {postmasters} MiB");
     let whole = alike == fleet.postmasters.len();
@@ -146,14 +201,30 @@
     let path = format!("/setup?id={id}");
     // Unknown or not yet possible: the same id is asked again, and is decided once.
     for _ in 0..40 {
-        let called = caller.call(node, "PUT", &path, &[], Bytes::from(setup.clone()), Duration::from_secs(10), false);
+        let called = caller.call(
+            node,
+            "PUT",
+            &path,
+            &[],
+            Bytes::from(setup.clone()),
+            Duration::from_secs(10),
+            false,
+        );
         let reply = called.await.ok();
         let sheet = reply.and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
         let code = sheet.as_ref().and_then(|sheet| sheet.count("code"));
         if code == Some(u64::from(Code::Fine.number())) {
             let edition = sheet.and_then(|sheet| sheet.count("edition")).unwrap_or(0);
             let took = clock.now() - submitted_at;
-            record.note(clock.now(), Fact::Submitted { edition, digest, mark, took });
+            record.note(
+                clock.now(),
+                Fact::Submitted {
+                    edition,
+                    digest,
+                    mark,
+                    took,
+                },
+            );
             record.note(clock.now(), Fact::Accepted { edition });
             return Ok(edition);
         }
@@ -170,8 +241,17 @@
     for _ in 0..400 {
         origins.one().await;
         let ended = origins.ended();
-        let served = |service: &str| ended.iter().any(|ended| ended.service == service && ended.code == 1000);
-        if origins.shape.services.iter().all(|work| served(work.service)) {
+        let served = |service: &str| {
+            ended
+                .iter()
+                .any(|ended| ended.service == service && ended.code == 1000)
+        };
+        if origins
+            .shape
+            .services
+            .iter()
+            .all(|work| served(work.service))
+        {
             return Ok(());
         }
     }
@@ -183,11 +263,25 @@
     let caller = Caller::default();
     for number in 0u64.. {
         for (at, carrier) in carriers.iter().enumerate() {
-            let (try_id, caller, carrier) = (format!("probe-{number}-{at}"), caller.clone(), carrier.clone());
+            let (try_id, caller, carrier) = (
+                format!("probe-{number}-{at}"),
+                caller.clone(),
+                carrier.clone(),
+            );
             tokio::spawn(async move {
                 let headers = [("x-try-id", try_id.as_str()), ("x-remaining-ms", "1000")];
                 let within = Duration::from_secs(2);
-                let _ = caller.call(&carrier, "POST", "/r/probe/probe", &headers, Bytes::new(), within, false).await;
+                let _ = caller
+                    .call(
+                        &carrier,
+                        "POST",
+                        "/r/probe/probe",
+                        &headers,
+                        Bytes::new(),
+                        within,
+                        false,
+                    )
+                    .await;
             });
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -202,12 +296,26 @@
             tokio::spawn(async move {
                 let (asked_at, within) = (clock.now(), Duration::from_secs(3));
                 let caller = Caller::default();
-                let called = caller.call(&node, "GET", "/setup", &[], Bytes::new(), within, false).await;
-                called.ok().filter(|reply| reply.status == 200).into_iter().for_each(|reply| {
-                    let edition = reply.header("x-edition").parse().unwrap_or(0);
-                    let digest = protocol::digest(&reply.body);
-                    record.note(clock.now(), Fact::ReadBack { node: node.clone(), edition, digest, asked_at });
-                });
+                let called = caller
+                    .call(&node, "GET", "/setup", &[], Bytes::new(), within, false)
+                    .await;
+                called
+                    .ok()
+                    .filter(|reply| reply.status == 200)
+                    .into_iter()
+                    .for_each(|reply| {
+                        let edition = reply.header("x-edition").parse().unwrap_or(0);
+                        let digest = protocol::digest(&reply.body);
+                        record.note(
+                            clock.now(),
+                            Fact::ReadBack {
+                                node: node.clone(),
+                                edition,
+                                digest,
+                                asked_at,
+                            },
+                        );
+                    });
             });
         });
         tokio::time::sleep(Duration::from_secs(1)).await;
@@ -219,12 +327,33 @@
     let caller = Caller::default();
     loop {
         for node in &nodes {
-            let called = caller.call(node, "GET", "/node", &[], Bytes::new(), Duration::from_secs(1), true).await;
-            let sheet = called.ok().and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
+            let called = caller
+                .call(
+                    node,
+                    "GET",
+                    "/node",
+                    &[],
+                    Bytes::new(),
+                    Duration::from_secs(1),
+                    true,
+                )
+                .await;
+            let sheet = called
+                .ok()
+                .and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
             let serving = sheet.filter(|sheet| sheet.get("ready") == Some(&Sheet::Truth(true)));
-            serving.and_then(|sheet| sheet.count("edition")).into_iter().for_each(|edition| {
-                record.note(clock.now(), Fact::InForce { node: node.clone(), edition });
-            });
+            serving
+                .and_then(|sheet| sheet.count("edition"))
+                .into_iter()
+                .for_each(|edition| {
+                    record.note(
+                        clock.now(),
+                        Fact::InForce {
+                            node: node.clone(),
+                            edition,
+                        },
+                    );
+                });
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -235,14 +364,29 @@
     let mut read = Vec::new();
     for process in &fleet.postmasters {
         let asked_at = clock.now();
-        let called = caller.call(&process.http, "GET", "/setup", &[], Bytes::new(), Duration::from_secs(5), false);
+        let called = caller.call(
+            &process.http,
+            "GET",
+            "/setup",
+            &[],
+            Bytes::new(),
+            Duration::from_secs(5),
+            false,
+        );
         if let Some(reply) = called.await.ok().filter(|reply| reply.status == 200) {
             let edition = reply.header("x-edition").parse().unwrap_or(0);
             let digest = protocol::digest(&reply.body);
-            let back = Fact::ReadBack { node: process.node.clone(), edition, digest: digest.clone(), asked_at };
+            let back = Fact::ReadBack {
+                node: process.node.clone(),
+                edition,
+                digest: digest.clone(),
+                asked_at,
+            };
             record.note(clock.now(), back);
             read.push((edition, digest));
         }
     }
-    read.iter().filter(|other| Some(*other) == read.first()).count()
+    read.iter()
+        .filter(|other| Some(*other) == read.first())
+        .count()
 }
--- a/crates/drill/src/scripted/clients.rs
+++ b/crates/drill/src/scripted/clients.rs
@@ -47,8 +47,17 @@
         request_id: "x-try-id",
         answer_id: "x-try-id",
         headers: |said| {
-            let seal = protocol::seal(said.try_id, said.instance, said.status, said.body.as_bytes());
-            vec![("x-try-id", said.try_id.into()), ("x-instance", said.instance.into()), ("x-seal", seal)]
+            let seal = protocol::seal(
+                said.try_id,
+                said.instance,
+                said.status,
+                said.body.as_bytes(),
+            );
+            vec![
+                ("x-try-id", said.try_id.into()),
+                ("x-instance", said.instance.into()),
+                ("x-seal", seal),
+            ]
         },
         enquiry: |told, within| {
             let within = within.as_millis().to_string();
@@ -56,13 +65,19 @@
                 method: hyper::Method::POST,
                 path: format!("/r/{}/x", service(told)),
                 target: format!("/r/{}/x", service(told)),
-                headers: transport::headers(&[("x-try-id", told.id.as_str()), ("x-remaining-ms", within.as_str())]),
+                headers: transport::headers(&[
+                    ("x-try-id", told.id.as_str()),
+                    ("x-remaining-ms", within.as_str()),
+                ]),
                 body: vec![b'b'; told.body_bytes].into(),
                 ..Enquiry::default()
             }
         },
         told: |status, headers, body| {
-            let code = headers.get("x-code").and_then(|code| code.to_str().ok()).and_then(|code| code.parse().ok());
+            let code = headers
+                .get("x-code")
+                .and_then(|code| code.to_str().ok())
+                .and_then(|code| code.parse().ok());
             match code.and_then(Code::from_number).map(Code::kind) {
                 Some(Kind::Ran) if status == 200 => Told::Success { body },
                 Some(Kind::NotRun) => Told::NotRun,
@@ -112,30 +127,61 @@
     pub fn start(manner: &'static Manner, peers: &[Peer], facts: Facts, takes: Takes) -> Proxy {
         let mut site = Site::new("p", "n/1".parse().unwrap_or_default(), LONG, Duration::ZERO);
         (site.owners, site.serves_on) = (Owners::ByCaller, true);
-        let terms =
-            NodeTerms { clock: Clock::default(), keeps_connections: true, roles: "proxy".into(), lifetime: LONG };
+        let terms = NodeTerms {
+            clock: Clock::default(),
+            keeps_connections: true,
+            roles: "proxy".into(),
+            lifetime: LONG,
+        };
         let node = Node::new(site, broken((manner.dialect)(), takes), terms);
         node.publish(view(manner, peers));
-        Proxy { node: Arc::new(node), manner, facts }
+        Proxy {
+            node: Arc::new(node),
+            manner,
+            facts,
+        }
     }
 
     /// Makes a try and notes what it is told.
     pub async fn ask(&self, asked: &Try, within: Duration) -> Told {
-        self.facts.note(Fact::Asked { try_id: asked.id.clone(), once: asked.once });
-        let response = self.node.clone().serve(Door::Front, (self.manner.enquiry)(asked, within)).await;
+        self.facts.note(Fact::Asked {
+            try_id: asked.id.clone(),
+            once: asked.once,
+        });
+        let response = self
+            .node
+            .clone()
+            .serve(Door::Front, (self.manner.enquiry)(asked, within))
+            .await;
         let (head, body) = response.into_parts();
-        let body = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
+        let body = body
+            .collect()
+            .await
+            .map(|body| body.to_bytes())
+            .unwrap_or_default();
         let told = (self.manner.told)(head.status.as_u16(), &head.headers, body);
-        self.facts.note(Fact::Told { try_id: asked.id.clone(), told: told.clone() });
+        self.facts.note(Fact::Told {
+            try_id: asked.id.clone(),
+            told: told.clone(),
+        });
         told
     }
 
     /// Why a try went where it went.
     pub async fn trace(&self, try_id: &str) -> String {
         let query = [("try".to_owned(), try_id.to_owned())].into();
-        let enquiry = Enquiry { path: "/trace".into(), query, ..Enquiry::default() };
+        let enquiry = Enquiry {
+            path: "/trace".into(),
+            query,
+            ..Enquiry::default()
+        };
         let response = self.node.clone().serve(Door::Directory, enquiry).await;
-        let body = response.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
+        let body = response
+            .into_body()
+            .collect()
+            .await
+            .map(|body| body.to_bytes())
+            .unwrap_or_default();
         String::from_utf8_lossy(&body).into_owned()
     }
 }
@@ -150,10 +196,25 @@
         warm: true,
         ..Upstream::default()
     };
-    let upstreams = peers.iter().flat_map(|peer| [known("once", peer), known("again", peer)]).collect();
-    let state = ClusterState { edition: 1, ..ClusterState::default() };
-    let news = ViewUpdate { state: Some(state), setup: Some(manner.setup.into()), upstreams, ..ViewUpdate::default() };
-    let mut view = View { reader: manner.reader, as_of: Some(Duration::ZERO), ..View::default() };
+    let upstreams = peers
+        .iter()
+        .flat_map(|peer| [known("once", peer), known("again", peer)])
+        .collect();
+    let state = ClusterState {
+        edition: 1,
+        ..ClusterState::default()
+    };
+    let news = ViewUpdate {
+        state: Some(state),
+        setup: Some(manner.setup.into()),
+        upstreams,
+        ..ViewUpdate::default()
+    };
+    let mut view = View {
+        reader: manner.reader,
+        as_of: Some(Duration::ZERO),
+        ..View::default()
+    };
     view.take(news, true).expect("the configuration is fine");
     view
 }
@@ -163,9 +224,11 @@
     match takes {
         Takes::ItsOwn => Dialect { judge, ..dialect },
         Takes::LostForUnsent => Dialect {
-            judge: Box::new(move |called, try_id, instance| match judge(called, try_id, instance) {
-                sorting::Outcome::Lost => sorting::Outcome::NotConnected,
-                outcome => outcome,
+            judge: Box::new(move |called, try_id, instance| {
+                match judge(called, try_id, instance) {
+                    sorting::Outcome::Lost => sorting::Outcome::NotConnected,
+                    outcome => outcome,
+                }
             }),
             ..dialect
         },
@@ -190,10 +253,16 @@
     facts: &Facts,
     asked: &Try,
 ) -> Told {
-    facts.note(Fact::Asked { try_id: asked.id.clone(), once: asked.once });
+    facts.note(Fact::Asked {
+        try_id: asked.id.clone(),
+        once: asked.once,
+    });
     let mut read = vec![0; 1 << 20];
     let id = manner.request_id;
-    let request = format!("POST /x HTTP/1.1\r\nhost: a\r\n{id}: {}\r\ncontent-length: 0\r\n\r\n", asked.id);
+    let request = format!(
+        "POST /x HTTP/1.1\r\nhost: a\r\n{id}: {}\r\ncontent-length: 0\r\n\r\n",
+        asked.id
+    );
     let mut told = Told::Unknown;
     if kept.is_none() {
         *kept = TcpStream::connect(&peer.address).await.ok();
@@ -204,11 +273,17 @@
         let came = tokio::time::timeout(Duration::from_millis(20), open.read(&mut read)).await;
         if let (Ok(()), Ok(Ok(count @ 1..))) = (wrote, came) {
             let text = String::from_utf8_lossy(&read[..count]).into_owned();
-            let body = text.split_once("\r\n\r\n").map(|(_, body)| body.to_owned()).unwrap_or_default();
+            let body = text
+                .split_once("\r\n\r\n")
+                .map(|(_, body)| body.to_owned())
+                .unwrap_or_default();
             told = Told::Success { body: body.into() };
             *kept = stream;
         }
     }
-    facts.note(Fact::Told { try_id: asked.id.clone(), told: told.clone() });
+    facts.note(Fact::Told {
+        try_id: asked.id.clone(),
+        told: told.clone(),
+    });
     told
 }
--- a/crates/drill/src/scripted/judge.rs
+++ b/crates/drill/src/scripted/judge.rs
@@ -29,12 +29,18 @@
         Fact::Asked { try_id, once } => Some((try_id, *once)),
         _ => None,
     });
-    asked.flat_map(|(try_id, once)| judge_one(facts, try_id, once)).collect()
+    asked
+        .flat_map(|(try_id, once)| judge_one(facts, try_id, once))
+        .collect()
 }
 
 fn judge_one(facts: &[Fact], id: &str, once: bool) -> Vec<Breach> {
-    let count =
-        |of: fn(&Fact) -> Option<&String>| facts.iter().filter(|fact| of(fact).is_some_and(|of| of == id)).count();
+    let count = |of: fn(&Fact) -> Option<&String>| {
+        facts
+            .iter()
+            .filter(|fact| of(fact).is_some_and(|of| of == id))
+            .count()
+    };
     let arrived = count(|fact| match fact {
         Fact::Arrived { try_id } => Some(try_id),
         _ => None,
@@ -61,10 +67,23 @@
     };
     let try_id = || id.to_owned();
     let breaches = [
-        (told.iter().any(foreign), Breach::NotItsOwn { try_id: try_id() }),
-        (once && may_have_run > 1, Breach::RanTwice { try_id: try_id() }),
-        (told.contains(&&Told::NotRun) && may_have_run > 0, Breach::FalselyRefused { try_id: try_id() }),
+        (
+            told.iter().any(foreign),
+            Breach::NotItsOwn { try_id: try_id() },
+        ),
+        (
+            once && may_have_run > 1,
+            Breach::RanTwice { try_id: try_id() },
+        ),
+        (
+            told.contains(&&Told::NotRun) && may_have_run > 0,
+            Breach::FalselyRefused { try_id: try_id() },
+        ),
         (told.len() != 1, Breach::NotToldOnce { try_id: try_id() }),
     ];
-    breaches.into_iter().filter(|(broken, _)| *broken).map(|(_, breach)| breach).collect()
+    breaches
+        .into_iter()
+        .filter(|(broken, _)| *broken)
+        .map(|(_, breach)| breach)
+        .collect()
 }
--- a/crates/drill/src/scripted/mod.rs
+++ b/crates/drill/src/scripted/mod.rs
@@ -40,7 +40,12 @@
         match self {
             Told::Success { body } => {
                 let first = body.split(|byte| *byte == b'\n').next().unwrap_or_default();
-                write!(f, "success of {} bytes: {}", body.len(), String::from_utf8_lossy(first))
+                write!(
+                    f,
+                    "success of {} bytes: {}",
+                    body.len(),
+                    String::from_utf8_lossy(first)
+                )
             }
             Told::NotRun => f.write_str("not run"),
             Told::Unknown => f.write_str("unknown"),
@@ -87,7 +92,10 @@
     /// assert_eq!(facts.all().len(), 1);
     /// ```
     pub fn note(&self, fact: Fact) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push(fact);
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(fact);
     }
 
     /// All so far.
@@ -96,7 +104,10 @@
     /// assert!(drill::scripted::Facts::default().all().is_empty());
     /// ```
     pub fn all(&self) -> Vec<Fact> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
 
@@ -107,5 +118,7 @@
 /// ```
 pub fn work(try_id: &str) -> String {
     let lines = 1 + address::spread(try_id) % 900;
-    (0..lines).map(|line| format!("line {line} of the work of {try_id}\n")).collect()
+    (0..lines)
+        .map(|line| format!("line {line} of the work of {try_id}\n"))
+        .collect()
 }
--- a/crates/drill/src/scripted/peer.rs
+++ b/crates/drill/src/scripted/peer.rs
@@ -121,8 +121,14 @@
 }
 
 /// Every opening; mostly it serves.
-pub const OPENINGS: &[Opening] =
-    &[Opening::Serve, Opening::Serve, Opening::Serve, Opening::Close, Opening::Reset, Opening::Surplus];
+pub const OPENINGS: &[Opening] = &[
+    Opening::Serve,
+    Opening::Serve,
+    Opening::Serve,
+    Opening::Close,
+    Opening::Reset,
+    Opening::Surplus,
+];
 
 /// An act, and how many turns of the other tasks it waits before what it does late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -183,9 +189,15 @@
         facts: Facts,
         (steps, openings): (Vec<Step>, Vec<Opening>),
     ) -> Peer {
-        let socket = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
+        let socket = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("loopback has a free port");
         let _ = SockRef::from(&socket).set_recv_buffer_size(SMALL_BUFFER);
-        let script = Script { steps: steps.into(), openings: openings.into(), seen: Vec::new() };
+        let script = Script {
+            steps: steps.into(),
+            openings: openings.into(),
+            seen: Vec::new(),
+        };
         let peer = Peer {
             instance: instance.to_owned(),
             address: socket.local_addr().expect("it is bound").to_string(),
@@ -208,7 +220,10 @@
 
     async fn serve(self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        match self.with(|script| script.openings.pop_front()).unwrap_or(Opening::Serve) {
+        match self
+            .with(|script| script.openings.pop_front())
+            .unwrap_or(Opening::Serve)
+        {
             Opening::Serve => {}
             Opening::Close => return,
             Opening::Reset => return reset(stream),
@@ -216,18 +231,42 @@
         }
         let (mut read, mut carried) = (Vec::new(), 0);
         loop {
-            let Some(request) = read_head(&mut stream, &mut read, self.manner.request_id).await else { return };
-            self.facts.note(Fact::Arrived { try_id: request.try_id.clone() });
+            let Some(request) = read_head(&mut stream, &mut read, self.manner.request_id).await
+            else {
+                return;
+            };
+            self.facts.note(Fact::Arrived {
+                try_id: request.try_id.clone(),
+            });
             let step = self.with(|script| script.steps.pop_front());
-            let step = step.unwrap_or(Step { act: Act::Whole, turns: 0 });
-            let reads_first = !matches!(step.act, Act::Early | Act::EarlyThenClose | Act::EarlySurplus);
-            if reads_first && read_body(&mut stream, &mut read, request.body_bytes).await.is_none() {
+            let step = step.unwrap_or(Step {
+                act: Act::Whole,
+                turns: 0,
+            });
+            let reads_first = !matches!(
+                step.act,
+                Act::Early | Act::EarlyThenClose | Act::EarlySurplus
+            );
+            if reads_first
+                && read_body(&mut stream, &mut read, request.body_bytes)
+                    .await
+                    .is_none()
+            {
                 return;
             }
-            let Some(then) = self.perform(&mut stream, step, &request.try_id, carried).await else { return };
+            let Some(then) = self
+                .perform(&mut stream, step, &request.try_id, carried)
+                .await
+            else {
+                return;
+            };
             carried += 1;
             self.with(|script| script.seen.push(request.try_id.clone()));
-            if !reads_first && read_body(&mut stream, &mut read, request.body_bytes).await.is_none() {
+            if !reads_first
+                && read_body(&mut stream, &mut read, request.body_bytes)
+                    .await
+                    .is_none()
+            {
                 return;
             }
             match then {
@@ -240,14 +279,26 @@
     }
 
     /// Writes what the act says; none where the client is gone.
-    async fn perform(&self, stream: &mut TcpStream, step: Step, try_id: &str, carried: u32) -> Option<Then> {
+    async fn perform(
+        &self,
+        stream: &mut TcpStream,
+        step: Step,
+        try_id: &str,
+        carried: u32,
+    ) -> Option<Then> {
         let mine = self.answer(try_id);
         let foreign = self.foreign(try_id);
         let (pieces, then): (Vec<String>, Then) = match step.act {
             Act::Whole | Act::Early => (vec![mine], Then::Next),
             Act::Chunked => (vec![chunked(&mine)], Then::Next),
             Act::InParts => (halves(&mine).into(), Then::Next),
-            Act::Interim => (vec!["HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\n".into(), mine], Then::Next),
+            Act::Interim => (
+                vec![
+                    "HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\n".into(),
+                    mine,
+                ],
+                Then::Next,
+            ),
             Act::Last => (vec![with_header(&mine, "connection: close")], Then::Next),
             Act::ThenSurplus => (vec![mine + &foreign], Then::Next),
             Act::ThenLateSurplus => (vec![mine, foreign], Then::Next),
@@ -261,16 +312,29 @@
             Act::SurplusThenClose => (vec![foreign], Then::Close),
             Act::HalfSurplusThenWhole => (vec![halves(&foreign)[0].clone(), mine], Then::Hang),
             Act::ForeignDenial => (vec![self.denial(&self.another(try_id))], Then::Next),
-            Act::NamelessDenial => (vec![without_header(&self.denial(try_id), self.manner.answer_id)], Then::Next),
-            Act::Nameless => (vec![without_header(&mine, self.manner.answer_id)], Then::Next),
-            Act::TwoNames => {
-                (vec![with_header(&mine, &format!("{}: {}", self.manner.answer_id, self.another(try_id)))], Then::Next)
-            }
+            Act::NamelessDenial => (
+                vec![without_header(&self.denial(try_id), self.manner.answer_id)],
+                Then::Next,
+            ),
+            Act::Nameless => (
+                vec![without_header(&mine, self.manner.answer_id)],
+                Then::Next,
+            ),
+            Act::TwoNames => (
+                vec![with_header(
+                    &mine,
+                    &format!("{}: {}", self.manner.answer_id, self.another(try_id)),
+                )],
+                Then::Next,
+            ),
             Act::Half => (vec![halves(&mine)[0].clone()], Then::Close),
             Act::HalfChunked => (vec![halves(&chunked(&mine))[0].clone()], Then::Close),
             Act::HalfReset => (vec![halves(&mine)[0].clone()], Then::Reset),
             Act::HalfHang => (vec![halves(&mine)[0].clone()], Then::Hang),
-            Act::HalfWithoutLength => (vec![halves(&without_header(&mine, "content-length"))[0].clone()], Then::Close),
+            Act::HalfWithoutLength => (
+                vec![halves(&without_header(&mine, "content-length"))[0].clone()],
+                Then::Close,
+            ),
             Act::Garbage => (vec!["220 this is no answer\r\n".repeat(3)], Then::Hang),
             Act::Close => (vec![], Then::Close),
             Act::Reset => (vec![], Then::Reset),
@@ -279,14 +343,23 @@
             Act::EarlySurplus => (vec![foreign, mine], Then::Next),
             Act::NotRun => (vec![self.denial(try_id)], Then::Next),
             Act::Switch => (
-                vec!["HTTP/1.1 101 Switching Protocols\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n".into()],
+                vec![
+                    "HTTP/1.1 101 Switching Protocols\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n"
+                        .into(),
+                ],
                 Then::Hang,
             ),
         };
         match step.act {
-            Act::NotRun => self.facts.note(Fact::SaidNotRun { try_id: try_id.to_owned() }),
-            Act::NamelessDenial if carried == 0 => self.facts.note(Fact::SaidNotRun { try_id: try_id.to_owned() }),
-            act if is_whole(act) => self.facts.note(Fact::Answered { try_id: try_id.to_owned() }),
+            Act::NotRun => self.facts.note(Fact::SaidNotRun {
+                try_id: try_id.to_owned(),
+            }),
+            Act::NamelessDenial if carried == 0 => self.facts.note(Fact::SaidNotRun {
+                try_id: try_id.to_owned(),
+            }),
+            act if is_whole(act) => self.facts.note(Fact::Answered {
+                try_id: try_id.to_owned(),
+            }),
             _ => {}
         }
         for (at, piece) in pieces.iter().enumerate() {
@@ -300,16 +373,35 @@
     }
 
     fn answer(&self, try_id: &str) -> String {
-        self.say(&Said { try_id, instance: &self.instance, status: 200, body: &work(try_id), not_run: false })
+        self.say(&Said {
+            try_id,
+            instance: &self.instance,
+            status: 200,
+            body: &work(try_id),
+            not_run: false,
+        })
     }
 
     fn denial(&self, try_id: &str) -> String {
-        self.say(&Said { try_id, instance: &self.instance, status: 503, body: "no room", not_run: true })
+        self.say(&Said {
+            try_id,
+            instance: &self.instance,
+            status: 503,
+            body: "no room",
+            not_run: true,
+        })
     }
 
     /// A try that came here before, or one that nobody made.
     fn another(&self, try_id: &str) -> String {
-        let earlier = self.with(|script| script.seen.iter().rev().find(|seen| *seen != try_id).cloned());
+        let earlier = self.with(|script| {
+            script
+                .seen
+                .iter()
+                .rev()
+                .find(|seen| *seen != try_id)
+                .cloned()
+        });
         earlier.unwrap_or_else(|| "try-of-nobody".to_owned())
     }
 
@@ -318,10 +410,15 @@
     }
 
     fn say(&self, said: &Said) -> String {
-        let headers = (self.manner.headers)(said).into_iter().map(|(name, value)| format!("{name}: {value}\r\n"));
+        let headers = (self.manner.headers)(said)
+            .into_iter()
+            .map(|(name, value)| format!("{name}: {value}\r\n"));
         let headers: String = headers.collect();
         let (status, length) = (said.status, said.body.len());
-        format!("HTTP/1.1 {status} Told\r\n{headers}content-length: {length}\r\n\r\n{}", said.body)
+        format!(
+            "HTTP/1.1 {status} Told\r\n{headers}content-length: {length}\r\n\r\n{}",
+            said.body
+        )
     }
 }
 
@@ -373,10 +470,17 @@
             read.drain(..end + 4);
             let value = |wanted: &str| {
                 let mut fields = head.lines().filter_map(|line| line.split_once(':'));
-                fields.find(|(name, _)| name.eq_ignore_ascii_case(wanted)).map(|(_, value)| value.trim().to_owned())
+                fields
+                    .find(|(name, _)| name.eq_ignore_ascii_case(wanted))
+                    .map(|(_, value)| value.trim().to_owned())
             };
-            let body_bytes = value("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
-            return Some(Request { try_id: value(id).unwrap_or_default(), body_bytes });
+            let body_bytes = value("content-length")
+                .and_then(|length| length.parse().ok())
+                .unwrap_or(0);
+            return Some(Request {
+                try_id: value(id).unwrap_or_default(),
+                body_bytes,
+            });
         }
         if stream.read_buf(read).await.ok()? == 0 {
             return None;
@@ -407,14 +511,25 @@
 
 fn without_header(answer: &str, name: &str) -> String {
     let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((answer, ""));
-    let kept = head.split("\r\n").filter(|line| !line.starts_with(&format!("{name}:")));
+    let kept = head
+        .split("\r\n")
+        .filter(|line| !line.starts_with(&format!("{name}:")));
     format!("{}\r\n\r\n{body}", kept.collect::<Vec<_>>().join("\r\n"))
 }
 
 fn chunked(answer: &str) -> String {
-    let framed = with_header(&without_header(answer, "content-length"), "transfer-encoding: chunked");
+    let framed = with_header(
+        &without_header(answer, "content-length"),
+        "transfer-encoding: chunked",
+    );
     let (head, body) = framed.split_once("\r\n\r\n").unwrap_or((&framed, ""));
     let (first, second) = body.split_at(body.len() / 2);
-    let chunk = |part: &str| if part.is_empty() { String::new() } else { format!("{:x}\r\n{part}\r\n", part.len()) };
+    let chunk = |part: &str| {
+        if part.is_empty() {
+            String::new()
+        } else {
+            format!("{:x}\r\n{part}\r\n", part.len())
+        }
+    };
     format!("{head}\r\n\r\n{}{}0\r\n\r\n", chunk(first), chunk(second))
 }
--- a/crates/drill/src/seeds.rs
+++ b/crates/drill/src/seeds.rs
@@ -19,7 +19,9 @@
 pub fn check(sim: &Sim) -> Result<(), String> {
     plans(sim).iter().flatten().try_for_each(|name| {
         let known = fault_names().collect::<Vec<_>>().join(", ");
-        Plan::named(name, 1).map(drop).ok_or(format!("--plan '{name}': each, pairs, quiet, or one or two of {known}"))
+        Plan::named(name, 1).map(drop).ok_or(format!(
+            "--plan '{name}': each, pairs, quiet, or one or two of {known}"
+        ))
     })
 }
 
@@ -30,7 +32,10 @@
         Some("each") => names().map(Some).collect(),
         Some("pairs") => {
             let pair = |(at, first): (usize, String)| {
-                fault_names().skip(at).map(move |second| Some(format!("{first}+{second}"))).collect::<Vec<_>>()
+                fault_names()
+                    .skip(at)
+                    .map(move |second| Some(format!("{first}+{second}")))
+                    .collect::<Vec<_>>()
             };
             names().enumerate().flat_map(pair).collect()
         }
@@ -40,10 +45,14 @@
 
 /// Runs them all and prints what they came to; true where every one was fine.
 pub fn run(sim: &Sim) -> bool {
-    let jobs: Vec<(Option<String>, u64)> =
-        plans(sim).into_iter().flat_map(|plan| (sim.from..sim.until).map(move |seed| (plan.clone(), seed))).collect();
+    let jobs: Vec<(Option<String>, u64)> = plans(sim)
+        .into_iter()
+        .flat_map(|plan| (sim.from..sim.until).map(move |seed| (plan.clone(), seed)))
+        .collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
-    let threads = std::thread::available_parallelism().map(usize::from).unwrap_or(4);
+    let threads = std::thread::available_parallelism()
+        .map(usize::from)
+        .unwrap_or(4);
     std::thread::scope(|scope| {
         (0..threads).for_each(|_| {
             scope.spawn(|| {
@@ -54,12 +63,16 @@
                         show_facts(&outcome, show);
                     }
                     let told = Told::from((name.clone(), outcome));
-                    done.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(told);
+                    done.lock()
+                        .unwrap_or_else(|poisoned| poisoned.into_inner())
+                        .push(told);
                 }
             });
         });
     });
-    let mut done = done.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let mut done = done
+        .into_inner()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     done.sort_by(|a, b| (&a.name, a.seed).cmp(&(&b.name, b.seed)));
     tell(&done)
 }
@@ -82,10 +95,23 @@
 
 impl From<(Option<String>, Outcome)> for Told {
     fn from((name, outcome): (Option<String>, Outcome)) -> Told {
-        let plan = name.as_ref().map(|name| format!(" --plan {name}")).unwrap_or_default();
+        let plan = name
+            .as_ref()
+            .map(|name| format!(" --plan {name}"))
+            .unwrap_or_default();
         let seed = outcome.seed;
-        let faults: Vec<String> = outcome.plan.steps.iter().take(3).map(|step| format!("{:?}", step.fault)).collect();
-        let mut text = format!("drill sim --seeds {seed}..{}{plan}   ({})", seed + 1, faults.join(", "));
+        let faults: Vec<String> = outcome
+            .plan
+            .steps
+            .iter()
+            .take(3)
+            .map(|step| format!("{:?}", step.fault))
+            .collect();
+        let mut text = format!(
+            "drill sim --seeds {seed}..{}{plan}   ({})",
+            seed + 1,
+            faults.join(", ")
+        );
         outcome
             .violations
             .iter()
@@ -93,9 +119,16 @@
             .for_each(|v| text += &format!("\n    rule {} at {:?}: {}", v.rule, v.at, v.text));
         if !outcome.fine() && outcome.violations.is_empty() {
             let (healed, again) = (outcome.healed_at, outcome.resumed_after);
-            text +=
-                &format!("\n    healed at {healed:?}, served again after {again:?}, {:?} ‰", outcome.served_per_mille);
-            let late = outcome.ended.iter().filter(|ended| ended.code != 1000 && ended.at > healed).rev().take(5);
+            text += &format!(
+                "\n    healed at {healed:?}, served again after {again:?}, {:?} ‰",
+                outcome.served_per_mille
+            );
+            let late = outcome
+                .ended
+                .iter()
+                .filter(|ended| ended.code != 1000 && ended.at > healed)
+                .rev()
+                .take(5);
             late.for_each(|ended| text += &format!("\n    {ended:?}"));
         }
         Told {
@@ -116,7 +149,8 @@
 }
 
 fn replaced_ms(outcome: &Outcome) -> Vec<u64> {
-    let took = |loss: &drill::sim::VoterLoss| Some((loss.replaced_at? - loss.lost_at).as_millis() as u64);
+    let took =
+        |loss: &drill::sim::VoterLoss| Some((loss.replaced_at? - loss.lost_at).as_millis() as u64);
     outcome.losses.iter().filter_map(took).collect()
 }
 
@@ -132,17 +166,27 @@
 /// How long voters that went for good went on counting.
 fn tell_replacements(done: &[Told]) {
     let losses: usize = done.iter().map(|told| told.losses).sum();
-    let mut took: Vec<u64> = done.iter().flat_map(|told| told.replaced_ms.iter().copied()).collect();
+    let mut took: Vec<u64> = done
+        .iter()
+        .flat_map(|told| told.replaced_ms.iter().copied())
+        .collect();
     took.sort_unstable();
     if let (Some(median), Some(most)) = (took.get(took.len() / 2), took.last()) {
-        println!("{losses} voters lost for good, {} replaced, ms p50/most {median} / {most}", took.len());
+        println!(
+            "{losses} voters lost for good, {} replaced, ms p50/most {median} / {most}",
+            took.len()
+        );
     }
 }
 
 fn tell(done: &[Told]) -> bool {
-    done.iter().filter(|told| !told.fine).take(40).for_each(|told| println!("FAILED {}", told.text));
+    done.iter()
+        .filter(|told| !told.fine)
+        .take(40)
+        .for_each(|told| println!("FAILED {}", told.text));
     let mut groups: BTreeMap<&str, Vec<&Told>> = BTreeMap::new();
-    done.iter().for_each(|told| groups.entry(&told.name).or_default().push(told));
+    done.iter()
+        .for_each(|told| groups.entry(&told.name).or_default().push(told));
     println!(
         "{:<34} {:>5} {:>6} {:>5}  {:>20}  {:>22}",
         "plan", "seeds", "failed", "viol.", "resumed ms p50/most", "least ‰ before/in/after"
@@ -154,7 +198,12 @@
             all
         };
         let resumed = sorted(|told| told.resumed_ms);
-        let least = |part: usize| told.iter().map(|told| told.served_per_mille[part]).min().unwrap_or(0);
+        let least = |part: usize| {
+            told.iter()
+                .map(|told| told.served_per_mille[part])
+                .min()
+                .unwrap_or(0)
+        };
         let failed = told.iter().filter(|told| !told.fine).count();
         let violations: usize = told.iter().map(|told| told.violations).sum();
         println!(
@@ -169,7 +218,10 @@
     });
     tell_replacements(done);
     let digests: String = done.iter().map(|told| told.digest.as_str()).collect();
-    let (works, parcels): (usize, u64) = (done.iter().map(|t| t.works).sum(), done.iter().map(|t| t.parcels).sum());
+    let (works, parcels): (usize, u64) = (
+        done.iter().map(|t| t.works).sum(),
+        done.iter().map(|t| t.parcels).sum(),
+    );
     let failed = done.iter().filter(|told| !told.fine).count();
     println!(
         "{} runs, {failed} failed; {works} works, {parcels} parcels; digest {}",
--- a/crates/drill/src/shapes.rs
+++ b/crates/drill/src/shapes.rs
@@ -33,12 +33,23 @@
 }
 
 const fn work(service: &'static str, once: bool, keyed: bool, homes: usize, percent: u64) -> Work {
-    Work { service, once, keyed, numbered: false, homes, percent }
+    Work {
+        service,
+        once,
+        keyed,
+        numbered: false,
+        homes,
+        percent,
+    }
 }
 
 /// The same with numeric keys.
 const fn numbered(work: Work) -> Work {
-    Work { keyed: true, numbered: true, ..work }
+    Work {
+        keyed: true,
+        numbered: true,
+        ..work
+    }
 }
 
 /// Roadwise: 13 machines, 36 upstreams, about 120 requests a second, half of them practice reads.
@@ -123,7 +134,9 @@
     /// assert!(drill::shapes::Shape::named("moon").is_none());
     /// ```
     pub fn named(name: &str) -> Option<Shape> {
-        [ROADWISE, KALAM, LEDGER].into_iter().find(|shape| shape.name == name)
+        [ROADWISE, KALAM, LEDGER]
+            .into_iter()
+            .find(|shape| shape.name == name)
     }
 
     /// Where machine or upstream number `at` stands.
@@ -170,7 +183,10 @@
     /// ```
     pub fn works(&self) -> impl Iterator<Item = (Work, usize)> {
         let marks = MARKS.into_iter().map(|mark| (mark, 1));
-        self.services.into_iter().map(|work| (work, self.per_service)).chain(marks)
+        self.services
+            .into_iter()
+            .map(|work| (work, self.per_service))
+            .chain(marks)
     }
 
     /// The site's setup. `extra` adds that many further routes, for larger ones, and chooses which service the name
@@ -205,24 +221,40 @@
             )
         });
         let route = |id: String, name: &str, path: String, service: &str| {
-            format!(r#"    {{"id": "{id}", "name": "{name}", "path": "{path}", "service": "{service}"}}"#)
+            format!(
+                r#"    {{"id": "{id}", "name": "{name}", "path": "{path}", "service": "{service}"}}"#
+            )
         };
-        let routes = self
-            .services
-            .iter()
-            .enumerate()
-            .map(|(at, work)| route(format!("r{at}"), work.service, format!("/{}", work.service), work.service));
+        let routes = self.services.iter().enumerate().map(|(at, work)| {
+            route(
+                format!("r{at}"),
+                work.service,
+                format!("/{}", work.service),
+                work.service,
+            )
+        });
         let marked = MARKS[extra % MARKS.len()].service;
         let probe = Some(())
             .filter(|()| number.is_none())
             .map(|()| route("probe-route".into(), "probe", "/probe".into(), marked));
-        let extras = (0..extra).map(|at| route(format!("x{at}"), "extra", format!("/x{at}"), self.services[0].service));
-        let aliases =
-            self.services.iter().enumerate().map(|(at, work)| {
-                format!(r#"    {{"alias": "{}.{}.example", "to": "r{at}"}}"#, work.service, self.name)
-            });
+        let extras = (0..extra).map(|at| {
+            route(
+                format!("x{at}"),
+                "extra",
+                format!("/x{at}"),
+                self.services[0].service,
+            )
+        });
+        let aliases = self.services.iter().enumerate().map(|(at, work)| {
+            format!(
+                r#"    {{"alias": "{}.{}.example", "to": "r{at}"}}"#,
+                work.service, self.name
+            )
+        });
         let list = |items: Vec<String>| items.join(",\n");
-        let number = number.map(|number| format!("\n  \"number\": {number},")).unwrap_or_default();
+        let number = number
+            .map(|number| format!("\n  \"number\": {number},"))
+            .unwrap_or_default();
         format!(
             "{{{number}\n  \"services\": [\n{}\n  ],\n  \"routes\": [\n{}\n  ],\n  \"aliases\": [\n{}\n  ]\n}}\n",
             list(services.collect()),
@@ -239,9 +271,16 @@
     pub fn terms(&self) -> Terms {
         let bound = self.services.iter().filter(|work| work.homes > 0);
         let homes = bound.map(|work| {
-            let homes: BTreeSet<String> = self.homes(work).iter().map(|home| (*home).to_owned()).collect();
+            let homes: BTreeSet<String> = self
+                .homes(work)
+                .iter()
+                .map(|home| (*home).to_owned())
+                .collect();
             (work.service.to_owned(), homes)
         });
-        Terms { homes: homes.collect(), warm_up_per_second: WARM_UP_PER_SECOND }
+        Terms {
+            homes: homes.collect(),
+            warm_up_per_second: WARM_UP_PER_SECOND,
+        }
     }
 }
--- a/crates/drill/src/sim/connections.rs
+++ b/crates/drill/src/sim/connections.rs
@@ -55,7 +55,14 @@
     pub(super) fn take_kept(&mut self, node: usize, address: &str) -> Option<(u64, (usize, u64))> {
         let life = self.nodes[node].life;
         let wanted = |kept: &Kept| kept.idle && kept.node == node && kept.address == address;
-        while let Some(id) = self.connections.open.iter().rev().find(|(_, kept)| wanted(kept)).map(|(id, _)| *id) {
+        while let Some(id) = self
+            .connections
+            .open
+            .iter()
+            .rev()
+            .find(|(_, kept)| wanted(kept))
+            .map(|(id, _)| *id)
+        {
             let kept = self.connections.open.get_mut(&id)?;
             kept.idle = false;
             let (accepted_by, usable) = (kept.accepted_by, kept.node_life == life && !kept.spoiled);
@@ -74,23 +81,39 @@
     }
 
     /// A new connection of a request, where they are kept.
-    pub(super) fn open_kept(&mut self, node: usize, address: &str, accepted_by: (usize, u64)) -> Option<u64> {
+    pub(super) fn open_kept(
+        &mut self,
+        node: usize,
+        address: &str,
+        accepted_by: (usize, u64),
+    ) -> Option<u64> {
         if self.connections.keeping == 0 {
             return None;
         }
         let id = self.id();
         let (address, node_life) = (address.to_owned(), self.nodes[node].life);
-        let kept = Kept { node, node_life, address, accepted_by, carried: 0, idle: false, spoiled: false };
+        let kept = Kept {
+            node,
+            node_life,
+            address,
+            accepted_by,
+            carried: 0,
+            idle: false,
+            spoiled: false,
+        };
         self.connections.open.insert(id, kept);
         Some(id)
     }
 
     /// True where the kernel tells, right before the write, that the connection can't be written to any more.
     pub(super) fn is_unwritable(&mut self, connection: u64) -> bool {
-        let Some(kept) = self.connections.open.get_mut(&connection) else { return false };
+        let Some(kept) = self.connections.open.get_mut(&connection) else {
+            return false;
+        };
         let (used, spoiled, accepted_by) = (kept.carried > 0, kept.spoiled, kept.accepted_by);
         kept.carried += 1;
-        let unwritable = spoiled || (used && !self.is_accepted(accepted_by) && self.random.below(2) == 0);
+        let unwritable =
+            spoiled || (used && !self.is_accepted(accepted_by) && self.random.below(2) == 0);
         if unwritable {
             self.connections.open.remove(&connection);
         }
@@ -132,14 +155,23 @@
     /// A surplus answer reaches the proxy: it is what the next look finds, or it stands in the place of the answer to
     /// the request that was written meanwhile.
     pub(super) fn surplus(&mut self, connection: u64, reply: Reply) {
-        let Some(kept) = self.connections.open.get_mut(&connection) else { return };
+        let Some(kept) = self.connections.open.get_mut(&connection) else {
+            return;
+        };
         kept.spoiled = true;
         let sent = |stage: &Stage| matches!(stage, Stage::Sent { .. });
         let mut trips = self.trips.iter_mut();
-        let waiting = trips.find(|(_, trip)| trip.connection == Some(connection) && sent(trip.journey.stage()));
+        let waiting = trips
+            .find(|(_, trip)| trip.connection == Some(connection) && sent(trip.journey.stage()));
         let Some((id, trip)) = waiting else { return };
-        let came = Came { sole: kept.carried == 1, early: false };
-        let due = AnswerId { header: "x-try-id", value: &trip.sent.try_id };
+        let came = Came {
+            sole: kept.carried == 1,
+            early: false,
+        };
+        let due = AnswerId {
+            header: "x-try-id",
+            value: &trip.sent.try_id,
+        };
         let outcome = match transport::belongs(&reply.headers(), reply.status, Some(due), came) {
             _ if self.weak.takes_next => Outcome::Sealed,
             Belongs::ToAnother if trip.passed < transport::MOST_PASSED => {
@@ -151,7 +183,12 @@
             _ => Outcome::Garbage,
         };
         let (node, trip, send) = (trip.node, *id, trip.send);
-        let event = NodeEvent::Outcome { trip, send, outcome, reply: Some(reply) };
+        let event = NodeEvent::Outcome {
+            trip,
+            send,
+            outcome,
+            reply: Some(reply),
+        };
         self.after(Duration::ZERO, Action::Deliver { node, event });
     }
 }
--- a/crates/drill/src/sim/cuts.rs
+++ b/crates/drill/src/sim/cuts.rs
@@ -33,11 +33,27 @@
         if how == LongCut::Flapping {
             let mut from = now;
             while from + FLAP_LASTS < until {
-                self.push_step(from, from + FLAP_LASTS, Fault::CutPeers { machine, hears, speaks });
+                self.push_step(
+                    from,
+                    from + FLAP_LASTS,
+                    Fault::CutPeers {
+                        machine,
+                        hears,
+                        speaks,
+                    },
+                );
                 from += FLAP_EVERY;
             }
         } else {
-            self.push_step(now, until, Fault::CutPeers { machine, hears, speaks });
+            self.push_step(
+                now,
+                until,
+                Fault::CutPeers {
+                    machine,
+                    hears,
+                    speaks,
+                },
+            );
         }
         ASKED_AFTER_MS.into_iter().for_each(|after| {
             let at = now + Duration::from_millis(after);
@@ -59,28 +75,47 @@
 
     /// From now on the settings of all name this machine first.
     fn name_as_seed(&mut self, machine: usize) {
-        let there = self.on_machine(machine).into_iter().filter(|node| self.nodes[*node].is_office());
+        let there = self
+            .on_machine(machine)
+            .into_iter()
+            .filter(|node| self.nodes[*node].is_office());
         let first: Vec<String> = there.map(|node| self.nodes[node].name.clone()).collect();
-        let others = self.control_nodes().into_iter().map(|node| self.nodes[node].name.clone());
-        let others: Vec<String> = others.filter(|name| !first.contains(name)).take(1).collect();
+        let others = self
+            .control_nodes()
+            .into_iter()
+            .map(|node| self.nodes[node].name.clone());
+        let others: Vec<String> = others
+            .filter(|name| !first.contains(name))
+            .take(1)
+            .collect();
         let seeds: Vec<String> = first.into_iter().chain(others).collect();
         self.seeds = Some(seeds.clone());
         (0..self.nodes.len()).for_each(|at| {
             let local = self.nodes[at].local(self.now);
             match &mut self.nodes[at].core {
-                Core::ControlNode(control) => drop(control.step(local, Event::Seeds(seeds.clone()))),
-                Core::Carrier(carrier, _) => drop(carrier.step(local, carrier::Event::Seeds(seeds.clone()))),
+                Core::ControlNode(control) => {
+                    drop(control.step(local, Event::Seeds(seeds.clone())))
+                }
+                Core::Carrier(carrier, _) => {
+                    drop(carrier.step(local, carrier::Event::Seeds(seeds.clone())))
+                }
                 Core::Down => {}
             }
         });
     }
 
     fn control_node_on(&self, machine: usize) -> Option<usize> {
-        self.on_machine(machine).into_iter().find(|node| self.nodes[*node].is_office())
+        self.on_machine(machine)
+            .into_iter()
+            .find(|node| self.nodes[*node].is_office())
     }
 
     pub(super) fn cut_peers(&mut self, machine: usize, hears: bool, speaks: bool) {
-        self.cut(Cut::Peers { machine, hears, speaks });
+        self.cut(Cut::Peers {
+            machine,
+            hears,
+            speaks,
+        });
         if let Some(node) = self.control_node_on(machine) {
             self.isolated.insert(node);
             let node = self.nodes[node].name.clone();
@@ -89,7 +124,9 @@
     }
 
     pub(super) fn join_peers(&mut self, machine: usize) {
-        self.net.cuts.retain(|cut| !matches!(cut, Cut::Peers { machine: other, .. } if *other == machine));
+        self.net
+            .cuts
+            .retain(|cut| !matches!(cut, Cut::Peers { machine: other, .. } if *other == machine));
         if let Some(node) = self.control_node_on(machine) {
             self.isolated.remove(&node);
             let node = self.nodes[node].name.clone();
@@ -99,12 +136,22 @@
 
     /// An operator's orders and upstreams that leave, there first.
     pub(super) fn ask_there(&mut self, machine: usize) {
-        let Some(node) = self.control_node_on(machine) else { return };
+        let Some(node) = self.control_node_on(machine) else {
+            return;
+        };
         self.submit_first_at(node);
         let zone = self.shape.locality(machine + 1);
-        self.submit_through(Some(node), What::Evacuate { locality: zone.clone(), back: false }, false);
+        self.submit_through(
+            Some(node),
+            What::Evacuate {
+                locality: zone.clone(),
+                back: false,
+            },
+            false,
+        );
         self.take_back(zone);
-        let ready = |unit: &usize| self.units[*unit].up && self.units[*unit].condition == enrolment::READY;
+        let ready =
+            |unit: &usize| self.units[*unit].up && self.units[*unit].condition == enrolment::READY;
         let ready: Vec<usize> = (0..self.units.len()).filter(ready).collect();
         (0..LEAVERS.min(ready.len())).for_each(|_| {
             let unit = ready[self.random.below(ready.len() as u64) as usize];
@@ -116,8 +163,14 @@
 
     /// Those that left at a cut-off machine are gone by now, and others come in their place.
     pub(super) fn replace_leavers(&mut self) {
-        let left = |unit: &usize| self.units[*unit].leaves_by.is_some() && self.units[*unit].taken_at.is_some();
-        let over = |unit: &usize| self.units[*unit].taken_at.is_some_and(|at| self.now >= at + LEAVING_LASTS);
+        let left = |unit: &usize| {
+            self.units[*unit].leaves_by.is_some() && self.units[*unit].taken_at.is_some()
+        };
+        let over = |unit: &usize| {
+            self.units[*unit]
+                .taken_at
+                .is_some_and(|at| self.now >= at + LEAVING_LASTS)
+        };
         let left: Vec<usize> = (0..self.units.len()).filter(left).filter(over).collect();
         left.into_iter().for_each(|unit| {
             self.crash_unit(unit);
@@ -127,20 +180,30 @@
     }
 
     fn is_taken(&self, instance: &str) -> bool {
-        self.units.iter().any(|unit| unit.instance == instance && unit.taken_at.is_some())
+        self.units
+            .iter()
+            .any(|unit| unit.instance == instance && unit.taken_at.is_some())
     }
 
     /// Notes what a node vouches for while it is cut off from all others.
     pub(super) fn note_vouched(&mut self, at: usize, token: u64, answer: &Answer) {
-        let Some((asked_at, what)) = self.asked.remove(&token) else { return };
+        let Some((asked_at, what)) = self.asked.remove(&token) else {
+            return;
+        };
         let vouches = match answer {
-            Answer::Verdict { code, .. } => matches!(code, Code::Fine | Code::Overtaken | Code::NoWord),
+            Answer::Verdict { code, .. } => {
+                matches!(code, Code::Fine | Code::Overtaken | Code::NoWord)
+            }
             Answer::Setup { .. } | Answer::Beat { .. } => true,
             Answer::Denied { .. } | Answer::Sheet(_) | Answer::Redirect { .. } => false,
         };
         if vouches && self.isolated.contains(&at) {
             let node = self.nodes[at].name.clone();
-            self.note(Fact::Vouched { node, what, asked_at });
+            self.note(Fact::Vouched {
+                node,
+                what,
+                asked_at,
+            });
         }
     }
 
--- a/crates/drill/src/sim/disks.rs
+++ b/crates/drill/src/sim/disks.rs
@@ -18,17 +18,39 @@
     /// Departures are written beside all that waits for a sync.
     pub(super) fn keep_departures(&mut self, at: usize, ticket: u64, departures: Vec<Departure>) {
         let life = self.nodes[at].life;
-        self.after(UNSYNCED, Action::Departures { node: at, life, ticket, departures });
+        self.after(
+            UNSYNCED,
+            Action::Departures {
+                node: at,
+                life,
+                ticket,
+                departures,
+            },
+        );
     }
 
-    pub(super) fn departures_kept(&mut self, at: usize, life: u64, ticket: u64, departures: Vec<Departure>) {
+    pub(super) fn departures_kept(
+        &mut self,
+        at: usize,
+        life: u64,
+        ticket: u64,
+        departures: Vec<Departure>,
+    ) {
         let now = self.now;
         let node = &mut self.nodes[at];
         if node.life != life {
             return;
         }
         if node.frozen.is_some() || node.disk.hung || node.disk.refuses || node.disk.broken {
-            return self.after(RETRY_EVERY, Action::Departures { node: at, life, ticket, departures });
+            return self.after(
+                RETRY_EVERY,
+                Action::Departures {
+                    node: at,
+                    life,
+                    ticket,
+                    departures,
+                },
+            );
         }
         node.disk.departures = Some((now, departures));
         self.tell_disk(at, Event::DeparturesKept { ticket });
@@ -38,7 +60,9 @@
     pub(super) fn departures_found(&self, at: usize) -> Vec<Departure> {
         let found = self.nodes[at].disk.departures.as_ref();
         let found = found.filter(|(written_at, _)| self.now < *written_at + DEPARTURES_REMEMBERED);
-        found.map(|(_, departures)| departures.clone()).unwrap_or_default()
+        found
+            .map(|(_, departures)| departures.clone())
+            .unwrap_or_default()
     }
 
     /// The first write that waits is refused: it stays, and is tried again.
--- a/crates/drill/src/sim/faults.rs
+++ b/crates/drill/src/sim/faults.rs
@@ -191,7 +191,9 @@
 /// Every kind of fault, as a seed draws it.
 pub const FAULTS: &[(&str, Drawer)] = &[
     ("kill-machine", |d| Fault::KillMachine(d.below(99) as usize)),
-    ("kill-herd", |d| Fault::KillHerd((0..3).map(|_| d.below(99) as usize).collect())),
+    ("kill-herd", |d| {
+        Fault::KillHerd((0..3).map(|_| d.below(99) as usize).collect())
+    }),
     ("wipe-machine", |d| Fault::WipeMachine(d.below(6) as usize)),
     ("rot-setups", |d| Fault::RotSetups(d.below(6) as usize)),
     ("freeze", |d| Fault::Freeze(d.below(99) as usize)),
@@ -202,7 +204,12 @@
     ("wipe-two", |d| Fault::WipeTwo(d.below(6) as usize)),
     ("power-at-write", |d| {
         let (machine, write) = (d.below(6) as usize, d.below(8) as u32);
-        Fault::PowerAt { machine, write, synced: d.below(2) == 0, wiped: d.below(3) == 0 }
+        Fault::PowerAt {
+            machine,
+            write,
+            synced: d.below(2) == 0,
+            wiped: d.below(3) == 0,
+        }
     }),
     ("cut-machine", |d| Fault::CutMachine(d.below(99) as usize)),
     ("mute", |d| Fault::Mute(d.below(99) as usize)),
@@ -213,9 +220,15 @@
     ("dark-region", |d| Fault::DarkRegion(d.below(3) as usize)),
     ("loss", |d| Fault::Loss(20 + d.below(130))),
     ("rolling-restart", |_| Fault::RollingRestart),
-    ("crash-units", |d| Fault::CrashUnits((0..5).map(|_| d.below(99) as usize).collect())),
-    ("release", |d| Fault::Release((0..6).map(|_| d.below(99) as usize).collect())),
-    ("reuse-address", |d| Fault::ReuseAddress(d.below(99) as usize)),
+    ("crash-units", |d| {
+        Fault::CrashUnits((0..5).map(|_| d.below(99) as usize).collect())
+    }),
+    ("release", |d| {
+        Fault::Release((0..6).map(|_| d.below(99) as usize).collect())
+    }),
+    ("reuse-address", |d| {
+        Fault::ReuseAddress(d.below(99) as usize)
+    }),
     ("cold-herd", |_| Fault::ColdHerd(2)),
     ("cold-all", |_| Fault::ColdHerd(1)),
     ("lose-answers", |d| Fault::LoseAnswers(d.below(99) as usize)),
@@ -228,34 +241,82 @@
     ("operator-race", |_| Fault::OperatorRace),
     ("kill-placement", |_| Fault::KillPlacement),
     ("freeze-placement", |_| Fault::FreezePlacement),
-    ("founding", |d| Fault::InterruptFounding((0..3).map(|_| d.below(6) as usize).collect())),
+    ("founding", |d| {
+        Fault::InterruptFounding((0..3).map(|_| d.below(6) as usize).collect())
+    }),
     ("hot-key", |_| Fault::HotKey),
     ("homes-gone", |_| Fault::HomesGone),
     ("ambush-leave", |_| Fault::Ambush { evacuate: false }),
     ("ambush-evacuate", |_| Fault::Ambush { evacuate: true }),
     ("grow-shrink", |d| Fault::Grow(3 + d.below(6) as usize)),
     ("move-names", |_| Fault::MoveNames),
-    ("jump-placement", |d| Fault::JumpPlacement(Duration::from_millis(550 + d.below(900)))),
-    ("jump-clock", |d| Fault::JumpClock(d.below(99) as usize, Duration::from_millis(200 + d.below(12_000)))),
+    ("jump-placement", |d| {
+        Fault::JumpPlacement(Duration::from_millis(550 + d.below(900)))
+    }),
+    ("jump-clock", |d| {
+        Fault::JumpClock(
+            d.below(99) as usize,
+            Duration::from_millis(200 + d.below(12_000)),
+        )
+    }),
 ];
 
 /// Further kinds, which no seed draws by itself: so the drawn plans of known seeds stay as they were.
 pub const FURTHER: &[(&str, Drawer)] = &[
     ("late-answers", |_| Fault::LateAnswers),
-    ("sign-off-first", |d| Fault::SignOffFirst((0..6).map(|_| d.below(99) as usize).collect())),
+    ("sign-off-first", |d| {
+        Fault::SignOffFirst((0..6).map(|_| d.below(99) as usize).collect())
+    }),
     ("number-race", |_| Fault::NumberRace(6)),
     ("restart-postmasters", |_| Fault::RestartPostmasters),
-    ("kept-connections", |_| Fault::Connections(Manners::default())),
-    ("surplus-answers", |_| Fault::Connections(Manners { surplus_per_mille: 300, ..Manners::default() })),
-    ("upstream-resets", |_| Fault::Connections(Manners { resets_per_mille: 60, ..Manners::default() })),
-    ("upstream-hangs", |_| Fault::Connections(Manners { hangs_per_mille: 20, ..Manners::default() })),
-    ("kept-reuse", |d| Fault::ReuseKept((0..5).map(|_| d.below(99) as usize).collect())),
-    ("long-cut", |d| Fault::LongCut { machine: d.below(6) as usize, how: LongCut::BothWays }),
-    ("long-cut-mute", |d| Fault::LongCut { machine: d.below(6) as usize, how: LongCut::Mute }),
-    ("long-cut-deaf", |d| Fault::LongCut { machine: d.below(6) as usize, how: LongCut::Deaf }),
-    ("long-cut-flapping", |d| Fault::LongCut { machine: d.below(6) as usize, how: LongCut::Flapping }),
-    ("long-cut-restarted", |d| Fault::LongCut { machine: d.below(6) as usize, how: LongCut::Restarted }),
-    ("long-cut-seeds", |d| Fault::LongCut { machine: d.below(6) as usize, how: LongCut::Seeds }),
+    ("kept-connections", |_| {
+        Fault::Connections(Manners::default())
+    }),
+    ("surplus-answers", |_| {
+        Fault::Connections(Manners {
+            surplus_per_mille: 300,
+            ..Manners::default()
+        })
+    }),
+    ("upstream-resets", |_| {
+        Fault::Connections(Manners {
+            resets_per_mille: 60,
+            ..Manners::default()
+        })
+    }),
+    ("upstream-hangs", |_| {
+        Fault::Connections(Manners {
+            hangs_per_mille: 20,
+            ..Manners::default()
+        })
+    }),
+    ("kept-reuse", |d| {
+        Fault::ReuseKept((0..5).map(|_| d.below(99) as usize).collect())
+    }),
+    ("long-cut", |d| Fault::LongCut {
+        machine: d.below(6) as usize,
+        how: LongCut::BothWays,
+    }),
+    ("long-cut-mute", |d| Fault::LongCut {
+        machine: d.below(6) as usize,
+        how: LongCut::Mute,
+    }),
+    ("long-cut-deaf", |d| Fault::LongCut {
+        machine: d.below(6) as usize,
+        how: LongCut::Deaf,
+    }),
+    ("long-cut-flapping", |d| Fault::LongCut {
+        machine: d.below(6) as usize,
+        how: LongCut::Flapping,
+    }),
+    ("long-cut-restarted", |d| Fault::LongCut {
+        machine: d.below(6) as usize,
+        how: LongCut::Restarted,
+    }),
+    ("long-cut-seeds", |d| Fault::LongCut {
+        machine: d.below(6) as usize,
+        how: LongCut::Seeds,
+    }),
     ("replace-voters", |d| drawn_replacements(d, false)),
     ("replace-planned", |d| drawn_replacements(d, true)),
     ("long-storm", |_| Fault::LongStorm(200)),
@@ -267,15 +328,23 @@
     ("order-storm", |_| Fault::OrderStorm(300)),
     ("old-orders", |_| Fault::OldOrders(300)),
     ("equal-numbers", |_| Fault::EqualNumbers(8)),
-    ("late-evacuation", |d| Fault::LateEvacuation(d.below(6) as usize)),
-    ("frozen-evacuation", |d| Fault::FrozenEvacuation(d.below(6) as usize)),
+    ("late-evacuation", |d| {
+        Fault::LateEvacuation(d.below(6) as usize)
+    }),
+    ("frozen-evacuation", |d| {
+        Fault::FrozenEvacuation(d.below(6) as usize)
+    }),
 ];
 
 /// Five of six places, one machine after the other.
 fn drawn_replacements(random: &mut Random, planned: bool) -> Fault {
     let first = random.below(6) as usize;
     let places = (0..5).map(|at| (first + at) % 6).collect();
-    Fault::ReplaceVoters { places, gap: Duration::from_millis(5000 + random.below(3000)), planned }
+    Fault::ReplaceVoters {
+        places,
+        gap: Duration::from_millis(5000 + random.below(3000)),
+        planned,
+    }
 }
 
 /// Every kind by name.
@@ -326,9 +395,18 @@
         }
         let drawers: Option<Vec<Drawer>> = name
             .split('+')
-            .map(|part| FAULTS.iter().chain(FURTHER).find(|(known, _)| *known == part).map(|(_, draw)| *draw))
+            .map(|part| {
+                FAULTS
+                    .iter()
+                    .chain(FURTHER)
+                    .find(|(known, _)| *known == part)
+                    .map(|(_, draw)| *draw)
+            })
+            .collect();
+        let steps = drawers?
+            .into_iter()
+            .map(|draw| Step::drawn(&mut random, draw))
             .collect();
-        let steps = drawers?.into_iter().map(|draw| Step::drawn(&mut random, draw)).collect();
         Some(Plan { steps })
     }
 
@@ -339,7 +417,9 @@
             let (_, draw) = FAULTS[random.below(FAULTS.len() as u64) as usize];
             Step::drawn(random, draw)
         });
-        Plan { steps: steps.collect() }
+        Plan {
+            steps: steps.collect(),
+        }
     }
 }
 
@@ -352,10 +432,12 @@
         };
         let until = match fault {
             Fault::RollingRestart => at + RESTART_EVERY * 15,
-            Fault::ReplaceVoters { ref places, gap, .. } => at + gap * (places.len() as u32 + 1),
-            Fault::LongStorm(count) | Fault::DisksFullInTurn(count) | Fault::DisksStallInTurn(count) => {
-                at + STORM_GAP * (count + 1) + STORM_SETTLES
-            }
+            Fault::ReplaceVoters {
+                ref places, gap, ..
+            } => at + gap * (places.len() as u32 + 1),
+            Fault::LongStorm(count)
+            | Fault::DisksFullInTurn(count)
+            | Fault::DisksStallInTurn(count) => at + STORM_GAP * (count + 1) + STORM_SETTLES,
             Fault::MoveNames => at + MOVE_EVERY * 6,
             // The last address changes hands before it is over.
             Fault::ReuseKept(ref units) => at + REUSE_EVERY * (units.len() as u32 + 2),
--- a/crates/drill/src/sim/net.rs
+++ b/crates/drill/src/sim/net.rs
@@ -42,7 +42,16 @@
     fn blocks(&self, from: &Place, to: &Place) -> bool {
         match self {
             Cut::Peers { .. } if from.machine.is_none() || to.machine.is_none() => false,
-            Cut::Machine { machine, hears, speaks } | Cut::Peers { machine, hears, speaks } => {
+            Cut::Machine {
+                machine,
+                hears,
+                speaks,
+            }
+            | Cut::Peers {
+                machine,
+                hears,
+                speaks,
+            } => {
                 let (out, into) = (from.machine == Some(*machine), to.machine == Some(*machine));
                 out != into && ((out && !speaks) || (into && !hears))
             }
@@ -60,9 +69,10 @@
 pub fn about(body: &Payload) -> &'static str {
     match body {
         Payload::Probe(_) | Payload::ProbeFor(_) | Payload::Heard(_) => "membership",
-        Payload::Read(_) | Payload::ReadBack(_) | Payload::DeparturesRead(_) | Payload::DeparturesReadBack(_) => {
-            "confirmations"
-        }
+        Payload::Read(_)
+        | Payload::ReadBack(_)
+        | Payload::DeparturesRead(_)
+        | Payload::DeparturesReadBack(_) => "confirmations",
         Payload::Prepare(_)
         | Payload::Promise(_)
         | Payload::Accept(_)
@@ -71,7 +81,10 @@
         | Payload::Chosen(_)
         | Payload::ChosenDelta(_) => "rounds",
         Payload::SetupBytes(_) | Payload::SetupAsk(_) => "setups",
-        Payload::LeaseRequest(_) | Payload::LeaseReply(_) | Payload::LeaseRelease(_) | Payload::Holder(_) => "claims",
+        Payload::LeaseRequest(_)
+        | Payload::LeaseReply(_)
+        | Payload::LeaseRelease(_)
+        | Payload::Holder(_) => "claims",
         Payload::SharesRequest(_) | Payload::SharesReply(_) => "shares",
         Payload::Placement(_) => "placement",
         Payload::UpdateRequest(_)
@@ -115,7 +128,8 @@
 
     /// Counts what was said between two ends.
     pub fn count(&mut self, from: &Place, to: &Place, body: &Payload, bytes: usize) {
-        let far = usize::from(from.locality != to.locality) + usize::from(from.region() != to.region());
+        let far =
+            usize::from(from.locality != to.locality) + usize::from(from.region() != to.region());
         self.spoken.entry(about(body)).or_default()[far] += bytes as u64;
     }
 
