--- a/crates/drill/src/sim/nodes.rs
+++ b/crates/drill/src/sim/nodes.rs
@@ -7,7 +7,9 @@
 use carrier::Carrier;
 use controller::{Answer, Ask, ControlNode};
 use gazetteer::SetupReader;
-use protocol::{BeatsAck, Departure, DurableState, Envelope, Member, Message, Payload, ReadBack, ViewUpdate};
+use protocol::{
+    BeatsAck, Departure, DurableState, Envelope, Member, Message, Payload, ReadBack, ViewUpdate,
+};
 use sorting::{Board, Outcome, Site};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -27,14 +29,42 @@
 /// What reaches a node.
 #[derive(Clone)]
 pub enum NodeEvent {
-    Envelope { from: String, body: Payload },
-    Datagram { address: String, body: Payload },
-    Ask { token: u64, ask: Ask },
-    Lookup { work: u64, name: String, place: String, asked_at: Duration },
-    Request { trip: u64, request: super::path::Request },
-    Connected { trip: u64, send: u32, life: (usize, u64) },
-    Called { trip: u64 },
-    Outcome { trip: u64, send: u32, outcome: Outcome, reply: Option<super::path::Reply> },
+    Envelope {
+        from: String,
+        body: Payload,
+    },
+    Datagram {
+        address: String,
+        body: Payload,
+    },
+    Ask {
+        token: u64,
+        ask: Ask,
+    },
+    Lookup {
+        work: u64,
+        name: String,
+        place: String,
+        asked_at: Duration,
+    },
+    Request {
+        trip: u64,
+        request: super::path::Request,
+    },
+    Connected {
+        trip: u64,
+        send: u32,
+        life: (usize, u64),
+    },
+    Called {
+        trip: u64,
+    },
+    Outcome {
+        trip: u64,
+        send: u32,
+        outcome: Outcome,
+        reply: Option<super::path::Reply>,
+    },
 }
 
 pub enum Write {
@@ -86,7 +116,8 @@
                 Some(ticket)
             }
             Write::Drop(digest) => {
-                self.setups.retain(|known, _| *known != digest || self.drops_newest);
+                self.setups
+                    .retain(|known, _| *known != digest || self.drops_newest);
                 None
             }
         }
@@ -139,7 +170,9 @@
 
     /// What its clock says: time since its start, as it counts it.
     pub fn local(&self, now: Duration) -> Duration {
-        let lived = now.saturating_sub(self.started_at).saturating_sub(self.stood);
+        let lived = now
+            .saturating_sub(self.started_at)
+            .saturating_sub(self.stood);
         lived.mul_f64(1.0 + self.drift as f64 / 1e6) + self.jumped
     }
 }
@@ -154,7 +187,13 @@
 
 impl World {
     pub(super) fn lay_out_nodes(&mut self) {
-        let kinds = |machine: usize, disks: usize| if machine < disks { vec![true, false] } else { vec![false] };
+        let kinds = |machine: usize, disks: usize| {
+            if machine < disks {
+                vec![true, false]
+            } else {
+                vec![false]
+            }
+        };
         for machine in 0..self.shape.machines {
             let locality = self.shape.locality(machine);
             for is_office in kinds(machine, self.shape.disks) {
@@ -165,11 +204,17 @@
     }
 
     fn lay_out_node(&mut self, machine: usize, locality: &str, is_office: bool) {
-        let name = format!("{}-{machine}", if is_office { "postmaster" } else { "carrier" });
+        let name = format!(
+            "{}-{machine}",
+            if is_office { "postmaster" } else { "carrier" }
+        );
         let zone: Locality = locality.parse().unwrap_or_default();
         let site = Site::new(&name, zone, self.weak.stale_after, self.load.wait_for);
         let drift = self.random.below(2 * DRIFT) as i64 - DRIFT as i64;
-        let place = Place { machine: Some(machine), locality: locality.to_owned() };
+        let place = Place {
+            machine: Some(machine),
+            locality: locality.to_owned(),
+        };
         self.nodes.push(Node {
             name,
             machine,
@@ -192,7 +237,12 @@
 
     /// An empty machine in the place of another: both of its processes, under names of their own.
     pub(super) fn add_machine(&mut self, place_of: usize) {
-        let machine = self.nodes.iter().map(|node| node.machine + 1).max().unwrap_or(0);
+        let machine = self
+            .nodes
+            .iter()
+            .map(|node| node.machine + 1)
+            .max()
+            .unwrap_or(0);
         let locality = self.shape.locality(place_of);
         for is_office in [true, false] {
             self.lay_out_node(machine, &locality, is_office);
@@ -203,13 +253,16 @@
     /// The machine of a voter that was not replaced yet, in the place of this one.
     pub(super) fn machine_in_place_of(&self, machine: usize) -> Option<usize> {
         let locality = self.shape.locality(machine);
-        let there = |node: &&Node| node.is_office && !node.removed && node.place.locality == locality;
+        let there =
+            |node: &&Node| node.is_office && !node.removed && node.place.locality == locality;
         self.nodes.iter().find(there).map(|node| node.machine)
     }
 
     /// A machine is gone for good.
     pub(super) fn remove_machine(&mut self, machine: usize) {
-        let nodes: Vec<usize> = (0..self.nodes.len()).filter(|at| self.nodes[*at].machine == machine).collect();
+        let nodes: Vec<usize> = (0..self.nodes.len())
+            .filter(|at| self.nodes[*at].machine == machine)
+            .collect();
         nodes.into_iter().for_each(|at| {
             self.note_loss(at);
             self.nodes[at].removed = true;
@@ -218,11 +271,15 @@
     }
 
     pub(super) fn control_nodes(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|at| self.nodes[*at].is_office() && !self.nodes[*at].removed).collect()
+        (0..self.nodes.len())
+            .filter(|at| self.nodes[*at].is_office() && !self.nodes[*at].removed)
+            .collect()
     }
 
     pub(super) fn carriers(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|at| !self.nodes[*at].is_office() && !self.nodes[*at].removed).collect()
+        (0..self.nodes.len())
+            .filter(|at| !self.nodes[*at].is_office() && !self.nodes[*at].removed)
+            .collect()
     }
 
     /// Starts a process on whatever its disk holds.
@@ -238,7 +295,11 @@
         let seeds = self.seeds.clone().unwrap_or(seeds);
         let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap_or_default();
         let roster_size = self.shape.disks;
-        let reader = if self.weak.unnumbered { SetupReader(read_unnumbered) } else { SetupReader::default() };
+        let reader = if self.weak.unnumbered {
+            SetupReader(read_unnumbered)
+        } else {
+            SetupReader::default()
+        };
         let now = self.now;
         let departures = self.departures_found(at);
         let node = &mut self.nodes[at];
@@ -254,7 +315,12 @@
         let me = Member {
             node: node.name.clone(),
             locality: node.place.locality.clone(),
-            roles: if node.is_office { "postmaster" } else { "proxy,directory" }.into(),
+            roles: if node.is_office {
+                "postmaster"
+            } else {
+                "proxy,directory"
+            }
+            .into(),
             probe_address: node.name.clone(),
             link_address: node.name.clone(),
             http_address: node.name.clone(),
@@ -264,8 +330,15 @@
             let (durable, setups) = (node.disk.durable.clone(), node.disk.setups.clone());
             node.disk.waiting.clear();
             let times = controller::shell::times(&settings);
-            let longest_step = if self.weak.counts_jumps { Duration::MAX } else { times.longest_step };
-            let times = controller::Times { longest_step, ..times };
+            let longest_step = if self.weak.counts_jumps {
+                Duration::MAX
+            } else {
+                times.longest_step
+            };
+            let times = controller::Times {
+                longest_step,
+                ..times
+            };
             let start = controller::Start {
                 me,
                 seeds,
@@ -281,7 +354,16 @@
             Core::ControlNode(Box::new(ControlNode::new(start)))
         } else {
             let times = carrier::shell::times(&settings);
-            Core::Carrier(Box::new(Carrier::new(carrier::Start { me, seeds, seed, reader, times })), Box::default())
+            Core::Carrier(
+                Box::new(Carrier::new(carrier::Start {
+                    me,
+                    seeds,
+                    seed,
+                    reader,
+                    times,
+                })),
+                Box::default(),
+            )
         };
         let life = node.life;
         // Not all tick at the same moment.
@@ -300,7 +382,12 @@
         if self.weak.disks_lie {
             node.disk.durable = std::mem::take(&mut node.disk.early);
         }
-        let gone: Vec<u64> = self.trips.iter().filter(|(_, trip)| trip.node == at).map(|(id, _)| *id).collect();
+        let gone: Vec<u64> = self
+            .trips
+            .iter()
+            .filter(|(_, trip)| trip.node == at)
+            .map(|(id, _)| *id)
+            .collect();
         gone.into_iter().for_each(|id| {
             let trip = self.trips.remove(&id);
             trip.into_iter().for_each(|trip| self.lose(&trip));
@@ -334,7 +421,9 @@
         if matches!(&self.nodes[at].core, Core::ControlNode(control) if control.may_end()) {
             return self.kill(at);
         }
-        let denies = self.nodes[at].carrier().is_some_and(|carrier| carrier.phase() == carrier::Phase::Denying);
+        let denies = self.nodes[at]
+            .carrier()
+            .is_some_and(|carrier| carrier.phase() == carrier::Phase::Denying);
         if denies && !self.trips.values().any(|trip| trip.node == at) {
             self.kill(at);
         }
@@ -349,13 +438,18 @@
     }
 
     pub(super) fn thaw(&mut self, at: usize) {
-        let (since, waiting) = self.nodes[at].frozen.take().unwrap_or((self.now, Vec::new()));
+        let (since, waiting) = self.nodes[at]
+            .frozen
+            .take()
+            .unwrap_or((self.now, Vec::new()));
         if self.weak.stands_still {
             self.nodes[at].stood += self.now - since;
         }
         let life = self.nodes[at].life;
         if self.nodes[at].up {
-            waiting.into_iter().for_each(|event| self.after(Duration::ZERO, Action::Deliver { node: at, event }));
+            waiting
+                .into_iter()
+                .for_each(|event| self.after(Duration::ZERO, Action::Deliver { node: at, event }));
             self.after(Duration::ZERO, Action::Tick { node: at, life });
             self.after(Duration::from_millis(1), Action::Disk { node: at, life });
         }
@@ -384,7 +478,9 @@
                 let event = match event {
                     None => Event::Tick,
                     Some(NodeEvent::Envelope { from, body }) => Event::Received { from, body },
-                    Some(NodeEvent::Datagram { address, body }) => Event::Datagram { address, body },
+                    Some(NodeEvent::Datagram { address, body }) => {
+                        Event::Datagram { address, body }
+                    }
                     Some(NodeEvent::Ask { token, ask }) => Event::Ask { token, ask },
                     Some(_) => return,
                 };
@@ -401,12 +497,18 @@
                         carrier.step(local, Event::Counted(counts));
                     }
                     let view = carrier.view();
-                    board.sweep(local, |instance| view.upstreams.values().any(|known| known.contains_key(instance)));
+                    board.sweep(local, |instance| {
+                        view.upstreams
+                            .values()
+                            .any(|known| known.contains_key(instance))
+                    });
                 }
                 let event = match event {
                     None => Event::Tick,
                     Some(NodeEvent::Envelope { from, body }) => Event::Received { from, body },
-                    Some(NodeEvent::Datagram { address, body }) => Event::Datagram { address, body },
+                    Some(NodeEvent::Datagram { address, body }) => {
+                        Event::Datagram { address, body }
+                    }
                     Some(_) => return,
                 };
                 let effects = carrier.step(local, event);
@@ -422,7 +524,9 @@
             carrier::Effect::Send { to, body } => self.send(at, &to, body),
             carrier::Effect::Datagram { address, body } => self.datagram(at, &address, body),
             carrier::Effect::Publish => self.ring_all(at),
-            carrier::Effect::Addresses(_) | carrier::Effect::Phase(_) | carrier::Effect::Note(_) => {}
+            carrier::Effect::Addresses(_)
+            | carrier::Effect::Phase(_)
+            | carrier::Effect::Note(_) => {}
         });
     }
 
@@ -437,14 +541,26 @@
         effects.into_iter().for_each(|effect| match effect {
             controller::Effect::Send { to, body } => self.send(at, &to, body),
             controller::Effect::Datagram { address, body } => self.datagram(at, &address, body),
-            controller::Effect::Keep { ticket, durable } => self.write(at, Write::State(ticket, durable)),
-            controller::Effect::KeepSetup { ticket, digest, bytes } => {
+            controller::Effect::Keep { ticket, durable } => {
+                self.write(at, Write::State(ticket, durable))
+            }
+            controller::Effect::KeepSetup {
+                ticket,
+                digest,
+                bytes,
+            } => {
                 self.write(at, Write::Setup(ticket, digest, bytes));
             }
-            controller::Effect::KeepDepartures { ticket, departures } => self.keep_departures(at, ticket, departures),
+            controller::Effect::KeepDepartures { ticket, departures } => {
+                self.keep_departures(at, ticket, departures)
+            }
             controller::Effect::DropSetup { digest } => self.write(at, Write::Drop(digest)),
-            controller::Effect::Answer { token, answer } => self.control_answered(at, token, answer),
-            controller::Effect::Addresses(_) | controller::Effect::Note(_) | controller::Effect::Alarm(_) => {}
+            controller::Effect::Answer { token, answer } => {
+                self.control_answered(at, token, answer)
+            }
+            controller::Effect::Addresses(_)
+            | controller::Effect::Note(_)
+            | controller::Effect::Alarm(_) => {}
         });
     }
 
@@ -474,7 +590,9 @@
         }
         self.end_retries(at);
         let node = &mut self.nodes[at];
-        let Some(write) = node.disk.waiting.pop_front() else { return };
+        let Some(write) = node.disk.waiting.pop_front() else {
+            return;
+        };
         let powerless = node.disk.power_at.take_if(|(left, _)| *left == 0);
         node.disk.power_at = node.disk.power_at.map(|(left, synced)| (left - 1, synced));
         node.disk.departures.take_if(|_| powerless.is_some());
@@ -485,14 +603,23 @@
             node.disk.waiting.clear();
             Some(controller::Event::DiskFailed)
         } else {
-            node.disk.apply(write).map(|ticket| controller::Event::Kept { ticket })
+            node.disk
+                .apply(write)
+                .map(|ticket| controller::Event::Kept { ticket })
         };
         if powerless.is_some() {
             return self.kill(at);
         }
-        let (more, slowed, local) = (!node.disk.waiting.is_empty(), node.disk.slowed, node.local(now));
+        let (more, slowed, local) = (
+            !node.disk.waiting.is_empty(),
+            node.disk.slowed,
+            node.local(now),
+        );
         if more {
-            self.after(Duration::from_micros(micros) + slowed, Action::Disk { node: at, life });
+            self.after(
+                Duration::from_micros(micros) + slowed,
+                Action::Disk { node: at, life },
+            );
         }
         let effects = match (&mut self.nodes[at].core, event) {
             (Core::ControlNode(control), Some(event)) => control.step(local, event),
@@ -506,33 +633,62 @@
     }
 
     fn send(&mut self, from: usize, to: &str, body: Payload) {
-        if self.weak.tells_late && matches!(&body, Payload::ViewUpdate(news) if news.keeps_upstreams) {
+        if self.weak.tells_late
+            && matches!(&body, Payload::ViewUpdate(news) if news.keeps_upstreams)
+        {
             return;
         }
         let body = self.without_placement(to, body);
         self.forge_agreement(from, to, &body);
-        if self.weak.keeps_voters && matches!(&body, Payload::Bootstrapped(told) if !told.voter_set.contains(to)) {
+        if self.weak.keeps_voters
+            && matches!(&body, Payload::Bootstrapped(told) if !told.voter_set.contains(to))
+        {
             return;
         }
         self.parcels += 1;
-        let parcel = Envelope { from: self.nodes[from].name.clone(), body: Some(body.clone()) };
+        let parcel = Envelope {
+            from: self.nodes[from].name.clone(),
+            body: Some(body.clone()),
+        };
         self.parcel_bytes += parcel.encoded_len() as u64;
         let Some(to) = self.named(to) else { return };
-        self.net.count(&self.nodes[from].place, &self.nodes[to].place, &body, parcel.encoded_len());
-        let delay = self.net.delay(&mut self.random, &self.nodes[from].place, &self.nodes[to].place);
+        self.net.count(
+            &self.nodes[from].place,
+            &self.nodes[to].place,
+            &body,
+            parcel.encoded_len(),
+        );
+        let delay = self.net.delay(
+            &mut self.random,
+            &self.nodes[from].place,
+            &self.nodes[to].place,
+        );
         delay.into_iter().for_each(|delay| {
             let at = self.net.in_order(from, to, self.now + delay);
-            let event = NodeEvent::Envelope { from: self.nodes[from].name.clone(), body: body.clone() };
+            let event = NodeEvent::Envelope {
+                from: self.nodes[from].name.clone(),
+                body: body.clone(),
+            };
             self.at(at, Action::Deliver { node: to, event });
         });
     }
 
     /// In a broken system: news to the first proxy lacks what changed in the placement.
     fn without_placement(&self, to: &str, body: Payload) -> Payload {
-        let is_first = || self.nodes.iter().find(|node| node.carrier().is_some()).is_some_and(|node| node.name == to);
+        let is_first = || {
+            self.nodes
+                .iter()
+                .find(|node| node.carrier().is_some())
+                .is_some_and(|node| node.name == to)
+        };
         match body {
-            Payload::ViewUpdate(news) if self.weak.keeps_placement && news.number > 0 && is_first() => {
-                Payload::ViewUpdate(ViewUpdate { placement: None, ..news })
+            Payload::ViewUpdate(news)
+                if self.weak.keeps_placement && news.number > 0 && is_first() =>
+            {
+                Payload::ViewUpdate(ViewUpdate {
+                    placement: None,
+                    ..news
+                })
             }
             other => other,
         }
@@ -541,28 +697,53 @@
     /// In a broken system: an answer that nobody gave.
     fn forge_agreement(&mut self, at: usize, other: &str, body: &Payload) {
         let answer = match body {
-            Payload::Read(read) if self.weak.agrees_alone => {
-                Payload::ReadBack(ReadBack { nonce: read.nonce, ..ReadBack::default() })
-            }
+            Payload::Read(read) if self.weak.agrees_alone => Payload::ReadBack(ReadBack {
+                nonce: read.nonce,
+                ..ReadBack::default()
+            }),
             Payload::DeparturesRead(asked) if self.weak.agrees_alone => {
-                Payload::ReadBack(ReadBack { nonce: asked.read.nonce, ..ReadBack::default() })
+                Payload::ReadBack(ReadBack {
+                    nonce: asked.read.nonce,
+                    ..ReadBack::default()
+                })
             }
             Payload::Beats(beats) if self.weak.tells_departures_blindly && beats.nonce != 0 => {
                 Payload::BeatsAck(BeatsAck { nonce: beats.nonce })
             }
             _ => return,
         };
-        let event = NodeEvent::Envelope { from: other.to_owned(), body: answer };
-        self.after(Duration::from_micros(1), Action::Deliver { node: at, event });
+        let event = NodeEvent::Envelope {
+            from: other.to_owned(),
+            body: answer,
+        };
+        self.after(
+            Duration::from_micros(1),
+            Action::Deliver { node: at, event },
+        );
     }
 
     fn datagram(&mut self, from: usize, to: &str, body: Payload) {
         let Some(to) = self.named(to) else { return };
-        let parcel = Envelope { from: String::new(), body: Some(body.clone()) };
-        self.net.count(&self.nodes[from].place, &self.nodes[to].place, &body, parcel.encoded_len());
-        let delay = self.net.delay(&mut self.random, &self.nodes[from].place, &self.nodes[to].place);
+        let parcel = Envelope {
+            from: String::new(),
+            body: Some(body.clone()),
+        };
+        self.net.count(
+            &self.nodes[from].place,
+            &self.nodes[to].place,
+            &body,
+            parcel.encoded_len(),
+        );
+        let delay = self.net.delay(
+            &mut self.random,
+            &self.nodes[from].place,
+            &self.nodes[to].place,
+        );
         delay.into_iter().for_each(|delay| {
-            let event = NodeEvent::Datagram { address: self.nodes[from].name.clone(), body: body.clone() };
+            let event = NodeEvent::Datagram {
+                address: self.nodes[from].name.clone(),
+                body: body.clone(),
+            };
             self.after(delay, Action::Deliver { node: to, event });
         });
     }
@@ -576,11 +757,21 @@
             return waiting.push(event);
         }
         match event {
-            NodeEvent::Lookup { work, name, place, asked_at } => self.lookup(at, work, &name, &place, asked_at),
+            NodeEvent::Lookup {
+                work,
+                name,
+                place,
+                asked_at,
+            } => self.lookup(at, work, &name, &place, asked_at),
             NodeEvent::Request { trip, request } => self.request(at, trip, request),
             NodeEvent::Connected { trip, send, life } => self.connected(at, trip, send, life),
             NodeEvent::Called { trip } => self.called(at, trip),
-            NodeEvent::Outcome { trip, send, outcome, reply } => self.outcome(at, trip, send, outcome, reply),
+            NodeEvent::Outcome {
+                trip,
+                send,
+                outcome,
+                reply,
+            } => self.outcome(at, trip, send, outcome, reply),
             other => self.step_node(at, Some(other)),
         }
     }
@@ -589,13 +780,23 @@
     fn unreached(&mut self, event: NodeEvent) {
         match event {
             NodeEvent::Lookup { work, asked_at, .. } => {
-                self.after(Duration::from_millis(1), Action::OriginTold { work, listing: None, asked_at });
+                self.after(
+                    Duration::from_millis(1),
+                    Action::OriginTold {
+                        work,
+                        listing: None,
+                        asked_at,
+                    },
+                );
             }
             NodeEvent::Request { request, .. } => {
                 self.reply_to(&request, Err(transport::Called::NotConnected));
             }
             NodeEvent::Ask { token, .. } => {
-                let answer = Answer::Verdict { code: address::Code::NoPostmaster, edition: 0 };
+                let answer = Answer::Verdict {
+                    code: address::Code::NoPostmaster,
+                    edition: 0,
+                };
                 self.asked(token, answer);
             }
             _ => {}
@@ -604,7 +805,13 @@
 
     fn control_answered(&mut self, at: usize, token: u64, answer: Answer) {
         self.note_vouched(at, token, &answer);
-        if matches!(answer, Answer::Verdict { code: address::Code::Fine, .. }) {
+        if matches!(
+            answer,
+            Answer::Verdict {
+                code: address::Code::Fine,
+                ..
+            }
+        ) {
             self.spring_restart();
         }
         self.asked(token, answer);
--- a/crates/drill/src/sim/operators.rs
+++ b/crates/drill/src/sim/operators.rs
@@ -41,12 +41,34 @@
     }
 
     fn ask(&self) -> Ask {
-        let id = OrderId { id: self.id.clone(), since: Some(self.since) };
-        let id = if self.anonymous { OrderId::default() } else { id };
+        let id = OrderId {
+            id: self.id.clone(),
+            since: Some(self.since),
+        };
+        let id = if self.anonymous {
+            OrderId::default()
+        } else {
+            id
+        };
         match self.what.clone() {
-            What::Setup { bytes, base, .. } => Ask::Submit { id, base, bytes: bytes.into_bytes(), in_force: false },
-            What::Numbered { bytes, .. } => Ask::Submit { id, base: None, bytes: bytes.into_bytes(), in_force: false },
-            What::Evacuate { locality, back } => Ask::Evacuate { id, locality, back, in_force: false },
+            What::Setup { bytes, base, .. } => Ask::Submit {
+                id,
+                base,
+                bytes: bytes.into_bytes(),
+                in_force: false,
+            },
+            What::Numbered { bytes, .. } => Ask::Submit {
+                id,
+                base: None,
+                bytes: bytes.into_bytes(),
+                in_force: false,
+            },
+            What::Evacuate { locality, back } => Ask::Evacuate {
+                id,
+                locality,
+                back,
+                in_force: false,
+            },
         }
     }
 
@@ -54,11 +76,20 @@
     fn order(&self) -> Order {
         let digest = |bytes: &str| protocol::digest(bytes.as_bytes());
         match &self.what {
-            What::Setup { bytes, base, .. } => Order::Setup { number: None, base: *base, digest: digest(bytes) },
-            What::Numbered { bytes, number } => {
-                Order::Setup { number: Some(*number), base: None, digest: digest(bytes) }
-            }
-            What::Evacuate { locality, back } => Order::Evacuate { locality: locality.clone(), back: *back },
+            What::Setup { bytes, base, .. } => Order::Setup {
+                number: None,
+                base: *base,
+                digest: digest(bytes),
+            },
+            What::Numbered { bytes, number } => Order::Setup {
+                number: Some(*number),
+                base: None,
+                digest: digest(bytes),
+            },
+            What::Evacuate { locality, back } => Order::Evacuate {
+                locality: locality.clone(),
+                back: *back,
+            },
         }
     }
 }
@@ -125,17 +156,30 @@
         }
         let extra = extra + self.operators.setups;
         let bytes = shape.setup(extra);
-        self.submit(What::Setup { bytes, base, mark: extra % MARKS.len() });
+        self.submit(What::Setup {
+            bytes,
+            base,
+            mark: extra % MARKS.len(),
+        });
     }
 
     /// Operators race with their own numbers: new ones in no order, two with the same, and old ones again.
     pub(super) fn race_numbers(&mut self) {
-        let most = self.operators.offered.iter().map(|(number, _)| *number).max().unwrap_or(0);
+        let most = self
+            .operators
+            .offered
+            .iter()
+            .map(|(number, _)| *number)
+            .max()
+            .unwrap_or(0);
         [3, 1, 5, 5, 4].into_iter().for_each(|ahead| {
             self.operators.setups += 1;
             let (number, extra) = (most + ahead, self.operators.setups);
             let bytes = self.shape.numbered_setup(extra, number);
-            self.note(Fact::Offered { number, digest: protocol::digest(bytes.as_bytes()) });
+            self.note(Fact::Offered {
+                number,
+                digest: protocol::digest(bytes.as_bytes()),
+            });
             self.operators.offered.push((number, bytes.clone()));
             self.submit(What::Numbered { bytes, number });
         });
@@ -151,7 +195,15 @@
         self.operators.setups += 1;
         let extra = self.operators.setups;
         let bytes = self.shape.setup(extra);
-        self.submit_through(Some(node), What::Setup { bytes, base: None, mark: extra % MARKS.len() }, false);
+        self.submit_through(
+            Some(node),
+            What::Setup {
+                bytes,
+                base: None,
+                mark: extra % MARKS.len(),
+            },
+            false,
+        );
     }
 
     pub(super) fn submit(&mut self, what: What) {
@@ -164,10 +216,22 @@
     }
 
     /// The same, through this node first.
-    pub(super) fn submit_through(&mut self, first_node: Option<usize>, what: What, anonymous: bool) -> usize {
+    pub(super) fn submit_through(
+        &mut self,
+        first_node: Option<usize>,
+        what: What,
+        anonymous: bool,
+    ) -> usize {
         // Work may go there from the moment it is asked for: the yes comes later.
-        if let What::Evacuate { locality, back: true } = &what {
-            self.note(Fact::Evacuated { locality: locality.clone(), back: true });
+        if let What::Evacuate {
+            locality,
+            back: true,
+        } = &what
+        {
+            self.note(Fact::Evacuated {
+                locality: locality.clone(),
+                back: true,
+            });
         }
         let at = self.operators.submissions.len();
         let id = format!("submission-{at}");
@@ -204,11 +268,24 @@
         self.send_order_to(at, node);
         self.send_stray_copy(at);
         // No answer at all: ask again with the same id, elsewhere.
-        let unknown = Answer::Verdict { code: Code::SetupUnknown, edition: 0 };
+        let unknown = Answer::Verdict {
+            code: Code::SetupUnknown,
+            edition: 0,
+        };
         let impatient = |step: &Step| matches!(step.fault, Fault::LongCut { .. });
         let impatient = self.plan.steps.iter().any(impatient);
-        let silence = if impatient { CUT_SILENCE } else { self.operators.silence() };
-        self.after(silence, Action::OperatorAnswer { submission: at, answer: unknown });
+        let silence = if impatient {
+            CUT_SILENCE
+        } else {
+            self.operators.silence()
+        };
+        self.after(
+            silence,
+            Action::OperatorAnswer {
+                submission: at,
+                answer: unknown,
+            },
+        );
     }
 
     /// Sends an order once, to some node.
@@ -221,13 +298,20 @@
         let token = self.id();
         self.operators.tokens.insert(token, (at, node));
         let mut ask = self.operators.submissions[at].ask();
-        if let (true, Ask::Submit { id, .. } | Ask::Evacuate { id, .. }) = (self.weak.redoes_orders, &mut ask)
+        if let (true, Ask::Submit { id, .. } | Ask::Evacuate { id, .. }) =
+            (self.weak.redoes_orders, &mut ask)
             && !id.id.is_empty()
         {
             id.id = format!("{}-{token}", id.id);
         }
         let takes = self.order_takes(at);
-        self.after(takes, Action::Deliver { node, event: NodeEvent::Ask { token, ask } });
+        self.after(
+            takes,
+            Action::Deliver {
+                node,
+                event: NodeEvent::Ask { token, ask },
+            },
+        );
     }
 
     fn some_control_node(&mut self) -> usize {
@@ -244,31 +328,51 @@
             let read = match answer {
                 Answer::Setup { edition, bytes } => Some((edition, protocol::digest(&bytes))),
                 // 'Nothing was ever accepted' is an answer too.
-                Answer::Verdict { code: Code::NoWord, edition } => Some((edition, String::new())),
+                Answer::Verdict {
+                    code: Code::NoWord,
+                    edition,
+                } => Some((edition, String::new())),
                 _ => None,
             };
             read.into_iter().for_each(|(edition, digest)| {
                 let node = self.nodes[node].name.clone();
-                self.note(Fact::ReadBack { node, edition, digest, asked_at });
+                self.note(Fact::ReadBack {
+                    node,
+                    edition,
+                    digest,
+                    asked_at,
+                });
             });
             return;
         }
         let submission = self.operators.tokens.remove(&token);
         let answer = match answer {
-            Answer::Verdict { code: Code::NumberTaken, edition } if self.weak.confirms_taken => {
-                Answer::Verdict { code: Code::Fine, edition }
-            }
+            Answer::Verdict {
+                code: Code::NumberTaken,
+                edition,
+            } if self.weak.confirms_taken => Answer::Verdict {
+                code: Code::Fine,
+                edition,
+            },
             other => other,
         };
-        submission.into_iter().for_each(|(submission, _)| self.carry_answer(submission, answer.clone()));
+        submission
+            .into_iter()
+            .for_each(|(submission, _)| self.carry_answer(submission, answer.clone()));
     }
 
     pub(super) fn operator_told(&mut self, at: usize, answer: Answer) {
         if let Answer::Redirect { to } = &answer {
-            let node = self.named(to).filter(|_| !self.operators.submissions[at].decided);
-            return node.into_iter().for_each(|node| self.ask_submission_at(at, node));
+            let node = self
+                .named(to)
+                .filter(|_| !self.operators.submissions[at].decided);
+            return node
+                .into_iter()
+                .for_each(|node| self.ask_submission_at(at, node));
         }
-        let Answer::Verdict { code, edition } = answer else { return };
+        let Answer::Verdict { code, edition } = answer else {
+            return;
+        };
         let is_final = matches!(
             code,
             Code::Fine
@@ -284,7 +388,10 @@
             // Without an id the answer may be to a later sending than the one that was decided.
             let edition = Some(edition).filter(|_| !submission.anonymous);
             let call = submission.id.clone();
-            self.note(Fact::Returned { call, reply: Reply::Decided { code, edition } });
+            self.note(Fact::Returned {
+                call,
+                reply: Reply::Decided { code, edition },
+            });
         }
         if already_decided {
             return;
@@ -292,7 +399,9 @@
         match code {
             _ if is_final => self.decide_submission(at, code, edition),
             // Not decided: again with the same id, after a moment.
-            _ if !self.operators.submissions[at].asks_again && self.operators.submissions[at].asked < MOST_ASKS => {
+            _ if !self.operators.submissions[at].asks_again
+                && self.operators.submissions[at].asked < MOST_ASKS =>
+            {
                 self.operators.submissions[at].asks_again = true;
                 self.after(ASK_AGAIN, Action::OperatorAsk { submission: at });
             }
@@ -316,13 +425,27 @@
         match what {
             What::Setup { bytes, mark, .. } => {
                 let digest = protocol::digest(bytes.as_bytes());
-                self.note(Fact::Submitted { edition, digest, mark, took });
+                self.note(Fact::Submitted {
+                    edition,
+                    digest,
+                    mark,
+                    took,
+                });
             }
             What::Numbered { number, .. } => self.note(Fact::Acknowledged { number }),
             // Where another operator took the place back meanwhile, nobody outside knows which came first; the whole
             // history of calls is judged by a rule of its own.
-            What::Evacuate { locality, back: false } if self.taken_back_since(&locality, submitted_at) => {}
-            What::Evacuate { locality, back: false } => self.note(Fact::Evacuated { locality, back: false }),
+            What::Evacuate {
+                locality,
+                back: false,
+            } if self.taken_back_since(&locality, submitted_at) => {}
+            What::Evacuate {
+                locality,
+                back: false,
+            } => self.note(Fact::Evacuated {
+                locality,
+                back: false,
+            }),
             What::Evacuate { back: true, .. } => {}
         }
         if code == Code::Fine {
@@ -334,14 +457,22 @@
     /// True where an operator asked to take a place back at this moment or later.
     fn taken_back_since(&self, place: &str, since: Duration) -> bool {
         let takes_back = |what: &What| matches!(what, What::Evacuate { locality, back: true } if locality == place);
-        self.operators.submissions.iter().any(|other| other.submitted_at >= since && takes_back(&other.what))
+        self.operators
+            .submissions
+            .iter()
+            .any(|other| other.submitted_at >= since && takes_back(&other.what))
     }
 
     /// An operator takes a zone back only after the evacuation was decided.
     pub(super) fn take_back(&mut self, zone: String) {
         let (locality, back) = (zone.clone(), true);
         let evacuates = |submission: &&mut Submission| matches!(&submission.what, What::Evacuate { locality, back: false } if *locality == zone);
-        let open = self.operators.submissions.iter_mut().rfind(evacuates).filter(|submission| !submission.decided);
+        let open = self
+            .operators
+            .submissions
+            .iter_mut()
+            .rfind(evacuates)
+            .filter(|submission| !submission.decided);
         match open {
             Some(submission) => submission.then = Some(What::Evacuate { locality, back }),
             None => self.submit(What::Evacuate { locality, back }),
@@ -357,7 +488,10 @@
             }
             let token = self.id();
             self.operators.read_backs.insert(token, (node, self.now));
-            let event = NodeEvent::Ask { token, ask: Ask::ReadSetup };
+            let event = NodeEvent::Ask {
+                token,
+                ask: Ask::ReadSetup,
+            };
             self.after(Duration::from_millis(8), Action::Deliver { node, event });
         });
     }
--- a/crates/drill/src/sim/order_faults.rs
+++ b/crates/drill/src/sim/order_faults.rs
@@ -42,23 +42,35 @@
 
 impl Operators {
     pub(super) fn silence(&self) -> Duration {
-        let calm = self.delivery.lost_per_mille == 0 && !self.delivery.scrambled && self.storm.left == 0;
+        let calm =
+            self.delivery.lost_per_mille == 0 && !self.delivery.scrambled && self.storm.left == 0;
         if calm { SILENCE } else { IMPATIENT_SILENCE }
     }
 
     fn under_way(&self) -> usize {
-        self.submissions.iter().filter(|submission| !submission.decided).count()
+        self.submissions
+            .iter()
+            .filter(|submission| !submission.decided)
+            .count()
     }
 
     fn highest_offered(&self) -> u64 {
-        self.offered.iter().map(|(number, _)| *number).max().unwrap_or(0)
+        self.offered
+            .iter()
+            .map(|(number, _)| *number)
+            .max()
+            .unwrap_or(0)
     }
 }
 
 impl World {
     /// How long an order takes on its way.
     pub(super) fn order_takes(&mut self, submission: usize) -> Duration {
-        let late = if self.strays(submission) { self.random.below(LATE_ORDER_MS) } else { 0 };
+        let late = if self.strays(submission) {
+            self.random.below(LATE_ORDER_MS)
+        } else {
+            0
+        };
         USUALLY_TAKES + Duration::from_millis(late)
     }
 
@@ -76,20 +88,36 @@
 
     /// Brings an answer to its operator, unless it is lost.
     pub(super) fn carry_answer(&mut self, submission: usize, answer: Answer) {
-        let OrderDelivery { lost_per_mille, scrambled } = self.operators.delivery;
+        let OrderDelivery {
+            lost_per_mille,
+            scrambled,
+        } = self.operators.delivery;
         if lost_per_mille > 0 && self.random.below(1000) < lost_per_mille {
             return;
         }
         let copies = if scrambled { 2 } else { 1 };
         (0..copies).for_each(|_| {
-            let late = if scrambled { self.random.below(LATE_ANSWER_MS) } else { 0 };
+            let late = if scrambled {
+                self.random.below(LATE_ANSWER_MS)
+            } else {
+                0
+            };
             let takes = USUALLY_TAKES + Duration::from_millis(late);
-            self.after(takes, Action::OperatorAnswer { submission, answer: answer.clone() });
+            self.after(
+                takes,
+                Action::OperatorAnswer {
+                    submission,
+                    answer: answer.clone(),
+                },
+            );
         });
     }
 
     pub(super) fn start_storm(&mut self, count: u32) {
-        self.operators.storm = Storm { left: count, sent: 0 };
+        self.operators.storm = Storm {
+            left: count,
+            sent: 0,
+        };
         self.feed_storm();
     }
 
@@ -111,8 +139,17 @@
             0 => self.submit_setup(0, None),
             3 => {
                 let locality = self.shape.locality(sent as usize / 8 % 6);
-                let evacuation = self.submit_as(What::Evacuate { locality: locality.clone(), back: false }, false);
-                self.operators.submissions[evacuation].then = Some(What::Evacuate { locality, back: true });
+                let evacuation = self.submit_as(
+                    What::Evacuate {
+                        locality: locality.clone(),
+                        back: false,
+                    },
+                    false,
+                );
+                self.operators.submissions[evacuation].then = Some(What::Evacuate {
+                    locality,
+                    back: true,
+                });
             }
             other => {
                 let number = self.operators.highest_offered() + 1 + self.random.below(3);
@@ -126,7 +163,10 @@
         self.operators.setups += 1;
         // Few routes: hundreds of these come. The number tells them apart.
         let bytes = self.shape.numbered_setup(self.operators.setups % 8, number);
-        self.note(Fact::Offered { number, digest: protocol::digest(bytes.as_bytes()) });
+        self.note(Fact::Offered {
+            number,
+            digest: protocol::digest(bytes.as_bytes()),
+        });
         self.operators.offered.push((number, bytes.clone()));
         self.submit_as(What::Numbered { bytes, number }, anonymous);
     }
@@ -142,7 +182,9 @@
     /// id is a new order once the first was answered, and operators send it again for a limited time only.
     pub(super) fn resend_oldest(&mut self) {
         let submissions = self.operators.submissions.iter().enumerate();
-        let told_apart = submissions.filter(|(_, submission)| submission.is_told_apart()).map(|(at, _)| at);
+        let told_apart = submissions
+            .filter(|(_, submission)| submission.is_told_apart())
+            .map(|(at, _)| at);
         let oldest: Vec<usize> = told_apart.take(OLDEST).collect();
         oldest.into_iter().for_each(|submission| {
             let late = Duration::from_millis(self.random.below(STRAY_COPY_MS));
@@ -152,16 +194,31 @@
 
     /// The order to evacuate a zone comes again every now and then, also after the zone was taken back.
     pub(super) fn evacuate_repeatedly(&mut self, locality: String) {
-        let submission = self.submit_as(What::Evacuate { locality, back: false }, false);
+        let submission = self.submit_as(
+            What::Evacuate {
+                locality,
+                back: false,
+            },
+            false,
+        );
         (1..=EVACUATION_COPIES).for_each(|at| {
-            let late = Duration::from_millis(at * EVACUATION_COPY_MS + self.random.below(EVACUATION_COPY_MS));
+            let late = Duration::from_millis(
+                at * EVACUATION_COPY_MS + self.random.below(EVACUATION_COPY_MS),
+            );
             self.after(late, Action::OperatorRepeat { submission });
         });
     }
 
     /// An order without an id goes to this node first.
     pub(super) fn evacuate_through(&mut self, node: usize, locality: String) {
-        self.submit_through(Some(node), What::Evacuate { locality, back: false }, true);
+        self.submit_through(
+            Some(node),
+            What::Evacuate {
+                locality,
+                back: false,
+            },
+            true,
+        );
     }
 
     /// What a node reads back that asks nobody.
@@ -169,8 +226,14 @@
         let node = &self.nodes[at];
         if node.up && node.frozen.is_none() {
             let accepted = &node.disk.durable.accepted;
-            let (edition, digest, node) = (accepted.edition, accepted.digest.clone(), node.name.clone());
-            self.note(Fact::ReadBack { node, edition, digest, asked_at: self.now });
+            let (edition, digest, node) =
+                (accepted.edition, accepted.digest.clone(), node.name.clone());
+            self.note(Fact::ReadBack {
+                node,
+                edition,
+                digest,
+                asked_at: self.now,
+            });
         }
     }
 }
--- a/crates/drill/src/sim/ranged.rs
+++ b/crates/drill/src/sim/ranged.rs
@@ -44,7 +44,11 @@
 /// What of some rows lies beside a range.
 fn beside(rows: &[(Range<u32>, u64)], keys: &Range<u32>) -> Vec<(Range<u32>, u64)> {
     let parts = rows.iter().flat_map(|(row, fence)| {
-        [row.start..row.end.min(keys.start), row.start.max(keys.end)..row.end].map(|part| (part, *fence))
+        [
+            row.start..row.end.min(keys.start),
+            row.start.max(keys.end)..row.end,
+        ]
+        .map(|part| (part, *fence))
     });
     parts.filter(|(part, _)| !part.is_empty()).collect()
 }
@@ -52,13 +56,22 @@
 impl Ranged {
     /// All keys that it has not let go.
     pub fn keys(&self) -> Vec<Range<u32>> {
-        self.rows.iter().chain(&self.ending).map(|(keys, _)| keys.clone()).collect()
+        self.rows
+            .iter()
+            .chain(&self.ending)
+            .map(|(keys, _)| keys.clone())
+            .collect()
     }
 
     /// The same with the ends of the holds.
     pub fn spans(&self) -> Vec<(Range<u32>, Duration)> {
         let rows = self.rows.iter().map(|(keys, _)| (keys.clone(), self.until));
-        rows.chain(self.ending.iter().map(|(keys, _)| (keys.clone(), self.ending_until))).collect()
+        rows.chain(
+            self.ending
+                .iter()
+                .map(|(keys, _)| (keys.clone(), self.ending_until)),
+        )
+        .collect()
     }
 
     /// True while it may begin work on a key.
@@ -82,7 +95,12 @@
     /// A row is taken unless a higher fence was seen on any of its keys.
     fn takes(&mut self, row: &(Range<u32>, u64)) -> bool {
         let (keys, fence) = row;
-        let newest = self.seen.iter().filter(|(seen, _)| overlaps(seen, keys)).map(|(_, fence)| *fence).max();
+        let newest = self
+            .seen
+            .iter()
+            .filter(|(seen, _)| overlaps(seen, keys))
+            .map(|(_, fence)| *fence)
+            .max();
         let taken = newest.is_none_or(|newest| newest <= *fence);
         if taken {
             self.seen = beside(&self.seen, keys);
@@ -93,10 +111,16 @@
 
     /// Takes everything in an answer, and is to let go of the rest.
     fn take(&mut self, given: Vec<(Range<u32>, u64)>, until: Duration) {
-        self.ending_until = if self.ending.is_empty() { self.until } else { self.ending_until.min(self.until) };
+        self.ending_until = if self.ending.is_empty() {
+            self.until
+        } else {
+            self.ending_until.min(self.until)
+        };
         self.until = until;
         let taken: Vec<_> = given.into_iter().filter(|row| self.takes(row)).collect();
-        let had = std::mem::take(&mut self.rows).into_iter().chain(std::mem::take(&mut self.ending));
+        let had = std::mem::take(&mut self.rows)
+            .into_iter()
+            .chain(std::mem::take(&mut self.ending));
         let left = |had: Vec<(Range<u32>, u64)>, (keys, _): &(Range<u32>, u64)| beside(&had, keys);
         self.ending = taken.iter().fold(had.collect(), left);
         self.rows = taken;
@@ -106,7 +130,8 @@
     fn let_go(&mut self, token: &str) -> Vec<Range<u32>> {
         let working = &self.working;
         let busy = |keys: &Range<u32>| working.values().any(|key| keys.contains(key));
-        let (ending, gone): (Vec<_>, Vec<_>) = self.ending.drain(..).partition(|(keys, _)| busy(keys));
+        let (ending, gone): (Vec<_>, Vec<_>) =
+            self.ending.drain(..).partition(|(keys, _)| busy(keys));
         self.ending = ending;
         let gone: Vec<Range<u32>> = gone.into_iter().map(|(keys, _)| keys).collect();
         let released = |keys: &Range<u32>| Share {
@@ -132,7 +157,10 @@
 
 /// A key of the moving load: of ten, six of a busy run, one the hot one, three anywhere.
 pub(super) fn busy_key(now: Duration, hot: bool, random: &mut Random) -> u64 {
-    let (part, at) = (random.below(10), now.as_millis() as u64 * MOVES_PER_SECOND / 1000);
+    let (part, at) = (
+        random.below(10),
+        now.as_millis() as u64 * MOVES_PER_SECOND / 1000,
+    );
     match part {
         _ if hot => HOT,
         0..6 => (5000 + at + random.below(BUSY_KEYS)) % u64::from(KEYS),
@@ -150,7 +178,11 @@
         let token = format!("{}@{}", unit.instance, unit.beat);
         let (service, instance) = (unit.work.service.to_owned(), unit.instance.clone());
         unit.ranged.let_go(&token).into_iter().for_each(|keys| {
-            self.note(Fact::LetGo { service: service.clone(), keys, instance: instance.clone() });
+            self.note(Fact::LetGo {
+                service: service.clone(),
+                keys,
+                instance: instance.clone(),
+            });
         });
     }
 
@@ -162,24 +194,64 @@
         span: Duration,
     ) {
         let (unit, life, beat, sent_at, node) = from;
-        let delay = self.net.delay(&mut self.random, &self.nodes[node].place, &self.units[unit].place);
+        let delay = self.net.delay(
+            &mut self.random,
+            &self.nodes[node].place,
+            &self.units[unit].place,
+        );
         let late = self.late_answers && self.random.below(4) == 0;
         let more = Duration::from_millis(if late { self.random.below(1500) } else { 0 });
-        delay.map(|delay| delay + more).zip(shares).into_iter().for_each(|(delay, shares)| {
-            self.after(delay, Action::RangesAnswer { unit, life, beat, sent_at, shares, span });
-        });
+        delay
+            .map(|delay| delay + more)
+            .zip(shares)
+            .into_iter()
+            .for_each(|(delay, shares)| {
+                self.after(
+                    delay,
+                    Action::RangesAnswer {
+                        unit,
+                        life,
+                        beat,
+                        sent_at,
+                        shares,
+                        span,
+                    },
+                );
+            });
     }
 
     /// Only an answer in time, and only to the latest beat, counts.
-    pub(super) fn ranges_answer(&mut self, from: (usize, u64, u64, Duration), shares: Vec<Share>, span: Duration) {
+    pub(super) fn ranges_answer(
+        &mut self,
+        from: (usize, u64, u64, Duration),
+        shares: Vec<Share>,
+        span: Duration,
+    ) {
         let (at, life, beat, sent_at) = from;
         let now = self.now;
-        let Unit { up, life: lives, paused_until, drift, beat: latest, .. } = self.units[at];
+        let Unit {
+            up,
+            life: lives,
+            paused_until,
+            drift,
+            beat: latest,
+            ..
+        } = self.units[at];
         if !up || lives != life {
             return;
         }
         if now < paused_until {
-            return self.at(paused_until, Action::RangesAnswer { unit: at, life, beat, sent_at, shares, span });
+            return self.at(
+                paused_until,
+                Action::RangesAnswer {
+                    unit: at,
+                    life,
+                    beat,
+                    sent_at,
+                    shares,
+                    span,
+                },
+            );
         }
         let late = now >= sent_at + true_span(ANSWER_WITHIN, drift);
         if !self.weak.takes_late && (late || beat != latest) {
@@ -189,15 +261,39 @@
         let unit = &mut self.units[at];
         unit.ranged.run_out(now);
         unit.ranged.released.clear();
-        unit.ranged.take(shares.into_iter().map(|share| (share.from..share.until, share.epoch)).collect(), until);
+        unit.ranged.take(
+            shares
+                .into_iter()
+                .map(|share| (share.from..share.until, share.epoch))
+                .collect(),
+            until,
+        );
         let asked = !unit.ranged.ending.is_empty();
-        let (service, instance, keys) = (unit.work.service.to_owned(), unit.instance.clone(), unit.ranged.spans());
-        keys.into_iter().filter(|(_, until)| now < *until).for_each(|(keys, until)| {
-            self.note(Fact::Holds { service: service.clone(), keys, instance: instance.clone(), until });
-        });
+        let (service, instance, keys) = (
+            unit.work.service.to_owned(),
+            unit.instance.clone(),
+            unit.ranged.spans(),
+        );
+        keys.into_iter()
+            .filter(|(_, until)| now < *until)
+            .for_each(|(keys, until)| {
+                self.note(Fact::Holds {
+                    service: service.clone(),
+                    keys,
+                    instance: instance.clone(),
+                    until,
+                });
+            });
         if asked {
             let wait = Duration::from_micros(self.random.below(AGAIN_MICROS));
-            self.after(wait, Action::BeatAgain { unit: at, life, beat });
+            self.after(
+                wait,
+                Action::BeatAgain {
+                    unit: at,
+                    life,
+                    beat,
+                },
+            );
         }
     }
 }
--- a/crates/drill/src/sim/signing_off.rs
+++ b/crates/drill/src/sim/signing_off.rs
@@ -30,8 +30,13 @@
         let unit = &self.units[at];
         match (unit.signed_off, unit.taken_at) {
             (false, _) => Ask::Beat(told),
-            (true, None) => Ask::SignOff { instance: told.instance },
-            (true, Some(_)) => Ask::Beat(Upstream { holds: Vec::new(), ..told }),
+            (true, None) => Ask::SignOff {
+                instance: told.instance,
+            },
+            (true, Some(_)) => Ask::Beat(Upstream {
+                holds: Vec::new(),
+                ..told
+            }),
         }
     }
 }
--- a/crates/drill/src/sim/units.rs
+++ b/crates/drill/src/sim/units.rs
@@ -57,7 +57,13 @@
                 let place = crate::shapes::mark_of(work.service).unwrap_or(at);
                 let number = self.push_unit(work, at, shape.locality(place), true);
                 let first = Duration::from_millis(5000 + self.random.below(500));
-                self.at(first, Action::Beat { unit: number, life: 1 });
+                self.at(
+                    first,
+                    Action::Beat {
+                        unit: number,
+                        life: 1,
+                    },
+                );
             });
         });
     }
@@ -70,7 +76,10 @@
             work,
             instance: format!("{}-{at}", work.service),
             address: format!("10.0.{}.{}:80", number / 200, number % 200),
-            place: Place { machine: None, locality },
+            place: Place {
+                machine: None,
+                locality,
+            },
             up: true,
             life: 1,
             condition: enrolment::READY,
@@ -124,10 +133,18 @@
         unit.up = false;
         unit.life += 1;
         let (service, instance) = (unit.work.service.to_owned(), unit.instance.clone());
-        let held = std::mem::take(&mut unit.holds).into_keys().map(|slot| slot..slot + 1);
-        let held: Vec<Range<u32>> = held.chain(std::mem::take(&mut unit.ranged).keys()).collect();
+        let held = std::mem::take(&mut unit.holds)
+            .into_keys()
+            .map(|slot| slot..slot + 1);
+        let held: Vec<Range<u32>> = held
+            .chain(std::mem::take(&mut unit.ranged).keys())
+            .collect();
         held.into_iter().for_each(|keys| {
-            self.note(Fact::LetGo { service: service.clone(), keys, instance: instance.clone() });
+            self.note(Fact::LetGo {
+                service: service.clone(),
+                keys,
+                instance: instance.clone(),
+            });
         });
     }
 
@@ -165,8 +182,12 @@
         let node = unit.leaves_by.unwrap_or(node);
         unit.beat += 1;
         let holds = unit.holds.iter().filter(|(_, (_, until))| now < *until);
-        let holds =
-            holds.map(|(slot, (epoch, _))| Share { from: *slot, until: slot + 1, epoch: *epoch, ..Share::default() });
+        let holds = holds.map(|(slot, (epoch, _))| Share {
+            from: *slot,
+            until: slot + 1,
+            epoch: *epoch,
+            ..Share::default()
+        });
         let told = Upstream {
             service: unit.work.service.into(),
             instance: unit.instance.clone(),
@@ -182,22 +203,38 @@
             ..Upstream::default()
         };
         let (beat, place) = (unit.beat, unit.place.clone());
-        let delay = self.net.delay(&mut self.random, &place, &self.nodes[node].place);
+        let delay = self
+            .net
+            .delay(&mut self.random, &place, &self.nodes[node].place);
         delay.into_iter().for_each(|delay| {
             let token = self.id();
-            self.operators.beats.insert(token, (at, life, beat, now, node));
-            let event = NodeEvent::Ask { token, ask: self.beat_or_sign_off(at, told.clone()) };
+            self.operators
+                .beats
+                .insert(token, (at, life, beat, now, node));
+            let event = NodeEvent::Ask {
+                token,
+                ask: self.beat_or_sign_off(at, told.clone()),
+            };
             self.after(delay, Action::Deliver { node, event });
         });
     }
 
     /// A postmaster answered a beat.
-    pub(super) fn beat_answered(&mut self, from: (usize, u64, u64, Duration, usize), answer: Answer) {
+    pub(super) fn beat_answered(
+        &mut self,
+        from: (usize, u64, u64, Duration, usize),
+        answer: Answer,
+    ) {
         let (unit, life, beat, sent_at, node) = from;
         if let Answer::Redirect { to } = &answer {
             self.units[unit].leaves_by = self.units[unit].leaves_by.and(self.named(to));
         }
-        let Answer::Beat { holder, shares, span } = answer else {
+        let Answer::Beat {
+            holder,
+            shares,
+            span,
+        } = answer
+        else {
             self.next_to_hear_of_leaving(unit, node);
             // Nobody there, or on its way out: another one, soon.
             return self.after(BEAT_AGAIN, Action::BeatAgain { unit, life, beat });
@@ -210,10 +247,23 @@
             return self.ranges_answered(from, shares, span);
         }
         let sheet = controller::beat_sheet(holder, shares, span);
-        let delay = self.net.delay(&mut self.random, &self.nodes[node].place, &self.units[unit].place);
+        let delay = self.net.delay(
+            &mut self.random,
+            &self.nodes[node].place,
+            &self.units[unit].place,
+        );
         delay.into_iter().for_each(|delay| {
             let sheet = sheet.clone();
-            self.after(delay, Action::BeatAnswer { unit, life, beat, sent_at, sheet });
+            self.after(
+                delay,
+                Action::BeatAnswer {
+                    unit,
+                    life,
+                    beat,
+                    sent_at,
+                    sheet,
+                },
+            );
         });
     }
 
@@ -222,7 +272,10 @@
         let control_nodes = self.control_nodes();
         let unit = &mut self.units[unit];
         if unit.leaves_by == Some(refused_by) {
-            let at = control_nodes.iter().position(|node| *node == refused_by).unwrap_or(0);
+            let at = control_nodes
+                .iter()
+                .position(|node| *node == refused_by)
+                .unwrap_or(0);
             unit.leaves_by = Some(control_nodes[(at + 1) % control_nodes.len()]);
         }
     }
@@ -233,12 +286,21 @@
         if unit.life == life && unit.condition == enrolment::LEAVING && unit.taken_at.is_none() {
             unit.taken_at = Some(self.now);
             let instance = Some(unit.instance.clone()).filter(|_| unit.leaves_by.is_some());
-            instance.into_iter().for_each(|instance| self.note(Fact::Leaving { instance }));
+            instance
+                .into_iter()
+                .for_each(|instance| self.note(Fact::Leaving { instance }));
         }
     }
 
     /// Only the answer to the latest beat counts, and only what has not run out.
-    pub(super) fn beat_answer(&mut self, at: usize, life: u64, beat: u64, sent_at: Duration, sheet: &Sheet) {
+    pub(super) fn beat_answer(
+        &mut self,
+        at: usize,
+        life: u64,
+        beat: u64,
+        sent_at: Duration,
+        sheet: &Sheet,
+    ) {
         let now = self.now;
         let unit = &mut self.units[at];
         let told = sheet.count("holder").unwrap_or(0);
@@ -251,26 +313,51 @@
             self.beat_once(at);
         }
         let unit = &mut self.units[at];
-        let span_ms = sheet.count("spanMs").filter(|_| sheet.get("shares").is_some());
-        let Some(span_ms) = span_ms.filter(|_| unit.up && unit.life == life && unit.beat == beat) else { return };
+        let span_ms = sheet
+            .count("spanMs")
+            .filter(|_| sheet.get("shares").is_some());
+        let Some(span_ms) = span_ms.filter(|_| unit.up && unit.life == life && unit.beat == beat)
+        else {
+            return;
+        };
         if now < unit.paused_until {
             let until = unit.paused_until;
             let sheet = sheet.clone();
-            return self.at(until, Action::BeatAnswer { unit: at, life, beat, sent_at, sheet });
+            return self.at(
+                until,
+                Action::BeatAnswer {
+                    unit: at,
+                    life,
+                    beat,
+                    sent_at,
+                    sheet,
+                },
+            );
         }
-        let until = sent_at + true_span(Duration::from_millis(span_ms), unit.drift) + self.weak.holds_on;
+        let until =
+            sent_at + true_span(Duration::from_millis(span_ms), unit.drift) + self.weak.holds_on;
         let given = given_slots(sheet);
         let (service, instance) = (unit.work.service.to_owned(), unit.instance.clone());
-        let gone: Vec<u32> = unit.holds.keys().filter(|slot| !given.contains_key(slot)).copied().collect();
+        let gone: Vec<u32> = unit
+            .holds
+            .keys()
+            .filter(|slot| !given.contains_key(slot))
+            .copied()
+            .collect();
         gone.iter().for_each(|slot| {
             unit.holds.remove(slot);
         });
         let live = now < until;
         if live {
-            unit.holds.extend(given.iter().map(|(slot, epoch)| (*slot, (*epoch, until))));
+            unit.holds
+                .extend(given.iter().map(|(slot, epoch)| (*slot, (*epoch, until))));
         }
         gone.into_iter().for_each(|slot| {
-            self.note(Fact::LetGo { service: service.clone(), keys: slot..slot + 1, instance: instance.clone() });
+            self.note(Fact::LetGo {
+                service: service.clone(),
+                keys: slot..slot + 1,
+                instance: instance.clone(),
+            });
         });
         given.into_keys().filter(|_| live).for_each(|slot| {
             self.note(Fact::Holds {
@@ -285,14 +372,24 @@
     /// Its clock stood still for so long: what it holds seems to last that much longer.
     pub(super) fn hold_on(&mut self, at: usize, span: Duration) {
         let unit = &mut self.units[at];
-        unit.holds.values_mut().for_each(|(_, until)| *until += span);
+        unit.holds
+            .values_mut()
+            .for_each(|(_, until)| *until += span);
         let (service, instance) = (unit.work.service.to_owned(), unit.instance.clone());
         unit.ranged.until += span;
         unit.ranged.ending_until += span;
-        let slots = unit.holds.iter().map(|(slot, (_, until))| (*slot..slot + 1, *until));
+        let slots = unit
+            .holds
+            .iter()
+            .map(|(slot, (_, until))| (*slot..slot + 1, *until));
         let held: Vec<(Range<u32>, Duration)> = slots.chain(unit.ranged.spans()).collect();
         held.into_iter().for_each(|(keys, until)| {
-            self.note(Fact::Holds { service: service.clone(), keys, instance: instance.clone(), until });
+            self.note(Fact::Holds {
+                service: service.clone(),
+                keys,
+                instance: instance.clone(),
+                until,
+            });
         });
     }
 
@@ -301,7 +398,12 @@
         let at = self.units.iter().position(|unit| unit.address == address);
         let up = at.filter(|at| self.units[*at].up && !cut);
         let Some(at) = up else {
-            return self.back(trip, send, Err(transport::Called::NotConnected), Duration::from_micros(300));
+            return self.back(
+                trip,
+                send,
+                Err(transport::Called::NotConnected),
+                Duration::from_micros(300),
+            );
         };
         let life = (at, self.units[at].life);
         let node = self.trips.get(&trip).map(|trip| trip.node);
@@ -309,17 +411,33 @@
             let (from, to) = (self.units[at].place.clone(), self.nodes[node].place.clone());
             let delay = self.net.delay(&mut self.random, &from, &to);
             delay.into_iter().for_each(|delay| {
-                self.after(delay, Action::Deliver { node, event: NodeEvent::Connected { trip, send, life } });
+                self.after(
+                    delay,
+                    Action::Deliver {
+                        node,
+                        event: NodeEvent::Connected { trip, send, life },
+                    },
+                );
             });
         });
     }
 
     /// A proxy's request reaches whoever accepted its connection, if it still lives.
     pub(super) fn unit_call(&mut self, trip: u64, send: u32, cut: bool) {
-        let life = self.trips.get(&trip).filter(|trip| trip.send == send).and_then(|trip| trip.life);
-        let alive = life.filter(|(at, life)| self.units[*at].up && self.units[*at].life == *life && !cut);
+        let life = self
+            .trips
+            .get(&trip)
+            .filter(|trip| trip.send == send)
+            .and_then(|trip| trip.life);
+        let alive =
+            life.filter(|(at, life)| self.units[*at].up && self.units[*at].life == *life && !cut);
         let Some((at, _)) = alive else {
-            return self.back(trip, send, Err(transport::Called::Lost), Duration::from_micros(300));
+            return self.back(
+                trip,
+                send,
+                Err(transport::Called::Lost),
+                Duration::from_micros(300),
+            );
         };
         if self.now < self.units[at].paused_until {
             let until = self.units[at].paused_until;
@@ -329,9 +447,16 @@
             return;
         }
         if self.resets() {
-            return self.back(trip, send, Err(transport::Called::Lost), Duration::from_micros(300));
+            return self.back(
+                trip,
+                send,
+                Err(transport::Called::Lost),
+                Duration::from_micros(300),
+            );
         }
-        let Some(order) = self.trips.get(&trip).map(|trip| trip.sent.clone()) else { return };
+        let Some(order) = self.trips.get(&trip).map(|trip| trip.sent.clone()) else {
+            return;
+        };
         let now = self.now;
         let unit = &mut self.units[at];
         let arrived = Fact::Arrived {
@@ -342,7 +467,11 @@
             cold: !unit.warm,
         };
         let slot = address::slot(&order.key);
-        let held = unit.holds.get(&slot).filter(|(_, until)| now < *until).map(|(epoch, _)| *epoch);
+        let held = unit
+            .holds
+            .get(&slot)
+            .filter(|(_, until)| now < *until)
+            .map(|(epoch, _)| *epoch);
         // A back end of another service, which took over the address, knows nothing of this path.
         let mark = mark_of(unit.work.service);
         let mine = unit.work.service == order.path || (mark.is_some() && order.path == "probe");
@@ -356,18 +485,43 @@
         let (instance, once, life) = (unit.instance.clone(), unit.work.once, unit.life);
         if runs {
             unit.busy += 1;
-            unit.ranged.working.extend(number.map(|key| ((trip, send), key)));
+            unit.ranged
+                .working
+                .extend(number.map(|key| ((trip, send), key)));
         }
         self.note(arrived);
-        let node = self.trips.get(&trip).map(|trip| self.nodes[trip.node].name.clone());
-        let probed = node.zip(mark).map(|(node, mark)| Fact::Probed { node, mark });
+        let node = self
+            .trips
+            .get(&trip)
+            .map(|trip| self.nodes[trip.node].name.clone());
+        let probed = node
+            .zip(mark)
+            .map(|(node, mark)| Fact::Probed { node, mark });
         probed.into_iter().for_each(|probed| self.note(probed));
         if runs {
-            self.note(Fact::Ran { work: order.work.clone(), try_id: order.try_id.clone(), once });
+            self.note(Fact::Ran {
+                work: order.work.clone(),
+                try_id: order.try_id.clone(),
+                once,
+            });
             let (least, most) = self.load.takes;
-            let slow = if self.load.some_slow && at % 6 == 5 { 3 } else { 1 };
-            let takes = (least + Duration::from_micros(self.random.below((most - least).as_micros() as u64))) * slow;
-            self.after(takes, Action::UnitDone { trip, send, unit: at, life });
+            let slow = if self.load.some_slow && at % 6 == 5 {
+                3
+            } else {
+                1
+            };
+            let takes = (least
+                + Duration::from_micros(self.random.below((most - least).as_micros() as u64)))
+                * slow;
+            self.after(
+                takes,
+                Action::UnitDone {
+                    trip,
+                    send,
+                    unit: at,
+                    life,
+                },
+            );
         } else {
             self.back(
                 trip,
@@ -386,23 +540,39 @@
             self.units[at].busy = self.units[at].busy.saturating_sub(1);
             self.units[at].ranged.working.remove(&(trip, send));
         }
-        let Some(order) = self.trips.get(&trip).map(|trip| trip.sent.clone()) else { return };
+        let Some(order) = self.trips.get(&trip).map(|trip| trip.sent.clone()) else {
+            return;
+        };
         let mut reply = Reply::sealed(&order.try_id, &self.units[at].instance, 200, &order.work);
         if garbled {
             // Cut short, or the whole and well sealed verdict of somebody else's try.
             if self.random.below(2) == 0 {
                 reply.body.truncate(reply.body.len() / 2);
             } else {
-                reply = Reply::sealed("try-of-another", &self.units[at].instance, 200, "work-of-another");
+                reply = Reply::sealed(
+                    "try-of-another",
+                    &self.units[at].instance,
+                    200,
+                    "work-of-another",
+                );
             }
         }
         let lost = lost || self.resets();
-        let called = if lost || !alive { Err(transport::Called::Lost) } else { Ok(reply) };
+        let called = if lost || !alive {
+            Err(transport::Called::Lost)
+        } else {
+            Ok(reply)
+        };
         let from = self.units[at].place.clone();
-        let to = self.trips.get(&trip).map(|trip| self.nodes[trip.node].place.clone());
+        let to = self
+            .trips
+            .get(&trip)
+            .map(|trip| self.nodes[trip.node].place.clone());
         let delay = to.and_then(|to| self.net.delay(&mut self.random, &from, &to));
         delay.into_iter().for_each(|delay| {
-            called.iter().for_each(|reply| self.send_surplus(trip, reply, delay));
+            called
+                .iter()
+                .for_each(|reply| self.send_surplus(trip, reply, delay));
             self.back(trip, send, called.clone(), delay);
         });
     }
--- a/crates/drill/src/sim/world.rs
+++ b/crates/drill/src/sim/world.rs
@@ -32,28 +32,100 @@
 
 /// What happens at a moment.
 pub enum Action {
-    Tick { node: usize, life: u64 },
-    Deliver { node: usize, event: NodeEvent },
-    Disk { node: usize, life: u64 },
-    Departures { node: usize, life: u64, ticket: u64, departures: Vec<Departure> },
-    Beat { unit: usize, life: u64 },
-    BeatAgain { unit: usize, life: u64, beat: u64 },
-    RangesAnswer { unit: usize, life: u64, beat: u64, sent_at: Duration, shares: Vec<Share>, span: Duration },
-    BeatAnswer { unit: usize, life: u64, beat: u64, sent_at: Duration, sheet: Sheet },
-    UnitConnect { trip: u64, send: u32, address: String, cut: bool },
-    UnitCall { trip: u64, send: u32, cut: bool },
-    UnitDone { trip: u64, send: u32, unit: usize, life: u64 },
-    Surplus { connection: u64, reply: super::path::Reply },
+    Tick {
+        node: usize,
+        life: u64,
+    },
+    Deliver {
+        node: usize,
+        event: NodeEvent,
+    },
+    Disk {
+        node: usize,
+        life: u64,
+    },
+    Departures {
+        node: usize,
+        life: u64,
+        ticket: u64,
+        departures: Vec<Departure>,
+    },
+    Beat {
+        unit: usize,
+        life: u64,
+    },
+    BeatAgain {
+        unit: usize,
+        life: u64,
+        beat: u64,
+    },
+    RangesAnswer {
+        unit: usize,
+        life: u64,
+        beat: u64,
+        sent_at: Duration,
+        shares: Vec<Share>,
+        span: Duration,
+    },
+    BeatAnswer {
+        unit: usize,
+        life: u64,
+        beat: u64,
+        sent_at: Duration,
+        sheet: Sheet,
+    },
+    UnitConnect {
+        trip: u64,
+        send: u32,
+        address: String,
+        cut: bool,
+    },
+    UnitCall {
+        trip: u64,
+        send: u32,
+        cut: bool,
+    },
+    UnitDone {
+        trip: u64,
+        send: u32,
+        unit: usize,
+        life: u64,
+    },
+    Surplus {
+        connection: u64,
+        reply: super::path::Reply,
+    },
     OriginStart,
-    OriginTry { work: u64 },
-    OriginTold { work: u64, listing: Option<gazetteer::Listing>, asked_at: Duration },
-    OriginAnswer { work: u64, try_number: u32, answer: super::path::Reply },
+    OriginTry {
+        work: u64,
+    },
+    OriginTold {
+        work: u64,
+        listing: Option<gazetteer::Listing>,
+        asked_at: Duration,
+    },
+    OriginAnswer {
+        work: u64,
+        try_number: u32,
+        answer: super::path::Reply,
+    },
     Operator,
-    OperatorAsk { submission: usize },
-    OperatorRepeat { submission: usize },
-    OperatorAnswer { submission: usize, answer: controller::Answer },
-    Fault { at: usize },
-    Heal { at: usize },
+    OperatorAsk {
+        submission: usize,
+    },
+    OperatorRepeat {
+        submission: usize,
+    },
+    OperatorAnswer {
+        submission: usize,
+        answer: controller::Answer,
+    },
+    Fault {
+        at: usize,
+    },
+    Heal {
+        at: usize,
+    },
     Watch,
 }
 
@@ -196,7 +268,13 @@
 impl Default for Load {
     fn default() -> Self {
         let ms = Duration::from_millis;
-        Load { slots: 16, takes: (ms(3), ms(7)), some_slow: false, wait_for: ms(150), come_back: None }
+        Load {
+            slots: 16,
+            takes: (ms(3), ms(7)),
+            some_slow: false,
+            wait_for: ms(150),
+            come_back: None,
+        }
     }
 }
 
@@ -338,7 +416,11 @@
 
     pub(super) fn at(&mut self, at: Duration, action: Action) {
         self.number += 1;
-        self.queue.push(Reverse(Item { at, number: self.number, action }));
+        self.queue.push(Reverse(Item {
+            at,
+            number: self.number,
+            action,
+        }));
     }
 
     pub(super) fn after(&mut self, span: Duration, action: Action) {
@@ -372,23 +454,41 @@
     /// The same world with upstreams that can bear so much.
     pub fn loaded(seed: u64, plan: Plan, shape: Shape, load: Load) -> World {
         let mut world = World::new(seed, Some(plan), shape);
-        world.nodes.iter_mut().for_each(|node| node.site.wait_for = load.wait_for);
+        world
+            .nodes
+            .iter_mut()
+            .for_each(|node| node.site.wait_for = load.wait_for);
         world.load = load;
         world
     }
 
     /// Runs to the end and judges.
     pub fn run(mut self) -> Outcome {
-        let healed_at = self.plan.steps.iter().map(|step| step.until).max().unwrap_or(Duration::ZERO).max(LOAD_FROM);
+        let healed_at = self
+            .plan
+            .steps
+            .iter()
+            .map(|step| step.until)
+            .max()
+            .unwrap_or(Duration::ZERO)
+            .max(LOAD_FROM);
         let load_until = healed_at + RESUME_WITHIN + AFTERWARDS;
         self.at(LOAD_FROM, Action::OriginStart);
         self.at(Duration::from_secs(3), Action::Operator);
         self.at(Duration::ZERO, Action::Watch);
-        let steps: Vec<(Duration, Duration)> = self.plan.steps.iter().map(|step| (step.at, step.until)).collect();
-        steps.into_iter().enumerate().for_each(|(at, (from, until))| {
-            self.at(from, Action::Fault { at });
-            self.at(until, Action::Heal { at });
-        });
+        let steps: Vec<(Duration, Duration)> = self
+            .plan
+            .steps
+            .iter()
+            .map(|step| (step.at, step.until))
+            .collect();
+        steps
+            .into_iter()
+            .enumerate()
+            .for_each(|(at, (from, until))| {
+                self.at(from, Action::Fault { at });
+                self.at(until, Action::Heal { at });
+            });
         let ends_at = load_until + ENDS_AFTER;
         while let Some(Reverse(item)) = self.queue.pop() {
             // What changed in the last moment may still be on its way to some.
@@ -407,30 +507,63 @@
             Action::Tick { node, life } => self.tick(node, life),
             Action::Deliver { node, event } => self.deliver(node, event),
             Action::Disk { node, life } => self.disk_done(node, life),
-            Action::Departures { node, life, ticket, departures } => {
-                self.departures_kept(node, life, ticket, departures)
-            }
+            Action::Departures {
+                node,
+                life,
+                ticket,
+                departures,
+            } => self.departures_kept(node, life, ticket, departures),
             Action::Beat { unit, life } => self.beat(unit, life),
             Action::BeatAgain { unit, life, beat } => self.beat_again(unit, life, beat),
-            Action::BeatAnswer { unit, life, beat, sent_at, sheet } => {
-                self.beat_answer(unit, life, beat, sent_at, &sheet)
-            }
-            Action::RangesAnswer { unit, life, beat, sent_at, shares, span } => {
-                self.ranges_answer((unit, life, beat, sent_at), shares, span)
-            }
-            Action::UnitConnect { trip, send, address, cut } => self.unit_connect(trip, send, &address, cut),
+            Action::BeatAnswer {
+                unit,
+                life,
+                beat,
+                sent_at,
+                sheet,
+            } => self.beat_answer(unit, life, beat, sent_at, &sheet),
+            Action::RangesAnswer {
+                unit,
+                life,
+                beat,
+                sent_at,
+                shares,
+                span,
+            } => self.ranges_answer((unit, life, beat, sent_at), shares, span),
+            Action::UnitConnect {
+                trip,
+                send,
+                address,
+                cut,
+            } => self.unit_connect(trip, send, &address, cut),
             Action::UnitCall { trip, send, cut } => self.unit_call(trip, send, cut),
-            Action::UnitDone { trip, send, unit, life } => self.unit_done(trip, send, unit, life),
+            Action::UnitDone {
+                trip,
+                send,
+                unit,
+                life,
+            } => self.unit_done(trip, send, unit, life),
             Action::Surplus { connection, reply } => self.surplus(connection, reply),
             Action::OriginStart => {
                 if self.now < load_until {
-                    self.after(Duration::from_micros(1_000_000 / self.shape.per_second), Action::OriginStart);
+                    self.after(
+                        Duration::from_micros(1_000_000 / self.shape.per_second),
+                        Action::OriginStart,
+                    );
                     self.origin_start();
                 }
             }
             Action::OriginTry { work } => self.origin_try(work),
-            Action::OriginTold { work, listing, asked_at } => self.origin_told(work, listing, asked_at),
-            Action::OriginAnswer { work, try_number, answer } => self.origin_answer(work, try_number, answer),
+            Action::OriginTold {
+                work,
+                listing,
+                asked_at,
+            } => self.origin_told(work, listing, asked_at),
+            Action::OriginAnswer {
+                work,
+                try_number,
+                answer,
+            } => self.origin_answer(work, try_number, answer),
             Action::Operator => self.operate(),
             Action::OperatorAsk { submission } => self.ask_submission(submission),
             Action::OperatorRepeat { submission } => self.send_order(submission),
@@ -457,10 +590,13 @@
             .filter(|node| node.up && node.frozen.is_none())
             .filter_map(|node| {
                 let view = node.carrier()?.view();
-                view.is_fresh(node.local(self.now), self.weak.stale_after).then(|| (node.name.clone(), view.edition))
+                view.is_fresh(node.local(self.now), self.weak.stale_after)
+                    .then(|| (node.name.clone(), view.edition))
             })
             .collect();
-        serving.into_iter().for_each(|(node, edition)| self.note(Fact::InForce { node, edition }));
+        serving
+            .into_iter()
+            .for_each(|(node, edition)| self.note(Fact::InForce { node, edition }));
         self.watch_losses();
     }
 
@@ -469,7 +605,10 @@
             return;
         }
         let (voters, now) = (self.voters(), self.now);
-        let over = self.losses.iter_mut().filter(|loss| loss.replaced_at.is_none() && !voters.contains(&loss.node));
+        let over = self
+            .losses
+            .iter_mut()
+            .filter(|loss| loss.replaced_at.is_none() && !voters.contains(&loss.node));
         over.for_each(|loss| loss.replaced_at = Some(now));
     }
 
@@ -478,7 +617,11 @@
         let node = self.nodes[at].name.clone();
         if self.nodes[at].is_office() && self.voters().contains(&node) {
             let lost_at = self.now;
-            self.losses.push(VoterLoss { node, lost_at, replaced_at: None });
+            self.losses.push(VoterLoss {
+                node,
+                lost_at,
+                replaced_at: None,
+            });
         }
     }
 
@@ -499,10 +642,15 @@
         });
         let places = there().filter_map(|node| node.carrier()).map(|carrier| {
             let view = carrier.view();
-            (view.reservations.clone(), view.marks.clone(), view.upstreams.len())
+            (
+                view.reservations.clone(),
+                view.marks.clone(),
+                view.upstreams.len(),
+            )
         });
         let (editions, places): (Vec<_>, Vec<_>) = (editions.collect(), places.collect());
-        editions.windows(2).all(|two| two[0] == two[1]) && places.windows(2).all(|two| two[0] == two[1])
+        editions.windows(2).all(|two| two[0] == two[1])
+            && places.windows(2).all(|two| two[0] == two[1])
     }
 
     fn finish(self, healed_at: Duration) -> Outcome {
@@ -511,18 +659,37 @@
         let failed = self.ended.iter().filter(|ended| ended.code != 1000);
         let last_failed = failed.map(started_at).max().unwrap_or(Duration::ZERO);
         // What was under way when the fault came belongs to the fault.
-        let broken_at = self.plan.steps.iter().map(|step| step.at).min().unwrap_or(healed_at);
+        let broken_at = self
+            .plan
+            .steps
+            .iter()
+            .map(|step| step.at)
+            .min()
+            .unwrap_or(healed_at);
         let broken_at = broken_at.saturating_sub(Duration::from_secs(3));
         let served = |from: Duration, until: Duration| {
-            let part = self.ended.iter().filter(|ended| (from..until).contains(&started_at(ended)));
-            let counts = part.fold((0, 0), |(all, served), ended| (all + 1, served + u64::from(ended.code == 1000)));
+            let part = self
+                .ended
+                .iter()
+                .filter(|ended| (from..until).contains(&started_at(ended)));
+            let counts = part.fold((0, 0), |(all, served), ended| {
+                (all + 1, served + u64::from(ended.code == 1000))
+            });
             (counts.1 * 1000u64).checked_div(counts.0).unwrap_or(1000)
         };
-        let served_per_mille =
-            [served(Duration::ZERO, broken_at), served(broken_at, healed_at), served(healed_at, Duration::MAX)];
+        let served_per_mille = [
+            served(Duration::ZERO, broken_at),
+            served(broken_at, healed_at),
+            served(healed_at, Duration::MAX),
+        ];
         let agreed = self.agreed();
         let voters = self.voters();
-        let gone = self.nodes.iter().filter(|node| node.removed).map(|node| node.name.clone()).collect();
+        let gone = self
+            .nodes
+            .iter()
+            .filter(|node| node.removed)
+            .map(|node| node.name.clone())
+            .collect();
         let voters_gone = voters.intersection(&gone).cloned().collect();
         let digest = protocol::digest(format!("{:?}", self.seen).as_bytes());
         Outcome {
--- a/crates/drill/src/upstreams.rs
+++ b/crates/drill/src/upstreams.rs
@@ -121,7 +121,12 @@
     /// Tells that it leaves; its next beat, sent at once by the caller of this, says so.
     pub fn leave(&self) {
         self.condition.store(1, Ordering::Release);
-        self.record.note(self.clock.now(), Fact::Leaving { instance: self.instance.clone() });
+        self.record.note(
+            self.clock.now(),
+            Fact::Leaving {
+                instance: self.instance.clone(),
+            },
+        );
     }
 
     /// Falls ill, or gets well.
@@ -130,7 +135,10 @@
     }
 
     fn ill(&self) -> Ill {
-        self.ill.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.ill
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     async fn pause(&self) {
@@ -145,7 +153,11 @@
         let _ = self.close.send(true);
     }
 
-    async fn keep_beating(self: Arc<Self>, nodes: Arc<Vec<String>>, mut closing: watch::Receiver<bool>) {
+    async fn keep_beating(
+        self: Arc<Self>,
+        nodes: Arc<Vec<String>>,
+        mut closing: watch::Receiver<bool>,
+    ) {
         let caller = Caller::default();
         let mut random = Random::new(address::spread(&self.instance));
         loop {
@@ -155,7 +167,11 @@
             let taken = self.beat_once(&caller, &node).await;
             let new_holder = self.work.keyed && self.holder.load(Ordering::Acquire) != known;
             // The next beat proves that it knows the new holder: the sooner, the less runs out.
-            let pause = if taken && !new_holder { BEAT_EVERY } else { BEAT_AGAIN };
+            let pause = if taken && !new_holder {
+                BEAT_EVERY
+            } else {
+                BEAT_AGAIN
+            };
             let closed = async {
                 let _ = closing.wait_for(|closing| *closing).await;
             };
@@ -170,28 +186,42 @@
     pub async fn beat_once(&self, caller: &Caller, node: &str) -> bool {
         let sent_at = self.clock.now();
         let body = self.describe(sent_at).to_string();
-        let called = caller.call(node, "POST", "/beats", &[], body.into(), BEAT_WITHIN, false).await;
+        let called = caller
+            .call(node, "POST", "/beats", &[], body.into(), BEAT_WITHIN, false)
+            .await;
         let reply = called.ok().filter(|reply| reply.status == 200);
         let sheet = reply
             .as_ref()
             .and_then(|reply| std::str::from_utf8(&reply.body).ok())
             .and_then(|text| Sheet::read(text).ok());
-        sheet.iter().for_each(|sheet| self.take_shares(sent_at, sheet));
+        sheet
+            .iter()
+            .for_each(|sheet| self.take_shares(sent_at, sheet));
         reply.is_some()
     }
 
     fn describe(&self, now: Duration) -> Sheet {
-        let condition = ["ready", "leaving", "gone"][self.condition.load(Ordering::Acquire) as usize % 3];
+        let condition =
+            ["ready", "leaving", "gone"][self.condition.load(Ordering::Acquire) as usize % 3];
         let mut fields = vec![
             ("service".to_owned(), Sheet::from(self.work.service)),
             ("instance".to_owned(), self.instance.as_str().into()),
             ("address".to_owned(), self.address.as_str().into()),
             ("locality".to_owned(), self.locality.as_str().into()),
-            ("freeSlots".to_owned(), u64::from(SLOTS.saturating_sub(self.busy.load(Ordering::Acquire))).into()),
+            (
+                "freeSlots".to_owned(),
+                u64::from(SLOTS.saturating_sub(self.busy.load(Ordering::Acquire))).into(),
+            ),
             ("warm".to_owned(), self.warm.load(Ordering::Acquire).into()),
             ("condition".to_owned(), condition.into()),
-            ("holder".to_owned(), self.holder.load(Ordering::Acquire).into()),
-            ("beat".to_owned(), (self.beat.fetch_add(1, Ordering::AcqRel) + 1).into()),
+            (
+                "holder".to_owned(),
+                self.holder.load(Ordering::Acquire).into(),
+            ),
+            (
+                "beat".to_owned(),
+                (self.beat.fetch_add(1, Ordering::AcqRel) + 1).into(),
+            ),
         ];
         let runs = self.held(now).into_iter().map(|share| {
             Sheet::fields([
@@ -207,14 +237,27 @@
     fn held(&self, now: Duration) -> Vec<Share> {
         let holds = self.holds.lock().unwrap_or_else(PoisonError::into_inner);
         let live = holds.iter().filter(|(_, (_, until))| now < *until);
-        live.map(|(slot, (epoch, _))| Share { from: *slot, until: slot + 1, epoch: *epoch, ..Share::default() })
-            .collect()
+        live.map(|(slot, (epoch, _))| Share {
+            from: *slot,
+            until: slot + 1,
+            epoch: *epoch,
+            ..Share::default()
+        })
+        .collect()
     }
 
     /// An answer that names shares says all that it holds from now on, counted from when the beat was sent.
     fn take_shares(&self, sent_at: Duration, sheet: &Sheet) {
-        sheet.count("holder").into_iter().for_each(|holder| self.holder.store(holder, Ordering::Release));
-        let Some(span_ms) = sheet.count("spanMs").filter(|_| sheet.get("shares").is_some()) else { return };
+        sheet
+            .count("holder")
+            .into_iter()
+            .for_each(|holder| self.holder.store(holder, Ordering::Release));
+        let Some(span_ms) = sheet
+            .count("spanMs")
+            .filter(|_| sheet.get("shares").is_some())
+        else {
+            return;
+        };
         let until = sent_at + Duration::from_millis(span_ms);
         let now = self.clock.now();
         let given = given_slots(sheet);
@@ -224,7 +267,14 @@
             let kept = given.contains_key(slot);
             if !kept {
                 let (service, instance) = (service.clone(), self.instance.clone());
-                self.record.note(now, Fact::LetGo { service, keys: *slot..slot + 1, instance });
+                self.record.note(
+                    now,
+                    Fact::LetGo {
+                        service,
+                        keys: *slot..slot + 1,
+                        instance,
+                    },
+                );
             }
             kept
         });
@@ -232,7 +282,15 @@
             given.into_iter().for_each(|(slot, epoch)| {
                 holds.insert(slot, (epoch, until));
                 let (service, instance) = (service.clone(), self.instance.clone());
-                self.record.note(now, Fact::Holds { service, keys: slot..slot + 1, instance, until });
+                self.record.note(
+                    now,
+                    Fact::Holds {
+                        service,
+                        keys: slot..slot + 1,
+                        instance,
+                        until,
+                    },
+                );
             });
         }
     }
@@ -242,14 +300,22 @@
         let now = self.clock.now();
         let slot = address::slot(enquiry.header("x-key"));
         let epoch = enquiry.header("x-share-epoch").parse::<u64>().ok();
-        let held = self.held(now).into_iter().find(|share| share.from == slot).map(|share| share.epoch);
+        let held = self
+            .held(now)
+            .into_iter()
+            .find(|share| share.from == slot)
+            .map(|share| share.epoch);
         !self.work.keyed || (held.is_some() && held == epoch)
     }
 
     async fn serve(&self, enquiry: Enquiry) -> Response<Full<Bytes>> {
         self.pause().await;
         let ill = self.ill();
-        let lost = |proxies: &[String]| proxies.iter().any(|proxy| proxy == enquiry.header("x-proxy"));
+        let lost = |proxies: &[String]| {
+            proxies
+                .iter()
+                .any(|proxy| proxy == enquiry.header("x-proxy"))
+        };
         if lost(&ill.deaf_to) {
             return std::future::pending().await;
         }
@@ -264,13 +330,18 @@
         self.record.note(self.clock.now(), arrived);
         mark_of(self.work.service).into_iter().for_each(|mark| {
             let node = enquiry.header("x-proxy").to_owned();
-            self.record.note(self.clock.now(), Fact::Probed { node, mark });
+            self.record
+                .note(self.clock.now(), Fact::Probed { node, mark });
         });
         let busy = self.busy.fetch_add(1, Ordering::AcqRel);
         let runs = busy < SLOTS && self.may_run(&enquiry);
         let body = if runs {
             let work = String::from_utf8_lossy(&enquiry.body).into_owned();
-            let ran = Fact::Ran { work: work.clone(), try_id: try_id.clone(), once: self.work.once };
+            let ran = Fact::Ran {
+                work: work.clone(),
+                try_id: try_id.clone(),
+                once: self.work.once,
+            };
             self.record.note(self.clock.now(), ran);
             tokio::time::sleep(WORK_TAKES).await;
             work
@@ -298,11 +369,18 @@
         let seal = protocol::seal(try_id, &self.instance, status, body.as_bytes());
         let mut response = Response::new(Full::new(Bytes::from(body)));
         *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-        let named = [("x-try-id", try_id.to_owned()), ("x-instance", self.instance.clone()), ("x-seal", seal)];
+        let named = [
+            ("x-try-id", try_id.to_owned()),
+            ("x-instance", self.instance.clone()),
+            ("x-seal", seal),
+        ];
         named.into_iter().for_each(|(name, value)| {
-            value.parse().into_iter().for_each(|value: hyper::header::HeaderValue| {
-                response.headers_mut().insert(name, value);
-            });
+            value
+                .parse()
+                .into_iter()
+                .for_each(|value: hyper::header::HeaderValue| {
+                    response.headers_mut().insert(name, value);
+                });
         });
         response
     }
--- a/crates/drill/src/wires.rs
+++ b/crates/drill/src/wires.rs
@@ -52,14 +52,27 @@
             sockets.push(UdpSocket::bind(end.told).await?);
             listeners.push(TcpListener::bind(end.told).await?);
         }
-        let machines = ends.iter().map(|end| (end.link.ip(), end.machine)).collect();
+        let machines = ends
+            .iter()
+            .map(|end| (end.link.ip(), end.machine))
+            .collect();
         let (cuts, _) = watch::channel(Vec::new());
         let last = Mutex::default();
-        let wires = Arc::new(Wires { shape, ends, sockets, cuts, machines, last });
-        listeners.into_iter().enumerate().for_each(|(to, listener)| {
-            tokio::spawn(wires.clone().accept(to, listener));
-            tokio::spawn(wires.clone().pass_datagrams(to));
+        let wires = Arc::new(Wires {
+            shape,
+            ends,
+            sockets,
+            cuts,
+            machines,
+            last,
         });
+        listeners
+            .into_iter()
+            .enumerate()
+            .for_each(|(to, listener)| {
+                tokio::spawn(wires.clone().accept(to, listener));
+                tokio::spawn(wires.clone().pass_datagrams(to));
+            });
         Ok(wires)
     }
 
@@ -82,9 +95,14 @@
         while let Ok((stream, from)) = listener.accept().await {
             let wires = self.clone();
             tokio::spawn(async move {
-                let (end, source) = (wires.ends[to].clone(), wires.machines.get(&from.ip()).copied());
+                let (end, source) = (
+                    wires.ends[to].clone(),
+                    wires.machines.get(&from.ip()).copied(),
+                );
                 let Some(source) = source else { return };
-                let Ok(onward) = TcpStream::connect(end.link).await else { return };
+                let Ok(onward) = TcpStream::connect(end.link).await else {
+                    return;
+                };
                 let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
                 let ((near, back), (far, onward)) = (stream.into_split(), onward.into_split());
                 tokio::spawn(wires.clone().pump(source, end.machine, near, onward));
@@ -94,7 +112,13 @@
     }
 
     /// Passes bytes on, each late by the distance, none while a cut lies between.
-    async fn pump(self: Arc<Self>, from: usize, to: usize, mut reader: OwnedReadHalf, mut writer: OwnedWriteHalf) {
+    async fn pump(
+        self: Arc<Self>,
+        from: usize,
+        to: usize,
+        mut reader: OwnedReadHalf,
+        mut writer: OwnedWriteHalf,
+    ) {
         let (chunks, mut waiting) = mpsc::channel::<(Instant, Vec<u8>)>(64);
         let delay = self.shape.distance(from, to);
         tokio::spawn(async move {
@@ -123,7 +147,9 @@
     async fn pass_datagrams(self: Arc<Self>, to: usize) {
         let mut datagram = vec![0u8; 65_536];
         loop {
-            let Ok((count, source)) = self.sockets[to].recv_from(&mut datagram).await else { continue };
+            let Ok((count, source)) = self.sockets[to].recv_from(&mut datagram).await else {
+                continue;
+            };
             let from = self.ends.iter().position(|end| end.link == source);
             let Some(from) = from else { continue };
             let (near, far) = (self.ends[from].machine, self.ends[to].machine);
@@ -134,14 +160,17 @@
             let (wires, bytes) = (self.clone(), datagram[..count].to_vec());
             tokio::spawn(async move {
                 tokio::time::sleep_until(due).await;
-                let _ = wires.sockets[from].send_to(&bytes, wires.ends[to].link).await;
+                let _ = wires.sockets[from]
+                    .send_to(&bytes, wires.ends[to].link)
+                    .await;
             });
         }
     }
 
     fn due(&self, from: usize, to: usize, delay: Duration) -> Instant {
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        let due = (Instant::now() + delay).max(last.get(&(from, to)).copied().unwrap_or_else(Instant::now));
+        let due = (Instant::now() + delay)
+            .max(last.get(&(from, to)).copied().unwrap_or_else(Instant::now));
         last.insert((from, to), due);
         due
     }
--- a/crates/drill/tests/changes.rs
+++ b/crates/drill/tests/changes.rs
@@ -7,7 +7,13 @@
 const MIB: u64 = 1024 * 1024;
 
 fn trial(changes: usize) -> Trial {
-    Trial { nodes: 3, routes: 400, changes, gap: Duration::from_millis(120), folder: None }
+    Trial {
+        nodes: 3,
+        routes: 400,
+        changes,
+        gap: Duration::from_millis(120),
+        folder: None,
+    }
 }
 
 fn on_real_disk(name: &str, changes: usize) -> Trial {
@@ -15,19 +21,39 @@
     let memory = Some(Path::new("/dev/shm")).filter(|memory| memory.is_dir());
     let folder = memory.unwrap_or(Path::new(env!("CARGO_TARGET_TMPDIR")));
     let folder = folder.join(format!("drill-{name}-{}", std::process::id()));
-    Trial { folder: Some(folder), ..trial(changes) }
+    Trial {
+        folder: Some(folder),
+        ..trial(changes)
+    }
 }
 
 /// Everything past the first 600 changes, when the state remembers as many submissions as it ever will.
 fn assert_flat(checkpoints: &[Checkpoint]) {
-    let full = checkpoints.iter().find(|checkpoint| checkpoint.changes >= 600).expect("enough changes");
-    let later = checkpoints.iter().filter(|checkpoint| checkpoint.changes > full.changes);
+    let full = checkpoints
+        .iter()
+        .find(|checkpoint| checkpoint.changes >= 600)
+        .expect("enough changes");
+    let later = checkpoints
+        .iter()
+        .filter(|checkpoint| checkpoint.changes > full.changes);
     later.for_each(|later| {
-        assert!(later.folder_bytes <= full.folder_bytes + MIB, "{full:?} {later:?}");
+        assert!(
+            later.folder_bytes <= full.folder_bytes + MIB,
+            "{full:?} {later:?}"
+        );
         assert!(later.files <= 24, "{later:?}");
-        assert!(later.state_bytes <= full.state_bytes + 1024, "{full:?} {later:?}");
-        assert!(later.written_per_change <= full.written_per_change * 3 / 2, "{full:?} {later:?}");
-        assert!(later.resident_bytes <= full.resident_bytes + 16 * MIB, "{full:?} {later:?}");
+        assert!(
+            later.state_bytes <= full.state_bytes + 1024,
+            "{full:?} {later:?}"
+        );
+        assert!(
+            later.written_per_change <= full.written_per_change * 3 / 2,
+            "{full:?} {later:?}"
+        );
+        assert!(
+            later.resident_bytes <= full.resident_bytes + 16 * MIB,
+            "{full:?} {later:?}"
+        );
         assert!(later.open_took < Duration::from_secs(2), "{later:?}");
     });
     assert!(full.folder_bytes < 4 * MIB, "{full:?}");
@@ -57,7 +83,10 @@
             site.stop_last();
             site.change(300);
             let back = site.bring_back_last(blank, 20_000_000, changes_go_on);
-            assert!(back.took.is_some_and(|took| took < Duration::from_secs(2)), "{back:?}");
+            assert!(
+                back.took.is_some_and(|took| took < Duration::from_secs(2)),
+                "{back:?}"
+            );
         }
     }
 }
@@ -72,7 +101,10 @@
 fn a_blank_node_follows_a_storm_of_changes_over_a_link_of_2_mbit() {
     for nodes in [3, 6] {
         for blank in [false, true] {
-            let mut site = Site::new(Trial { nodes, ..trial(600) });
+            let mut site = Site::new(Trial {
+                nodes,
+                ..trial(600)
+            });
             site.change(560);
             site.stop_last();
             site.change(40);
@@ -85,7 +117,8 @@
             let behind = &followed.editions_behind[caught_up..];
             let received = &followed.received;
             assert!(
-                !ages.iter().any(late) && behind.iter().all(|behind| *behind <= MAX_EDITIONS_BEHIND),
+                !ages.iter().any(late)
+                    && behind.iter().all(|behind| *behind <= MAX_EDITIONS_BEHIND),
                 "{nodes} nodes, blank {blank}: {ages:?}, {behind:?}, {received:?}"
             );
         }
--- a/crates/drill/tests/configurations.rs
+++ b/crates/drill/tests/configurations.rs
@@ -13,18 +13,30 @@
 fn failures(jobs: impl Iterator<Item = (String, u64)>) -> Vec<String> {
     let outcomes = jobs.map(|(plan, seed)| (played(&plan, seed), plan, seed));
     let failed = outcomes.filter(|(outcome, ..)| !outcome.fine());
-    failed.map(|(outcome, plan, seed)| format!("{plan} seed {seed}: {:?}", outcome.violations)).collect()
+    failed
+        .map(|(outcome, plan, seed)| format!("{plan} seed {seed}: {:?}", outcome.violations))
+        .collect()
 }
 
 #[test]
 fn of_numbered_configurations_the_highest_holds() {
     let outcome = played("number-race", 1);
-    let most = |wanted: fn(&Fact) -> Option<u64>| outcome.seen.iter().filter_map(|(_, fact)| wanted(fact)).max();
+    let most = |wanted: fn(&Fact) -> Option<u64>| {
+        outcome
+            .seen
+            .iter()
+            .filter_map(|(_, fact)| wanted(fact))
+            .max()
+    };
     let acknowledged = most(|fact| match fact {
         Fact::Acknowledged { number } => Some(*number),
         _ => None,
     });
-    assert_eq!(acknowledged, Some(30), "six rounds, each to five above the last");
+    assert_eq!(
+        acknowledged,
+        Some(30),
+        "six rounds, each to five above the last"
+    );
     let last = outcome.seen.iter().rev().find_map(|(_, fact)| match fact {
         Fact::ReadBack { digest, .. } => Some(digest.clone()),
         _ => None,
@@ -34,43 +46,68 @@
         _ => false,
     });
     assert!(holds);
-    assert_eq!(failures((1..7).map(|seed| ("number-race".to_owned(), seed))), Vec::<String>::new());
+    assert_eq!(
+        failures((1..7).map(|seed| ("number-race".to_owned(), seed))),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
 fn numbers_and_any_other_fault_break_no_rule() {
-    let jobs = FAULTS.iter().map(|(name, _)| (format!("number-race+{name}"), 1));
+    let jobs = FAULTS
+        .iter()
+        .map(|(name, _)| (format!("number-race+{name}"), 1));
     assert_eq!(failures(jobs), Vec::<String>::new());
 }
 
 #[test]
 fn a_system_that_forgets_the_numbers_is_caught() {
-    let weak = Weakness { unnumbered: true, ..Weakness::default() };
-    let mut runs = (1..4).map(|seed| World::weakened(seed, Plan::named("number-race", seed).unwrap(), weak).run());
-    assert!(runs.any(|run| run.violations.iter().any(|violation| violation.text.contains("reads back number"))));
+    let weak = Weakness {
+        unnumbered: true,
+        ..Weakness::default()
+    };
+    let mut runs = (1..4)
+        .map(|seed| World::weakened(seed, Plan::named("number-race", seed).unwrap(), weak).run());
+    assert!(runs.any(|run| {
+        run.violations
+            .iter()
+            .any(|violation| violation.text.contains("reads back number"))
+    }));
 }
 
 /// How long after the restart of all postmasters the last accepted configuration was in force on every carrier; none
 /// where some never had it.
 fn in_force_after(outcome: &Outcome) -> Option<Duration> {
     let restart = |fact: &Fact| matches!(fact, Fact::Fault { what } if what.contains("healed: KillPostmasters"));
-    let restarted = outcome.seen.iter().find(|(_, fact)| restart(fact)).map(|(at, _)| *at)?;
+    let restarted = outcome
+        .seen
+        .iter()
+        .find(|(_, fact)| restart(fact))
+        .map(|(at, _)| *at)?;
     let accepted = outcome.seen.iter().filter_map(|(_, fact)| match fact {
         Fact::Accepted { edition } => Some(*edition),
         _ => None,
     });
     let accepted = accepted.max()?;
     let before = outcome.seen.iter().filter(|(at, _)| *at < restarted);
-    let early = before.filter(|(_, fact)| matches!(fact, Fact::InForce { edition, .. } if *edition >= accepted));
+    let early = before
+        .filter(|(_, fact)| matches!(fact, Fact::InForce { edition, .. } if *edition >= accepted));
     assert_eq!(early.count(), 0, "no carrier was told before the restart");
     let mut since: BTreeMap<&str, Duration> = BTreeMap::new();
-    outcome.seen.iter().filter(|(at, _)| *at >= restarted).for_each(|(at, fact)| match fact {
-        Fact::InForce { node, edition } if *edition >= accepted => {
-            since.entry(node).or_insert(*at);
-        }
-        _ => {}
-    });
-    let last = since.values().max().filter(|_| since.len() == ROADWISE.machines);
+    outcome
+        .seen
+        .iter()
+        .filter(|(at, _)| *at >= restarted)
+        .for_each(|(at, fact)| match fact {
+            Fact::InForce { node, edition } if *edition >= accepted => {
+                since.entry(node).or_insert(*at);
+            }
+            _ => {}
+        });
+    let last = since
+        .values()
+        .max()
+        .filter(|_| since.len() == ROADWISE.machines);
     last.map(|last| *last - restarted)
 }
 
@@ -81,12 +118,28 @@
     let within = |span: Option<Duration>| span.is_some_and(|span| span < Duration::from_secs(3));
     (1..9).for_each(|seed| {
         let outcome = played("restart-postmasters", seed);
-        assert!(outcome.fine(), "seed {seed}: {:?} after {:?}", outcome.violations, outcome.resumed_after);
+        assert!(
+            outcome.fine(),
+            "seed {seed}: {:?} after {:?}",
+            outcome.violations,
+            outcome.resumed_after
+        );
         println!("seed {seed}: in force after {:?}", in_force_after(&outcome));
-        assert!(within(in_force_after(&outcome)), "seed {seed}: in force after {:?}", in_force_after(&outcome));
+        assert!(
+            within(in_force_after(&outcome)),
+            "seed {seed}: in force after {:?}",
+            in_force_after(&outcome)
+        );
     });
-    let weak = Weakness { tells_late: true, ..Weakness::default() };
+    let weak = Weakness {
+        tells_late: true,
+        ..Weakness::default()
+    };
     let plan = |seed| Plan::named("restart-postmasters", seed).expect("a known plan");
     let late = (1..4).map(|seed| in_force_after(&World::weakened(seed, plan(seed), weak).run()));
-    assert!(late.clone().all(|late| !within(late)), "{:?}", late.collect::<Vec<_>>());
+    assert!(
+        late.clone().all(|late| !within(late)),
+        "{:?}",
+        late.collect::<Vec<_>>()
+    );
 }
--- a/crates/drill/tests/disks.rs
+++ b/crates/drill/tests/disks.rs
@@ -11,26 +11,47 @@
 const RESTART_TAKES: Duration = Duration::from_secs(6);
 
 fn lacks(outcome: &Outcome) -> Option<String> {
-    let Outcome { seed, violations, agreed, served_per_mille, resumed_after, .. } = outcome;
+    let Outcome {
+        seed,
+        violations,
+        agreed,
+        served_per_mille,
+        resumed_after,
+        ..
+    } = outcome;
     (!outcome.fine() || *resumed_after > RESTART_TAKES)
         .then(|| format!("{seed}: {violations:?} {agreed} {served_per_mille:?} {resumed_after:?}"))
 }
 
 fn failures(plan: &str, shape: &Shape, seeds: std::ops::Range<u64>) -> Vec<String> {
     let plan = |seed| Plan::named(plan, seed).expect("a known plan");
-    seeds.filter_map(|seed| lacks(&run(seed, Some(plan(seed)), shape.clone()))).collect()
+    seeds
+        .filter_map(|seed| lacks(&run(seed, Some(plan(seed)), shape.clone())))
+        .collect()
 }
 
 #[test]
 fn disks_that_are_full_in_turn_cost_nothing_for_good() {
-    assert_eq!(failures("disks-full-in-turn", &ROADWISE, 1..5), Vec::<String>::new());
-    assert_eq!(failures("disks-full-in-turn", &KALAM, 1..3), Vec::<String>::new());
+    assert_eq!(
+        failures("disks-full-in-turn", &ROADWISE, 1..5),
+        Vec::<String>::new()
+    );
+    assert_eq!(
+        failures("disks-full-in-turn", &KALAM, 1..3),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
 fn disks_that_stall_in_turn_cost_nothing_for_good() {
-    assert_eq!(failures("disks-stall-in-turn", &ROADWISE, 1..5), Vec::<String>::new());
-    assert_eq!(failures("disks-stall-in-turn", &KALAM, 1..3), Vec::<String>::new());
+    assert_eq!(
+        failures("disks-stall-in-turn", &ROADWISE, 1..5),
+        Vec::<String>::new()
+    );
+    assert_eq!(
+        failures("disks-stall-in-turn", &KALAM, 1..3),
+        Vec::<String>::new()
+    );
 }
 
 /// Until all are killed the majority is there: two disks of six are broken at once at most.
@@ -42,7 +63,10 @@
 #[test]
 fn a_disk_that_is_given_up_for_good_shows() {
     let whole = served_meanwhile(Weakness::default());
-    let given_up = served_meanwhile(Weakness { gives_disks_up: true, ..Weakness::default() });
+    let given_up = served_meanwhile(Weakness {
+        gives_disks_up: true,
+        ..Weakness::default()
+    });
     println!("served {whole}, given up {given_up}");
     assert!(whole >= SERVED_PER_MILLE, "{whole}");
     assert!(given_up < SERVED_PER_MILLE, "{given_up}");
--- a/crates/drill/tests/history.rs
+++ b/crates/drill/tests/history.rs
@@ -10,33 +10,74 @@
 
 fn call(from: u64, order: Order, returned: Option<(u64, Reply)>) -> Call {
     let returned = returned.map(|(at, reply)| (MS(at), reply));
-    Call { name: format!("call at {from}"), called_at: MS(from), order, returned }
+    Call {
+        name: format!("call at {from}"),
+        called_at: MS(from),
+        order,
+        returned,
+    }
 }
 
 fn told(code: Code, edition: u64) -> Reply {
-    Reply::Decided { code, edition: Some(edition) }
+    Reply::Decided {
+        code,
+        edition: Some(edition),
+    }
 }
 
 fn setup(from: u64, to: u64, number: u64, digest: &str, code: Code, edition: u64) -> Call {
-    let order = Order::Setup { number: Some(number), base: None, digest: digest.into() };
+    let order = Order::Setup {
+        number: Some(number),
+        base: None,
+        digest: digest.into(),
+    };
     call(from, order, Some((to, told(code, edition))))
 }
 
 fn based(from: u64, to: u64, base: u64, digest: &str, code: Code, edition: u64) -> Call {
-    let order = Order::Setup { number: None, base: Some(base), digest: digest.into() };
+    let order = Order::Setup {
+        number: None,
+        base: Some(base),
+        digest: digest.into(),
+    };
     call(from, order, Some((to, told(code, edition))))
 }
 
 fn unanswered(from: u64, number: u64, digest: &str) -> Call {
-    call(from, Order::Setup { number: Some(number), base: None, digest: digest.into() }, None)
+    call(
+        from,
+        Order::Setup {
+            number: Some(number),
+            base: None,
+            digest: digest.into(),
+        },
+        None,
+    )
 }
 
 fn evacuation(from: u64, to: u64, back: bool, edition: u64) -> Call {
-    call(from, Order::Evacuate { locality: "n1".into(), back }, Some((to, told(Code::Fine, edition))))
+    call(
+        from,
+        Order::Evacuate {
+            locality: "n1".into(),
+            back,
+        },
+        Some((to, told(Code::Fine, edition))),
+    )
 }
 
 fn read(from: u64, to: u64, edition: u64, digest: &str) -> Call {
-    call(from, Order::Read, Some((to, Reply::Read { edition, digest: digest.into() })))
+    call(
+        from,
+        Order::Read,
+        Some((
+            to,
+            Reply::Read {
+                edition,
+                digest: digest.into(),
+            },
+        )),
+    )
 }
 
 const FINE: Code = Code::Fine;
@@ -46,18 +87,67 @@
     let cases = [
         ("nothing", vec![]),
         ("a read of nothing", vec![read(0, 1, 0, "")]),
-        ("a write and a read", vec![setup(0, 1, 7, "a", FINE, 1), read(2, 3, 1, "a")]),
-        ("a read beside a write sees it", vec![setup(0, 9, 7, "a", FINE, 1), read(1, 2, 1, "a")]),
-        ("a read beside a write misses it", vec![setup(0, 9, 7, "a", FINE, 1), read(1, 2, 0, "")]),
-        ("an order without an answer is in force", vec![unanswered(0, 7, "a"), read(5, 6, 1, "a")]),
-        ("an order without an answer is not", vec![unanswered(0, 7, "a"), read(5, 6, 0, "")]),
-        ("it comes in force late", vec![unanswered(0, 7, "a"), read(5, 6, 0, ""), read(7, 8, 1, "a")]),
-        ("the same again", vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 7, "a", FINE, 1)]),
-        ("one number, one winner", vec![setup(0, 9, 7, "a", FINE, 1), setup(0, 9, 7, "b", Code::NumberTaken, 1)]),
-        ("the highest holds", vec![setup(0, 1, 9, "a", FINE, 1), setup(2, 3, 7, "b", Code::Overtaken, 1)]),
-        ("one base, one winner", vec![based(0, 9, 0, "a", FINE, 1), based(0, 9, 0, "b", Code::SetupBehind, 1)]),
-        ("there and back", vec![evacuation(0, 1, false, 1), evacuation(2, 3, true, 2), read(4, 5, 2, "")]),
-        ("evacuated already", vec![evacuation(0, 1, false, 1), evacuation(2, 3, false, 1)]),
+        (
+            "a write and a read",
+            vec![setup(0, 1, 7, "a", FINE, 1), read(2, 3, 1, "a")],
+        ),
+        (
+            "a read beside a write sees it",
+            vec![setup(0, 9, 7, "a", FINE, 1), read(1, 2, 1, "a")],
+        ),
+        (
+            "a read beside a write misses it",
+            vec![setup(0, 9, 7, "a", FINE, 1), read(1, 2, 0, "")],
+        ),
+        (
+            "an order without an answer is in force",
+            vec![unanswered(0, 7, "a"), read(5, 6, 1, "a")],
+        ),
+        (
+            "an order without an answer is not",
+            vec![unanswered(0, 7, "a"), read(5, 6, 0, "")],
+        ),
+        (
+            "it comes in force late",
+            vec![unanswered(0, 7, "a"), read(5, 6, 0, ""), read(7, 8, 1, "a")],
+        ),
+        (
+            "the same again",
+            vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 7, "a", FINE, 1)],
+        ),
+        (
+            "one number, one winner",
+            vec![
+                setup(0, 9, 7, "a", FINE, 1),
+                setup(0, 9, 7, "b", Code::NumberTaken, 1),
+            ],
+        ),
+        (
+            "the highest holds",
+            vec![
+                setup(0, 1, 9, "a", FINE, 1),
+                setup(2, 3, 7, "b", Code::Overtaken, 1),
+            ],
+        ),
+        (
+            "one base, one winner",
+            vec![
+                based(0, 9, 0, "a", FINE, 1),
+                based(0, 9, 0, "b", Code::SetupBehind, 1),
+            ],
+        ),
+        (
+            "there and back",
+            vec![
+                evacuation(0, 1, false, 1),
+                evacuation(2, 3, true, 2),
+                read(4, 5, 2, ""),
+            ],
+        ),
+        (
+            "evacuated already",
+            vec![evacuation(0, 1, false, 1), evacuation(2, 3, false, 1)],
+        ),
         (
             "after a rescue",
             vec![
@@ -68,32 +158,105 @@
             ],
         ),
     ];
-    cases.into_iter().for_each(|(name, calls)| assert_eq!(check(&calls), Ok(()), "{name}"));
+    cases
+        .into_iter()
+        .for_each(|(name, calls)| assert_eq!(check(&calls), Ok(()), "{name}"));
 }
 
 #[test]
 fn bad_histories_are_caught() {
     let cases = [
         ("nobody wrote it", vec![read(0, 1, 1, "a")]),
-        ("a read of old", vec![setup(0, 1, 7, "a", FINE, 1), read(2, 3, 0, "")]),
-        ("back and forth", vec![setup(0, 9, 7, "a", FINE, 1), read(1, 2, 1, "a"), read(3, 4, 0, "")]),
-        ("both confirmed", vec![setup(0, 9, 7, "a", FINE, 1), setup(0, 9, 7, "b", FINE, 1)]),
-        ("both confirmed, two editions", vec![setup(0, 9, 7, "a", FINE, 1), setup(0, 9, 7, "b", FINE, 2)]),
-        ("both confirmed, one after the other", vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 7, "b", FINE, 1)]),
-        ("done twice", vec![setup(0, 1, 7, "a", FINE, 1), read(2, 3, 2, "a")]),
-        ("done twice, seen by the next", vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 8, "b", FINE, 3)]),
-        ("a lower number came into force", vec![setup(0, 1, 9, "a", FINE, 1), setup(2, 3, 7, "b", FINE, 2)]),
-        ("taken by nobody", vec![setup(0, 1, 7, "b", Code::NumberTaken, 0)]),
-        ("overtaken by nobody", vec![setup(0, 1, 7, "b", Code::Overtaken, 0)]),
-        ("an own order refused", vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 7, "a", Code::NumberTaken, 1)]),
-        ("both from one base", vec![based(0, 9, 0, "a", FINE, 1), based(0, 9, 0, "b", FINE, 2)]),
-        ("refused for nothing", vec![based(0, 1, 0, "a", Code::SetupBehind, 0)]),
-        ("evacuated anew", vec![evacuation(0, 1, false, 1), evacuation(2, 3, true, 2), read(4, 5, 3, "")]),
-        ("an unanswered order in force twice", vec![unanswered(0, 7, "a"), read(1, 2, 1, "a"), read(3, 4, 2, "a")]),
-        ("lost in a rescue", vec![setup(0, 1, 7, "a", FINE, 1), call(2, Order::Rescue, None), read(5, 6, 1001, "")]),
+        (
+            "a read of old",
+            vec![setup(0, 1, 7, "a", FINE, 1), read(2, 3, 0, "")],
+        ),
+        (
+            "back and forth",
+            vec![
+                setup(0, 9, 7, "a", FINE, 1),
+                read(1, 2, 1, "a"),
+                read(3, 4, 0, ""),
+            ],
+        ),
+        (
+            "both confirmed",
+            vec![setup(0, 9, 7, "a", FINE, 1), setup(0, 9, 7, "b", FINE, 1)],
+        ),
+        (
+            "both confirmed, two editions",
+            vec![setup(0, 9, 7, "a", FINE, 1), setup(0, 9, 7, "b", FINE, 2)],
+        ),
+        (
+            "both confirmed, one after the other",
+            vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 7, "b", FINE, 1)],
+        ),
+        (
+            "done twice",
+            vec![setup(0, 1, 7, "a", FINE, 1), read(2, 3, 2, "a")],
+        ),
+        (
+            "done twice, seen by the next",
+            vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 8, "b", FINE, 3)],
+        ),
+        (
+            "a lower number came into force",
+            vec![setup(0, 1, 9, "a", FINE, 1), setup(2, 3, 7, "b", FINE, 2)],
+        ),
+        (
+            "taken by nobody",
+            vec![setup(0, 1, 7, "b", Code::NumberTaken, 0)],
+        ),
+        (
+            "overtaken by nobody",
+            vec![setup(0, 1, 7, "b", Code::Overtaken, 0)],
+        ),
+        (
+            "an own order refused",
+            vec![
+                setup(0, 1, 7, "a", FINE, 1),
+                setup(2, 3, 7, "a", Code::NumberTaken, 1),
+            ],
+        ),
+        (
+            "both from one base",
+            vec![based(0, 9, 0, "a", FINE, 1), based(0, 9, 0, "b", FINE, 2)],
+        ),
+        (
+            "refused for nothing",
+            vec![based(0, 1, 0, "a", Code::SetupBehind, 0)],
+        ),
+        (
+            "evacuated anew",
+            vec![
+                evacuation(0, 1, false, 1),
+                evacuation(2, 3, true, 2),
+                read(4, 5, 3, ""),
+            ],
+        ),
+        (
+            "an unanswered order in force twice",
+            vec![
+                unanswered(0, 7, "a"),
+                read(1, 2, 1, "a"),
+                read(3, 4, 2, "a"),
+            ],
+        ),
+        (
+            "lost in a rescue",
+            vec![
+                setup(0, 1, 7, "a", FINE, 1),
+                call(2, Order::Rescue, None),
+                read(5, 6, 1001, ""),
+            ],
+        ),
     ];
     cases.into_iter().for_each(|(name, calls)| {
-        assert!(matches!(check(&calls), Err(Flaw::NoOrder { .. })), "{name}: {:?}", check(&calls));
+        assert!(
+            matches!(check(&calls), Err(Flaw::NoOrder { .. })),
+            "{name}: {:?}",
+            check(&calls)
+        );
     });
 }
 
@@ -102,14 +265,26 @@
 fn drawn(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<Call>> {
     let (mut edition, mut digest, mut calls) = (0, String::new(), Vec::new());
     for at in 1..=noise.int_in_range(1..=40u64)? {
-        let (moment, early, late) = (at * 10, noise.int_in_range(0..=60)?, noise.int_in_range(0..=60)?);
+        let (moment, early, late) = (
+            at * 10,
+            noise.int_in_range(0..=60)?,
+            noise.int_in_range(0..=60)?,
+        );
         let (from, to) = (moment.saturating_sub(early), moment + late);
         if noise.ratio(1, 2)? {
             edition += 1;
             digest = format!("d{at}");
             let lost = noise.ratio(1, 4)?;
-            let order = Order::Setup { number: Some(at), base: None, digest: digest.clone() };
-            calls.push(call(from, order, Some((to, told(FINE, edition))).filter(|_| !lost)));
+            let order = Order::Setup {
+                number: Some(at),
+                base: None,
+                digest: digest.clone(),
+            };
+            calls.push(call(
+                from,
+                order,
+                Some((to, told(FINE, edition))).filter(|_| !lost),
+            ));
         } else {
             calls.push(read(from, to, edition, &digest));
         }
@@ -123,8 +298,15 @@
         let calls = drawn(noise)?;
         assert_eq!(check(&calls), Ok(()), "{calls:?}");
         // A read of an edition that never was.
-        let last = calls.iter().filter_map(|call| call.returned.as_ref()).map(|(at, _)| at.as_millis() as u64).max();
-        let spoilt: Vec<Call> = calls.into_iter().chain([read(0, last.unwrap_or(0) + 1, 99, "d1")]).collect();
+        let last = calls
+            .iter()
+            .filter_map(|call| call.returned.as_ref())
+            .map(|(at, _)| at.as_millis() as u64)
+            .max();
+        let spoilt: Vec<Call> = calls
+            .into_iter()
+            .chain([read(0, last.unwrap_or(0) + 1, 99, "d1")])
+            .collect();
         assert!(check(&spoilt).is_err(), "{spoilt:?}");
         Ok(())
     });
@@ -139,7 +321,9 @@
         let shorter = orders(count - 1);
         shorter
             .iter()
-            .flat_map(|order| (0..count).map(|at| [&order[..at], &[count - 1], &order[at..]].concat()))
+            .flat_map(|order| {
+                (0..count).map(|at| [&order[..at], &[count - 1], &order[at..]].concat())
+            })
             .collect()
     }
     let fits = |order: &Vec<usize>| {
@@ -151,15 +335,29 @@
         });
         let (mut edition, mut digest) = (0, String::new());
         keeps_time
-            && order.iter().all(|at| match (&calls[*at].order, &calls[*at].returned) {
-                (Order::Setup { digest: new, .. }, Some((_, Reply::Decided { edition: told, .. }))) => {
-                    edition += 1;
-                    digest.clone_from(new);
-                    *told == Some(edition)
-                }
-                (_, Some((_, Reply::Read { edition: told, digest: seen }))) => (*told, seen) == (edition, &digest),
-                _ => false,
-            })
+            && order
+                .iter()
+                .all(|at| match (&calls[*at].order, &calls[*at].returned) {
+                    (
+                        Order::Setup { digest: new, .. },
+                        Some((_, Reply::Decided { edition: told, .. })),
+                    ) => {
+                        edition += 1;
+                        digest.clone_from(new);
+                        *told == Some(edition)
+                    }
+                    (
+                        _,
+                        Some((
+                            _,
+                            Reply::Read {
+                                edition: told,
+                                digest: seen,
+                            },
+                        )),
+                    ) => (*told, seen) == (edition, &digest),
+                    _ => false,
+                })
     };
     orders(calls.len()).iter().any(fits)
 }
@@ -181,11 +379,19 @@
                 let to = from + noise.int_in_range(0..=15)?;
                 let edition = noise.int_in_range(0..=3)?;
                 if noise.arbitrary()? {
-                    let order = Order::Setup { number: None, base: None, digest: format!("d{at}") };
+                    let order = Order::Setup {
+                        number: None,
+                        base: None,
+                        digest: format!("d{at}"),
+                    };
                     calls.push(call(from, order, Some((to, told(FINE, edition)))));
                 } else {
                     let of = noise.int_in_range(0..=4u64)?;
-                    let digest = if edition == 0 { String::new() } else { format!("d{of}") };
+                    let digest = if edition == 0 {
+                        String::new()
+                    } else {
+                        format!("d{of}")
+                    };
                     calls.push(read(from, to, edition, &digest));
                 }
             }
--- a/crates/drill/tests/hollow.rs
+++ b/crates/drill/tests/hollow.rs
@@ -4,7 +4,15 @@
 use protocol::{Envelope, Freshness, Message, Payload, UpdateRequest};
 use std::time::Duration;
 
-const FORTY: Size = Size { nodes: 34, postmasters: 6, upstreams: 60, services: 6, routes: 30, regions: 3, zones: 6 };
+const FORTY: Size = Size {
+    nodes: 34,
+    postmasters: 6,
+    upstreams: 60,
+    services: 6,
+    routes: 30,
+    regions: 3,
+    zones: 6,
+};
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// The site once every carrier could serve every name, with empty counts.
@@ -12,8 +20,15 @@
     let mut fleet = Fleet::new(FORTY, seed, load);
     fleet.run_for(Duration::from_secs(3));
     fleet.submit(0);
-    let up = fleet.run_until(Duration::from_secs(10), |fleet| fleet.serving() == FORTY.nodes);
-    assert!(up.is_some(), "{} of {} carriers serve", fleet.serving(), FORTY.nodes);
+    let up = fleet.run_until(Duration::from_secs(10), |fleet| {
+        fleet.serving() == FORTY.nodes
+    });
+    assert!(
+        up.is_some(),
+        "{} of {} carriers serve",
+        fleet.serving(),
+        FORTY.nodes
+    );
     fleet.run_for(Duration::from_secs(4));
     fleet.take_ledger();
     fleet
@@ -21,7 +36,9 @@
 
 fn counts(ledger: &Ledger, role: Role) -> Vec<(&'static str, u64, u64, u64, u64)> {
     let kinds = ledger.kinds(role).into_iter();
-    kinds.map(|(kind, (out, into))| (kind, out.messages, out.bytes, into.messages, into.bytes)).collect()
+    kinds
+        .map(|(kind, (out, into))| (kind, out.messages, out.bytes, into.messages, into.bytes))
+        .collect()
 }
 
 #[test]
@@ -33,14 +50,29 @@
     // Each carrier asks twice a second, by its own clock; each ask is answered.
     let (asks, answers) = (carriers["news ask"].0, carriers["fresh"].1);
     let expected = FORTY.nodes as u64 * 2 * WINDOW.as_secs();
-    assert!(asks.messages.abs_diff(expected) <= FORTY.nodes as u64, "{} asks, expected {expected}", asks.messages);
+    assert!(
+        asks.messages.abs_diff(expected) <= FORTY.nodes as u64,
+        "{} asks, expected {expected}",
+        asks.messages
+    );
     assert!(asks.messages.abs_diff(answers.messages) <= FORTY.nodes as u64);
     // Each upstream beats twice a second.
     let beats = ledger.out(Role::Upstream, None).messages;
-    assert!(beats.abs_diff(FORTY.upstreams as u64 * 2 * WINDOW.as_secs()) <= FORTY.upstreams as u64, "{beats} beats");
+    assert!(
+        beats.abs_diff(FORTY.upstreams as u64 * 2 * WINDOW.as_secs()) <= FORTY.upstreams as u64,
+        "{beats} beats"
+    );
     // Bytes are those of the encoded message with its frame.
-    let largest = UpdateRequest { nonce: u64::MAX, stream: u64::MAX, number: 300, ..UpdateRequest::default() };
-    let parcel = Envelope { from: "carrier-33".into(), body: Some(Payload::UpdateRequest(largest)) };
+    let largest = UpdateRequest {
+        nonce: u64::MAX,
+        stream: u64::MAX,
+        number: 300,
+        ..UpdateRequest::default()
+    };
+    let parcel = Envelope {
+        from: "carrier-33".into(),
+        body: Some(Payload::UpdateRequest(largest)),
+    };
     let (most, least) = (parcel.encoded_len() as u64 + 4, 4 + 12);
     assert!(asks.bytes <= most * asks.messages && asks.bytes > least * asks.messages);
     assert_eq!(kind(&Payload::Freshness(Freshness::default())), "fresh");
@@ -48,22 +80,40 @@
 
 #[test]
 fn what_leaves_comes_in_and_is_split_by_reach() {
-    let mut fleet = site(2, Load { changing_per_mille: 100, cold: false });
+    let mut fleet = site(
+        2,
+        Load {
+            changing_per_mille: 100,
+            cold: false,
+        },
+    );
     fleet.run_for(WINDOW);
     let ledger = fleet.take_ledger();
     let roles = [Role::Carrier, Role::Voter, Role::Holder, Role::Upstream];
     let (out, into) = roles.iter().fold((0, 0), |(out, into), role| {
-        (out + ledger.out(*role, None).bytes, into + ledger.into_role(*role, None).bytes)
+        (
+            out + ledger.out(*role, None).bytes,
+            into + ledger.into_role(*role, None).bytes,
+        )
     });
     assert_eq!((out, into), (ledger.all().bytes, ledger.all().bytes));
     let reaches = [Reach::Zone, Reach::Region, Reach::Far];
-    let split: u64 = reaches.iter().map(|reach| ledger.out(Role::Carrier, Some(*reach)).bytes).sum();
+    let split: u64 = reaches
+        .iter()
+        .map(|reach| ledger.out(Role::Carrier, Some(*reach)).bytes)
+        .sum();
     assert_eq!(split, ledger.out(Role::Carrier, None).bytes);
-    assert!(ledger.kinds(Role::Carrier).contains_key("news change"), "other room is told");
+    assert!(
+        ledger.kinds(Role::Carrier).contains_key("news change"),
+        "other room is told"
+    );
     // Every process took steps, and each once for every tick.
     assert_eq!(ledger.busy(Role::Carrier).len(), FORTY.nodes);
     let ticks = ledger.steps(Role::Carrier)["tick"].count;
-    assert!(ticks.abs_diff(FORTY.nodes as u64 * 50 * WINDOW.as_secs()) <= FORTY.nodes as u64, "{ticks} ticks");
+    assert!(
+        ticks.abs_diff(FORTY.nodes as u64 * 50 * WINDOW.as_secs()) <= FORTY.nodes as u64,
+        "{ticks} ticks"
+    );
 }
 
 #[test]
@@ -94,14 +144,19 @@
 
 #[test]
 fn a_configuration_is_in_force_everywhere_within_three_seconds() {
-    let took = tried("config", Load::default()).get("in-force.s").expect("it is in force");
+    let took = tried("config", Load::default())
+        .get("in-force.s")
+        .expect("it is in force");
     assert!(took <= 3.0, "{took} s");
 }
 
 #[test]
 fn a_dead_node_is_noticed_by_all() {
     let figures = tried("node-loss", Load::default());
-    let (first, all) = (figures.get("first-knows.s").unwrap(), figures.get("all-know.s").unwrap());
+    let (first, all) = (
+        figures.get("first-knows.s").unwrap(),
+        figures.get("all-know.s").unwrap(),
+    );
     // Nobody is held for gone before a probe failed and the suspicion lasted; a turn through forty takes 12 s.
     assert!((1.5..=6.0).contains(&first), "first after {first} s");
     assert!(first <= all && all <= 12.0, "all after {all} s");
@@ -109,13 +164,23 @@
 
 #[test]
 fn names_leave_a_dead_zone() {
-    let took = tried("zone-loss", Load::default()).get("names-moved.s").expect("they move");
+    let took = tried("zone-loss", Load::default())
+        .get("names-moved.s")
+        .expect("they move");
     assert!(took <= 10.0, "{took} s");
 }
 
 #[test]
 fn nodes_that_know_only_their_seeds_come_up() {
-    let took = tried("cold-start", Load { cold: true, ..Load::default() }).get("all-serve.s").expect("all serve");
+    let took = tried(
+        "cold-start",
+        Load {
+            cold: true,
+            ..Load::default()
+        },
+    )
+    .get("all-serve.s")
+    .expect("all serve");
     assert!(took <= 15.0, "{took} s");
 }
 
@@ -123,7 +188,10 @@
 fn the_rest_serves_on_while_a_region_is_cut_off() {
     let figures = tried("region-cut", Load::default());
     // A third of the carriers stands in the region that is cut off, and stops.
-    assert_eq!(figures.get("cut.serving"), Some((FORTY.nodes - FORTY.nodes / 3) as f64));
+    assert_eq!(
+        figures.get("cut.serving"),
+        Some((FORTY.nodes - FORTY.nodes / 3) as f64)
+    );
     assert!(figures.get("healed.s").unwrap() <= 5.0);
 }
 
@@ -133,16 +201,28 @@
     let orders = figures.get("calls").expect("orders are counted");
     assert_eq!(orders, 100.0, "one every 100 ms");
     assert_eq!(figures.get("calls.taken"), Some(orders));
-    let (half, all) = (figures.get("in-force.p50.s").unwrap(), figures.get("in-force.most.s").unwrap());
-    assert!(half > 0.0 && half <= all && all <= 3.0, "half within {half} s, all within {all} s");
+    let (half, all) = (
+        figures.get("in-force.p50.s").unwrap(),
+        figures.get("in-force.most.s").unwrap(),
+    );
+    assert!(
+        half > 0.0 && half <= all && all <= 3.0,
+        "half within {half} s, all within {all} s"
+    );
 }
 
 #[test]
 fn every_departure_of_many_is_taken_within_the_second_that_callers_wait() {
     let figures = tried("departures", Load::default());
     let asked = FORTY.upstreams as f64;
-    assert_eq!((figures.get("calls"), figures.get("calls.taken")), (Some(asked), Some(asked)));
-    assert!(figures.get("all.beats-taken.msgs").unwrap() > 0.0, "a majority takes them");
+    assert_eq!(
+        (figures.get("calls"), figures.get("calls.taken")),
+        (Some(asked), Some(asked))
+    );
+    assert!(
+        figures.get("all.beats-taken.msgs").unwrap() > 0.0,
+        "a majority takes them"
+    );
     let most = figures.get("answer.most.s").expect("they are answered");
     assert!(most < 1.0, "{most} s");
 }
@@ -151,7 +231,17 @@
 fn control_nodes_without_a_vote_are_counted_apart() {
     let idle = |replicas| {
         let (what, load, kinds) = ("idle".into(), Load::default(), false);
-        run(&Run { size: FORTY, window: WINDOW, seed: 3, what, load, settle: SETTLE, replicas, kinds }).unwrap()
+        run(&Run {
+            size: FORTY,
+            window: WINDOW,
+            seed: 3,
+            what,
+            load,
+            settle: SETTLE,
+            replicas,
+            kinds,
+        })
+        .unwrap()
     };
     let (without, with) = (idle(0), idle(2));
     assert_eq!(without.get("replica.out.msgs"), None);
--- a/crates/drill/tests/numbered.rs
+++ b/crates/drill/tests/numbered.rs
@@ -10,44 +10,70 @@
 use std::time::Duration;
 
 /// Runs jobs on all cores; gives what each was seen to do wrong.
-fn told(jobs: Vec<(Option<String>, u64)>, wrong: impl Fn(&Outcome) -> Option<String> + Sync) -> Vec<String> {
+fn told(
+    jobs: Vec<(Option<String>, u64)>,
+    wrong: impl Fn(&Outcome) -> Option<String> + Sync,
+) -> Vec<String> {
     let next = AtomicUsize::new(0);
-    let threads = std::thread::available_parallelism().map(usize::from).unwrap_or(4);
+    let threads = std::thread::available_parallelism()
+        .map(usize::from)
+        .unwrap_or(4);
     let work = || {
         std::iter::from_fn(|| jobs.get(next.fetch_add(1, Ordering::Relaxed)))
             .filter_map(|(name, seed)| {
-                let outcome = run(*seed, name.as_ref().and_then(|name| Plan::named(name, *seed)), LEDGER);
+                let outcome = run(
+                    *seed,
+                    name.as_ref().and_then(|name| Plan::named(name, *seed)),
+                    LEDGER,
+                );
                 wrong(&outcome).map(|text| format!("{name:?} seed {seed}: {text}"))
             })
             .collect::<Vec<_>>()
     };
     std::thread::scope(|scope| {
         let running: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
-        running.into_iter().flat_map(|thread| thread.join().expect("no run panics")).collect()
+        running
+            .into_iter()
+            .flat_map(|thread| thread.join().expect("no run panics"))
+            .collect()
     })
 }
 
 /// No rule was broken, all nodes agree, and everything was served before the fault.
 fn unlawful(outcome: &Outcome) -> Option<String> {
-    let fine = outcome.violations.is_empty() && outcome.agreed && outcome.served_per_mille[0] == 1000;
-    (!fine).then(|| format!("{:?}, agreed {}, {:?}", outcome.violations, outcome.agreed, outcome.served_per_mille))
+    let fine =
+        outcome.violations.is_empty() && outcome.agreed && outcome.served_per_mille[0] == 1000;
+    (!fine).then(|| {
+        format!(
+            "{:?}, agreed {}, {:?}",
+            outcome.violations, outcome.agreed, outcome.served_per_mille
+        )
+    })
 }
 
 #[test]
 fn every_fault_alone_breaks_no_rule_where_keys_are_numbers() {
-    let jobs = FAULTS.iter().chain(FURTHER).map(|(name, _)| (Some((*name).to_owned()), 1));
+    let jobs = FAULTS
+        .iter()
+        .chain(FURTHER)
+        .map(|(name, _)| (Some((*name).to_owned()), 1));
     assert_eq!(told(jobs.collect(), unlawful), Vec::<String>::new());
 }
 
 #[test]
 fn drawn_faults_break_no_rule_where_keys_are_numbers() {
-    assert_eq!(told((1..25).map(|seed| (None, seed)).collect(), unlawful), Vec::<String>::new());
+    assert_eq!(
+        told((1..25).map(|seed| (None, seed)).collect(), unlawful),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
 fn a_quiet_site_serves_every_numbered_request() {
     let jobs = (1..7).map(|seed| (Some("quiet".to_owned()), seed));
-    let unserved = |outcome: &Outcome| (!outcome.fine() || outcome.served_per_mille != [1000; 3]).then(String::new);
+    let unserved = |outcome: &Outcome| {
+        (!outcome.fine() || outcome.served_per_mille != [1000; 3]).then(String::new)
+    };
     assert_eq!(told(jobs.collect(), unserved), Vec::<String>::new());
 }
 
@@ -56,12 +82,18 @@
     let outcomes = (1..7).map(|seed| World::weakened_site(seed, Plan::quiet(), LEDGER, weak).run());
     let parts = outcomes.map(|outcome| {
         let mut arrived: BTreeMap<String, u64> = BTreeMap::new();
-        outcome.seen.iter().filter(|(at, _)| at.as_secs() >= 24).for_each(|(_, fact)| match fact {
-            Fact::Arrived { service, instance, .. } if service == "account" => {
-                *arrived.entry(instance.clone()).or_default() += 1;
-            }
-            _ => {}
-        });
+        outcome
+            .seen
+            .iter()
+            .filter(|(at, _)| at.as_secs() >= 24)
+            .for_each(|(_, fact)| match fact {
+                Fact::Arrived {
+                    service, instance, ..
+                } if service == "account" => {
+                    *arrived.entry(instance.clone()).or_default() += 1;
+                }
+                _ => {}
+            });
         arrived.values().max().copied().unwrap_or(0) * 1000 / arrived.values().sum::<u64>().max(1)
     });
     parts.sum::<u64>() / 6
@@ -72,8 +104,14 @@
 #[test]
 fn the_division_follows_a_load_that_moves() {
     let counted = busiest_per_mille(Weakness::default());
-    let uncounted = busiest_per_mille(Weakness { uncounted: true, ..Weakness::default() });
-    assert!(counted * 4 / 3 < uncounted, "the busiest has {counted} of 1000 requests, and uncounted {uncounted}");
+    let uncounted = busiest_per_mille(Weakness {
+        uncounted: true,
+        ..Weakness::default()
+    });
+    assert!(
+        counted * 4 / 3 < uncounted,
+        "the busiest has {counted} of 1000 requests, and uncounted {uncounted}"
+    );
 }
 
 /// How long a run of keys that was let go lay without a holder: the longest, with the keys.
@@ -99,7 +137,8 @@
     let jobs = (1..25).map(|seed| (Some("quiet".to_owned()), seed));
     let wrong = |outcome: &Outcome| {
         let (gap, key) = longest_gap(outcome);
-        (gap > Duration::from_millis(700)).then(|| format!("keys from {key} had no holder for {gap:?}"))
+        (gap > Duration::from_millis(700))
+            .then(|| format!("keys from {key} had no holder for {gap:?}"))
     };
     assert_eq!(told(jobs.collect(), wrong), Vec::<String>::new());
 }
@@ -112,8 +151,16 @@
         let account = LEDGER.per_service + at;
         let (from, until) = (ms(18_000 + 37 * at as u64), ms(26_000));
         let steps = vec![
-            Step { at: from, until, fault: Fault::PauseUnit(account) },
-            Step { at: from + ms(300), until, fault: Fault::JumpPlacement(ms(450)) },
+            Step {
+                at: from,
+                until,
+                fault: Fault::PauseUnit(account),
+            },
+            Step {
+                at: from + ms(300),
+                until,
+                fault: Fault::JumpPlacement(ms(450)),
+            },
         ];
         run(at as u64 + 1, Some(Plan { steps }), LEDGER).violations
     });
@@ -129,30 +176,56 @@
     let first = from + ms(100 + random.below(500));
     let second = first + ms(200 + random.below(1500));
     let jump = Fault::JumpPlacement(ms(450));
-    let silent = Step { at: from, until, fault: Fault::PauseUnit(account) };
-    let jumps = [first, second].map(|at| Step { at, until, fault: jump.clone() });
-    Plan { steps: [silent].into_iter().chain(jumps).collect() }
+    let silent = Step {
+        at: from,
+        until,
+        fault: Fault::PauseUnit(account),
+    };
+    let jumps = [first, second].map(|at| Step {
+        at,
+        until,
+        fault: jump.clone(),
+    });
+    Plan {
+        steps: [silent].into_iter().chain(jumps).collect(),
+    }
 }
 
 #[test]
 fn small_jumps_of_the_lease_holders_clock_do_not_add_up() {
-    let counting = Weakness { counts_jumps: true, ..Weakness::default() };
-    assert_eq!(seeds_that_give_twice(two_jumps, Weakness::default()), Vec::<u64>::new());
-    assert_ne!(seeds_that_give_twice(two_jumps, counting), Vec::<u64>::new());
+    let counting = Weakness {
+        counts_jumps: true,
+        ..Weakness::default()
+    };
+    assert_eq!(
+        seeds_that_give_twice(two_jumps, Weakness::default()),
+        Vec::<u64>::new()
+    );
+    assert_ne!(
+        seeds_that_give_twice(two_jumps, counting),
+        Vec::<u64>::new()
+    );
 }
 
 /// Of 48 seeds, side by side, those in which a world gives a key to two.
 fn seeds_that_give_twice(plan: fn(u64) -> Plan, weak: Weakness) -> Vec<u64> {
     let next = AtomicUsize::new(1);
     let work = || {
-        std::iter::from_fn(|| Some(next.fetch_add(1, Ordering::Relaxed) as u64).filter(|seed| *seed <= 48))
-            .filter(|seed| gives_twice_on(plan(*seed), *seed, weak))
-            .collect::<Vec<u64>>()
+        std::iter::from_fn(|| {
+            Some(next.fetch_add(1, Ordering::Relaxed) as u64).filter(|seed| *seed <= 48)
+        })
+        .filter(|seed| gives_twice_on(plan(*seed), *seed, weak))
+        .collect::<Vec<u64>>()
     };
-    let threads = std::thread::available_parallelism().map(usize::from).unwrap_or(4);
+    let threads = std::thread::available_parallelism()
+        .map(usize::from)
+        .unwrap_or(4);
     std::thread::scope(|scope| {
         let running: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
-        running.into_iter().flat_map(|thread| thread.join().expect("no run panics")).collect()
+        running
+            .into_iter()
+            .flat_map(|thread| thread.join().expect("no run panics"))
+            .collect()
     })
 }
 
@@ -168,12 +241,29 @@
 
 #[test]
 fn upstreams_that_break_the_contract_are_caught() {
-    let (real, named) = (Weakness::default(), |plan| move |seed| Plan::named(plan, seed).expect("a known plan"));
-    let holds_on = Weakness { holds_on: Duration::from_secs(5), ..real };
+    let (real, named) = (Weakness::default(), |plan| {
+        move |seed| Plan::named(plan, seed).expect("a known plan")
+    });
+    let holds_on = Weakness {
+        holds_on: Duration::from_secs(5),
+        ..real
+    };
     assert!(gives_twice(named("pause-unit"), holds_on));
     assert!(gives_twice(named("cut-zone"), holds_on));
-    assert!(gives_twice(named("pause-unit"), Weakness { stands_still: true, ..real }));
-    assert!(gives_twice(named("late-answers+move-names"), Weakness { takes_late: true, ..real }));
+    assert!(gives_twice(
+        named("pause-unit"),
+        Weakness {
+            stands_still: true,
+            ..real
+        }
+    ));
+    assert!(gives_twice(
+        named("late-answers+move-names"),
+        Weakness {
+            takes_late: true,
+            ..real
+        }
+    ));
     assert!(!gives_twice(named("late-answers+move-names"), real));
 }
 
@@ -182,11 +272,20 @@
     let rules_broken = |seed| {
         let plan = Plan::named("sign-off-first", seed).expect("a known plan");
         let outcome = World::weakened_site(seed, plan, LEDGER, weak).run();
-        outcome.violations.into_iter().map(|violation| violation.rule).collect::<Vec<_>>()
+        outcome
+            .violations
+            .into_iter()
+            .map(|violation| violation.rule)
+            .collect::<Vec<_>>()
     };
     std::thread::scope(|scope| {
-        let running: Vec<_> = (1..9).map(|seed| scope.spawn(move || rules_broken(seed))).collect();
-        running.into_iter().flat_map(|thread| thread.join().expect("no run panics")).collect()
+        let running: Vec<_> = (1..9)
+            .map(|seed| scope.spawn(move || rules_broken(seed)))
+            .collect();
+        running
+            .into_iter()
+            .flat_map(|thread| thread.join().expect("no run panics"))
+            .collect()
     })
 }
 
@@ -197,7 +296,10 @@
 
 #[test]
 fn keys_that_are_free_at_a_sign_off_are_caught() {
-    let weak = Weakness { lists_nothing_once_signed_off: true, ..Weakness::default() };
+    let weak = Weakness {
+        lists_nothing_once_signed_off: true,
+        ..Weakness::default()
+    };
     let broken = signed_off_first(weak);
     assert!(broken.contains(&11), "{broken:?}");
 }
--- a/crates/drill/tests/orders.rs
+++ b/crates/drill/tests/orders.rs
@@ -9,24 +9,37 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-const ORDER_FAULTS: [&str; 7] =
-    ["lost-acks", "late-orders", "order-storm", "old-orders", "equal-numbers", "late-evacuation", "frozen-evacuation"];
+const ORDER_FAULTS: [&str; 7] = [
+    "lost-acks",
+    "late-orders",
+    "order-storm",
+    "old-orders",
+    "equal-numbers",
+    "late-evacuation",
+    "frozen-evacuation",
+];
 
 /// Runs jobs on all cores; gives what was wrong with each.
 fn wrong(jobs: Vec<(String, u64)>) -> Vec<String> {
     let next = AtomicUsize::new(0);
-    let threads = std::thread::available_parallelism().map(usize::from).unwrap_or(4);
+    let threads = std::thread::available_parallelism()
+        .map(usize::from)
+        .unwrap_or(4);
     let work = || {
         std::iter::from_fn(|| jobs.get(next.fetch_add(1, Ordering::Relaxed)))
             .filter_map(|(name, seed)| {
                 let plan = Plan::named(name, *seed).expect("a known plan");
-                unlawful(&run(*seed, Some(plan), ROADWISE)).map(|text| format!("{name} seed {seed}: {text}"))
+                unlawful(&run(*seed, Some(plan), ROADWISE))
+                    .map(|text| format!("{name} seed {seed}: {text}"))
             })
             .collect::<Vec<_>>()
     };
     std::thread::scope(|scope| {
         let running: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
-        running.into_iter().flat_map(|thread| thread.join().expect("no run panics")).collect()
+        running
+            .into_iter()
+            .flat_map(|thread| thread.join().expect("no run panics"))
+            .collect()
     })
 }
 
@@ -35,28 +48,50 @@
     (!fine).then(|| format!("{:?}, agreed {}", outcome.violations, outcome.agreed))
 }
 
-fn seeds(plans: impl IntoIterator<Item = String>, seeds: std::ops::Range<u64>) -> Vec<(String, u64)> {
-    plans.into_iter().flat_map(|plan| seeds.clone().map(move |seed| (plan.clone(), seed))).collect()
+fn seeds(
+    plans: impl IntoIterator<Item = String>,
+    seeds: std::ops::Range<u64>,
+) -> Vec<(String, u64)> {
+    plans
+        .into_iter()
+        .flat_map(|plan| seeds.clone().map(move |seed| (plan.clone(), seed)))
+        .collect()
 }
 
 #[test]
 fn orders_that_go_wrong_are_done_once_and_in_order() {
-    assert_eq!(wrong(seeds(ORDER_FAULTS.map(str::to_owned), 1..5)), Vec::<String>::new());
+    assert_eq!(
+        wrong(seeds(ORDER_FAULTS.map(str::to_owned), 1..5)),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
 fn two_kinds_of_orders_that_go_wrong_at_once_are_done_once_and_in_order() {
-    let pairs = ORDER_FAULTS
-        .iter()
-        .enumerate()
-        .flat_map(|(at, first)| ORDER_FAULTS[at + 1..].iter().map(move |second| format!("{first}+{second}")));
+    let pairs = ORDER_FAULTS.iter().enumerate().flat_map(|(at, first)| {
+        ORDER_FAULTS[at + 1..]
+            .iter()
+            .map(move |second| format!("{first}+{second}"))
+    });
     assert_eq!(wrong(seeds(pairs, 1..2)), Vec::<String>::new());
 }
 
 #[test]
 fn orders_that_go_wrong_while_machines_do_are_done_once_and_in_order() {
-    let machines = ["kill-herd", "cut-zone", "cut-machine", "mute", "freeze", "restart-postmasters", "wipe-machine"];
-    let pairs = ORDER_FAULTS.iter().flat_map(|orders| machines.iter().map(move |fault| format!("{orders}+{fault}")));
+    let machines = [
+        "kill-herd",
+        "cut-zone",
+        "cut-machine",
+        "mute",
+        "freeze",
+        "restart-postmasters",
+        "wipe-machine",
+    ];
+    let pairs = ORDER_FAULTS.iter().flat_map(|orders| {
+        machines
+            .iter()
+            .map(move |fault| format!("{orders}+{fault}"))
+    });
     assert_eq!(wrong(seeds(pairs, 1..2)), Vec::<String>::new());
 }
 
@@ -68,9 +103,15 @@
 /// The same of four seeds together, side by side.
 fn answers_on_four_seeds(plan: &'static str, code: Code) -> (usize, usize) {
     std::thread::scope(|scope| {
-        let running: Vec<_> = (1..5).map(|seed| scope.spawn(move || answers_on(seed, plan, code))).collect();
-        let counts = running.into_iter().map(|thread| thread.join().expect("no run panics"));
-        counts.fold((0, 0), |(first, again), (more_first, more_again)| (first + more_first, again + more_again))
+        let running: Vec<_> = (1..5)
+            .map(|seed| scope.spawn(move || answers_on(seed, plan, code)))
+            .collect();
+        let counts = running
+            .into_iter()
+            .map(|thread| thread.join().expect("no run panics"));
+        counts.fold((0, 0), |(first, again), (more_first, more_again)| {
+            (first + more_first, again + more_again)
+        })
     })
 }
 
@@ -78,7 +119,10 @@
     let outcome = run(seed, Plan::named(plan, seed), ROADWISE);
     let mut known = BTreeSet::new();
     let told = outcome.seen.iter().filter_map(|(_, fact)| match fact {
-        Fact::Returned { call, reply: Reply::Decided { code: told, .. } } if *told == code => Some(call.clone()),
+        Fact::Returned {
+            call,
+            reply: Reply::Decided { code: told, .. },
+        } if *told == code => Some(call.clone()),
         _ => None,
     });
     let (first, again): (Vec<_>, Vec<_>) = told.partition(|call| known.insert(call.clone()));
@@ -87,10 +131,22 @@
 
 #[test]
 fn orders_do_go_wrong_in_these_plans() {
-    assert!(answers("order-storm", Code::Fine).0 >= 100, "{:?}", answers("order-storm", Code::Fine));
+    assert!(
+        answers("order-storm", Code::Fine).0 >= 100,
+        "{:?}",
+        answers("order-storm", Code::Fine)
+    );
     numbers_are_raced_for();
-    assert!(answers("old-orders", Code::Fine).1 >= 20, "{:?}", answers("old-orders", Code::Fine));
-    assert!(answers("late-evacuation", Code::Fine).1 >= 8, "{:?}", answers("late-evacuation", Code::Fine));
+    assert!(
+        answers("old-orders", Code::Fine).1 >= 20,
+        "{:?}",
+        answers("old-orders", Code::Fine)
+    );
+    assert!(
+        answers("late-evacuation", Code::Fine).1 >= 8,
+        "{:?}",
+        answers("late-evacuation", Code::Fine)
+    );
     let late = answers_on_four_seeds("late-orders+order-storm", Code::Fine);
     assert!(late.1 >= 4 * 20, "{late:?}");
 }
@@ -99,9 +155,17 @@
 /// has overtaken both before either was decided.
 fn numbers_are_raced_for() {
     let count = |code| answers("equal-numbers", code).0;
-    let (fine, taken, overtaken) = (count(Code::Fine), count(Code::NumberTaken), count(Code::Overtaken));
+    let (fine, taken, overtaken) = (
+        count(Code::Fine),
+        count(Code::NumberTaken),
+        count(Code::Overtaken),
+    );
     assert_eq!(fine, 1 + taken, "the site's first setup is the one besides");
-    assert_eq!(2 * taken + overtaken, 16, "{taken} taken, {overtaken} overtaken");
+    assert_eq!(
+        2 * taken + overtaken,
+        16,
+        "{taken} taken, {overtaken} overtaken"
+    );
     assert!(taken >= 7, "{taken} taken");
 }
 
@@ -109,22 +173,50 @@
 fn caught(plan: &str, weak: Weakness) -> usize {
     let plan = |seed| Plan::named(plan, seed).expect("a known plan");
     let runs = (1..5).map(|seed| World::weakened(seed, plan(seed), weak).run());
-    runs.filter(|run| run.violations.iter().any(|violation| violation.rule == 13)).count()
+    runs.filter(|run| run.violations.iter().any(|violation| violation.rule == 13))
+        .count()
 }
 
 #[test]
 fn a_system_that_treats_orders_wrongly_is_caught() {
-    let alone = Weakness { reads_alone: true, ..Weakness::default() };
-    let confirms = Weakness { confirms_taken: true, ..Weakness::default() };
-    let redoes = Weakness { redoes_orders: true, ..Weakness::default() };
+    let alone = Weakness {
+        reads_alone: true,
+        ..Weakness::default()
+    };
+    let confirms = Weakness {
+        confirms_taken: true,
+        ..Weakness::default()
+    };
+    let redoes = Weakness {
+        redoes_orders: true,
+        ..Weakness::default()
+    };
     let cases = [
-        ("order-storm+cut-zone", alone, "nodes read back what they hold"),
-        ("equal-numbers", confirms, "both are confirmed under one number"),
-        ("lost-acks+setup-storm", redoes, "an order sent again is a new one"),
+        (
+            "order-storm+cut-zone",
+            alone,
+            "nodes read back what they hold",
+        ),
+        (
+            "equal-numbers",
+            confirms,
+            "both are confirmed under one number",
+        ),
+        (
+            "lost-acks+setup-storm",
+            redoes,
+            "an order sent again is a new one",
+        ),
         ("late-evacuation", redoes, "a late begin evacuates anew"),
-        ("late-orders+setup-storm", redoes, "a doubled order is done twice"),
+        (
+            "late-orders+setup-storm",
+            redoes,
+            "a doubled order is done twice",
+        ),
     ];
-    let missed =
-        cases.into_iter().filter(|(plan, weak, _)| caught(plan, *weak) == 0).map(|(plan, _, what)| (plan, what));
+    let missed = cases
+        .into_iter()
+        .filter(|(plan, weak, _)| caught(plan, *weak) == 0)
+        .map(|(plan, _, what)| (plan, what));
     assert_eq!(missed.collect::<Vec<_>>(), Vec::<(&str, &str)>::new());
 }
--- a/crates/drill/tests/reload.rs
+++ b/crates/drill/tests/reload.rs
@@ -25,7 +25,10 @@
 fn address(last: u8) -> String {
     let ip = format!("127.67.{}.{last}", 1 + std::process::id() % 200);
     let found = (0..50).find_map(|_| {
-        let address = TcpListener::bind((ip.as_str(), 0)).ok()?.local_addr().ok()?;
+        let address = TcpListener::bind((ip.as_str(), 0))
+            .ok()?
+            .local_addr()
+            .ok()?;
         UdpSocket::bind(address).ok().map(|_| address.to_string())
     });
     found.expect("a free port")
@@ -34,20 +37,38 @@
 impl Daemon {
     fn start(program: &str, folder: &Path, last: u8, more: &str) -> Daemon {
         let (http, link) = (address(last), address(last + 1));
-        let (log, settings) = (folder.join(format!("{program}.log")), folder.join(format!("{program}.json")));
-        let node = format!(r#""node": "{program}", "locality": "n/1", "http": "{http}", "link": "{link}"{more}"#);
+        let (log, settings) = (
+            folder.join(format!("{program}.log")),
+            folder.join(format!("{program}.json")),
+        );
+        let node = format!(
+            r#""node": "{program}", "locality": "n/1", "http": "{http}", "link": "{link}"{more}"#
+        );
         fs::write(&settings, format!("{{{node}}}")).expect("a file");
         let out = File::create(&log).expect("a log");
         let binary = Path::new(env!("CARGO_BIN_EXE_drill")).with_file_name(program);
         let mut command = Command::new(binary);
-        command.arg("--settings").arg(&settings).stdin(Stdio::null());
+        command
+            .arg("--settings")
+            .arg(&settings)
+            .stdin(Stdio::null());
         command.stdout(out.try_clone().expect("a log")).stderr(out);
         let child = command.spawn().expect("it was built before the tests");
-        Daemon { child, log, settings, fields: node, http, link }
+        Daemon {
+            child,
+            log,
+            settings,
+            fields: node,
+            http,
+            link,
+        }
     }
 
     fn signal(&self, name: &str) {
-        let sent = Command::new("kill").arg(format!("-{name}")).arg(self.child.id().to_string()).status();
+        let sent = Command::new("kill")
+            .arg(format!("-{name}"))
+            .arg(self.child.id().to_string())
+            .status();
         assert!(sent.is_ok_and(|status| status.success()));
     }
 
@@ -66,13 +87,19 @@
                 pause.tick().await;
             }
         };
-        assert!(timeout(LIMIT, heard).await.is_ok(), "'{told}' is not in {}", &self.log()[before..]);
+        assert!(
+            timeout(LIMIT, heard).await.is_ok(),
+            "'{told}' is not in {}",
+            &self.log()[before..]
+        );
     }
 
     /// The status of a page; none where nobody answers.
     async fn status(&self, path: &str) -> Option<u16> {
         let body = bytes::Bytes::new();
-        let called = Caller::default().call(&self.http, "GET", path, &[], body, LIMIT, false).await;
+        let called = Caller::default()
+            .call(&self.http, "GET", path, &[], body, LIMIT, false)
+            .await;
         called.ok().map(|reply| reply.status)
     }
 
@@ -88,7 +115,11 @@
                 pause.tick().await;
             }
         };
-        assert!(timeout(LIMIT, heard).await.is_ok(), "'{told}' is not in {}", self.log());
+        assert!(
+            timeout(LIMIT, heard).await.is_ok(),
+            "'{told}' is not in {}",
+            self.log()
+        );
     }
 }
 
@@ -103,32 +134,52 @@
 async fn settings_that_change_are_read_again_and_broken_ones_refused() {
     let folder = std::env::temp_dir().join(format!("reload-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
-    let data = format!(r#", "roster-size": 1, "data": "{}""#, folder.join("data").display());
+    let data = format!(
+        r#", "roster-size": 1, "data": "{}""#,
+        folder.join("data").display()
+    );
     let mut postmaster = Daemon::start("postmaster", &folder, 1, &data);
     let mut carrier = Daemon::start("carrier", &folder, 3, "");
     for daemon in [&mut postmaster, &mut carrier] {
         daemon.until("start:").await;
         let fields = daemon.fields.clone();
-        daemon.reload(&format!("{{{fields}}}"), "seeds are as before").await;
+        daemon
+            .reload(&format!("{{{fields}}}"), "seeds are as before")
+            .await;
         assert!(daemon.alive().await);
         // Every complaint is told, and nothing is taken over.
-        let broken = format!(r#"{{{fields}, "colour": "red", "wait-ms": "long", "seeds": "127.0.0.9:9"}}"#);
+        let broken =
+            format!(r#"{{{fields}, "colour": "red", "wait-ms": "long", "seeds": "127.0.0.9:9"}}"#);
         daemon.reload(&broken, "wait-ms").await;
         let log = daemon.log();
-        ["going on with the old ones: colour", "going on with the old ones: wait-ms"].into_iter().for_each(|told| {
+        [
+            "going on with the old ones: colour",
+            "going on with the old ones: wait-ms",
+        ]
+        .into_iter()
+        .for_each(|told| {
             assert!(log.contains(told), "{told} is not in {log}");
         });
         assert!(!log.contains("seeds are new"), "{log}");
-        daemon.reload("{\"node\": \"cut sh", "this is not JSON").await;
+        daemon
+            .reload("{\"node\": \"cut sh", "this is not JSON")
+            .await;
         assert!(daemon.alive().await);
         let other = fields.replace("\"n/1\"", "\"n/2\"");
-        daemon.reload(&format!("{{{other}}}"), "locality is now 'n/2'; that takes effect at the next start").await;
+        daemon
+            .reload(
+                &format!("{{{other}}}"),
+                "locality is now 'n/2'; that takes effect at the next start",
+            )
+            .await;
         assert!(daemon.alive().await);
     }
     // The carrier knew of nobody. New seeds lead it to the postmaster.
     assert_eq!(carrier.status("/ready").await, Some(503));
     let found = format!(r#"{{{}, "seeds": "{}"}}"#, carrier.fields, postmaster.link);
-    carrier.reload(&found, &format!("seeds are new ({})", postmaster.link)).await;
+    carrier
+        .reload(&found, &format!("seeds are new ({})", postmaster.link))
+        .await;
     let mut pause = interval(PAUSE);
     let follows = async {
         while carrier.status("/ready").await != Some(200) {
--- a/crates/drill/tests/replacements.rs
+++ b/crates/drill/tests/replacements.rs
@@ -14,12 +14,24 @@
     let replaced = outcome.voters.len() == VOTERS && outcome.voters_gone.is_empty();
     let served = outcome.served_per_mille[2] == 1000;
     (!outcome.fine() || !replaced || !served).then(|| {
-        let Outcome { seed, violations, agreed, voters, voters_gone, served_per_mille, .. } = outcome;
+        let Outcome {
+            seed,
+            violations,
+            agreed,
+            voters,
+            voters_gone,
+            served_per_mille,
+            ..
+        } = outcome;
         format!("{seed}: {violations:?} {agreed} {voters:?} {voters_gone:?} {served_per_mille:?}")
     })
 }
 
-fn failures(plan: impl Fn(u64) -> Plan + Sync, shape: &Shape, seeds: std::ops::Range<u64>) -> Vec<String> {
+fn failures(
+    plan: impl Fn(u64) -> Plan + Sync,
+    shape: &Shape,
+    seeds: std::ops::Range<u64>,
+) -> Vec<String> {
     std::thread::scope(|scope| {
         let running: Vec<_> = seeds
             .map(|seed| {
@@ -29,7 +41,10 @@
                 })
             })
             .collect();
-        running.into_iter().filter_map(|thread| thread.join().expect("no run panics")).collect()
+        running
+            .into_iter()
+            .filter_map(|thread| thread.join().expect("no run panics"))
+            .collect()
     })
 }
 
@@ -40,39 +55,66 @@
 /// Five of six machines go, one every 5 to 8 s, with setups coming all the while: three were the end of the majority.
 #[test]
 fn one_voter_after_the_other_is_replaced() {
-    assert_eq!(failures(named("replace-voters"), &ROADWISE, 1..7), Vec::<String>::new());
-    assert_eq!(failures(named("replace-voters"), &KALAM, 1..4), Vec::<String>::new());
+    assert_eq!(
+        failures(named("replace-voters"), &ROADWISE, 1..7),
+        Vec::<String>::new()
+    );
+    assert_eq!(
+        failures(named("replace-voters"), &KALAM, 1..4),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
 fn one_voter_after_the_other_is_replaced_as_planned() {
-    assert_eq!(failures(named("replace-planned"), &ROADWISE, 1..7), Vec::<String>::new());
+    assert_eq!(
+        failures(named("replace-planned"), &ROADWISE, 1..7),
+        Vec::<String>::new()
+    );
 }
 
 /// Replacements meet another fault of a control node.
 #[test]
 fn replacements_bear_a_further_loss() {
-    ["wipe-machine", "kill-placement", "freeze-placement", "dark-zone", "restart-postmasters", "loss"]
-        .into_iter()
-        .for_each(|other| {
-            let plan = |seed| {
-                let mut plan = Plan::named("replace-voters", seed).expect("a known plan");
-                plan.steps.extend(Plan::named(other, seed).expect("a known plan").steps);
-                plan
-            };
-            let failed: Vec<String> = (1..4)
-                .map(|seed| run(seed, Some(plan(seed)), ROADWISE))
-                .filter(|outcome| !outcome.violations.is_empty() || !outcome.agreed || !outcome.voters_gone.is_empty())
-                .map(|outcome| format!("{other} {}: {:?} {:?}", outcome.seed, outcome.violations, outcome.voters_gone))
-                .collect();
-            assert_eq!(failed, Vec::<String>::new());
-        });
+    [
+        "wipe-machine",
+        "kill-placement",
+        "freeze-placement",
+        "dark-zone",
+        "restart-postmasters",
+        "loss",
+    ]
+    .into_iter()
+    .for_each(|other| {
+        let plan = |seed| {
+            let mut plan = Plan::named("replace-voters", seed).expect("a known plan");
+            plan.steps
+                .extend(Plan::named(other, seed).expect("a known plan").steps);
+            plan
+        };
+        let failed: Vec<String> = (1..4)
+            .map(|seed| run(seed, Some(plan(seed)), ROADWISE))
+            .filter(|outcome| {
+                !outcome.violations.is_empty() || !outcome.agreed || !outcome.voters_gone.is_empty()
+            })
+            .map(|outcome| {
+                format!(
+                    "{other} {}: {:?} {:?}",
+                    outcome.seed, outcome.violations, outcome.voters_gone
+                )
+            })
+            .collect();
+        assert_eq!(failed, Vec::<String>::new());
+    });
 }
 
 /// Where nobody takes the places of those that are gone, the third loss ends the majority, and the test sees it.
 #[test]
 fn voters_that_are_never_replaced_are_caught() {
-    let weak = Weakness { keeps_voters: true, ..Weakness::default() };
+    let weak = Weakness {
+        keeps_voters: true,
+        ..Weakness::default()
+    };
     let outcome = World::weakened(1, named("replace-voters")(1), weak).run();
     assert!(lacks(&outcome).is_some());
 }
@@ -80,7 +122,11 @@
 /// A region goes dark while nothing is replaced: the voters stay as they are.
 #[test]
 fn a_lost_region_takes_no_votes_along() {
-    let step = Step { at: Duration::from_secs(17), until: Duration::from_secs(60), fault: Fault::DarkRegion(1) };
+    let step = Step {
+        at: Duration::from_secs(17),
+        until: Duration::from_secs(60),
+        fault: Fault::DarkRegion(1),
+    };
     let outcome = run(3, Some(Plan { steps: vec![step] }), ROADWISE);
     let founded = (0..VOTERS).map(|at| format!("postmaster-{at}")).collect();
     assert_eq!(outcome.voters, founded);
@@ -91,20 +137,39 @@
 /// and for a moment others have not.
 fn ends_while_marks_run_out() -> Plan {
     let mut plan = Plan::named("replace-voters", MARKS_RUN_OUT_SEED).expect("a plan");
-    plan.steps.iter_mut().for_each(|step| step.until += ENDS_LATER);
+    plan.steps
+        .iter_mut()
+        .for_each(|step| step.until += ENDS_LATER);
     plan
 }
 
 #[test]
 fn news_on_its_way_at_the_end_is_waited_for() {
-    let outcome =
-        World::weakened_site(MARKS_RUN_OUT_SEED, ends_while_marks_run_out(), KALAM, Weakness::default()).run();
-    assert!(outcome.agreed, "the carriers' placements are alike once the news has come");
+    let outcome = World::weakened_site(
+        MARKS_RUN_OUT_SEED,
+        ends_while_marks_run_out(),
+        KALAM,
+        Weakness::default(),
+    )
+    .run();
+    assert!(
+        outcome.agreed,
+        "the carriers' placements are alike once the news has come"
+    );
 }
 
 #[test]
 fn a_carrier_that_takes_no_change_of_the_placement_is_caught() {
-    let weak = Weakness { keeps_placement: true, ..Weakness::default() };
-    let outcome = World::weakened_site(1, Plan::named("move-names", 1).expect("a plan"), ROADWISE, weak).run();
+    let weak = Weakness {
+        keeps_placement: true,
+        ..Weakness::default()
+    };
+    let outcome = World::weakened_site(
+        1,
+        Plan::named("move-names", 1).expect("a plan"),
+        ROADWISE,
+        weak,
+    )
+    .run();
     assert!(!outcome.agreed);
 }
--- a/crates/drill/tests/scripts/mod.rs
+++ b/crates/drill/tests/scripts/mod.rs
@@ -3,7 +3,8 @@
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use arbtest::arbtest;
 use drill::scripted::{
-    ACTS, Act, Breach, Fact, Facts, Manner, OPENINGS, Opening, Peer, Proxy, Step, Takes, Told, Try, judge, work,
+    ACTS, Act, Breach, Fact, Facts, Manner, OPENINGS, Opening, Peer, Proxy, Step, Takes, Told, Try,
+    judge, work,
 };
 use std::time::Duration;
 
@@ -36,13 +37,25 @@
 /// One try, now and then with a long body.
 pub fn drawn_try(noise: &mut Unstructured, number: usize) -> Drawn<Try> {
     let long = noise.ratio(1u8, 10u8)?;
-    let body_bytes = if long { LONG_BODY } else { noise.int_in_range(0..=40)? };
-    Ok(Try { id: format!("try-{number}"), once: noise.arbitrary()?, body_bytes })
+    let body_bytes = if long {
+        LONG_BODY
+    } else {
+        noise.int_in_range(0..=40)?
+    };
+    Ok(Try {
+        id: format!("try-{number}"),
+        once: noise.arbitrary()?,
+        body_bytes,
+    })
 }
 
 fn drawn_script(noise: &mut Unstructured) -> Drawn<Script> {
-    let steps = (0..noise.int_in_range(2..=9)?)
-        .map(|_| Ok(Step { act: *noise.choose(ACTS)?, turns: noise.int_in_range(0..=6)? }));
+    let steps = (0..noise.int_in_range(2..=9)?).map(|_| {
+        Ok(Step {
+            act: *noise.choose(ACTS)?,
+            turns: noise.int_in_range(0..=6)?,
+        })
+    });
     let steps = steps.collect::<Drawn<Vec<Step>>>()?;
     let openings = (0..noise.int_in_range(0..=4)?).map(|_| Ok(*noise.choose(OPENINGS)?));
     Ok((steps, openings.collect::<Drawn<Vec<Opening>>>()?))
@@ -50,13 +63,18 @@
 
 /// Runs a future to its end on a runtime of its own.
 pub fn run<T>(future: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(future)
 }
 
 /// What a success says to the try of this number.
 pub fn success(number: usize) -> Told {
-    Told::Success { body: work(&format!("try-{number}")).into() }
+    Told::Success {
+        body: work(&format!("try-{number}")).into(),
+    }
 }
 
 impl Client {
@@ -94,17 +112,37 @@
     /// Cases on all processors, as many as CI has time for.
     pub fn fuzz_all(&self, cases: u64, takes: Takes) -> Vec<Broken> {
         let part = |part: u64| -> Vec<Broken> {
-            (1..=cases).filter(|seed| seed % THREADS == part).flat_map(|seed| self.fuzz(seed, takes)).collect()
+            (1..=cases)
+                .filter(|seed| seed % THREADS == part)
+                .flat_map(|seed| self.fuzz(seed, takes))
+                .collect()
         };
         std::thread::scope(|scope| {
-            let threads: Vec<_> = (0..THREADS).map(|number| scope.spawn(move || part(number))).collect();
-            threads.into_iter().flat_map(|thread| thread.join().expect("no case panics")).collect()
+            let threads: Vec<_> = (0..THREADS)
+                .map(|number| scope.spawn(move || part(number)))
+                .collect();
+            threads
+                .into_iter()
+                .flat_map(|thread| thread.join().expect("no case panics"))
+                .collect()
         })
     }
 
     /// One upstream with this script, and so many tries one after the other, with less time for the last.
-    pub fn told_within(&self, steps: &[Act], once: bool, tries: usize, last: Duration) -> (Vec<Told>, Vec<Fact>) {
-        let steps: Vec<Step> = steps.iter().map(|act| Step { act: *act, turns: TURNS }).collect();
+    pub fn told_within(
+        &self,
+        steps: &[Act],
+        once: bool,
+        tries: usize,
+        last: Duration,
+    ) -> (Vec<Told>, Vec<Fact>) {
+        let steps: Vec<Step> = steps
+            .iter()
+            .map(|act| Step {
+                act: *act,
+                turns: TURNS,
+            })
+            .collect();
         run(async {
             let facts = Facts::default();
             let instance = format!("{}-1", self.instance_prefix);
@@ -112,8 +150,16 @@
             let proxy = Proxy::start(self.manner, &[peer], facts.clone(), Takes::ItsOwn);
             let mut told = Vec::new();
             for number in 0..tries {
-                let asked = Try { id: format!("try-{number}"), once, body_bytes: 5 };
-                told.push(proxy.ask(&asked, if number + 1 < tries { AMPLE } else { last }).await);
+                let asked = Try {
+                    id: format!("try-{number}"),
+                    once,
+                    body_bytes: 5,
+                };
+                told.push(
+                    proxy
+                        .ask(&asked, if number + 1 < tries { AMPLE } else { last })
+                        .await,
+                );
             }
             (told, facts.all())
         })
@@ -122,24 +168,40 @@
     /// None of so many cases breaks a rule.
     pub fn assert_none_broken(&self, cases: u64) {
         let broken = self.fuzz_all(cases, Takes::ItsOwn);
-        assert!(broken.is_empty(), "{} of {cases} broken, the first: {:?}\n{}", broken.len(), broken[0].0, broken[0].1);
+        assert!(
+            broken.is_empty(),
+            "{} of {cases} broken, the first: {:?}\n{}",
+            broken.len(),
+            broken[0].0,
+            broken[0].1
+        );
     }
 
     /// Under this mistake some case is caught by a breach like that.
     pub fn assert_caught(&self, cases: u64, takes: Takes, caught: fn(&Breach) -> bool) {
         let broken = self.fuzz_all(cases, takes);
-        assert!(broken.iter().any(|(breaches, _)| breaches.iter().any(caught)));
+        assert!(
+            broken
+                .iter()
+                .any(|(breaches, _)| breaches.iter().any(caught))
+        );
     }
 
     /// Answers to other tries are read past, and each request is sent once and answered.
     pub fn assert_surplus_costs_nothing(&self) {
-        [Act::SurplusFirst, Act::ChunkedSurplusFirst].into_iter().for_each(|act| {
-            [true, false].into_iter().for_each(|once| {
-                let (told, facts) = self.told_within(&[Act::Whole, act, Act::Whole], once, 3, AMPLE);
-                assert_eq!(told, (0..3).map(success).collect::<Vec<_>>(), "{act:?}");
-                let arrived = facts.iter().filter(|fact| matches!(fact, Fact::Arrived { .. })).count();
-                assert_eq!(arrived, 3, "{act:?}: each was sent once");
+        [Act::SurplusFirst, Act::ChunkedSurplusFirst]
+            .into_iter()
+            .for_each(|act| {
+                [true, false].into_iter().for_each(|once| {
+                    let (told, facts) =
+                        self.told_within(&[Act::Whole, act, Act::Whole], once, 3, AMPLE);
+                    assert_eq!(told, (0..3).map(success).collect::<Vec<_>>(), "{act:?}");
+                    let arrived = facts
+                        .iter()
+                        .filter(|fact| matches!(fact, Fact::Arrived { .. }))
+                        .count();
+                    assert_eq!(arrived, 3, "{act:?}: each was sent once");
+                });
             });
-        });
     }
 }
--- a/crates/drill/tests/site.rs
+++ b/crates/drill/tests/site.rs
@@ -15,7 +15,10 @@
 const LIMIT: Duration = Duration::from_secs(60);
 
 fn programs() -> PathBuf {
-    Path::new(env!("CARGO_BIN_EXE_drill")).parent().expect("a folder").to_owned()
+    Path::new(env!("CARGO_BIN_EXE_drill"))
+        .parent()
+        .expect("a folder")
+        .to_owned()
 }
 
 /// Path, headers, body, and the code that must come.
@@ -23,46 +26,98 @@
 
 /// Runs a program to its end: exit code, output, complaints.
 fn run(program: &str, args: &[&str]) -> (i32, String, String) {
-    let done = Command::new(programs().join(program)).args(args).output().expect("it was built before the tests");
+    let done = Command::new(programs().join(program))
+        .args(args)
+        .output()
+        .expect("it was built before the tests");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (done.status.code().unwrap_or(-1), text(&done.stdout), text(&done.stderr))
+    (
+        done.status.code().unwrap_or(-1),
+        text(&done.stdout),
+        text(&done.stderr),
+    )
 }
 
 async fn site(name: &str) -> Fleet {
-    let shape = Shape { machines: 2, disks: 1, ..ROADWISE };
+    let shape = Shape {
+        machines: 2,
+        disks: 1,
+        ..ROADWISE
+    };
     let folder = std::env::temp_dir().join(format!("site-{name}-{}", std::process::id()));
-    let (mut fleet, _) = Fleet::laid(&shape, &programs(), &folder).await.expect("free ports");
-    fleet.start().expect("daemons that were built before the tests");
-    assert!(Fleet::ready(&fleet.nodes(), LIMIT).await, "the site came up");
+    let (mut fleet, _) = Fleet::laid(&shape, &programs(), &folder)
+        .await
+        .expect("free ports");
+    fleet
+        .start()
+        .expect("daemons that were built before the tests");
+    assert!(
+        Fleet::ready(&fleet.nodes(), LIMIT).await,
+        "the site came up"
+    );
     fleet
 }
 
 async fn call(node: &str, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
     let body = Bytes::from(body.to_owned());
-    Caller::default().call(node, method, path, headers, body, LIMIT, false).await.expect("a whole answer")
+    Caller::default()
+        .call(node, method, path, headers, body, LIMIT, false)
+        .await
+        .expect("a whole answer")
 }
 
 fn code(reply: &Reply) -> Option<Code> {
-    reply.header("x-code").parse().ok().and_then(Code::from_number)
+    reply
+        .header("x-code")
+        .parse()
+        .ok()
+        .and_then(Code::from_number)
 }
 
 #[test]
 fn wrong_settings_stop_the_start_with_name_value_and_what_is_allowed() {
-    let whole = ["--node", "c", "--locality", "n/1", "--http", "127.0.0.1:1", "--link", "127.0.0.1:2", "--check"];
+    let whole = [
+        "--node",
+        "c",
+        "--locality",
+        "n/1",
+        "--http",
+        "127.0.0.1:1",
+        "--link",
+        "127.0.0.1:2",
+        "--check",
+    ];
     assert_eq!(run("carrier", &whole).0, 0);
     let cases: [(&[&str], &[&str]); 5] = [
         (&["--colour", "red"], &["colour", "red", "known:"]),
-        (&["--probe-every-ms", "7"], &["probe-every-ms", "'7'", "20 to 5000"]),
-        (&["--address-lifetime-ms", "4000"], &["address-lifetime-ms", "4000", "4500"]),
-        (&["--serve", "dance"], &["serve", "dance", "proxy, directory"]),
+        (
+            &["--probe-every-ms", "7"],
+            &["probe-every-ms", "'7'", "20 to 5000"],
+        ),
+        (
+            &["--address-lifetime-ms", "4000"],
+            &["address-lifetime-ms", "4000", "4500"],
+        ),
+        (
+            &["--serve", "dance"],
+            &["serve", "dance", "proxy, directory"],
+        ),
         (&["--http", "nowhere"], &["http", "nowhere", "IP number"]),
     ];
     cases.into_iter().for_each(|(more, told)| {
         let (code, _, complaints) = run("carrier", &[&whole[..], more].concat());
         assert_eq!(code, 2, "{more:?}");
-        told.iter().for_each(|word| assert!(complaints.contains(word), "{more:?}: {word} not in {complaints}"));
+        told.iter().for_each(|word| {
+            assert!(
+                complaints.contains(word),
+                "{more:?}: {word} not in {complaints}"
+            )
+        });
     });
-    assert_eq!(run("postmaster", &["--version"]).1.trim(), "postmaster 0.1.0");
+    assert_eq!(
+        run("postmaster", &["--version"]).1.trim(),
+        "postmaster 0.1.0"
+    );
     assert!(run("clerk", &["--help"]).1.contains("exit codes"));
     assert_eq!(run("clerk", &["dance"]).0, 2);
     assert_eq!(run("clerk", &["--node", "127.0.0.1:1", "status"]).0, 3);
@@ -76,22 +131,57 @@
     let first = call(&nodes[0], "PUT", "/setup?id=a&wait=force", &[], &setup).await;
     assert_eq!(code(&first), Some(Code::Fine));
     let again = call(&nodes[2], "PUT", "/setup?id=a", &[], &setup).await;
-    assert_eq!(first.body, again.body, "the same id has the same verdict at any node");
+    assert_eq!(
+        first.body, again.body,
+        "the same id has the same verdict at any node"
+    );
     let other = call(&nodes[1], "PUT", "/setup?id=a", &[], &ROADWISE.setup(1)).await;
     assert_eq!(code(&other), Some(Code::IdReused));
     let behind = call(&nodes[1], "PUT", "/setup?id=b&base=0", &[], &setup).await;
     assert_eq!(code(&behind), Some(Code::SetupBehind));
-    let bad = call(&nodes[0], "PUT", "/setup?id=c", &[], r#"{"routes": [{"id": "r", "id": 1}], "hue": 2}"#).await;
+    let bad = call(
+        &nodes[0],
+        "PUT",
+        "/setup?id=c",
+        &[],
+        r#"{"routes": [{"id": "r", "id": 1}], "hue": 2}"#,
+    )
+    .await;
     assert_eq!(code(&bad), Some(Code::SetupBad));
-    let told = Sheet::read(&String::from_utf8_lossy(&bad.body)).expect("JSON").list("complaints").len();
+    let told = Sheet::read(&String::from_utf8_lossy(&bad.body))
+        .expect("JSON")
+        .list("complaints")
+        .len();
     assert!(told >= 4, "every complaint at once: {bad:?}");
     for node in &nodes {
         let back = call(node, "GET", "/setup", &[], "").await;
-        assert_eq!((back.body, back.headers["x-edition"].clone()), (setup.clone().into(), "1".parse().unwrap()));
+        assert_eq!(
+            (back.body, back.headers["x-edition"].clone()),
+            (setup.clone().into(), "1".parse().unwrap())
+        );
     }
     let node = nodes[0].as_str();
-    assert_eq!(run("clerk", &["--node", node, "evacuate", "middle/middle-1", "--id", "e", "--wait"]).0, 0);
-    assert!(run("clerk", &["--node", node, "status"]).1.contains("middle/middle-1"));
+    assert_eq!(
+        run(
+            "clerk",
+            &[
+                "--node",
+                node,
+                "evacuate",
+                "middle/middle-1",
+                "--id",
+                "e",
+                "--wait"
+            ]
+        )
+        .0,
+        0
+    );
+    assert!(
+        run("clerk", &["--node", node, "status"])
+            .1
+            .contains("middle/middle-1")
+    );
     // A name comes in while the rest goes on, and goes again: who asks for it hears so at once.
     let asked = |node: &str| {
         let node = node.to_owned();
@@ -103,23 +193,56 @@
     assert_eq!(asked(&nodes[0]).await, Some(Code::NoSuchName));
     let place = |id: &'static str, extra| {
         let (node, setup) = (nodes[1].clone(), ROADWISE.setup(extra));
-        async move { code(&call(&node, "PUT", &format!("/setup?id={id}&wait=force"), &[], &setup).await) }
+        async move {
+            code(
+                &call(
+                    &node,
+                    "PUT",
+                    &format!("/setup?id={id}&wait=force"),
+                    &[],
+                    &setup,
+                )
+                .await,
+            )
+        }
     };
     assert_eq!(place("in", 1).await, Some(Code::Fine));
-    assert_eq!(asked(&nodes[0]).await, Some(Code::NoOwner), "the name is known, and nobody beats for it");
+    assert_eq!(
+        asked(&nodes[0]).await,
+        Some(Code::NoOwner),
+        "the name is known, and nobody beats for it"
+    );
     assert_eq!(place("out", 0).await, Some(Code::Fine));
     assert_eq!(asked(&nodes[0]).await, Some(Code::NoSuchName));
     // A founding may be quicker than the first claim, which voters grant a span after their start.
     let placed = || async { call(node, "GET", "/status", &[], "").await.body };
-    while Sheet::read(&String::from_utf8_lossy(&placed().await)).unwrap().text("placement") == Some("") {}
+    while Sheet::read(&String::from_utf8_lossy(&placed().await))
+        .unwrap()
+        .text("placement")
+        == Some("")
+    {}
     let (code, site, _) = run("clerk", &["--node", node, "site"]);
-    ["edition 4", "evacuated: \"middle/middle-1\" (complete)", "postmaster-0", "voting", "carrier-1"]
-        .into_iter()
-        .for_each(|told| assert!(site.contains(told), "{told} not in {site}"));
+    [
+        "edition 4",
+        "evacuated: \"middle/middle-1\" (complete)",
+        "postmaster-0",
+        "voting",
+        "carrier-1",
+    ]
+    .into_iter()
+    .for_each(|told| assert!(site.contains(told), "{told} not in {site}"));
     assert_eq!(code, 0, "{site}");
-    let supposed = run("clerk", &["--node", node, "trace", "--name", "booking", "--path", "/booking"]);
+    let supposed = run(
+        "clerk",
+        &[
+            "--node", node, "trace", "--name", "booking", "--path", "/booking",
+        ],
+    );
     assert!(supposed.1.contains("route r1 of edition 4"), "{supposed:?}");
-    assert!(supposed.1.contains("1203"), "nobody beats, so nobody owns it: {supposed:?}");
+    assert!(
+        supposed.1.contains("1203"),
+        "nobody beats, so nobody owns it: {supposed:?}"
+    );
     assert_eq!(run("clerk", &["--node", node, "trace", "never"]).0, 1);
     fleet.remove();
 }
@@ -127,24 +250,84 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn whatever_strangers_send_gets_a_numbered_answer_and_harms_nothing() {
     let fleet = site("strangers").await;
-    let (carrier, postmaster) = (fleet.carriers[0].http.clone(), fleet.postmasters[0].http.clone());
-    call(&postmaster, "PUT", "/setup?id=a&wait=force", &[], &ROADWISE.setup(0)).await;
+    let (carrier, postmaster) = (
+        fleet.carriers[0].http.clone(),
+        fleet.postmasters[0].http.clone(),
+    );
+    call(
+        &postmaster,
+        "PUT",
+        "/setup?id=a&wait=force",
+        &[],
+        &ROADWISE.setup(0),
+    )
+    .await;
     let (fine, long) = (("x-remaining-ms", "1000"), "x".repeat(70_000));
     let cases: Vec<Case> = vec![
         ("/r/booking/booking", vec![fine], "", Code::MissingTry),
-        ("/r/booking/booking", vec![("x-try-id", "two words"), fine], "", Code::MissingTry),
-        ("/r/booking/booking", vec![("x-try-id", "t1")], "", Code::MissingRemaining),
-        ("/r/booking/booking", vec![("x-try-id", "t2"), ("x-remaining-ms", "-5")], "", Code::MissingRemaining),
-        ("/r/booking/booking", vec![("x-try-id", "t3"), ("x-remaining-ms", "99999999")], "", Code::MissingRemaining),
-        ("/r/moon/booking", vec![("x-try-id", "t4"), fine], "", Code::NoSuchName),
-        ("/r/booking/moon", vec![("x-try-id", "t5"), fine], "", Code::NoSuchName),
-        ("/r/payment/payment", vec![("x-try-id", "t6"), fine], "", Code::MissingKey),
-        ("/r/booking/booking", vec![("x-try-id", "t7"), fine], &long, Code::TooLarge),
-        ("/r/booking", vec![("x-try-id", "t8"), fine], "", Code::NoSuchName),
+        (
+            "/r/booking/booking",
+            vec![("x-try-id", "two words"), fine],
+            "",
+            Code::MissingTry,
+        ),
+        (
+            "/r/booking/booking",
+            vec![("x-try-id", "t1")],
+            "",
+            Code::MissingRemaining,
+        ),
+        (
+            "/r/booking/booking",
+            vec![("x-try-id", "t2"), ("x-remaining-ms", "-5")],
+            "",
+            Code::MissingRemaining,
+        ),
+        (
+            "/r/booking/booking",
+            vec![("x-try-id", "t3"), ("x-remaining-ms", "99999999")],
+            "",
+            Code::MissingRemaining,
+        ),
+        (
+            "/r/moon/booking",
+            vec![("x-try-id", "t4"), fine],
+            "",
+            Code::NoSuchName,
+        ),
+        (
+            "/r/booking/moon",
+            vec![("x-try-id", "t5"), fine],
+            "",
+            Code::NoSuchName,
+        ),
+        (
+            "/r/payment/payment",
+            vec![("x-try-id", "t6"), fine],
+            "",
+            Code::MissingKey,
+        ),
+        (
+            "/r/booking/booking",
+            vec![("x-try-id", "t7"), fine],
+            &long,
+            Code::TooLarge,
+        ),
+        (
+            "/r/booking",
+            vec![("x-try-id", "t8"), fine],
+            "",
+            Code::NoSuchName,
+        ),
         ("/moon", vec![], "", Code::NoSuchPage),
         ("/beats", vec![], "{\"service\": 7}", Code::Malformed),
         ("/beats", vec![], &long, Code::Malformed),
-        ("/evacuations?id=x&locality=nowhere", vec![], "", Code::Malformed),
+        (
+            "/evacuations?id=x&locality=nowhere",
+            vec![],
+            "",
+            Code::Malformed,
+        ),
         ("/evacuations?locality=n%2F1", vec![], "", Code::Malformed),
     ];
     for (path, headers, body, expected) in cases {
@@ -153,7 +336,17 @@
         assert_eq!(reply.status, expected.status());
     }
     let huge = "x".repeat(3 * 1024 * 1024);
-    let denied = Caller::default().call(&postmaster, "PUT", "/setup?id=h", &[], huge.into(), LIMIT, false).await;
+    let denied = Caller::default()
+        .call(
+            &postmaster,
+            "PUT",
+            "/setup?id=h",
+            &[],
+            huge.into(),
+            LIMIT,
+            false,
+        )
+        .await;
     // The server may hang up on the rest of so large a body before its answer is read.
     assert!(denied.is_err() || denied.is_ok_and(|reply| reply.status == 413));
     for node in [&carrier, &postmaster] {
@@ -163,11 +356,17 @@
             b"POST /r/a/b HTTP/1.1\r\ncontent-length: -4\r\n\r\n",
         ] {
             let answer = raw(node, garbage).await;
-            assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 400"), "{answer}");
+            assert!(
+                answer.is_empty() || answer.starts_with("HTTP/1.1 400"),
+                "{answer}"
+            );
         }
         // Half a head and then nothing: the server ends it by itself.
         let answer = raw(node, b"GET /live HT").await;
-        assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
+        assert!(
+            answer.is_empty() || answer.starts_with("HTTP/1.1 4"),
+            "{answer}"
+        );
         assert_eq!(call(node, "GET", "/live", &[], "").await.status, 200);
     }
     fleet.remove();
--- a/crates/drill/tests/spoken.rs
+++ b/crates/drill/tests/spoken.rs
@@ -5,12 +5,19 @@
 
 /// Bytes within zones, between zones and between regions, of a whole run.
 fn spoken(plan: &str) -> [u64; 3] {
-    let steps = if plan == "quiet" { Some(Plan { steps: Vec::new() }) } else { Plan::named(plan, 1) };
+    let steps = if plan == "quiet" {
+        Some(Plan { steps: Vec::new() })
+    } else {
+        Plan::named(plan, 1)
+    };
     let outcome = run(1, steps, ROADWISE);
     assert!(outcome.fine(), "{plan}: {:?}", outcome.violations);
     let sum = |at: usize| outcome.spoken.values().map(|bytes| bytes[at]).sum::<u64>();
     let all = [sum(0), sum(1), sum(2)];
-    println!("{plan}: {all:?} bytes in {:?}: {:?}", outcome.lasted, outcome.spoken);
+    println!(
+        "{plan}: {all:?} bytes in {:?}: {:?}",
+        outcome.lasted, outcome.spoken
+    );
     all
 }
 
