--- a/crates/enrolment/src/grants.rs
+++ b/crates/enrolment/src/grants.rs
@@ -22,18 +22,33 @@
             self.next_move = now + self.terms.settle;
         }
         moves.into_iter().for_each(|(from, to)| {
-            self.table.within(from, to).into_iter().for_each(|(from, to, state)| {
-                if let State::Held(held) = state {
-                    self.table.set(from, to, State::Held(Held { asked_back: true, ..held }));
-                }
-            });
+            self.table
+                .within(from, to)
+                .into_iter()
+                .for_each(|(from, to, state)| {
+                    if let State::Held(held) = state {
+                        self.table.set(
+                            from,
+                            to,
+                            State::Held(Held {
+                                asked_back: true,
+                                ..held
+                            }),
+                        );
+                    }
+                });
         });
     }
 
     /// Decides who is to take the free keys that nobody is to take yet; all of them where others are active than before.
     fn reserve(&mut self, active: &BTreeMap<&str, u32>, load: &Load) {
         // Capacities change with each request, and what is reserved stays: it would pass by those already heard.
-        if !self.reserved_among.iter().map(String::as_str).eq(active.keys().copied()) {
+        if !self
+            .reserved_among
+            .iter()
+            .map(String::as_str)
+            .eq(active.keys().copied())
+        {
             self.reserved_among = active.keys().map(|name| (*name).to_owned()).collect();
             self.table.each(|state| {
                 if let State::Free { taker, .. } = state {
@@ -42,29 +57,65 @@
             });
             self.table.join();
         }
-        if !self.table.iter().any(|(_, _, state)| matches!(state, State::Free { taker: None, .. })) {
+        if !self
+            .table
+            .iter()
+            .any(|(_, _, state)| matches!(state, State::Free { taker: None, .. }))
+        {
             return;
         }
-        fair::reserve(&self.table, active, load).into_iter().for_each(|(from, to, taker)| {
-            self.table.within(from, to).into_iter().for_each(|(from, to, state)| {
-                if let State::Free { last, handover, passed, .. } = state {
-                    let taker = Some(taker.to_owned());
-                    self.table.set(from, to, State::Free { last, handover, taker, passed });
-                }
+        fair::reserve(&self.table, active, load)
+            .into_iter()
+            .for_each(|(from, to, taker)| {
+                self.table
+                    .within(from, to)
+                    .into_iter()
+                    .for_each(|(from, to, state)| {
+                        if let State::Free {
+                            last,
+                            handover,
+                            passed,
+                            ..
+                        } = state
+                        {
+                            let taker = Some(taker.to_owned());
+                            self.table.set(
+                                from,
+                                to,
+                                State::Free {
+                                    last,
+                                    handover,
+                                    taker,
+                                    passed,
+                                },
+                            );
+                        }
+                    });
             });
-        });
     }
 
     /// Gives the free keys that are reserved for this one, and those whose taker stays away.
-    pub(crate) fn give(&mut self, now: Duration, me: &str, active: &BTreeMap<&str, u32>, load: &Load) {
+    pub(crate) fn give(
+        &mut self,
+        now: Duration,
+        me: &str,
+        active: &BTreeMap<&str, u32>,
+        load: &Load,
+    ) {
         self.reserve(active, load);
         let stays_away = |passed: usize| passed > active.len();
         let mine = |state: &State| match state {
-            State::Free { taker, passed, .. } => taker.as_deref() == Some(me) || stays_away(*passed),
+            State::Free { taker, passed, .. } => {
+                taker.as_deref() == Some(me) || stays_away(*passed)
+            }
             State::Held(_) => false,
         };
-        let parts: Spans =
-            self.table.iter().filter(|(_, _, state)| mine(state)).map(|(from, to, _)| (from, to)).collect();
+        let parts: Spans = self
+            .table
+            .iter()
+            .filter(|(_, _, state)| mine(state))
+            .map(|(from, to, _)| (from, to))
+            .collect();
         self.table.each(|state| match state {
             State::Free { passed, .. } => *passed += 1,
             State::Held(_) => {}
@@ -76,14 +127,26 @@
         let fence = (self.lease_epoch << FENCE_BITS) + self.counter;
         let until = now + surely(self.terms.hold, self.terms.margin);
         parts.into_iter().for_each(|(from, to)| {
-            self.table.within(from, to).into_iter().for_each(|(from, to, state)| {
-                if let State::Free { handover, .. } = state {
-                    let owner = me.to_owned();
-                    let (confirmed, asked_back, dropped) = (false, false, false);
-                    let held = Held { owner, fence, given: now, until, confirmed, asked_back, dropped, handover };
-                    self.table.set(from, to, State::Held(held));
-                }
-            });
+            self.table
+                .within(from, to)
+                .into_iter()
+                .for_each(|(from, to, state)| {
+                    if let State::Free { handover, .. } = state {
+                        let owner = me.to_owned();
+                        let (confirmed, asked_back, dropped) = (false, false, false);
+                        let held = Held {
+                            owner,
+                            fence,
+                            given: now,
+                            until,
+                            confirmed,
+                            asked_back,
+                            dropped,
+                            handover,
+                        };
+                        self.table.set(from, to, State::Held(held));
+                    }
+                });
         });
     }
 
@@ -104,7 +167,12 @@
         });
         let grant = |(from, to, (fence, handover)): Run<(u64, &str)>| {
             let handover = handover.to_owned();
-            Grant { from, to, fence, handover }
+            Grant {
+                from,
+                to,
+                fence,
+                handover,
+            }
         };
         join_runs(mine).into_iter().map(grant).collect()
     }
--- a/crates/enrolment/src/load.rs
+++ b/crates/enrolment/src/load.rs
@@ -34,7 +34,10 @@
             sum += *count as f64 + base;
             sum
         });
-        Load { keys, sums: [0.0].into_iter().chain(sums).collect() }
+        Load {
+            keys,
+            sums: [0.0].into_iter().chain(sums).collect(),
+        }
     }
 
     /// All keys alike.
@@ -43,7 +46,10 @@
     /// assert_eq!(enrolment::Load::even(65536).weight(0, 32767), 2048.0);
     /// ```
     pub fn even(keys: u32) -> Self {
-        Load { keys, sums: (0..=EVEN_PARTS.min(keys.max(1))).map(f64::from).collect() }
+        Load {
+            keys,
+            sums: (0..=EVEN_PARTS.min(keys.max(1))).map(f64::from).collect(),
+        }
     }
 
     fn parts(&self) -> u64 {
@@ -91,6 +97,9 @@
     /// The edges strictly inside a range: each a first key of the part to its right.
     pub(crate) fn edges(&self, from: u32, to: u32) -> Vec<u32> {
         let parts = self.part(from) + 1..=self.part(to.min(self.keys.saturating_sub(1)));
-        parts.map(|part| self.edge(part)).filter(|edge| *edge > from && *edge <= to).collect()
+        parts
+            .map(|part| self.edge(part))
+            .filter(|edge| *edge > from && *edge <= to)
+            .collect()
     }
 }
--- a/crates/enrolment/src/ranges.rs
+++ b/crates/enrolment/src/ranges.rs
@@ -145,7 +145,8 @@
         }
         if now >= self.free_from {
             let heard = &self.heard;
-            let counts = |name: &String| heard.get(name).is_some_and(|heard| now < heard.at + SILENT);
+            let counts =
+                |name: &String| heard.get(name).is_some_and(|heard| now < heard.at + SILENT);
             let active: BTreeMap<&str, u32> = ready
                 .iter()
                 .filter(|(name, _)| *name == me || counts(name))
@@ -160,7 +161,12 @@
     }
 
     /// Remembers the heartbeat's number; none where it was overtaken or is beyond the bounds.
-    fn hear(&mut self, now: Duration, beat: &Heartbeat, ready: &BTreeMap<String, u32>) -> Option<()> {
+    fn hear(
+        &mut self,
+        now: Duration,
+        beat: &Heartbeat,
+        ready: &BTreeMap<String, u32>,
+    ) -> Option<()> {
         let me = &beat.instance;
         let last = self.heard.get(me).and_then(|heard| heard.sequence);
         let sound = beat.holdings.len() <= MOST_ROWS && beat.released.len() <= MOST_ROWS;
@@ -168,14 +174,26 @@
             return None;
         }
         ready.keys().for_each(|name| {
-            self.heard.entry(name.clone()).or_insert(Heard { sequence: None, at: now });
+            self.heard.entry(name.clone()).or_insert(Heard {
+                sequence: None,
+                at: now,
+            });
         });
-        self.heard.insert(me.clone(), Heard { sequence: Some(beat.sequence), at: now });
+        self.heard.insert(
+            me.clone(),
+            Heard {
+                sequence: Some(beat.sequence),
+                at: now,
+            },
+        );
         if self.heard.len() > MOST_INSTANCES {
             // Whoever holds nothing and is given nothing has nothing to lose by an overtaken heartbeat.
             let table = &self.table;
             self.heard.retain(|name, _| {
-                ready.contains_key(name) || table.iter().any(|(_, _, state)| state.held_by(name).is_some())
+                ready.contains_key(name)
+                    || table
+                        .iter()
+                        .any(|(_, _, state)| state.held_by(name).is_some())
             });
         }
         Some(())
@@ -207,12 +225,19 @@
     /// ```
     pub fn all(&self, now: Duration) -> Vec<Holding> {
         let held = self.table.iter().filter_map(|(from, to, state)| {
-            let held = state.held().filter(|held| now < held.until && !held.dropped)?;
+            let held = state
+                .held()
+                .filter(|held| now < held.until && !held.dropped)?;
             Some((from, to, (held.fence, held.owner.as_str())))
         });
         let holding = |(from, to, (fence, owner)): Run<(u64, &str)>| {
             let instance = owner.to_owned();
-            Holding { from, to, fence, instance }
+            Holding {
+                from,
+                to,
+                fence,
+                instance,
+            }
         };
         join_runs(held).into_iter().map(holding).collect()
     }
--- a/crates/enrolment/src/roll.rs
+++ b/crates/enrolment/src/roll.rs
@@ -64,7 +64,10 @@
 /// ```
 pub fn mark(upstream: &Upstream) -> u64 {
     let who = spread_all([upstream.service.as_str(), "/", &upstream.instance]) >> 32;
-    let numbers = format!("/{}/{}/{}", upstream.free_slots, upstream.warm, upstream.condition);
+    let numbers = format!(
+        "/{}/{}/{}",
+        upstream.free_slots, upstream.warm, upstream.condition
+    );
     let what = match upstream.condition {
         // How it was before its end no longer matters.
         GONE => 0,
@@ -110,29 +113,59 @@
         let heard_at = now.saturating_sub(Duration::from_millis(told.age_ms));
         let back = self.comes_back(now, &id, &told);
         let known = self.entries.get(&id);
-        if known.is_some_and(|entry| (entry.upstream.condition == GONE && !back) || told.beat <= entry.upstream.beat)
-            || (known.is_none() && self.entries.len() >= MOST_UPSTREAMS)
+        if known.is_some_and(|entry| {
+            (entry.upstream.condition == GONE && !back) || told.beat <= entry.upstream.beat
+        }) || (known.is_none() && self.entries.len() >= MOST_UPSTREAMS)
         {
             return false;
         }
         let known = known.filter(|_| !back);
         let departed = self.departed_condition(&id, told.beat);
-        let condition = told.condition.max(known.map(|entry| entry.upstream.condition).unwrap_or(READY)).max(departed);
+        let condition = told
+            .condition
+            .max(known.map(|entry| entry.upstream.condition).unwrap_or(READY))
+            .max(departed);
         let departing_since = known.filter(|entry| entry.upstream.condition == condition);
-        let departing_since = departing_since.and_then(|entry| entry.departing_since).unwrap_or(now);
-        let born_at_ms = known.map(|entry| entry.born_at_ms.min(born_at_ms)).unwrap_or(born_at_ms);
-        let upstream = Upstream { condition, age_ms: 0, born_ms: 0, ..told };
+        let departing_since = departing_since
+            .and_then(|entry| entry.departing_since)
+            .unwrap_or(now);
+        let born_at_ms = known
+            .map(|entry| entry.born_at_ms.min(born_at_ms))
+            .unwrap_or(born_at_ms);
+        let upstream = Upstream {
+            condition,
+            age_ms: 0,
+            born_ms: 0,
+            ..told
+        };
         let same = known.is_some_and(|entry| Self::news(&entry.upstream) == Self::news(&upstream));
-        self.settle_address(&id, &upstream, born_at_ms).into_iter().for_each(|loser| {
-            self.end(&loser);
-        });
-        let lost = self.addresses.get(&upstream.address).is_some_and(|tenant| *tenant != id);
+        self.settle_address(&id, &upstream, born_at_ms)
+            .into_iter()
+            .for_each(|loser| {
+                self.end(&loser);
+            });
+        let lost = self
+            .addresses
+            .get(&upstream.address)
+            .is_some_and(|tenant| *tenant != id);
         let condition = if lost { GONE } else { condition };
-        let upstream = Upstream { condition, ..upstream };
+        let upstream = Upstream {
+            condition,
+            ..upstream
+        };
         self.marked.insert(mark(&upstream) >> 32, id.clone());
         let departing_since = Some(departing_since).filter(|_| condition != READY && !lost);
         self.departed.remove(&id);
-        self.entries.insert(id.clone(), Entry { upstream, heard_at, born_at_ms, evicted: lost, departing_since });
+        self.entries.insert(
+            id.clone(),
+            Entry {
+                upstream,
+                heard_at,
+                born_at_ms,
+                evicted: lost,
+                departing_since,
+            },
+        );
         if !same || lost {
             self.changed.insert(id);
         }
@@ -155,7 +188,11 @@
     /// assert!(roll.keeps_beating(ms(3500), mark ^ 1, 2, ms(0)), "what is known is no older");
     /// ```
     pub fn keeps_beating(&mut self, now: Duration, told: u64, beat: u64, age: Duration) -> bool {
-        let Some(entry) = self.marked.get(&(told >> 32)).and_then(|id| self.entries.get_mut(id)) else {
+        let Some(entry) = self
+            .marked
+            .get(&(told >> 32))
+            .and_then(|id| self.entries.get_mut(id))
+        else {
             return false;
         };
         if beat <= entry.upstream.beat {
@@ -177,18 +214,29 @@
     /// assert_eq!(enrolment::Roll::default().marked(std::time::Duration::ZERO, 7), None);
     /// ```
     pub fn marked(&self, now: Duration, mark: u64) -> Option<Upstream> {
-        let entry = self.marked.get(&(mark >> 32)).and_then(|id| self.entries.get(id));
+        let entry = self
+            .marked
+            .get(&(mark >> 32))
+            .and_then(|id| self.entries.get(id));
         entry.map(|entry| Self::aged(entry, now))
     }
 
     /// True where it lost its address to one that is silent, and goes on beating: then that one is the past. So a beat
     /// that lay somewhere for long can't end a live upstream for good.
     fn comes_back(&self, now: Duration, id: &Id, told: &Upstream) -> bool {
-        let evicted = self.entries.get(id).is_some_and(|entry| entry.evicted && told.beat > entry.upstream.beat);
-        let tenant = self.addresses.get(&told.address).filter(|tenant| *tenant != id);
+        let evicted = self
+            .entries
+            .get(id)
+            .is_some_and(|entry| entry.evicted && told.beat > entry.upstream.beat);
+        let tenant = self
+            .addresses
+            .get(&told.address)
+            .filter(|tenant| *tenant != id);
         let silent = tenant
             .and_then(|tenant| self.entries.get(tenant))
-            .is_none_or(|tenant| tenant.upstream.condition == GONE || now >= tenant.heard_at + TENANT_SILENT);
+            .is_none_or(|tenant| {
+                tenant.upstream.condition == GONE || now >= tenant.heard_at + TENANT_SILENT
+            });
         evicted && silent && told.condition != GONE
     }
 
@@ -205,17 +253,31 @@
 
     /// Which part of a beat is worth telling the data plane.
     fn news(upstream: &Upstream) -> Upstream {
-        Upstream { beat: 0, holder: 0, holds: Vec::new(), released: Vec::new(), ..upstream.clone() }
+        Upstream {
+            beat: 0,
+            holder: 0,
+            holds: Vec::new(),
+            released: Vec::new(),
+            ..upstream.clone()
+        }
     }
 
     /// An address belongs to its youngest registration that is not gone; gives the one that lost it.
     fn settle_address(&mut self, id: &Id, upstream: &Upstream, born_at_ms: i64) -> Option<Id> {
-        let tenant = self.addresses.get(&upstream.address).filter(|tenant| *tenant != id).cloned();
-        let older = tenant.as_ref().and_then(|tenant| self.entries.get(tenant)).is_none_or(|entry| {
-            entry.upstream.condition == GONE
-                || self.entries.get(id).is_some_and(|mine| mine.evicted)
-                || (entry.born_at_ms, entry.upstream.instance.as_str()) < (born_at_ms, id.1.as_str())
-        });
+        let tenant = self
+            .addresses
+            .get(&upstream.address)
+            .filter(|tenant| *tenant != id)
+            .cloned();
+        let older = tenant
+            .as_ref()
+            .and_then(|tenant| self.entries.get(tenant))
+            .is_none_or(|entry| {
+                entry.upstream.condition == GONE
+                    || self.entries.get(id).is_some_and(|mine| mine.evicted)
+                    || (entry.born_at_ms, entry.upstream.instance.as_str())
+                        < (born_at_ms, id.1.as_str())
+            });
         let older = older && (upstream.condition != GONE || tenant.is_none());
         if older {
             self.addresses.insert(upstream.address.clone(), id.clone());
@@ -224,7 +286,11 @@
     }
 
     fn end(&mut self, id: &Id) {
-        if let Some(entry) = self.entries.get_mut(id).filter(|entry| entry.upstream.condition != GONE) {
+        if let Some(entry) = self
+            .entries
+            .get_mut(id)
+            .filter(|entry| entry.upstream.condition != GONE)
+        {
             entry.upstream.condition = GONE;
             entry.evicted = true;
             entry.departing_since = None;
@@ -245,19 +311,40 @@
     /// ```
     pub fn sweep(&mut self, now: Duration, silent_for: Duration) {
         let over = |entry: &Entry| {
-            let patience = if entry.upstream.condition == GONE { REMEMBERED } else { silent_for };
+            let patience = if entry.upstream.condition == GONE {
+                REMEMBERED
+            } else {
+                silent_for
+            };
             now >= entry.heard_at + patience
         };
-        self.departed.retain(|_, departed| now < departed.known_since + REMEMBERED);
-        let due: Vec<Id> = self.entries.iter().filter(|(_, entry)| over(entry)).map(|(id, _)| id.clone()).collect();
+        self.departed
+            .retain(|_, departed| now < departed.known_since + REMEMBERED);
+        let due: Vec<Id> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| over(entry))
+            .map(|(id, _)| id.clone())
+            .collect();
         due.into_iter().for_each(|id| {
             if let Some(entry) = self.entries.remove(&id) {
                 self.addresses.retain(|_, tenant| *tenant != id);
                 self.marked.retain(|_, marked| *marked != id);
-                let departed = entry.departing_since.filter(|_| entry.upstream.condition != GONE);
+                let departed = entry
+                    .departing_since
+                    .filter(|_| entry.upstream.condition != GONE);
                 departed.into_iter().for_each(|known_since| {
-                    let Upstream { condition, beat, .. } = entry.upstream;
-                    self.departed.insert(id.clone(), Departed { condition, beat, known_since });
+                    let Upstream {
+                        condition, beat, ..
+                    } = entry.upstream;
+                    self.departed.insert(
+                        id.clone(),
+                        Departed {
+                            condition,
+                            beat,
+                            known_since,
+                        },
+                    );
                 });
                 if entry.upstream.condition != GONE {
                     self.changed.insert(id);
@@ -288,7 +375,10 @@
     /// assert!(enrolment::Roll::default().all(std::time::Duration::ZERO).is_empty());
     /// ```
     pub fn all(&self, now: Duration) -> Vec<Upstream> {
-        self.entries.values().map(|entry| Self::aged(entry, now)).collect()
+        self.entries
+            .values()
+            .map(|entry| Self::aged(entry, now))
+            .collect()
     }
 
     /// All of one service as last told, without their ages and without a copy.
@@ -304,7 +394,10 @@
     /// ```
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Upstream> {
         let first = (service.to_owned(), String::new());
-        let mine = self.entries.range(first..).take_while(move |((other, _), _)| other == service);
+        let mine = self
+            .entries
+            .range(first..)
+            .take_while(move |((other, _), _)| other == service);
         mine.map(|(_, entry)| &entry.upstream)
     }
 
@@ -319,10 +412,19 @@
     /// assert_eq!(roll.heard_within("s", 2 * second, 3 * second).count(), 1);
     /// assert_eq!(roll.heard_within("s", 4 * second, 3 * second).count(), 0);
     /// ```
-    pub fn heard_within(&self, service: &str, now: Duration, span: Duration) -> impl Iterator<Item = &Upstream> {
+    pub fn heard_within(
+        &self,
+        service: &str,
+        now: Duration,
+        span: Duration,
+    ) -> impl Iterator<Item = &Upstream> {
         let first = (service.to_owned(), String::new());
-        let mine = self.entries.range(first..).take_while(move |((other, _), _)| other == service);
-        mine.filter(move |(_, entry)| now.saturating_sub(entry.heard_at) < span).map(|(_, entry)| &entry.upstream)
+        let mine = self
+            .entries
+            .range(first..)
+            .take_while(move |((other, _), _)| other == service);
+        mine.filter(move |(_, entry)| now.saturating_sub(entry.heard_at) < span)
+            .map(|(_, entry)| &entry.upstream)
     }
 
     /// Those that will not come back, heard of lately: told again, since they tell themselves no more.
@@ -331,8 +433,14 @@
     /// assert!(enrolment::Roll::default().farewells(std::time::Duration::ZERO).is_empty());
     /// ```
     pub fn farewells(&self, now: Duration) -> Vec<Upstream> {
-        let fresh = |entry: &&Entry| entry.upstream.condition == GONE && now < entry.heard_at + Duration::from_secs(8);
-        self.entries.values().filter(fresh).map(|entry| Self::aged(entry, now)).collect()
+        let fresh = |entry: &&Entry| {
+            entry.upstream.condition == GONE && now < entry.heard_at + Duration::from_secs(8)
+        };
+        self.entries
+            .values()
+            .filter(fresh)
+            .map(|entry| Self::aged(entry, now))
+            .collect()
     }
 
     /// Takes in that an upstream leaves or is gone, as another node knows it; false where there is no room to remember
@@ -348,23 +456,45 @@
     /// assert_eq!(roll.all(now)[0].condition, GONE, "a late beat brings nobody back");
     /// ```
     pub fn depart(&mut self, now: Duration, departure: &Departure) -> bool {
-        let Departure { service, instance, condition, beat } = departure;
+        let Departure {
+            service,
+            instance,
+            condition,
+            beat,
+        } = departure;
         if *condition == READY || *condition > GONE {
             return true;
         }
         let named = (service.clone(), instance.clone());
         let known: Vec<Id> = if service.is_empty() {
-            self.entries.keys().filter(|(_, known)| known == instance).cloned().collect()
+            self.entries
+                .keys()
+                .filter(|(_, known)| known == instance)
+                .cloned()
+                .collect()
         } else {
-            Some(&named).filter(|id| self.entries.contains_key(*id)).cloned().into_iter().collect()
+            Some(&named)
+                .filter(|id| self.entries.contains_key(*id))
+                .cloned()
+                .into_iter()
+                .collect()
         };
-        known.iter().for_each(|id| self.depart_known(now, id, *condition, *beat));
+        known
+            .iter()
+            .for_each(|id| self.depart_known(now, id, *condition, *beat));
         if known.is_empty() && self.departed_condition(&named, *beat) < *condition {
             let room = self.departed.len() < MOST_UPSTREAMS || self.departed.contains_key(&named);
             if room {
                 // Whoever follows this node may still know it.
                 self.changed.insert(named.clone());
-                self.departed.insert(named, Departed { condition: *condition, beat: *beat, known_since: now });
+                self.departed.insert(
+                    named,
+                    Departed {
+                        condition: *condition,
+                        beat: *beat,
+                        known_since: now,
+                    },
+                );
             }
             return room;
         }
@@ -373,7 +503,8 @@
 
     fn depart_known(&mut self, now: Duration, id: &Id, condition: u32, beat: u64) {
         let known = self.entries.get_mut(id);
-        let departs = known.filter(|known| known.upstream.condition < condition && known.upstream.beat <= beat);
+        let departs = known
+            .filter(|known| known.upstream.condition < condition && known.upstream.beat <= beat);
         let Some(entry) = departs else { return };
         entry.upstream.beat = beat;
         entry.upstream.condition = condition;
@@ -388,9 +519,14 @@
     /// address to another by mistake, and goes on beating.
     fn departed_condition(&self, id: &Id, beat: u64) -> u32 {
         let nameless = (String::new(), id.1.clone());
-        let known = [id, &nameless].into_iter().filter_map(|id| self.departed.get(id));
+        let known = [id, &nameless]
+            .into_iter()
+            .filter_map(|id| self.departed.get(id));
         let known = known.filter(|departed| departed.condition == LEAVING || beat <= departed.beat);
-        known.map(|departed| departed.condition).max().unwrap_or(READY)
+        known
+            .map(|departed| departed.condition)
+            .max()
+            .unwrap_or(READY)
     }
 
     /// Those that departed and have no entry: whoever still knows one of them is to forget it. Without a service it is
@@ -409,7 +545,12 @@
     /// What is told of an upstream that has no entry.
     fn forgotten((service, instance): &Id) -> Upstream {
         let (service, instance) = (service.clone(), instance.clone());
-        Upstream { service, instance, condition: GONE, ..Upstream::default() }
+        Upstream {
+            service,
+            instance,
+            condition: GONE,
+            ..Upstream::default()
+        }
     }
 
     /// Those that said within this span that they leave or are gone.
@@ -428,21 +569,29 @@
             Some((id, entry.upstream.condition, entry.upstream.beat, since))
         });
         let departed = self.departed.iter();
-        let departed = departed.map(|(id, departed)| (id, departed.condition, departed.beat, departed.known_since));
-        let recent = known.chain(departed).filter(|(.., since)| now < *since + within);
-        let told = |((service, instance), condition, beat, _): (&Id, u32, u64, Duration)| Departure {
-            service: service.clone(),
-            instance: instance.clone(),
-            condition,
-            beat,
-        };
+        let departed = departed
+            .map(|(id, departed)| (id, departed.condition, departed.beat, departed.known_since));
+        let recent = known
+            .chain(departed)
+            .filter(|(.., since)| now < *since + within);
+        let told =
+            |((service, instance), condition, beat, _): (&Id, u32, u64, Duration)| Departure {
+                service: service.clone(),
+                instance: instance.clone(),
+                condition,
+                beat,
+            };
         recent.map(told).collect()
     }
 
     fn aged(entry: &Entry, now: Duration) -> Upstream {
         let age_ms = now.saturating_sub(entry.heard_at).as_millis() as u64;
         let born_ms = (now.as_millis() as i64 - entry.born_at_ms).max(0) as u64;
-        Upstream { age_ms, born_ms, ..entry.upstream.clone() }
+        Upstream {
+            age_ms,
+            born_ms,
+            ..entry.upstream.clone()
+        }
     }
 }
 
@@ -463,14 +612,19 @@
             ..Upstream::default()
         };
         let (old, new) = (told("unit-3", GONE, 90_000), told("unit-27", READY, 40_000));
-        [[old.clone(), new.clone()], [new.clone(), old.clone()]].into_iter().for_each(|order| {
-            let mut roll = Roll::default();
-            order.into_iter().for_each(|upstream| {
-                roll.take(Duration::from_secs(1), upstream);
+        [[old.clone(), new.clone()], [new.clone(), old.clone()]]
+            .into_iter()
+            .for_each(|order| {
+                let mut roll = Roll::default();
+                order.into_iter().for_each(|upstream| {
+                    roll.take(Duration::from_secs(1), upstream);
+                });
+                let live = roll
+                    .all(Duration::from_secs(1))
+                    .into_iter()
+                    .find(|upstream| upstream.instance == "unit-27");
+                assert_eq!(live.map(|upstream| upstream.condition), Some(READY));
             });
-            let live = roll.all(Duration::from_secs(1)).into_iter().find(|upstream| upstream.instance == "unit-27");
-            assert_eq!(live.map(|upstream| upstream.condition), Some(READY));
-        });
     }
 
     /// A beat of an old instance lay in a frozen process, and was told as news when its address had a new tenant.
@@ -487,11 +641,24 @@
         let mut roll = Roll::default();
         roll.take(ms(1000), told("new", 1));
         roll.take(ms(1200), told("old", 9));
-        assert_eq!(roll.one(ms(1200), &told("new", 0)).map(|new| new.condition), Some(GONE), "it seems the older");
-        assert!(!roll.take(ms(1500), told("new", 2)), "for a moment it can't be known");
+        assert_eq!(
+            roll.one(ms(1200), &told("new", 0)).map(|new| new.condition),
+            Some(GONE),
+            "it seems the older"
+        );
+        assert!(
+            !roll.take(ms(1500), told("new", 2)),
+            "for a moment it can't be known"
+        );
         assert!(roll.take(ms(3000), told("new", 5)));
-        assert_eq!(roll.one(ms(3000), &told("new", 0)).map(|new| new.condition), Some(READY));
-        assert_eq!(roll.one(ms(3000), &told("old", 0)).map(|old| old.condition), Some(GONE));
+        assert_eq!(
+            roll.one(ms(3000), &told("new", 0)).map(|new| new.condition),
+            Some(READY)
+        );
+        assert_eq!(
+            roll.one(ms(3000), &told("old", 0)).map(|old| old.condition),
+            Some(GONE)
+        );
     }
 
     /// Ages beyond the start of this process still tell the younger from the older.
--- a/crates/enrolment/src/shares.rs
+++ b/crates/enrolment/src/shares.rs
@@ -87,22 +87,38 @@
     /// assert_ne!(shares.beat(now, &unit("b", 3, &[]), &both), Some(vec![]), "let go");
     /// assert_eq!(shares.beat(now, &unit("a", 2, &[]), &both), None, "an overtaken beat lets nothing go");
     /// ```
-    pub fn beat(&mut self, now: Duration, upstream: &Upstream, ready: &BTreeSet<String>) -> Option<Vec<Share>> {
+    pub fn beat(
+        &mut self,
+        now: Duration,
+        upstream: &Upstream,
+        ready: &BTreeSet<String>,
+    ) -> Option<Vec<Share>> {
         let me = &upstream.instance;
-        if self.beats.get(me).is_some_and(|last| upstream.beat <= *last) {
+        if self
+            .beats
+            .get(me)
+            .is_some_and(|last| upstream.beat <= *last)
+        {
             return None;
         }
         self.beats.insert(me.clone(), upstream.beat);
         if self.beats.len() > MOST_BEATS {
             // Whoever is not there and holds nothing has nothing to lose by an overtaken beat.
             let slots = &self.slots;
-            self.beats.retain(|other, _| ready.contains(other) || slots.values().any(|slot| slot.owner == *other));
+            self.beats.retain(|other, _| {
+                ready.contains(other) || slots.values().any(|slot| slot.owner == *other)
+            });
         }
         let holds = |slot: u32, epoch: u64| {
-            upstream.holds.iter().any(|share| share.epoch == epoch && (share.from..share.until).contains(&slot))
+            upstream
+                .holds
+                .iter()
+                .any(|share| share.epoch == epoch && (share.from..share.until).contains(&slot))
         };
         // What it no longer names, it has let go; what ran out is free.
-        self.slots.retain(|slot, owned| now < owned.until && (owned.owner != *me || holds(*slot, owned.epoch)));
+        self.slots.retain(|slot, owned| {
+            now < owned.until && (owned.owner != *me || holds(*slot, owned.epoch))
+        });
         if now < self.quiet_until {
             if upstream.holder != self.lease_epoch {
                 return None;
@@ -113,19 +129,33 @@
             return Some(Vec::new());
         }
         let fair = (SLOTS as usize).div_ceil(ready.len().max(1));
-        let mine: Vec<u32> = self.slots.iter().filter(|(_, owned)| owned.owner == *me).map(|(slot, _)| *slot).collect();
+        let mine: Vec<u32> = self
+            .slots
+            .iter()
+            .filter(|(_, owned)| owned.owner == *me)
+            .map(|(slot, _)| *slot)
+            .collect();
         let until = now + self.span + self.span / 6;
         let kept: Vec<u32> = mine.iter().copied().take(fair).collect();
         kept.iter().for_each(|slot| {
-            self.slots.entry(*slot).and_modify(|owned| owned.until = until);
+            self.slots
+                .entry(*slot)
+                .and_modify(|owned| owned.until = until);
         });
         let room = fair - kept.len();
         let room = if now < self.quiet_until { 0 } else { room };
-        let free: Vec<u32> = (0..SLOTS).filter(|slot| !self.slots.contains_key(slot)).take(room).collect();
+        let free: Vec<u32> = (0..SLOTS)
+            .filter(|slot| !self.slots.contains_key(slot))
+            .take(room)
+            .collect();
         if !free.is_empty() {
             self.epoch += 1;
         }
-        let given = Slot { owner: me.clone(), epoch: self.epoch, until };
+        let given = Slot {
+            owner: me.clone(),
+            epoch: self.epoch,
+            until,
+        };
         free.iter().for_each(|slot| {
             self.slots.insert(*slot, given.clone());
         });
@@ -140,7 +170,11 @@
         upstream.holds.iter().for_each(|share| {
             (share.from..share.until.min(SLOTS)).for_each(|slot| {
                 let owner = upstream.instance.clone();
-                self.slots.entry(slot).or_insert(Slot { owner, epoch: share.epoch, until });
+                self.slots.entry(slot).or_insert(Slot {
+                    owner,
+                    epoch: share.epoch,
+                    until,
+                });
             });
         });
     }
@@ -169,15 +203,28 @@
 
     /// Chosen slots as runs of one owner and epoch.
     fn runs(&self, chosen: impl Fn(u32, &Slot) -> bool) -> Vec<Share> {
-        let picked = self.slots.iter().filter(|(slot, owned)| chosen(**slot, owned));
+        let picked = self
+            .slots
+            .iter()
+            .filter(|(slot, owned)| chosen(**slot, owned));
         picked.fold(Vec::new(), |mut runs: Vec<Share>, (slot, owned)| {
             match runs.last_mut() {
-                Some(run) if run.until == *slot && run.epoch == owned.epoch && run.instance == owned.owner => {
+                Some(run)
+                    if run.until == *slot
+                        && run.epoch == owned.epoch
+                        && run.instance == owned.owner =>
+                {
                     run.until += 1;
                 }
                 _ => {
                     let instance = owned.owner.clone();
-                    runs.push(Share { from: *slot, until: slot + 1, epoch: owned.epoch, instance, ..Share::default() })
+                    runs.push(Share {
+                        from: *slot,
+                        until: slot + 1,
+                        epoch: owned.epoch,
+                        instance,
+                        ..Share::default()
+                    })
                 }
             }
             runs
--- a/crates/enrolment/src/table.rs
+++ b/crates/enrolment/src/table.rs
@@ -67,7 +67,12 @@
 
 impl Table {
     pub(crate) fn new(keys: u32) -> Self {
-        let free = State::Free { last: None, handover: String::new(), taker: None, passed: 0 };
+        let free = State::Free {
+            last: None,
+            handover: String::new(),
+            taker: None,
+            passed: 0,
+        };
         Table([(0, (keys.max(1) - 1, free))].into())
     }
 
@@ -77,16 +82,27 @@
 
     /// What lies between two keys, cut to them.
     pub(crate) fn within(&self, from: u32, to: u32) -> Vec<Piece> {
-        let first = self.0.range(..=from).next_back().map_or(from, |(first, _)| *first);
+        let first = self
+            .0
+            .range(..=from)
+            .next_back()
+            .map_or(from, |(first, _)| *first);
         let pieces = self.0.range(first..=to.max(first));
-        pieces.map(|(left, (right, state))| (from.max(*left), to.min(*right), state.clone())).collect()
+        pieces
+            .map(|(left, (right, state))| (from.max(*left), to.min(*right), state.clone()))
+            .collect()
     }
 
     /// Gives all keys between two the state; nothing changes where the table is too full for another cut.
     pub(crate) fn set(&mut self, from: u32, to: u32, state: State) {
         let cuts = [from, to.saturating_add(1)];
-        let whole =
-            |cut: &u32| self.0.contains_key(cut) || self.0.last_key_value().is_some_and(|(_, (end, _))| cut > end);
+        let whole = |cut: &u32| {
+            self.0.contains_key(cut)
+                || self
+                    .0
+                    .last_key_value()
+                    .is_some_and(|(_, (end, _))| cut > end)
+        };
         if !cuts.iter().all(whole) && self.0.len() + 2 > MOST_RANGES {
             return;
         }
@@ -97,7 +113,9 @@
     }
 
     fn cut(&mut self, at: u32) {
-        let Some((_, (to, state))) = self.0.range_mut(..at).next_back() else { return };
+        let Some((_, (to, state))) = self.0.range_mut(..at).next_back() else {
+            return;
+        };
         if *to >= at {
             let right = (*to, state.clone());
             *to = at - 1;
@@ -113,12 +131,14 @@
     /// Joins neighbours of one state.
     pub(crate) fn join(&mut self) {
         let mut joined: BTreeMap<u32, (u32, State)> = BTreeMap::new();
-        std::mem::take(&mut self.0).into_iter().for_each(|(from, (to, state))| {
-            match joined.last_entry().filter(|last| last.get().1 == state) {
-                Some(mut last) => last.get_mut().0 = to,
-                None => drop(joined.insert(from, (to, state))),
-            }
-        });
+        std::mem::take(&mut self.0)
+            .into_iter()
+            .for_each(|(from, (to, state))| {
+                match joined.last_entry().filter(|last| last.get().1 == state) {
+                    Some(mut last) => last.get_mut().0 = to,
+                    None => drop(joined.insert(from, (to, state))),
+                }
+            });
         self.0 = joined;
     }
 }
--- a/crates/enrolment/tests/arbitrary.rs
+++ b/crates/enrolment/tests/arbitrary.rs
@@ -40,7 +40,12 @@
                         claim += 1;
                         shares = Shares::new(now, span, claim);
                     }
-                    1..=4 => units[at] = Unit { beat: units[at].beat, ..Unit::default() },
+                    1..=4 => {
+                        units[at] = Unit {
+                            beat: units[at].beat,
+                            ..Unit::default()
+                        }
+                    }
                     5..=12 if !wire.is_empty() => {
                         let lost = noise.int_in_range(0..=wire.len() - 1)?;
                         wire.swap_remove(lost);
@@ -69,9 +74,16 @@
                         match wire.remove(next) {
                             Envelope::Beat(at, sent_at, upstream) => {
                                 let count = noise.int_in_range(1..=UNITS)?;
-                                let ready: BTreeSet<String> = (0..count).map(|at| format!("u{at}")).collect();
+                                let ready: BTreeSet<String> =
+                                    (0..count).map(|at| format!("u{at}")).collect();
                                 let told = shares.beat(now, &upstream, &ready);
-                                wire.push(Envelope::Answer(at, upstream.beat, sent_at, told, claim));
+                                wire.push(Envelope::Answer(
+                                    at,
+                                    upstream.beat,
+                                    sent_at,
+                                    told,
+                                    claim,
+                                ));
                             }
                             Envelope::Answer(at, beat, sent_at, told, claim) => {
                                 let unit = &mut units[at];
@@ -81,9 +93,9 @@
                                 }
                                 if let Some(told) = told.filter(|_| latest) {
                                     let until = sent_at + span;
-                                    let slots = told
-                                        .iter()
-                                        .flat_map(|run| (run.from..run.until).map(|slot| (slot, (run.epoch, until))));
+                                    let slots = told.iter().flat_map(|run| {
+                                        (run.from..run.until).map(|slot| (slot, (run.epoch, until)))
+                                    });
                                     unit.holds = slots.collect();
                                     given += unit.holds.len();
                                 }
@@ -94,10 +106,16 @@
                 }
                 let mut owners: BTreeMap<u32, usize> = BTreeMap::new();
                 units.iter().enumerate().for_each(|(at, unit)| {
-                    unit.holds.iter().filter(|(_, (_, until))| now < *until).for_each(|(slot, _)| {
-                        let other = owners.insert(*slot, at);
-                        assert!(other.is_none(), "slot {slot} is held by u{at} and u{other:?} at {now:?}");
-                    });
+                    unit.holds
+                        .iter()
+                        .filter(|(_, (_, until))| now < *until)
+                        .for_each(|(slot, _)| {
+                            let other = owners.insert(*slot, at);
+                            assert!(
+                                other.is_none(),
+                                "slot {slot} is held by u{at} and u{other:?} at {now:?}"
+                            );
+                        });
                 });
             }
             Ok(())
--- a/crates/enrolment/tests/division.rs
+++ b/crates/enrolment/tests/division.rs
@@ -8,7 +8,13 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 fn terms() -> Terms {
-    Terms { hold: MS(3000), answer_within: MS(1000), margin: MS(50), settle: MS(2000), late_answers: false }
+    Terms {
+        hold: MS(3000),
+        answer_within: MS(1000),
+        margin: MS(50),
+        settle: MS(2000),
+        late_answers: false,
+    }
 }
 
 /// Upstreams without faults: each beats every half second, and lets go at once with a token.
@@ -28,9 +34,21 @@
     fn new(ready: &[(&str, u32)]) -> Self {
         let now = MS(1000);
         let ranges = Ranges::new(now, terms(), KEYS, 1, true);
-        let ready = ready.iter().map(|(name, capacity)| ((*name).to_owned(), *capacity)).collect();
+        let ready = ready
+            .iter()
+            .map(|(name, capacity)| ((*name).to_owned(), *capacity))
+            .collect();
         let (holds, had) = (BTreeMap::new(), BTreeMap::new());
-        Fleet { now, ranges, ready, holds, sequence: 0, moved: 0, cold: 0, had }
+        Fleet {
+            now,
+            ranges,
+            ready,
+            holds,
+            sequence: 0,
+            moved: 0,
+            cold: 0,
+            had,
+        }
     }
 
     fn join(&mut self, name: &str, capacity: u32) {
@@ -39,7 +57,12 @@
 
     fn round(&mut self, load: &Load) {
         self.now += MS(500);
-        let names: Vec<String> = self.ready.keys().chain(self.holds.keys()).cloned().collect();
+        let names: Vec<String> = self
+            .ready
+            .keys()
+            .chain(self.holds.keys())
+            .cloned()
+            .collect();
         names.iter().for_each(|name| {
             let released = self.beat(name, Vec::new(), load);
             if !released.is_empty() {
@@ -52,10 +75,26 @@
     fn beat(&mut self, name: &str, released: Vec<Released>, load: &Load) -> Vec<Released> {
         self.sequence += 1;
         let held = self.holds.remove(name).unwrap_or_default();
-        let holdings = held.iter().map(|grant| Row { from: grant.from, to: grant.to, fence: grant.fence }).collect();
-        let beat = Heartbeat { instance: name.to_owned(), sequence: self.sequence, holdings, released };
-        let told = self.ranges.beat(self.now, &beat, &self.ready, load).unwrap();
-        let lists = |rows: &[Grant], key: u32| rows.iter().any(|row| (row.from..=row.to).contains(&key));
+        let holdings = held
+            .iter()
+            .map(|grant| Row {
+                from: grant.from,
+                to: grant.to,
+                fence: grant.fence,
+            })
+            .collect();
+        let beat = Heartbeat {
+            instance: name.to_owned(),
+            sequence: self.sequence,
+            holdings,
+            released,
+        };
+        let told = self
+            .ranges
+            .beat(self.now, &beat, &self.ready, load)
+            .unwrap();
+        let lists =
+            |rows: &[Grant], key: u32| rows.iter().any(|row| (row.from..=row.to).contains(&key));
         told.iter().for_each(|grant| {
             (grant.from..=grant.to).for_each(|key| {
                 let last = self.had.insert(key, name.to_owned());
@@ -64,10 +103,17 @@
                 self.cold += u32::from(moved && grant.handover.is_empty());
             });
         });
-        let gone = held.iter().flat_map(|row| row.from..=row.to).filter(|key| !lists(&told, *key));
+        let gone = held
+            .iter()
+            .flat_map(|row| row.from..=row.to)
+            .filter(|key| !lists(&told, *key));
         let gone: Vec<u32> = gone.collect();
         let runs = gone.chunk_by(|one, other| one + 1 == *other);
-        let runs = runs.map(|run| Released { from: run[0], to: run[run.len() - 1], handover: format!("of {name}") });
+        let runs = runs.map(|run| Released {
+            from: run[0],
+            to: run[run.len() - 1],
+            handover: format!("of {name}"),
+        });
         let runs = runs.collect();
         self.holds.insert(name.to_owned(), told);
         runs
@@ -83,20 +129,34 @@
     }
 
     fn whole(&self) -> bool {
-        let keys: u32 = self.holds.values().flatten().map(|row| row.to - row.from + 1).sum();
+        let keys: u32 = self
+            .holds
+            .values()
+            .flatten()
+            .map(|row| row.to - row.from + 1)
+            .sum();
         keys == KEYS
     }
 }
 
 #[test]
 fn the_first_grant_is_by_capacity_and_in_one_piece_each() {
-    let (mut fleet, load) = (Fleet::new(&[("a", 1), ("b", 2), ("c", 5)]), Load::even(KEYS));
+    let (mut fleet, load) = (
+        Fleet::new(&[("a", 1), ("b", 2), ("c", 5)]),
+        Load::even(KEYS),
+    );
     fleet.round(&load);
     assert!(fleet.whole());
     assert!(fleet.holds.values().all(|rows| rows.len() == 1));
-    [("a", 0.125), ("b", 0.25), ("c", 0.625)].iter().for_each(|(name, part)| {
-        assert!((fleet.weight(name, &load) - part).abs() < 0.01, "{name}: {}", fleet.weight(name, &load));
-    });
+    [("a", 0.125), ("b", 0.25), ("c", 0.625)]
+        .iter()
+        .for_each(|(name, part)| {
+            assert!(
+                (fleet.weight(name, &load) - part).abs() < 0.01,
+                "{name}: {}",
+                fleet.weight(name, &load)
+            );
+        });
     fleet.rounds(20, &load);
     assert_eq!(fleet.moved, 0);
     assert_eq!(fleet.ranges.all(fleet.now).len(), 3);
@@ -104,21 +164,35 @@
 
 #[test]
 fn one_that_joins_takes_its_part_from_all_and_comes_warm() {
-    let (mut fleet, load) = (Fleet::new(&[("a", 1), ("b", 1), ("c", 1)]), Load::even(KEYS));
+    let (mut fleet, load) = (
+        Fleet::new(&[("a", 1), ("b", 1), ("c", 1)]),
+        Load::even(KEYS),
+    );
     fleet.rounds(3, &load);
     fleet.join("d", 1);
     fleet.rounds(12, &load);
     assert!(fleet.whole());
-    let parts: Vec<f64> = ["a", "b", "c", "d"].iter().map(|name| fleet.weight(name, &load)).collect();
+    let parts: Vec<f64> = ["a", "b", "c", "d"]
+        .iter()
+        .map(|name| fleet.weight(name, &load))
+        .collect();
     println!("parts {parts:?}, {} keys moved", fleet.moved);
-    assert!(parts.iter().all(|part| (0.75 * 0.25..1.25 * 0.25).contains(part)), "{parts:?}");
+    assert!(
+        parts
+            .iter()
+            .all(|part| (0.75 * 0.25..1.25 * 0.25).contains(part)),
+        "{parts:?}"
+    );
     assert!(fleet.moved <= KEYS * 3 / 10, "{} keys moved", fleet.moved);
     assert_eq!(fleet.cold, 0);
 }
 
 #[test]
 fn one_that_leaves_hands_all_over_and_nothing_else_moves() {
-    let (mut fleet, load) = (Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]), Load::even(KEYS));
+    let (mut fleet, load) = (
+        Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]),
+        Load::even(KEYS),
+    );
     fleet.rounds(3, &load);
     fleet.ready.remove("b");
     fleet.rounds(4, &load);
@@ -133,10 +207,14 @@
 #[test]
 fn free_keys_have_a_holder_once_everybody_was_heard() {
     let names: Vec<String> = (0..12).map(|at| format!("u{at:02}")).collect();
-    let counts: Vec<u64> = (0..1024u64).map(|at| at * at % 61 + if at % 200 < 20 { 300 } else { 0 }).collect();
+    let counts: Vec<u64> = (0..1024u64)
+        .map(|at| at * at % 61 + if at % 200 < 20 { 300 } else { 0 })
+        .collect();
     let load = Load::new(KEYS, &counts);
-    let unheld =
-        (0..12).step_by(3).flat_map(|leaver| (1..12).map(move |first| (leaver, first))).filter(|(leaver, first)| {
+    let unheld = (0..12)
+        .step_by(3)
+        .flat_map(|leaver| (1..12).map(move |first| (leaver, first)))
+        .filter(|(leaver, first)| {
             let ready: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 8)).collect();
             let mut fleet = Fleet::new(&ready);
             fleet.rounds(3, &load);
@@ -151,7 +229,11 @@
             });
             !fleet.whole()
         });
-    assert_eq!(unheld.collect::<Vec<_>>(), vec![], "who left, and how far the round had come");
+    assert_eq!(
+        unheld.collect::<Vec<_>>(),
+        vec![],
+        "who left, and how far the round had come"
+    );
 }
 
 #[test]
@@ -160,14 +242,34 @@
     fleet.rounds(3, &Load::even(KEYS));
     [1000, 3000].iter().for_each(|busy| {
         // Nine tenths of all on one part in 64.
-        let counts: Vec<u64> = (0..4096u64).map(|at| if (*busy..busy + 64).contains(&at) { 600 } else { 1 }).collect();
+        let counts: Vec<u64> = (0..4096u64)
+            .map(|at| {
+                if (*busy..busy + 64).contains(&at) {
+                    600
+                } else {
+                    1
+                }
+            })
+            .collect();
         let (load, before) = (Load::new(KEYS, &counts), fleet.moved);
         fleet.rounds(60, &load);
-        let parts: Vec<f64> = ["a", "b", "c", "d"].iter().map(|name| fleet.weight(name, &load)).collect();
+        let parts: Vec<f64> = ["a", "b", "c", "d"]
+            .iter()
+            .map(|name| fleet.weight(name, &load))
+            .collect();
         println!("parts {parts:?}, {} keys moved", fleet.moved - before);
         assert!(fleet.whole());
-        assert!(parts.iter().all(|part| (0.7 * 0.25..1.3 * 0.25).contains(part)), "{parts:?}");
-        assert!(fleet.moved - before < KEYS / 4, "{} keys moved", fleet.moved - before);
+        assert!(
+            parts
+                .iter()
+                .all(|part| (0.7 * 0.25..1.3 * 0.25).contains(part)),
+            "{parts:?}"
+        );
+        assert!(
+            fleet.moved - before < KEYS / 4,
+            "{} keys moved",
+            fleet.moved - before
+        );
     });
 }
 
@@ -175,10 +277,15 @@
 fn the_holder_of_one_hot_key_is_rid_of_the_others() {
     let mut fleet = Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
     fleet.rounds(3, &Load::even(KEYS));
-    let counts: Vec<u64> = (0..4096).map(|at| if at == 500 { 6000 } else { 1 }).collect();
+    let counts: Vec<u64> = (0..4096)
+        .map(|at| if at == 500 { 6000 } else { 1 })
+        .collect();
     let load = Load::new(KEYS, &counts);
     fleet.rounds(60, &load);
-    let parts: Vec<f64> = ["a", "b", "c", "d"].iter().map(|name| fleet.weight(name, &load)).collect();
+    let parts: Vec<f64> = ["a", "b", "c", "d"]
+        .iter()
+        .map(|name| fleet.weight(name, &load))
+        .collect();
     println!("parts {parts:?}, {} keys moved", fleet.moved);
     assert!(fleet.whole());
     let hot = load.weight(500 * 16, 500 * 16 + 15) / load.whole();
@@ -192,7 +299,9 @@
 fn a_load_that_flutters_moves_nothing() {
     let mut fleet = Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
     (0..100u64).for_each(|round| {
-        let counts: Vec<u64> = (0..512u64).map(|at| 100 + (at / 128 * 7 + round * 5) % 31).collect();
+        let counts: Vec<u64> = (0..512u64)
+            .map(|at| 100 + (at / 128 * 7 + round * 5) % 31)
+            .collect();
         fleet.round(&Load::new(KEYS, &counts));
     });
     assert!(fleet.whole());
@@ -201,7 +310,10 @@
 
 #[test]
 fn a_new_lease_holder_keeps_everything_where_it_is() {
-    let (mut fleet, load) = (Fleet::new(&[("a", 1), ("b", 1), ("c", 2)]), Load::even(KEYS));
+    let (mut fleet, load) = (
+        Fleet::new(&[("a", 1), ("b", 1), ("c", 2)]),
+        Load::even(KEYS),
+    );
     fleet.rounds(3, &load);
     let before = fleet.holds.clone();
     fleet.ranges = Ranges::new(fleet.now - MS(600), terms(), KEYS, 2, false);
@@ -213,14 +325,43 @@
 #[test]
 fn the_later_of_two_listed_grants_counts() {
     let mut ranges = Ranges::new(MS(1000), terms(), KEYS, 3, false);
-    let (load, ready) = (Load::even(KEYS), [("a".to_owned(), 1), ("b".to_owned(), 1)].into());
+    let (load, ready) = (
+        Load::even(KEYS),
+        [("a".to_owned(), 1), ("b".to_owned(), 1)].into(),
+    );
     let beat = |name: &str, sequence, fence| {
-        let holdings = vec![Row { from: 10, to: 20, fence }];
-        Heartbeat { instance: name.to_owned(), sequence, holdings, released: Vec::new() }
+        let holdings = vec![Row {
+            from: 10,
+            to: 20,
+            fence,
+        }];
+        Heartbeat {
+            instance: name.to_owned(),
+            sequence,
+            holdings,
+            released: Vec::new(),
+        }
     };
-    assert_eq!(ranges.beat(MS(2500), &beat("a", 1, 5), &ready, &load).unwrap().len(), 1);
-    assert_eq!(ranges.beat(MS(2510), &beat("b", 1, 6), &ready, &load).unwrap().len(), 1);
-    assert_eq!(ranges.beat(MS(2520), &beat("a", 2, 5), &ready, &load).unwrap(), []);
+    assert_eq!(
+        ranges
+            .beat(MS(2500), &beat("a", 1, 5), &ready, &load)
+            .unwrap()
+            .len(),
+        1
+    );
+    assert_eq!(
+        ranges
+            .beat(MS(2510), &beat("b", 1, 6), &ready, &load)
+            .unwrap()
+            .len(),
+        1
+    );
+    assert_eq!(
+        ranges
+            .beat(MS(2520), &beat("a", 2, 5), &ready, &load)
+            .unwrap(),
+        []
+    );
 }
 
 #[test]
@@ -228,18 +369,60 @@
     let (load, ready) = (Load::even(KEYS), [("a".to_owned(), 1)].into());
     let mut ranges = Ranges::new(MS(1000), terms(), KEYS, 3, false);
     let own = 3 << 24;
-    let rows = [(7, 3, 1), (70_000, 70_001, 1), (0, KEYS, 1), (5, u32::MAX, 1), (40, 50, own), (60, 70, u64::MAX)];
-    let holdings: Vec<Row> = rows.iter().map(|(from, to, fence)| Row { from: *from, to: *to, fence: *fence }).collect();
-    let released = rows.iter().map(|(from, to, _)| Released { from: *from, to: *to, handover: "x".repeat(9999) });
-    let beat = |sequence, holdings| Heartbeat { instance: "a".into(), sequence, holdings, released: Vec::new() };
-    let bad = Heartbeat { released: released.collect(), ..beat(1, holdings) };
+    let rows = [
+        (7, 3, 1),
+        (70_000, 70_001, 1),
+        (0, KEYS, 1),
+        (5, u32::MAX, 1),
+        (40, 50, own),
+        (60, 70, u64::MAX),
+    ];
+    let holdings: Vec<Row> = rows
+        .iter()
+        .map(|(from, to, fence)| Row {
+            from: *from,
+            to: *to,
+            fence: *fence,
+        })
+        .collect();
+    let released = rows.iter().map(|(from, to, _)| Released {
+        from: *from,
+        to: *to,
+        handover: "x".repeat(9999),
+    });
+    let beat = |sequence, holdings| Heartbeat {
+        instance: "a".into(),
+        sequence,
+        holdings,
+        released: Vec::new(),
+    };
+    let bad = Heartbeat {
+        released: released.collect(),
+        ..beat(1, holdings)
+    };
     assert_eq!(ranges.beat(MS(2500), &bad, &ready, &load), Some(vec![]));
-    let many = vec![Row { from: 0, to: 0, fence: 1 }; MOST_ROWS + 1];
+    let many = vec![
+        Row {
+            from: 0,
+            to: 0,
+            fence: 1
+        };
+        MOST_ROWS + 1
+    ];
     assert_eq!(ranges.beat(MS(2600), &beat(2, many), &ready, &load), None);
     (0..60).for_each(|at| {
         let holdings = (0..MOST_ROWS as u32).map(|row| row * 64 + at);
-        let holdings = holdings.map(|key| Row { from: key, to: key, fence: u64::from(at) });
-        ranges.beat(MS(2700), &beat(3 + u64::from(at), holdings.collect()), &ready, &load);
+        let holdings = holdings.map(|key| Row {
+            from: key,
+            to: key,
+            fence: u64::from(at),
+        });
+        ranges.beat(
+            MS(2700),
+            &beat(3 + u64::from(at), holdings.collect()),
+            &ready,
+            &load,
+        );
         assert!(ranges.all(MS(2700)).len() <= MOST_RANGES);
     });
 }
--- a/crates/enrolment/tests/ranges.rs
+++ b/crates/enrolment/tests/ranges.rs
@@ -13,7 +13,13 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 fn terms(late_answers: bool) -> Terms {
-    Terms { hold: MS(3000), answer_within: MS(1000), margin: MS(50), settle: MS(400), late_answers }
+    Terms {
+        hold: MS(3000),
+        answer_within: MS(1000),
+        margin: MS(50),
+        settle: MS(400),
+        late_answers,
+    }
 }
 
 /// What is wrong with the world on purpose.
@@ -58,8 +64,17 @@
 }
 
 enum Mail {
-    Beat { unit: String, sent: Duration, beat: Heartbeat },
-    Answer { unit: String, sent: Duration, sequence: u64, grants: Option<Vec<Grant>> },
+    Beat {
+        unit: String,
+        sent: Duration,
+        beat: Heartbeat,
+    },
+    Answer {
+        unit: String,
+        sent: Duration,
+        sequence: u64,
+        grants: Option<Vec<Grant>>,
+    },
 }
 
 struct World {
@@ -102,13 +117,30 @@
     fn new(fault: Fault, late: bool) -> Self {
         let (now, mut born) = (MS(10_000), 0);
         let slowest = if fault == Fault::SlowClocks { 900 } else { 980 };
-        let units = (0..UNITS).map(|at| unit(&mut born, now, if at % 2 == 0 { slowest } else { 1000 })).collect();
+        let units = (0..UNITS)
+            .map(|at| unit(&mut born, now, if at % 2 == 0 { slowest } else { 1000 }))
+            .collect();
         let announced = late && fault != Fault::LateUnannounced;
         let ranges = Some(Ranges::new(now, terms(announced), KEYS, 1, true));
         let (mail, load, epoch, clock) = (Vec::new(), Load::even(KEYS), 1, 1000);
         let (next_lease, given, warm) = (now, 0, 0);
         let blame = None;
-        World { fault, late, now, units, born, mail, ranges, epoch, next_lease, clock, load, given, warm, blame }
+        World {
+            fault,
+            late,
+            now,
+            units,
+            born,
+            mail,
+            ranges,
+            epoch,
+            next_lease,
+            clock,
+            load,
+            given,
+            warm,
+            blame,
+        }
     }
 
     fn lease_now(&self) -> Duration {
@@ -117,24 +149,48 @@
 
     /// What the control nodes believe; a crash shows only after a while.
     fn ready(&self) -> BTreeMap<String, u32> {
-        let believed =
-            |unit: &&Unit| !unit.draining && !unit.signed_off && (unit.alive || self.now < unit.gone_at + MS(1500));
-        let each = self.units.iter().enumerate().filter(|(_, unit)| believed(unit));
-        each.map(|(at, unit)| (unit.name.clone(), 1 + at as u32)).collect()
+        let believed = |unit: &&Unit| {
+            !unit.draining && !unit.signed_off && (unit.alive || self.now < unit.gone_at + MS(1500))
+        };
+        let each = self
+            .units
+            .iter()
+            .enumerate()
+            .filter(|(_, unit)| believed(unit));
+        each.map(|(at, unit)| (unit.name.clone(), 1 + at as u32))
+            .collect()
     }
 
     fn start_lease(&mut self) {
         self.epoch += 1;
-        self.clock = if self.epoch.is_multiple_of(2) { 1005 } else { 1000 };
+        self.clock = if self.epoch.is_multiple_of(2) {
+            1005
+        } else {
+            1000
+        };
         let terms = terms(self.late && self.fault != Fault::LateUnannounced);
         let now = self.lease_now();
-        let start = if self.fault == Fault::AdoptsAtOnce { now - MS(1080) } else { now };
-        self.ranges = Some(Ranges::new(start, terms, KEYS, self.epoch, self.fault == Fault::GivesAtOnce));
+        let start = if self.fault == Fault::AdoptsAtOnce {
+            now - MS(1080)
+        } else {
+            now
+        };
+        self.ranges = Some(Ranges::new(
+            start,
+            terms,
+            KEYS,
+            self.epoch,
+            self.fault == Fault::GivesAtOnce,
+        ));
     }
 
     fn disturb(&mut self, noise: &mut Unstructured) -> Result<()> {
         let at = noise.int_in_range(0..=UNITS - 1)?;
-        let rate = if self.fault == Fault::SlowClocks { 900 } else { 980 };
+        let rate = if self.fault == Fault::SlowClocks {
+            900
+        } else {
+            980
+        };
         match noise.int_in_range(0..=9u8)? {
             0 | 1 => {
                 self.ranges = None;
@@ -150,7 +206,9 @@
                 self.units[at] = unit(&mut self.born, self.now, rate);
             }
             6 | 7 => {
-                let counts: Vec<u64> = (0..16).map(|_| noise.int_in_range(0..=40u64)).collect::<Result<_>>()?;
+                let counts: Vec<u64> = (0..16)
+                    .map(|_| noise.int_in_range(0..=40u64))
+                    .collect::<Result<_>>()?;
                 self.load = Load::new(KEYS, &counts);
             }
             // One stands still for a while.
@@ -164,8 +222,11 @@
         self.units[at].signed_off = true;
         if self.fault == Fault::FreesAtSignOff {
             let (now, ready) = (self.lease_now(), self.ready());
-            let lets_all_go =
-                Heartbeat { instance: self.units[at].name.clone(), sequence: u64::MAX, ..Heartbeat::default() };
+            let lets_all_go = Heartbeat {
+                instance: self.units[at].name.clone(),
+                sequence: u64::MAX,
+                ..Heartbeat::default()
+            };
             self.ranges.iter_mut().for_each(|ranges| {
                 ranges.beat(now, &lets_all_go, &ready, &self.load);
             });
@@ -191,12 +252,21 @@
         if self.ranges.is_none() && now >= self.next_lease {
             self.start_lease();
         }
-        let beats: Vec<Mail> = self.units.iter_mut().filter_map(|unit| unit.tick(now)).collect();
-        beats.into_iter().try_for_each(|beat| self.post(noise, beat))?;
-        let (due, later) = std::mem::take(&mut self.mail).into_iter().partition(|(at, _)| *at <= now);
+        let beats: Vec<Mail> = self
+            .units
+            .iter_mut()
+            .filter_map(|unit| unit.tick(now))
+            .collect();
+        beats
+            .into_iter()
+            .try_for_each(|beat| self.post(noise, beat))?;
+        let (due, later) = std::mem::take(&mut self.mail)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.mail = later;
         let due: Vec<(Duration, Mail)> = due;
-        due.into_iter().try_for_each(|(_, mail)| self.deliver(noise, mail))?;
+        due.into_iter()
+            .try_for_each(|(_, mail)| self.deliver(noise, mail))?;
         self.check();
         Ok(())
     }
@@ -205,18 +275,44 @@
         match mail {
             Mail::Beat { unit, sent, beat } => {
                 let (now, ready) = (self.lease_now(), self.ready());
-                let Some(ranges) = self.ranges.as_mut() else { return Ok(()) };
+                let Some(ranges) = self.ranges.as_mut() else {
+                    return Ok(());
+                };
                 let grants = ranges.beat(now, &beat, &ready, &self.load);
-                self.post(noise, Mail::Answer { unit, sent, sequence: beat.sequence, grants })
+                self.post(
+                    noise,
+                    Mail::Answer {
+                        unit,
+                        sent,
+                        sequence: beat.sequence,
+                        grants,
+                    },
+                )
             }
-            Mail::Answer { unit, sent, sequence, grants } => {
+            Mail::Answer {
+                unit,
+                sent,
+                sequence,
+                grants,
+            } => {
                 let (now, late) = (self.now, self.late);
-                let unit = self.units.iter_mut().find(|other| other.name == unit && other.alive);
-                let (Some(unit), Some(grants)) = (unit, grants) else { return Ok(()) };
+                let unit = self
+                    .units
+                    .iter_mut()
+                    .find(|other| other.name == unit && other.alive);
+                let (Some(unit), Some(grants)) = (unit, grants) else {
+                    return Ok(());
+                };
                 let in_time = (now - sent) * unit.rate / 1000 <= MS(1000);
                 if in_time && (late || unit.sequence == sequence) {
-                    self.given += grants.iter().map(|grant| (grant.to - grant.from + 1) as usize).sum::<usize>();
-                    self.warm += grants.iter().filter(|grant| !grant.handover.is_empty()).count();
+                    self.given += grants
+                        .iter()
+                        .map(|grant| (grant.to - grant.from + 1) as usize)
+                        .sum::<usize>();
+                    self.warm += grants
+                        .iter()
+                        .filter(|grant| !grant.handover.is_empty())
+                        .count();
                     unit.take(now, sent, sequence, &grants, noise.int_in_range(0..=30u64)?);
                 }
                 Ok(())
@@ -226,13 +322,24 @@
 
     fn holders(&self, key: u32) -> Vec<&str> {
         let live = self.units.iter().filter(|unit| unit.alive);
-        let holding = live.filter(|unit| unit.holds.get(&key).is_some_and(|hold| self.now < hold.until));
+        let holding = live.filter(|unit| {
+            unit.holds
+                .get(&key)
+                .is_some_and(|hold| self.now < hold.until)
+        });
         holding.map(|unit| unit.name.as_str()).collect()
     }
 
     fn check(&mut self) {
-        let twice = (0..KEYS).map(|key| (key, self.holders(key))).find(|(_, holders)| holders.len() > 1);
-        let blame = twice.map(|(key, holders)| format!("key {key}, {holders:?}, {:?}, epoch {}", self.now, self.epoch));
+        let twice = (0..KEYS)
+            .map(|key| (key, self.holders(key)))
+            .find(|(_, holders)| holders.len() > 1);
+        let blame = twice.map(|(key, holders)| {
+            format!(
+                "key {key}, {holders:?}, {:?}, epoch {}",
+                self.now, self.epoch
+            )
+        });
         self.blame = self.blame.take().or(blame);
     }
 }
@@ -249,7 +356,14 @@
         self.holds.retain(|key, hold| {
             let kept = hold.lets_go.is_none_or(|at| now < at);
             if !kept {
-                released.push((sequence, Released { from: *key, to: *key, handover: format!("{name}/{sequence}") }));
+                released.push((
+                    sequence,
+                    Released {
+                        from: *key,
+                        to: *key,
+                        handover: format!("{name}/{sequence}"),
+                    },
+                ));
             }
             kept
         });
@@ -263,26 +377,53 @@
         let letting_go = self.holds.values().any(|hold| hold.lets_go.is_some());
         self.next_beat = now + MS(if letting_go { 100 } else { 300 });
         self.sequence = sequence;
-        let holdings = self.holds.iter().map(|(key, hold)| Row { from: *key, to: *key, fence: hold.fence }).collect();
+        let holdings = self
+            .holds
+            .iter()
+            .map(|(key, hold)| Row {
+                from: *key,
+                to: *key,
+                fence: hold.fence,
+            })
+            .collect();
         let released = self.released.iter().map(|(_, row)| row.clone()).collect();
-        let beat = Heartbeat { instance: name.clone(), sequence, holdings, released };
-        Some(Mail::Beat { unit: name, sent: now, beat })
+        let beat = Heartbeat {
+            instance: name.clone(),
+            sequence,
+            holdings,
+            released,
+        };
+        Some(Mail::Beat {
+            unit: name,
+            sent: now,
+            beat,
+        })
     }
 
     fn take(&mut self, now: Duration, sent: Duration, sequence: u64, grants: &[Grant], work: u64) {
         self.released.retain(|(since, _)| *since > sequence);
         let until = sent + terms(false).hold * 1000 / self.rate;
         let lets_go = Some(now + MS(work * TICK));
-        self.holds.values_mut().for_each(|hold| hold.lets_go = hold.lets_go.or(lets_go));
-        grants.iter().flat_map(|grant| (grant.from..=grant.to).map(|key| (key, grant.fence))).for_each(
-            |(key, fence)| {
+        self.holds
+            .values_mut()
+            .for_each(|hold| hold.lets_go = hold.lets_go.or(lets_go));
+        grants
+            .iter()
+            .flat_map(|grant| (grant.from..=grant.to).map(|key| (key, grant.fence)))
+            .for_each(|(key, fence)| {
                 let seen = self.seen.entry(key).or_default();
                 if fence >= *seen && now < until {
                     *seen = fence;
-                    self.holds.insert(key, Hold { fence, until, lets_go: None });
+                    self.holds.insert(
+                        key,
+                        Hold {
+                            fence,
+                            until,
+                            lets_go: None,
+                        },
+                    );
                 }
-            },
-        );
+            });
     }
 }
 
@@ -346,7 +487,10 @@
 fn sound(late: bool) {
     let mut tally = Tally::default();
     (1..=400).for_each(|number| world(Fault::None, late, number, &mut tally));
-    println!("{} given, {} warm, {} leases, {:?} to whole", tally.given, tally.warm, tally.leases, tally.slowest);
+    println!(
+        "{} given, {} warm, {} leases, {:?} to whole",
+        tally.given, tally.warm, tally.leases, tally.slowest
+    );
     assert_eq!(tally.blame, None);
     assert!(tally.given > 100_000 && tally.warm > 100 && tally.leases > 1_000);
     assert!(tally.slowest < MS(7000), "{:?}", tally.slowest);
--- a/crates/explorer/src/clocks.rs
+++ b/crates/explorer/src/clocks.rs
@@ -7,7 +7,11 @@
 
 /// How far the clocks of so many nodes are off, in thousandths: slow, fast, true, and half as fast, in turn.
 pub(crate) fn drifts(nodes: usize) -> Vec<i64> {
-    [-MAX_DRIFT, MAX_DRIFT, 0, MAX_DRIFT / 2].into_iter().cycle().take(nodes).collect()
+    [-MAX_DRIFT, MAX_DRIFT, 0, MAX_DRIFT / 2]
+        .into_iter()
+        .cycle()
+        .take(nodes)
+        .collect()
 }
 
 /// What a clock shows that is off by so many thousandths.
--- a/crates/explorer/src/control_model.rs
+++ b/crates/explorer/src/control_model.rs
@@ -135,8 +135,18 @@
     }
 
     fn renew_fingerprint(&mut self) {
-        let Node { register, lease, disk, writes, disk_is_stray, born_at, lives, .. } = self;
-        self.fingerprint = fingerprint_of(&(register, lease, disk, writes, disk_is_stray, born_at, lives));
+        let Node {
+            register,
+            lease,
+            disk,
+            writes,
+            disk_is_stray,
+            born_at,
+            lives,
+            ..
+        } = self;
+        self.fingerprint =
+            fingerprint_of(&(register, lease, disk, writes, disk_is_stray, born_at, lives));
     }
 }
 
@@ -283,7 +293,12 @@
             violation: None,
         };
         let drifts = drifts(scenario.voters + scenario.replicas);
-        let mut model = ControlModel { scenario, defect: ControlDefect::None, drifts, initial };
+        let mut model = ControlModel {
+            scenario,
+            defect: ControlDefect::None,
+            drifts,
+            initial,
+        };
         model.initial = model.founded_start();
         model.defect = defect;
         model.initial = model.leased_start();
@@ -309,10 +324,22 @@
     /// assert_eq!(model.voter_epoch(&model.initial()), 0);
     /// ```
     pub fn voter_epoch(&self, world: &ControlWorld) -> u64 {
-        world.nodes.iter().map(|node| node.register.state().voter_set.epoch).max().unwrap_or(0)
-    }
-
-    fn start_node(&self, at: usize, peers: usize, disk: Disk, born_at: Duration, lives: u64) -> Node {
+        world
+            .nodes
+            .iter()
+            .map(|node| node.register.state().voter_set.epoch)
+            .max()
+            .unwrap_or(0)
+    }
+
+    fn start_node(
+        &self,
+        at: usize,
+        peers: usize,
+        disk: Disk,
+        born_at: Duration,
+        lives: u64,
+    ) -> Node {
         let seed = fingerprint_of(&(at, lives));
         let mut register = Register::new(Start {
             me: node_name(at),
@@ -320,31 +347,60 @@
             seed,
             durable: disk.durable.clone(),
             setups: disk.setups.clone(),
-            times: quorum_register::Times { confirm_every: NEVER, ..Default::default() },
+            times: quorum_register::Times {
+                confirm_every: NEVER,
+                ..Default::default()
+            },
         });
-        register.step(Duration::ZERO, quorum_register::Event::Peers((0..peers).map(node_name).collect()));
+        register.step(
+            Duration::ZERO,
+            quorum_register::Event::Peers((0..peers).map(node_name).collect()),
+        );
         // Its ticks are far apart, and its clocks drift but never jump.
-        let times = lease::Times { longest_step: Duration::MAX, ..lease::Times::new(SPAN, MARGIN) };
+        let times = lease::Times {
+            longest_step: Duration::MAX,
+            ..lease::Times::new(SPAN, MARGIN)
+        };
         let lease = Lease::new(node_name(at), times, seed);
         let (writes, disk_is_stray, fingerprint) = (VecDeque::new(), false, 0);
-        Node { register, lease, disk, writes, disk_is_stray, born_at, lives, fingerprint }
+        Node {
+            register,
+            lease,
+            disk,
+            writes,
+            disk_is_stray,
+            born_at,
+            lives,
+            fingerprint,
+        }
     }
 
     /// Founds the roster, lets replicas follow, and waits until every voter may grant the lease.
     fn founded_start(&self) -> ControlWorld {
         let mut world = self.initial.clone();
-        let (voters, all) = (self.scenario.voters, self.scenario.voters + self.scenario.replicas);
+        let (voters, all) = (
+            self.scenario.voters,
+            self.scenario.voters + self.scenario.replicas,
+        );
         let born = |at| Arc::new(self.start_node(at, voters, Disk::default(), Duration::ZERO, 0));
         world.nodes = (0..voters).map(born).collect();
         self.run_undisturbed(&mut world, START_ROUNDS, None);
         let later = world.now;
-        world.nodes.extend((voters..all).map(|at| Arc::new(self.start_node(at, all, Disk::default(), later, 0))));
+        world.nodes.extend(
+            (voters..all).map(|at| Arc::new(self.start_node(at, all, Disk::default(), later, 0))),
+        );
         let peers: Vec<String> = (0..all).map(node_name).collect();
         (0..voters).for_each(|at| {
             self.step_register(&mut world, at, quorum_register::Event::Peers(peers.clone()));
         });
         self.run_undisturbed(&mut world, START_ROUNDS, None);
-        (0..all).for_each(|at| self.step_register(&mut world, at, quorum_register::Event::Propose(Change::Finish)));
+        (0..all).for_each(|at| {
+            self.step_register(
+                &mut world,
+                at,
+                quorum_register::Event::Propose(Change::Finish),
+            )
+        });
         self.run_undisturbed(&mut world, START_ROUNDS, None);
         world.record(|history, _| {
             history.begin();
@@ -359,11 +415,16 @@
     fn leased_start(&self) -> ControlWorld {
         let mut world = self.initial.clone();
         let mut rounds = 0;
-        while self.scenario.unaware.is_some() && world.holders.last.is_none() && rounds < HELD_ROUNDS {
+        while self.scenario.unaware.is_some()
+            && world.holders.last.is_none()
+            && rounds < HELD_ROUNDS
+        {
             self.run_undisturbed(&mut world, 1, self.scenario.unaware);
             rounds += 1;
         }
-        if let (true, Some((gone, successor))) = (self.scenario.begun, self.scenario.replacements.first()) {
+        if let (true, Some((gone, successor))) =
+            (self.scenario.begun, self.scenario.replacements.first())
+        {
             self.begin_voters(&mut world, self.scenario.proposers[0], *gone, *successor);
             self.run_undisturbed(&mut world, 1, None);
         }
@@ -397,12 +458,22 @@
         let clock = self.clock(world, at);
         let effects = world.node_mut(at).register.step(clock, event);
         effects.into_iter().for_each(|effect| match effect {
-            quorum_register::Effect::Send { to, body } => self.send(world, at, node_index(&to), body),
-            quorum_register::Effect::Keep { ticket, durable } => write(world, at, ticket, Content::State(durable)),
-            quorum_register::Effect::KeepSetup { ticket, digest, bytes } => {
+            quorum_register::Effect::Send { to, body } => {
+                self.send(world, at, node_index(&to), body)
+            }
+            quorum_register::Effect::Keep { ticket, durable } => {
+                write(world, at, ticket, Content::State(durable))
+            }
+            quorum_register::Effect::KeepSetup {
+                ticket,
+                digest,
+                bytes,
+            } => {
                 write(world, at, ticket, Content::Setup { digest, bytes });
             }
-            quorum_register::Effect::DropSetup { digest } => write(world, at, 0, Content::DroppedSetup { digest }),
+            quorum_register::Effect::DropSetup { digest } => {
+                write(world, at, 0, Content::DroppedSetup { digest })
+            }
             quorum_register::Effect::EpochKept { token } => {
                 self.step_lease(world, at, lease::Event::EpochKept { token });
             }
@@ -421,7 +492,11 @@
         effects.into_iter().for_each(|effect| match effect {
             lease::Effect::Send { to, body } => self.send(world, at, node_index(&to), body),
             lease::Effect::RaiseEpoch { epoch, token } => {
-                self.step_register(world, at, quorum_register::Event::RaiseEpoch { epoch, token });
+                self.step_register(
+                    world,
+                    at,
+                    quorum_register::Event::RaiseEpoch { epoch, token },
+                );
             }
         });
         world.node_mut(at).renew_fingerprint();
@@ -451,7 +526,10 @@
             (ControlDefect::NewVoterGrantsAtOnce, Payload::LeaseReply(reply))
                 if from >= self.scenario.voters && world.nodes[from].register.is_voter() =>
             {
-                Payload::LeaseReply(LeaseReply { granted: true, ..reply })
+                Payload::LeaseReply(LeaseReply {
+                    granted: true,
+                    ..reply
+                })
             }
             (ControlDefect::AcceptsLackEpoch, Payload::Accept(mut accept)) => {
                 accept.lease_epoch = 0;
@@ -463,7 +541,10 @@
             }
             // The voters are to be read off the promise: it is asked for whole.
             (ControlDefect::SkipsJointVoters, Payload::Prepare(prepare)) => {
-                Payload::Prepare(Prepare { since: None, ..prepare })
+                Payload::Prepare(Prepare {
+                    since: None,
+                    ..prepare
+                })
             }
             (ControlDefect::SkipsJointVoters, Payload::Promise(mut promise)) => {
                 let voter_set = &mut promise.accepted.voter_set;
@@ -490,14 +571,22 @@
     /// Syncs a node's oldest write; false where there is none.
     fn sync(&self, world: &mut ControlWorld, at: usize) -> bool {
         let node = world.node_mut(at);
-        let Some(write) = node.writes.pop_front() else { return false };
+        let Some(write) = node.writes.pop_front() else {
+            return false;
+        };
         node.disk_is_stray &= !node.writes.is_empty();
         node.disk.apply(&write.content);
         disk_changed(world, at);
         if matches!(write.content, Content::DroppedSetup { .. }) {
             world.node_mut(at).renew_fingerprint();
         } else {
-            self.step_register(world, at, quorum_register::Event::Kept { ticket: write.ticket });
+            self.step_register(
+                world,
+                at,
+                quorum_register::Event::Kept {
+                    ticket: write.ticket,
+                },
+            );
         }
         true
     }
@@ -521,7 +610,13 @@
 
     fn restart(&self, world: &mut ControlWorld, at: usize) {
         let node = &world.nodes[at];
-        let restarted = self.start_node(at, world.nodes.len(), node.disk.clone(), world.now, node.lives + 1);
+        let restarted = self.start_node(
+            at,
+            world.nodes.len(),
+            node.disk.clone(),
+            world.now,
+            node.lives + 1,
+        );
         world.nodes[at] = Arc::new(restarted);
         world.node_mut(at).renew_fingerprint();
     }
@@ -529,14 +624,19 @@
     fn may_wipe(&self, world: &ControlWorld, at: usize) -> bool {
         let whole = |node: &Arc<Node>| node.disk.durable.disk != 0 && node.is_active();
         let others = world.nodes.iter().enumerate();
-        others.into_iter().all(|(other, node)| other == at || whole(node)) && world.nodes[at].disk.durable.disk != 0
+        others
+            .into_iter()
+            .all(|(other, node)| other == at || whole(node))
+            && world.nodes[at].disk.durable.disk != 0
     }
 
     /// Every replacement that some node may propose by what it knows, and when it may.
     fn proposals(&self, world: &ControlWorld) -> Vec<ControlAction> {
         let active = |at: &usize| world.nodes[*at].is_active();
         let nodes = self.scenario.proposers.iter().copied().filter(active);
-        nodes.flat_map(|node| self.proposals_of(world, node)).collect()
+        nodes
+            .flat_map(|node| self.proposals_of(world, node))
+            .collect()
     }
 
     fn proposals_of(&self, world: &ControlWorld, node: usize) -> Vec<ControlAction> {
@@ -545,27 +645,51 @@
         if voter_set.is_joint() {
             return vec![ControlAction::CompleteVoters { node }];
         }
-        if register.voters_settled_for(self.clock(world, node)).is_none_or(|settled| settled < SETTLED) {
+        if register
+            .voters_settled_for(self.clock(world, node))
+            .is_none_or(|settled| settled < SETTLED)
+        {
             return Vec::new();
         }
         let votes = |at: usize| voter_set.contains(&node_name(at));
-        let possible = self.scenario.replacements.iter().filter(|(gone, successor)| votes(*gone) && !votes(*successor));
+        let possible = self
+            .scenario
+            .replacements
+            .iter()
+            .filter(|(gone, successor)| votes(*gone) && !votes(*successor));
         possible
-            .map(|(gone, successor)| ControlAction::BeginVoters { node, gone: *gone, successor: *successor })
+            .map(|(gone, successor)| ControlAction::BeginVoters {
+                node,
+                gone: *gone,
+                successor: *successor,
+            })
             .collect()
     }
 
     fn begin_voters(&self, world: &mut ControlWorld, at: usize, gone: usize, successor: usize) {
         let voter_set = &world.nodes[at].register.state().voter_set;
         let stays = |voter: &&String| node_index(voter) != gone;
-        let voters = voter_set.voters.iter().filter(stays).cloned().chain([node_name(successor)]).collect();
-        let change = Change::BeginVoters { epoch: voter_set.epoch, voters };
+        let voters = voter_set
+            .voters
+            .iter()
+            .filter(stays)
+            .cloned()
+            .chain([node_name(successor)])
+            .collect();
+        let change = Change::BeginVoters {
+            epoch: voter_set.epoch,
+            voters,
+        };
         self.step_register(world, at, quorum_register::Event::Propose(change));
     }
 
     fn complete_voters(&self, world: &mut ControlWorld, at: usize) {
         let epoch = world.nodes[at].register.state().voter_set.epoch;
-        self.step_register(world, at, quorum_register::Event::Propose(Change::CompleteVoters { epoch }));
+        self.step_register(
+            world,
+            at,
+            quorum_register::Event::Propose(Change::CompleteVoters { epoch }),
+        );
     }
 
     /// After each step: at most one node holds the lease, and under a new epoch.
@@ -573,7 +697,12 @@
         let holding = |at: usize| {
             let node = &world.nodes[at];
             let epoch = node.lease.holds(self.clock(world, at))?;
-            Some(Holding { node: at, life: node.lives, epoch, founder: node.lease.is_founder(epoch) })
+            Some(Holding {
+                node: at,
+                life: node.lives,
+                epoch,
+                founder: node.lease.is_founder(epoch),
+            })
         };
         let holders: Vec<Holding> = (0..world.nodes.len()).filter_map(holding).collect();
         let checked = world.holders.observe(&holders);
@@ -582,7 +711,10 @@
 }
 
 fn write(world: &mut ControlWorld, at: usize, ticket: u64, content: Content) {
-    world.node_mut(at).writes.push_back(Write { ticket, content });
+    world
+        .node_mut(at)
+        .writes
+        .push_back(Write { ticket, content });
 }
 
 fn disk_changed(world: &mut ControlWorld, at: usize) {
@@ -605,29 +737,45 @@
         let nodes = || 0..world.nodes.len();
         let mut actions = match left.schedule {
             Schedule::AnyOrder => {
-                let traffic = traffic::any_order(world).into_iter().map(ControlAction::Traffic);
-                traffic.chain((left.passes > 0).then_some(ControlAction::PassAndTick)).collect::<Vec<_>>()
+                let traffic = traffic::any_order(world)
+                    .into_iter()
+                    .map(ControlAction::Traffic);
+                traffic
+                    .chain((left.passes > 0).then_some(ControlAction::PassAndTick))
+                    .collect::<Vec<_>>()
             }
             Schedule::InOrder { .. } => {
                 let traffic::InOrder { turn, others } = traffic::in_order(world, world.strays_left);
                 let pass = (left.passes > 0).then_some(ControlAction::PassAndTick);
                 let first = turn.map(ControlAction::Traffic).or(pass);
-                first.into_iter().chain(others.into_iter().map(ControlAction::Traffic)).collect()
+                first
+                    .into_iter()
+                    .chain(others.into_iter().map(ControlAction::Traffic))
+                    .collect()
             }
         };
         if left.crashes > 0 {
             actions.extend(nodes().flat_map(|node| {
-                (0..=world.nodes[node].writes.len()).map(move |kept| ControlAction::Crash { node, kept })
+                (0..=world.nodes[node].writes.len())
+                    .map(move |kept| ControlAction::Crash { node, kept })
             }));
         }
         if left.wipes > 0 {
-            actions.extend(nodes().filter(|at| self.may_wipe(world, *at)).map(|node| ControlAction::Wipe { node }));
+            actions.extend(
+                nodes()
+                    .filter(|at| self.may_wipe(world, *at))
+                    .map(|node| ControlAction::Wipe { node }),
+            );
         }
         if left.proposals > 0 {
             actions.extend(self.proposals(world));
         }
         if left.duplicates > 0 {
-            actions.extend(traffic::duplicates(world).into_iter().map(ControlAction::Traffic));
+            actions.extend(
+                traffic::duplicates(world)
+                    .into_iter()
+                    .map(ControlAction::Traffic),
+            );
         }
         actions
     }
@@ -636,7 +784,8 @@
         let mut next = world.clone();
         match action {
             ControlAction::Traffic(traffic) => {
-                let deliver = |world: &mut ControlWorld, in_flight: &InFlight| self.deliver(world, in_flight);
+                let deliver =
+                    |world: &mut ControlWorld, in_flight: &InFlight| self.deliver(world, in_flight);
                 traffic::take(&mut next, traffic, deliver, |world, node| {
                     self.sync(world, node);
                 });
@@ -656,7 +805,11 @@
                 wiped.writes.clear();
                 self.restart(&mut next, node);
             }
-            ControlAction::BeginVoters { node, gone, successor } => {
+            ControlAction::BeginVoters {
+                node,
+                gone,
+                successor,
+            } => {
                 next.left.proposals -= 1;
                 self.begin_voters(&mut next, node, gone, successor);
             }
@@ -670,7 +823,9 @@
 
     fn usual_actions(&self, world: &ControlWorld) -> usize {
         match world.left.schedule {
-            Schedule::AnyOrder => traffic::any_order(world).len() + usize::from(world.left.passes > 0),
+            Schedule::AnyOrder => {
+                traffic::any_order(world).len() + usize::from(world.left.passes > 0)
+            }
             Schedule::InOrder { .. } => 1,
         }
     }
@@ -691,10 +846,20 @@
 
     fn fingerprint(&self, world: &ControlWorld) -> u64 {
         let nodes: Vec<u64> = world.nodes.iter().map(|node| node.fingerprint).collect();
-        let invariant: Option<Invariant> = world.violation.as_ref().map(|violation| violation.invariant);
+        let invariant: Option<Invariant> = world
+            .violation
+            .as_ref()
+            .map(|violation| violation.invariant);
         let seen = (world.holders, world.history_fingerprint);
         let budget = (world.left, world.strays_left);
-        fingerprint_of(&(nodes, world.network.fingerprints(), world.now, seen, budget, invariant))
+        fingerprint_of(&(
+            nodes,
+            world.network.fingerprints(),
+            world.now,
+            seen,
+            budget,
+            invariant,
+        ))
     }
 
     fn describe(&self, world: &ControlWorld, action: ControlAction) -> String {
--- a/crates/explorer/src/holders.rs
+++ b/crates/explorer/src/holders.rs
@@ -31,13 +31,23 @@
         if holders.len() > 1 {
             return broken(Invariant::OneHolder, format!("{holders:?}"));
         }
-        let new = holders.first().filter(|holder| !self.last.is_some_and(|last| last.is_same(holder)));
-        let Some(holder) = new.copied() else { return Ok(()) };
+        let new = holders
+            .first()
+            .filter(|holder| !self.last.is_some_and(|last| last.is_same(holder)));
+        let Some(holder) = new.copied() else {
+            return Ok(());
+        };
         if let Some(last) = self.last.filter(|last| last.epoch >= holder.epoch) {
-            return broken(Invariant::EpochsRise, format!("{holder:?} comes after {last:?}"));
+            return broken(
+                Invariant::EpochsRise,
+                format!("{holder:?} comes after {last:?}"),
+            );
         }
         if self.last.is_some() && holder.founder {
-            return broken(Invariant::EpochsRise, format!("{holder:?} takes itself for the first"));
+            return broken(
+                Invariant::EpochsRise,
+                format!("{holder:?} takes itself for the first"),
+            );
         }
         self.last = Some(holder);
         Ok(())
--- a/crates/explorer/src/lease_model.rs
+++ b/crates/explorer/src/lease_model.rs
@@ -99,7 +99,14 @@
 
 impl Node {
     fn renew_fingerprint(&mut self) {
-        let Node { lease, epoch, writes, born_at, lives, .. } = self;
+        let Node {
+            lease,
+            epoch,
+            writes,
+            born_at,
+            lives,
+            ..
+        } = self;
         let flags = (self.disk_is_stray, self.is_frozen);
         self.fingerprint = fingerprint_of(&(lease, epoch, writes, flags, born_at, lives));
     }
@@ -198,7 +205,11 @@
             strays_left: traffic::strays_of(budget.schedule),
             violation: None,
         };
-        let mut model = LeaseModel { defect, drifts, initial };
+        let mut model = LeaseModel {
+            defect,
+            drifts,
+            initial,
+        };
         model.initial = model.undisturbed_start(voters);
         model
     }
@@ -216,20 +227,38 @@
 
     fn start_node(&self, at: usize, epoch: u64, born_at: Duration, lives: u64) -> Node {
         // Its ticks are far apart, and its clocks drift but never jump.
-        let times = Times { longest_step: Duration::MAX, ..Times::new(SPAN, MARGIN) };
+        let times = Times {
+            longest_step: Duration::MAX,
+            ..Times::new(SPAN, MARGIN)
+        };
         let forgets = self.defect == LeaseDefect::GrantsAfterRestart && lives > 0;
         // A voter waits one span of its own clock, whatever time it starts at: so the broken one has none.
-        let times = if forgets { Times::new(Duration::ZERO, Duration::ZERO) } else { times };
+        let times = if forgets {
+            Times::new(Duration::ZERO, Duration::ZERO)
+        } else {
+            times
+        };
         let lease = Lease::new(node_name(at), times, fingerprint_of(&(at, lives)));
         let writes = VecDeque::new();
         let (disk_is_stray, is_frozen, fingerprint) = (false, false, 0);
-        Node { lease, epoch, writes, disk_is_stray, is_frozen, born_at, lives, fingerprint }
+        Node {
+            lease,
+            epoch,
+            writes,
+            disk_is_stray,
+            is_frozen,
+            born_at,
+            lives,
+            fingerprint,
+        }
     }
 
     /// All start together and wait until they may grant.
     fn undisturbed_start(&self, voters: usize) -> LeaseWorld {
         let mut world = self.initial.clone();
-        world.nodes = (0..voters).map(|at| Arc::new(self.start_node(at, 0, Duration::ZERO, 0))).collect();
+        world.nodes = (0..voters)
+            .map(|at| Arc::new(self.start_node(at, 0, Duration::ZERO, 0)))
+            .collect();
         while world.now < EXPLORED_FROM {
             (0..voters).for_each(|at| self.tick(&mut world, at));
             world.now += START_TICK;
@@ -243,7 +272,11 @@
         let lived = (world.now - node.born_at).as_micros() as i64;
         let before = lived.min(BROKEN_FROM.as_micros() as i64);
         let is_broken = self.defect == LeaseDefect::ClocksOffBound && at == 0;
-        let drift = if is_broken { BROKEN_DRIFT } else { self.drifts[at] };
+        let drift = if is_broken {
+            BROKEN_DRIFT
+        } else {
+            self.drifts[at]
+        };
         let shown = (before * (1000 + self.drifts[at]) + (lived - before) * (1000 + drift)) / 1000;
         Duration::from_micros(shown as u64)
     }
@@ -253,7 +286,9 @@
         let effects = Arc::make_mut(&mut world.nodes[at]).lease.step(clock, event);
         effects.into_iter().for_each(|effect| match effect {
             Effect::Send { to, body } => self.send(world, at, node_index(&to), body),
-            Effect::RaiseEpoch { epoch, token } => self.write(world, at, EpochWrite { epoch, token }),
+            Effect::RaiseEpoch { epoch, token } => {
+                self.write(world, at, EpochWrite { epoch, token })
+            }
         });
         Arc::make_mut(&mut world.nodes[at]).renew_fingerprint();
         self.observe(world);
@@ -272,20 +307,43 @@
         }
         if let (LeaseDefect::CountsMinority, Payload::LeaseRequest(ask)) = (self.defect, &body) {
             let (epoch, nonce) = (ask.epoch, ask.nonce);
-            let granted = LeaseReply { epoch, nonce, granted: true, highest_epoch: epoch, wait_ms: 0, first: false };
-            self.step(world, from, Event::Received { from: node_name(to), body: Payload::LeaseReply(granted) });
+            let granted = LeaseReply {
+                epoch,
+                nonce,
+                granted: true,
+                highest_epoch: epoch,
+                wait_ms: 0,
+                first: false,
+            };
+            self.step(
+                world,
+                from,
+                Event::Received {
+                    from: node_name(to),
+                    body: Payload::LeaseReply(granted),
+                },
+            );
         }
         world.network.send(from, to, body);
     }
 
     fn deliver(&self, world: &mut LeaseWorld, in_flight: &InFlight) {
         let Message { from, to, body } = &*in_flight.message;
-        self.step(world, *to, Event::Received { from: node_name(*from), body: body.clone() });
+        self.step(
+            world,
+            *to,
+            Event::Received {
+                from: node_name(*from),
+                body: body.clone(),
+            },
+        );
     }
 
     fn sync(&self, world: &mut LeaseWorld, at: usize) {
         let node = Arc::make_mut(&mut world.nodes[at]);
-        let Some(write) = node.writes.pop_front() else { return };
+        let Some(write) = node.writes.pop_front() else {
+            return;
+        };
         node.disk_is_stray &= !node.writes.is_empty();
         node.epoch = node.epoch.max(write.epoch);
         node.renew_fingerprint();
@@ -296,14 +354,28 @@
 
     fn tick(&self, world: &mut LeaseWorld, at: usize) {
         let epoch = world.nodes[at].epoch;
-        self.step(world, at, Event::Voters { voter_set: world.voter_set(), epoch });
+        self.step(
+            world,
+            at,
+            Event::Voters {
+                voter_set: world.voter_set(),
+                epoch,
+            },
+        );
         self.step(world, at, Event::Tick);
     }
 
     fn restart(&self, world: &mut LeaseWorld, at: usize, epoch: u64) {
         let node = self.start_node(at, epoch, world.now, world.nodes[at].lives + 1);
         world.nodes[at] = Arc::new(node);
-        self.step(world, at, Event::Voters { voter_set: world.voter_set(), epoch });
+        self.step(
+            world,
+            at,
+            Event::Voters {
+                voter_set: world.voter_set(),
+                epoch,
+            },
+        );
     }
 
     fn crash(&self, world: &mut LeaseWorld, at: usize, kept: usize) {
@@ -315,7 +387,11 @@
 
     /// The lowest epoch that a majority of the others may come to: they are asked in any order.
     fn mended_epoch(&self, world: &LeaseWorld, at: usize) -> u64 {
-        let others = world.nodes.iter().enumerate().filter(|(other, _)| *other != at);
+        let others = world
+            .nodes
+            .iter()
+            .enumerate()
+            .filter(|(other, _)| *other != at);
         let mut epochs: Vec<u64> = others.map(|(_, node)| node.epoch).collect();
         epochs.sort_unstable();
         epochs.truncate(majority(world.nodes.len()));
@@ -324,7 +400,11 @@
 
     fn wipe(&self, world: &mut LeaseWorld, at: usize) {
         let blank = self.defect == LeaseDefect::MendsWithoutEpoch;
-        let epoch = if blank { 0 } else { self.mended_epoch(world, at) };
+        let epoch = if blank {
+            0
+        } else {
+            self.mended_epoch(world, at)
+        };
         self.restart(world, at, epoch);
     }
 
@@ -333,7 +413,12 @@
         let holding = |at: usize| {
             let node = &world.nodes[at];
             let epoch = node.lease.holds(self.clock(world, at))?;
-            Some(Holding { node: at, life: node.lives, epoch, founder: node.lease.is_founder(epoch) })
+            Some(Holding {
+                node: at,
+                life: node.lives,
+                epoch,
+                founder: node.lease.is_founder(epoch),
+            })
         };
         let holders: Vec<Holding> = (0..world.nodes.len()).filter_map(holding).collect();
         let checked = world.holders.observe(&holders);
@@ -380,9 +465,14 @@
 
     /// Deliveries, syncs, ticks and the passing of time, whatever the order.
     fn any_order(&self) -> Vec<LeaseAction> {
-        let traffic = traffic::any_order(self).into_iter().map(LeaseAction::Traffic);
+        let traffic = traffic::any_order(self)
+            .into_iter()
+            .map(LeaseAction::Traffic);
         let ticks = (0..self.nodes.len()).map(|node| LeaseAction::Tick { node });
-        traffic.chain(ticks).chain((self.left.passes > 0).then_some(LeaseAction::Pass)).collect()
+        traffic
+            .chain(ticks)
+            .chain((self.left.passes > 0).then_some(LeaseAction::Pass))
+            .collect()
     }
 
     /// What comes in turn, the strays, what may become one, and nodes that begin or end to stand still.
@@ -391,11 +481,21 @@
         let traffic::InOrder { turn, others } = traffic::in_order(self, self.strays_left);
         let pass = (self.left.passes > 0).then_some(LeaseAction::PassAndTick);
         let first = turn.map(LeaseAction::Traffic).or(pass);
-        let mut actions: Vec<LeaseAction> =
-            first.into_iter().chain(others.into_iter().map(LeaseAction::Traffic)).collect();
-        actions.extend(nodes().filter(|at| !self.is_awake(*at)).map(|node| LeaseAction::Thaw { node }));
+        let mut actions: Vec<LeaseAction> = first
+            .into_iter()
+            .chain(others.into_iter().map(LeaseAction::Traffic))
+            .collect();
+        actions.extend(
+            nodes()
+                .filter(|at| !self.is_awake(*at))
+                .map(|node| LeaseAction::Thaw { node }),
+        );
         if self.left.freezes > 0 {
-            actions.extend(nodes().filter(|at| self.is_awake(*at)).map(|node| LeaseAction::Freeze { node }));
+            actions.extend(
+                nodes()
+                    .filter(|at| self.is_awake(*at))
+                    .map(|node| LeaseAction::Freeze { node }),
+            );
         }
         actions
     }
@@ -430,14 +530,19 @@
         };
         if left.crashes > 0 {
             actions.extend(nodes().flat_map(|node| {
-                (0..=world.nodes[node].writes.len()).map(move |kept| LeaseAction::Crash { node, kept })
+                (0..=world.nodes[node].writes.len())
+                    .map(move |kept| LeaseAction::Crash { node, kept })
             }));
         }
         if left.wipes > 0 {
             actions.extend(nodes().map(|node| LeaseAction::Wipe { node }));
         }
         if left.duplicates > 0 {
-            actions.extend(traffic::duplicates(world).into_iter().map(LeaseAction::Traffic));
+            actions.extend(
+                traffic::duplicates(world)
+                    .into_iter()
+                    .map(LeaseAction::Traffic),
+            );
         }
         actions
     }
@@ -446,8 +551,11 @@
         let mut next = world.clone();
         match action {
             LeaseAction::Traffic(traffic) => {
-                let deliver = |world: &mut LeaseWorld, in_flight: &InFlight| self.deliver(world, in_flight);
-                traffic::take(&mut next, traffic, deliver, |world, node| self.sync(world, node));
+                let deliver =
+                    |world: &mut LeaseWorld, in_flight: &InFlight| self.deliver(world, in_flight);
+                traffic::take(&mut next, traffic, deliver, |world, node| {
+                    self.sync(world, node)
+                });
             }
             LeaseAction::Tick { node } => self.tick(&mut next, node),
             LeaseAction::Freeze { node } | LeaseAction::Thaw { node } => {
@@ -460,8 +568,12 @@
             LeaseAction::Pass => next.pass(),
             LeaseAction::PassAndTick => {
                 next.pass();
-                let awake: Vec<usize> = (0..next.nodes.len()).filter(|at| next.is_awake(*at)).collect();
-                awake.into_iter().for_each(|node| self.tick(&mut next, node));
+                let awake: Vec<usize> = (0..next.nodes.len())
+                    .filter(|at| next.is_awake(*at))
+                    .collect();
+                awake
+                    .into_iter()
+                    .for_each(|node| self.tick(&mut next, node));
             }
             LeaseAction::Crash { node, kept } => {
                 next.left.crashes -= 1;
@@ -498,7 +610,10 @@
 
     fn fingerprint(&self, world: &LeaseWorld) -> u64 {
         let nodes: Vec<u64> = world.nodes.iter().map(|node| node.fingerprint).collect();
-        let invariant: Option<Invariant> = world.violation.as_ref().map(|violation| violation.invariant);
+        let invariant: Option<Invariant> = world
+            .violation
+            .as_ref()
+            .map(|violation| violation.invariant);
         let network = world.network.fingerprints();
         let budget = (world.left, world.strays_left);
         fingerprint_of(&(nodes, network, world.now, world.holders, budget, invariant))
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -20,11 +20,17 @@
 mod traffic;
 mod walk;
 
-pub use control_model::{ControlBudget, ControlDefect, ControlModel, ControlScenario, ControlWorld};
+pub use control_model::{
+    ControlBudget, ControlDefect, ControlModel, ControlScenario, ControlWorld,
+};
 pub use lease_model::{LeaseBudget, LeaseDefect, LeaseModel, LeaseWorld};
 pub use model::{Invariant, Model, Trace, Violation, replay};
 pub use network::Schedule;
-pub use register_model::{Order, RegisterBudget, RegisterDefect, RegisterModel, RegisterWorld, Scenario};
-pub use scenarios::{control_scenario, control_scenarios, lease_scenarios, register_scenario, register_scenarios};
+pub use register_model::{
+    Order, RegisterBudget, RegisterDefect, RegisterModel, RegisterWorld, Scenario,
+};
+pub use scenarios::{
+    control_scenario, control_scenarios, lease_scenarios, register_scenario, register_scenarios,
+};
 pub use search::{Limits, Report, search};
 pub use walk::{Choice, Walked, walk};
--- a/crates/explorer/src/model.rs
+++ b/crates/explorer/src/model.rs
@@ -80,8 +80,13 @@
 
 impl fmt::Display for Trace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.steps.iter().enumerate().try_for_each(|(at, step)| writeln!(f, "{:>4}. {step}", at + 1))?;
-        self.violation.iter().try_for_each(|violation| writeln!(f, "   => {violation}"))?;
+        self.steps
+            .iter()
+            .enumerate()
+            .try_for_each(|(at, step)| writeln!(f, "{:>4}. {step}", at + 1))?;
+        self.violation
+            .iter()
+            .try_for_each(|violation| writeln!(f, "   => {violation}"))?;
         let choices: Vec<String> = self.choices.iter().map(usize::to_string).collect();
         write!(f, "replay: {}", choices.join(","))
     }
@@ -100,7 +105,9 @@
     let mut state = model.initial();
     let mut trace = Trace::default();
     for choice in choices {
-        let Some(action) = model.actions(&state).get(*choice).copied() else { break };
+        let Some(action) = model.actions(&state).get(*choice).copied() else {
+            break;
+        };
         trace.choices.push(*choice);
         trace.steps.push(model.describe(&state, action));
         state = model.next(&state, action);
--- a/crates/explorer/src/network.rs
+++ b/crates/explorer/src/network.rs
@@ -39,18 +39,39 @@
 
 impl Network {
     pub fn new(schedule: Schedule) -> Self {
-        Network { in_flight: Vec::new(), is_ordered: schedule != Schedule::AnyOrder }
+        Network {
+            in_flight: Vec::new(),
+            is_ordered: schedule != Schedule::AnyOrder,
+        }
     }
 
     pub fn send(&mut self, from: usize, to: usize, body: Payload) {
         let message = Message { from, to, body };
         let fingerprint = fingerprint_of(&message);
-        if self.in_flight.iter().any(|other| other.fingerprint == fingerprint) {
+        if self
+            .in_flight
+            .iter()
+            .any(|other| other.fingerprint == fingerprint)
+        {
             return;
         }
-        let sorted = || self.in_flight.partition_point(|other| other.fingerprint < fingerprint);
-        let at = if self.is_ordered { self.in_flight.len() } else { sorted() };
-        self.in_flight.insert(at, InFlight { fingerprint, is_stray: false, message: Arc::new(message) });
+        let sorted = || {
+            self.in_flight
+                .partition_point(|other| other.fingerprint < fingerprint)
+        };
+        let at = if self.is_ordered {
+            self.in_flight.len()
+        } else {
+            sorted()
+        };
+        self.in_flight.insert(
+            at,
+            InFlight {
+                fingerprint,
+                is_stray: false,
+                message: Arc::new(message),
+            },
+        );
     }
 
     pub fn len(&self) -> usize {
@@ -92,6 +113,10 @@
         let mut strays: Vec<u64> = strays.map(|message| message.fingerprint).collect();
         strays.sort_unstable();
         let in_turn = in_turn.map(|message| (message.fingerprint, false));
-        strays.into_iter().map(|fingerprint| (fingerprint, true)).chain(in_turn).collect()
+        strays
+            .into_iter()
+            .map(|fingerprint| (fingerprint, true))
+            .chain(in_turn)
+            .collect()
     }
 }
--- a/crates/explorer/src/register_history.rs
+++ b/crates/explorer/src/register_history.rs
@@ -30,7 +30,10 @@
 
 impl OrderFacts {
     fn is_in(&self, state: &ClusterState) -> bool {
-        state.submissions.iter().any(|done| done.asked == self.asked)
+        state
+            .submissions
+            .iter()
+            .any(|done| done.asked == self.asked)
     }
 }
 
@@ -65,8 +68,12 @@
 /// True where `later` comes from `earlier` by deciding orders.
 fn derives(earlier: &ClusterState, later: &ClusterState) -> bool {
     match earlier.edition == later.edition {
-        true => earlier.digest == later.digest && later.submissions.starts_with(&earlier.submissions),
-        false => earlier.edition < later.edition && later.submissions.starts_with(&earlier.submissions),
+        true => {
+            earlier.digest == later.digest && later.submissions.starts_with(&earlier.submissions)
+        }
+        false => {
+            earlier.edition < later.edition && later.submissions.starts_with(&earlier.submissions)
+        }
     }
 }
 
@@ -80,7 +87,9 @@
 /// True where the voters stayed, or one step of a change was taken.
 fn is_one_step(earlier: &VoterSet, later: &VoterSet) -> bool {
     let begun = earlier.begin_change(later.next.clone());
-    earlier == later || begun.as_ref() == Some(later) || earlier.complete_change().as_ref() == Some(later)
+    earlier == later
+        || begun.as_ref() == Some(later)
+        || earlier.complete_change().as_ref() == Some(later)
 }
 
 impl History {
@@ -99,14 +108,23 @@
     }
 
     /// A disk holds what it was given to keep.
-    pub fn disk_changed(&mut self, node: usize, disks: &[&Disk], orders: &[OrderFacts]) -> Result<(), Violation> {
+    pub fn disk_changed(
+        &mut self,
+        node: usize,
+        disks: &[&Disk],
+        orders: &[OrderFacts],
+    ) -> Result<(), Violation> {
         let durable = &disks[node].durable;
         if durable.disk != 0 && durable.accepted_at != Ballot::default() {
             let ballot = &durable.accepted_at;
             let entry = self.accepted.entry(ballot.clone());
-            let (state, holders) = entry.or_insert_with(|| (durable.accepted.clone(), BTreeSet::new()));
+            let (state, holders) =
+                entry.or_insert_with(|| (durable.accepted.clone(), BTreeSet::new()));
             if *state != durable.accepted {
-                return broken(Invariant::OneHistory, format!("two states were accepted at ballot {ballot:?}"));
+                return broken(
+                    Invariant::OneHistory,
+                    format!("two states were accepted at ballot {ballot:?}"),
+                );
             }
             holders.insert(node);
             let accepted = |voter: &str| holders.contains(&node_index(voter));
@@ -119,31 +137,59 @@
         Ok(())
     }
 
-    fn check_chosen(&self, ballot: &Ballot, disks: &[&Disk], orders: &[OrderFacts]) -> Result<(), Violation> {
+    fn check_chosen(
+        &self,
+        ballot: &Ballot,
+        disks: &[&Disk],
+        orders: &[OrderFacts],
+    ) -> Result<(), Violation> {
         let state = &self.chosen[ballot];
         let before = self.chosen.range(..ballot).next_back();
         let after = self.chosen.range(ballot..).nth(1);
-        let chain = before.into_iter().chain([(ballot, state)]).chain(after).collect::<Vec<_>>();
-        let leap = chain.windows(2).find(|pair| !is_one_step(&pair[0].1.voter_set, &pair[1].1.voter_set));
+        let chain = before
+            .into_iter()
+            .chain([(ballot, state)])
+            .chain(after)
+            .collect::<Vec<_>>();
+        let leap = chain
+            .windows(2)
+            .find(|pair| !is_one_step(&pair[0].1.voter_set, &pair[1].1.voter_set));
         if let Some(pair) = leap {
-            let detail = format!("{:?} does not follow {:?}", pair[1].1.voter_set, pair[0].1.voter_set);
+            let detail = format!(
+                "{:?} does not follow {:?}",
+                pair[1].1.voter_set, pair[0].1.voter_set
+            );
             return broken(Invariant::VotersChangeByStep, detail);
         }
         if let Some(pair) = chain.windows(2).find(|pair| !derives(pair[0].1, pair[1].1)) {
-            return broken(Invariant::OneHistory, format!("{:?} does not derive from {:?}", pair[1], pair[0]));
+            return broken(
+                Invariant::OneHistory,
+                format!("{:?} does not derive from {:?}", pair[1], pair[0]),
+            );
         }
-        let lost = self
-            .told
-            .iter()
-            .find(|(order, decision)| decision.edition <= state.edition && !orders[**order].is_in(state));
+        let lost = self.told.iter().find(|(order, decision)| {
+            decision.edition <= state.edition && !orders[**order].is_in(state)
+        });
         if let Some((order, decision)) = lost {
-            let detail = format!("order {} was told {decision:?} and is not in edition {}", order, state.edition);
+            let detail = format!(
+                "order {} was told {decision:?} and is not in edition {}",
+                order, state.edition
+            );
             return broken(Invariant::AcceptedIsKept, detail);
         }
-        let ids: BTreeSet<&str> = state.submissions.iter().map(|done| done.id.as_str()).collect();
+        let ids: BTreeSet<&str> = state
+            .submissions
+            .iter()
+            .map(|done| done.id.as_str())
+            .collect();
         let executed = state.edition.saturating_sub(self.base_edition) as usize;
-        if self.base_edition > 0 && (ids.len() < state.submissions.len() || executed > orders.len()) {
-            let detail = format!("{} orders made {executed} editions: {:?}", orders.len(), state.submissions);
+        if self.base_edition > 0 && (ids.len() < state.submissions.len() || executed > orders.len())
+        {
+            let detail = format!(
+                "{} orders made {executed} editions: {:?}",
+                orders.len(),
+                state.submissions
+            );
             return broken(Invariant::ExecutedOnce, detail);
         }
         self.check_bytes(state, disks)
@@ -151,7 +197,10 @@
 
     fn check_bytes(&self, state: &ClusterState, disks: &[&Disk]) -> Result<(), Violation> {
         if !is_on_quorum(&state.voter_set, disks, |disk| disk.holds_bytes_of(state)) {
-            let detail = format!("edition {} was chosen, and too few disks hold its bytes", state.edition);
+            let detail = format!(
+                "edition {} was chosen, and too few disks hold its bytes",
+                state.edition
+            );
             return broken(Invariant::BytesAreHeld, detail);
         }
         Ok(())
@@ -168,8 +217,15 @@
         if decision.code != Code::Fine {
             return Ok(());
         }
-        if let Some(before) = self.told.insert(order, decision).filter(|before| *before != decision) {
-            return broken(Invariant::ExecutedOnce, format!("order {order} was told {before:?}, then {decision:?}"));
+        if let Some(before) = self
+            .told
+            .insert(order, decision)
+            .filter(|before| *before != decision)
+        {
+            return broken(
+                Invariant::ExecutedOnce,
+                format!("order {order} was told {before:?}, then {decision:?}"),
+            );
         }
         self.confirmed = self.confirmed.max(decision.edition);
         let facts = &orders[order];
@@ -178,13 +234,22 @@
             other.number.is_some() && other.number == facts.number && other.digest != facts.digest
         });
         if let Some(rival) = rival {
-            let detail = format!("orders {rival} and {order} have number {:?} and different content", facts.number);
+            let detail = format!(
+                "orders {rival} and {order} have number {:?} and different content",
+                facts.number
+            );
             return broken(Invariant::NumbersAreUnique, detail);
         }
-        let has = |disk: &Disk| disk.has_decided(facts) && disk.holds_bytes_of(&disk.durable.accepted);
-        let voter_set = self.newest_chosen().map(|state| state.voter_set.clone()).unwrap_or_default();
+        let has =
+            |disk: &Disk| disk.has_decided(facts) && disk.holds_bytes_of(&disk.durable.accepted);
+        let voter_set = self
+            .newest_chosen()
+            .map(|state| state.voter_set.clone())
+            .unwrap_or_default();
         if !is_on_quorum(&voter_set, disks, has) {
-            let detail = format!("order {order} was told {decision:?} while too few disks hold it with its bytes");
+            let detail = format!(
+                "order {order} was told {decision:?} while too few disks hold it with its bytes"
+            );
             return broken(Invariant::AcceptedIsKept, detail);
         }
         Ok(())
@@ -193,7 +258,10 @@
     /// A node takes a state for the one in force.
     pub fn adopted(&self, node: usize, state: &ClusterState) -> Result<(), Violation> {
         if state.edition > 0 && !self.chosen.values().any(|chosen| chosen == state) {
-            let detail = format!("node {node} has edition {} in force, which was never chosen", state.edition);
+            let detail = format!(
+                "node {node} has edition {} in force, which was never chosen",
+                state.edition
+            );
             return broken(Invariant::OneHistory, detail);
         }
         Ok(())
@@ -211,7 +279,11 @@
 
     /// An operator asks to read at a node.
     pub fn read_asked(&mut self, node: usize, asked_at: Duration) {
-        self.reads.push(PendingRead { node, asked_at, floor: self.confirmed });
+        self.reads.push(PendingRead {
+            node,
+            asked_at,
+            floor: self.confirmed,
+        });
     }
 
     /// A node ended: its answers are lost.
@@ -227,10 +299,15 @@
         is_confirmed_since: impl Fn(Duration) -> bool,
     ) -> Result<(), Violation> {
         let answered = |read: &PendingRead| read.node == node && is_confirmed_since(read.asked_at);
-        let (done, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reads).into_iter().partition(answered);
+        let (done, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reads)
+            .into_iter()
+            .partition(answered);
         self.reads = waiting;
         if let Some(read) = done.iter().find(|read| edition < read.floor) {
-            let detail = format!("node {node} read edition {edition}, {} was confirmed before", read.floor);
+            let detail = format!(
+                "node {node} read edition {edition}, {} was confirmed before",
+                read.floor
+            );
             return broken(Invariant::ReadsAreCurrent, detail);
         }
         if !done.is_empty() {
@@ -241,17 +318,28 @@
 
     /// What operators were told is on a majority of disks, but for those that were just lost, in every state.
     pub fn check_kept(&self, disks: &[&Disk], orders: &[OrderFacts]) -> Result<(), Violation> {
-        let voter_set = self.newest_chosen().map(|state| state.voter_set.clone()).unwrap_or_default();
+        let voter_set = self
+            .newest_chosen()
+            .map(|state| state.voter_set.clone())
+            .unwrap_or_default();
         let lost = self.told.keys().find(|order| {
             let facts = &orders[**order];
             !is_on_quorum(&voter_set, disks, |disk| disk.has_decided(facts))
         });
         lost.map_or(Ok(()), |order| {
-            broken(Invariant::AcceptedIsKept, format!("order {order} was accepted and is on too few disks"))
+            broken(
+                Invariant::AcceptedIsKept,
+                format!("order {order} was accepted and is on too few disks"),
+            )
         })?;
-        let bare = disks.iter().position(|disk| !disk.holds_bytes_of(&disk.durable.accepted));
+        let bare = disks
+            .iter()
+            .position(|disk| !disk.holds_bytes_of(&disk.durable.accepted));
         bare.map_or(Ok(()), |node| {
-            broken(Invariant::BytesAreHeld, format!("the disk of node {node} accepted a state without its bytes"))
+            broken(
+                Invariant::BytesAreHeld,
+                format!("the disk of node {node} accepted a state without its bytes"),
+            )
         })
     }
 }
--- a/crates/explorer/src/register_model/defects.rs
+++ b/crates/explorer/src/register_model/defects.rs
@@ -9,15 +9,18 @@
     pub(super) fn twist(&self, from: usize, body: Payload) -> (usize, Payload) {
         let replaced = self.scenario.voters - 1;
         match (self.defect, body) {
-            (RegisterDefect::CountsReplacedVoter, body @ (Payload::Promise(_) | Payload::Accepted(_)))
-                if from == replaced =>
-            {
-                (replaced + 1, body)
-            }
+            (
+                RegisterDefect::CountsReplacedVoter,
+                body @ (Payload::Promise(_) | Payload::Accepted(_)),
+            ) if from == replaced => (replaced + 1, body),
             // The voters are to be read off the promise: it is asked for whole.
-            (RegisterDefect::SkipsJointVoters, Payload::Prepare(prepare)) => {
-                (from, Payload::Prepare(Prepare { since: None, ..prepare }))
-            }
+            (RegisterDefect::SkipsJointVoters, Payload::Prepare(prepare)) => (
+                from,
+                Payload::Prepare(Prepare {
+                    since: None,
+                    ..prepare
+                }),
+            ),
             (RegisterDefect::SkipsJointVoters, Payload::Promise(mut promise)) => {
                 let voter_set = &mut promise.accepted.voter_set;
                 if voter_set.is_joint() {
@@ -40,9 +43,15 @@
             accepted: ClusterState::default(),
             ..Promise::default()
         })),
-        Payload::Accept(Accept { ballot, .. }) | Payload::AcceptDelta(AcceptDelta { ballot, .. }) => {
+        Payload::Accept(Accept { ballot, .. })
+        | Payload::AcceptDelta(AcceptDelta { ballot, .. }) => {
             let (ballot, promised) = (ballot.clone(), ballot.clone());
-            Some(Payload::Accepted(Accepted { ballot, promised, done: true, ..Accepted::default() }))
+            Some(Payload::Accepted(Accepted {
+                ballot,
+                promised,
+                done: true,
+                ..Accepted::default()
+            }))
         }
         _ => None,
     }
--- a/crates/explorer/src/register_model/mod.rs
+++ b/crates/explorer/src/register_model/mod.rs
@@ -122,7 +122,12 @@
     /// assert_eq!(model.voter_epoch(&model.initial()), 0);
     /// ```
     pub fn voter_epoch(&self, world: &RegisterWorld) -> u64 {
-        world.nodes.iter().map(|node| node.register.state().voter_set.epoch).max().unwrap_or(0)
+        world
+            .nodes
+            .iter()
+            .map(|node| node.register.state().voter_set.epoch)
+            .max()
+            .unwrap_or(0)
     }
 
     fn start_node(&self, at: usize, peers: usize, disk: Disk, now: Duration, lives: u64) -> Node {
@@ -137,7 +142,16 @@
         register.step(now, Event::Peers((0..peers).map(node_name).collect()));
         let writes = VecDeque::new();
         let (disk_before, disk_is_stray) = (None, false);
-        let mut node = Node { register, disk, disk_before, writes, disk_is_stray, now, lives, fingerprint: 0 };
+        let mut node = Node {
+            register,
+            disk,
+            disk_before,
+            writes,
+            disk_is_stray,
+            now,
+            lives,
+            fingerprint: 0,
+        };
         node.renew_fingerprint();
         node
     }
@@ -147,7 +161,15 @@
         let mut world = self.initial.clone();
         self.run_undisturbed(&mut world);
         let Order { change, bytes, .. } = Order::setup(FIRST_ORDER, None, &[]);
-        self.step(&mut world, 0, Event::Ask { token: u64::MAX, change, bytes });
+        self.step(
+            &mut world,
+            0,
+            Event::Ask {
+                token: u64::MAX,
+                change,
+                bytes,
+            },
+        );
         self.run_undisturbed(&mut world);
         self.add_replicas(&mut world);
         if self.scenario.replaced {
@@ -193,8 +215,17 @@
     fn begin_voters(&self, world: &mut RegisterWorld, at: usize, gone: usize, successor: usize) {
         let voter_set = &world.nodes[at].register.state().voter_set;
         let stays = |voter: &&String| node_index(voter) != gone;
-        let voters = voter_set.voters.iter().filter(stays).cloned().chain([node_name(successor)]).collect();
-        let change = Change::BeginVoters { epoch: voter_set.epoch, voters };
+        let voters = voter_set
+            .voters
+            .iter()
+            .filter(stays)
+            .cloned()
+            .chain([node_name(successor)])
+            .collect();
+        let change = Change::BeginVoters {
+            epoch: voter_set.epoch,
+            voters,
+        };
         self.step(world, at, Event::Propose(change));
     }
 
@@ -207,7 +238,9 @@
     fn proposals(&self, world: &RegisterWorld) -> Vec<RegisterAction> {
         let active = |at: &usize| *world.nodes[*at].register.phase() == VoterPhase::Active;
         let nodes = self.scenario.proposers.iter().copied().filter(active);
-        nodes.flat_map(|node| self.proposals_of(world, node)).collect()
+        nodes
+            .flat_map(|node| self.proposals_of(world, node))
+            .collect()
     }
 
     fn proposals_of(&self, world: &RegisterWorld, node: usize) -> Vec<RegisterAction> {
@@ -216,9 +249,17 @@
             return vec![RegisterAction::CompleteVoters { node }];
         }
         let votes = |at: usize| voter_set.contains(&node_name(at));
-        let possible = self.scenario.replacements.iter().filter(|(gone, successor)| votes(*gone) && !votes(*successor));
+        let possible = self
+            .scenario
+            .replacements
+            .iter()
+            .filter(|(gone, successor)| votes(*gone) && !votes(*successor));
         possible
-            .map(|(gone, successor)| RegisterAction::BeginVoters { node, gone: *gone, successor: *successor })
+            .map(|(gone, successor)| RegisterAction::BeginVoters {
+                node,
+                gone: *gone,
+                successor: *successor,
+            })
             .collect()
     }
 }
--- a/crates/explorer/src/register_model/order.rs
+++ b/crates/explorer/src/register_model/order.rs
@@ -20,8 +20,17 @@
     /// ```
     pub fn setup(id: &str, base: Option<u64>, at: &[usize]) -> Self {
         let bytes = id.as_bytes().to_vec();
-        let change = Change::Setup { id: id.into(), base, number: None, digest: protocol::digest(&bytes) };
-        Order { change, bytes: Some(bytes), at: at.to_vec() }
+        let change = Change::Setup {
+            id: id.into(),
+            base,
+            number: None,
+            digest: protocol::digest(&bytes),
+        };
+        Order {
+            change,
+            bytes: Some(bytes),
+            at: at.to_vec(),
+        }
     }
 
     /// A new configuration under the operator's own number.
@@ -31,9 +40,17 @@
     /// ```
     pub fn numbered(id: &str, number: u64, at: &[usize]) -> Self {
         let bytes = id.as_bytes().to_vec();
-        let change =
-            Change::Setup { id: id.into(), base: None, number: Some(number), digest: protocol::digest(&bytes) };
-        Order { change, bytes: Some(bytes), at: at.to_vec() }
+        let change = Change::Setup {
+            id: id.into(),
+            base: None,
+            number: Some(number),
+            digest: protocol::digest(&bytes),
+        };
+        Order {
+            change,
+            bytes: Some(bytes),
+            at: at.to_vec(),
+        }
     }
 
     /// An evacuation, or its end.
@@ -42,25 +59,52 @@
     /// assert!(explorer::Order::evacuation("a", "north/n1", false, &[0]).bytes.is_none());
     /// ```
     pub fn evacuation(id: &str, locality: &str, back: bool, at: &[usize]) -> Self {
-        let change = Change::Evacuate { id: id.into(), locality: locality.into(), back, seen: None };
-        Order { change, bytes: None, at: at.to_vec() }
+        let change = Change::Evacuate {
+            id: id.into(),
+            locality: locality.into(),
+            back,
+            seen: None,
+        };
+        Order {
+            change,
+            bytes: None,
+            at: at.to_vec(),
+        }
     }
 
     pub(super) fn facts(&self) -> OrderFacts {
         match &self.change {
-            Change::Setup { digest, number, base, .. } => {
+            Change::Setup {
+                digest,
+                number,
+                base,
+                ..
+            } => {
                 let asked = kept_of(&format!("{digest} {base:?}"));
-                OrderFacts { asked, digest: digest.clone(), number: *number }
-            }
-            Change::Evacuate { locality, back, .. } => {
-                OrderFacts { asked: kept_of(&format!("{locality} {back}")), digest: String::new(), number: None }
+                OrderFacts {
+                    asked,
+                    digest: digest.clone(),
+                    number: *number,
+                }
             }
-            _ => OrderFacts { asked: String::new(), digest: String::new(), number: None },
+            Change::Evacuate { locality, back, .. } => OrderFacts {
+                asked: kept_of(&format!("{locality} {back}")),
+                digest: String::new(),
+                number: None,
+            },
+            _ => OrderFacts {
+                asked: String::new(),
+                digest: String::new(),
+                number: None,
+            },
         }
     }
 }
 
 /// What the state keeps of what an order asked for.
 fn kept_of(asked: &str) -> String {
-    protocol::digest(asked.as_bytes()).chars().take(16).collect()
+    protocol::digest(asked.as_bytes())
+        .chars()
+        .take(16)
+        .collect()
 }
--- a/crates/explorer/src/register_model/play.rs
+++ b/crates/explorer/src/register_model/play.rs
@@ -25,11 +25,11 @@
         };
         if left.asks > 0 {
             let orders = self.scenario.orders.iter().enumerate();
-            actions.extend(
-                orders.flat_map(|(order, sent)| {
-                    sent.at.iter().map(move |node| RegisterAction::Ask { order, node: *node })
-                }),
-            );
+            actions.extend(orders.flat_map(|(order, sent)| {
+                sent.at
+                    .iter()
+                    .map(move |node| RegisterAction::Ask { order, node: *node })
+            }));
         }
         if left.reads > 0 {
             actions.extend(nodes().map(|node| RegisterAction::Read { node }));
@@ -39,17 +39,26 @@
         }
         if left.crashes > 0 {
             actions.extend(nodes().flat_map(|node| {
-                (0..=world.nodes[node].writes.len()).map(move |kept| RegisterAction::Crash { node, kept })
+                (0..=world.nodes[node].writes.len())
+                    .map(move |kept| RegisterAction::Crash { node, kept })
             }));
         }
         if left.wipes > 0 {
-            actions.extend(nodes().filter(|at| self.may_wipe(world, *at)).map(|node| RegisterAction::Wipe { node }));
+            actions.extend(
+                nodes()
+                    .filter(|at| self.may_wipe(world, *at))
+                    .map(|node| RegisterAction::Wipe { node }),
+            );
         }
         if left.proposals > 0 {
             actions.extend(self.proposals(world));
         }
         if left.duplicates > 0 {
-            actions.extend(traffic::duplicates(world).into_iter().map(RegisterAction::Traffic));
+            actions.extend(
+                traffic::duplicates(world)
+                    .into_iter()
+                    .map(RegisterAction::Traffic),
+            );
         }
         actions
     }
@@ -58,7 +67,9 @@
         let mut next = world.clone();
         match action {
             RegisterAction::Traffic(traffic) => {
-                let deliver = |world: &mut RegisterWorld, in_flight: &InFlight| self.deliver(world, in_flight);
+                let deliver = |world: &mut RegisterWorld, in_flight: &InFlight| {
+                    self.deliver(world, in_flight)
+                };
                 traffic::take(&mut next, traffic, deliver, |world, node| {
                     self.sync(world, node);
                 });
@@ -83,7 +94,11 @@
                 next.left.asks -= 1;
                 self.ask(&mut next, order, node);
             }
-            RegisterAction::BeginVoters { node, gone, successor } => {
+            RegisterAction::BeginVoters {
+                node,
+                gone,
+                successor,
+            } => {
                 next.left.proposals -= 1;
                 self.begin_voters(&mut next, node, gone, successor);
             }
@@ -121,7 +136,10 @@
 
     fn fingerprint(&self, world: &RegisterWorld) -> u64 {
         let nodes: Vec<u64> = world.nodes.iter().map(|node| node.fingerprint).collect();
-        let invariant: Option<Invariant> = world.violation.as_ref().map(|violation| violation.invariant);
+        let invariant: Option<Invariant> = world
+            .violation
+            .as_ref()
+            .map(|violation| violation.invariant);
         let network = world.network.fingerprints();
         let budget = (&world.left, world.strays_left, &world.asked);
         fingerprint_of(&(nodes, network, world.history_fingerprint, budget, invariant))
@@ -132,7 +150,10 @@
             RegisterAction::Traffic(Traffic::Sync { node }) => {
                 let what = match world.nodes[node].writes.front().map(|write| &write.content) {
                     Some(Content::State(durable)) => {
-                        format!("promised {:?} accepted {:?}", durable.promised, durable.accepted_at)
+                        format!(
+                            "promised {:?} accepted {:?}",
+                            durable.promised, durable.accepted_at
+                        )
                     }
                     Some(Content::Setup { digest, .. }) => format!("setup {digest}"),
                     Some(Content::DroppedSetup { digest }) => format!("drop setup {digest}"),
@@ -142,7 +163,10 @@
             }
             RegisterAction::Traffic(traffic) => traffic::describe(world, traffic),
             RegisterAction::Ask { order, node } => {
-                format!("ask v{node}: {}", shortened(&format!("{:?}", self.scenario.orders[order].change)))
+                format!(
+                    "ask v{node}: {}",
+                    shortened(&format!("{:?}", self.scenario.orders[order].change))
+                )
             }
             other => format!("{other:?}"),
         }
--- a/crates/explorer/src/register_model/steps.rs
+++ b/crates/explorer/src/register_model/steps.rs
@@ -16,7 +16,9 @@
     pub(super) fn step(&self, world: &mut RegisterWorld, at: usize, event: Event) {
         let node = Arc::make_mut(&mut world.nodes[at]);
         let effects = node.register.step(node.now, event);
-        effects.into_iter().for_each(|effect| self.carry_out(world, at, effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.carry_out(world, at, effect));
         self.observe(world, at);
         Arc::make_mut(&mut world.nodes[at]).renew_fingerprint();
     }
@@ -24,13 +26,21 @@
     pub(super) fn carry_out(&self, world: &mut RegisterWorld, at: usize, effect: Effect) {
         match effect {
             Effect::Send { to, body } => self.send(world, at, node_index(&to), body),
-            Effect::Keep { ticket, durable } => self.write(world, at, ticket, Content::State(durable)),
-            Effect::KeepSetup { ticket, digest, bytes } => {
+            Effect::Keep { ticket, durable } => {
+                self.write(world, at, ticket, Content::State(durable))
+            }
+            Effect::KeepSetup {
+                ticket,
+                digest,
+                bytes,
+            } => {
                 self.write(world, at, ticket, Content::Setup { digest, bytes });
             }
             Effect::DropSetup { digest } => {
                 let content = Content::DroppedSetup { digest };
-                Arc::make_mut(&mut world.nodes[at]).writes.push_back(Write { ticket: 0, content });
+                Arc::make_mut(&mut world.nodes[at])
+                    .writes
+                    .push_back(Write { ticket: 0, content });
             }
             Effect::Decided { token, decision } if token != u64::MAX => {
                 let order = token as usize;
@@ -44,8 +54,16 @@
         }
     }
 
-    pub(super) fn write(&self, world: &mut RegisterWorld, at: usize, ticket: u64, content: Content) {
-        Arc::make_mut(&mut world.nodes[at]).writes.push_back(Write { ticket, content });
+    pub(super) fn write(
+        &self,
+        world: &mut RegisterWorld,
+        at: usize,
+        ticket: u64,
+        content: Content,
+    ) {
+        Arc::make_mut(&mut world.nodes[at])
+            .writes
+            .push_back(Write { ticket, content });
         if self.defect == RegisterDefect::AnswersBeforeSync {
             self.step(world, at, Event::Kept { ticket });
         }
@@ -58,10 +76,20 @@
         if self.defect == RegisterDefect::CountsMinority
             && let Some(body) = forged_answer(&body)
         {
-            self.step(world, from, Event::Received { from: node_name(to), body });
+            self.step(
+                world,
+                from,
+                Event::Received {
+                    from: node_name(to),
+                    body,
+                },
+            );
         }
         let replaced = self.scenario.voters - 1;
-        if self.defect == RegisterDefect::CountsReplacedVoter && to == replaced + 1 && from != replaced {
+        if self.defect == RegisterDefect::CountsReplacedVoter
+            && to == replaced + 1
+            && from != replaced
+        {
             world.network.send(from, replaced, body.clone());
         }
         world.network.send(from, to, body);
@@ -70,13 +98,22 @@
     pub(super) fn deliver(&self, world: &mut RegisterWorld, in_flight: &InFlight) {
         let Message { from, to, body } = &*in_flight.message;
         let (from, body) = self.twist(*from, body.clone());
-        self.step(world, *to, Event::Received { from: node_name(from), body });
+        self.step(
+            world,
+            *to,
+            Event::Received {
+                from: node_name(from),
+                body,
+            },
+        );
     }
 
     /// Syncs a node's oldest write; false where there is none.
     pub(super) fn sync(&self, world: &mut RegisterWorld, at: usize) -> bool {
         let node = Arc::make_mut(&mut world.nodes[at]);
-        let Some(write) = node.writes.pop_front() else { return false };
+        let Some(write) = node.writes.pop_front() else {
+            return false;
+        };
         node.disk_is_stray &= !node.writes.is_empty();
         node.keep(&write.content, self.defect);
         self.disk_changed(world, at);
@@ -84,7 +121,13 @@
         if nobody_waits || self.defect == RegisterDefect::AnswersBeforeSync {
             Arc::make_mut(&mut world.nodes[at]).renew_fingerprint();
         } else {
-            self.step(world, at, Event::Kept { ticket: write.ticket });
+            self.step(
+                world,
+                at,
+                Event::Kept {
+                    ticket: write.ticket,
+                },
+            );
         }
         true
     }
@@ -104,7 +147,11 @@
     pub(super) fn crash(&self, world: &mut RegisterWorld, at: usize, kept: usize) {
         let node = Arc::make_mut(&mut world.nodes[at]);
         let writes: Vec<Write> = node.writes.drain(..).take(kept).collect();
-        if let Some(before) = node.disk_before.take().filter(|_| self.defect == RegisterDefect::DiskForgetsSynced) {
+        if let Some(before) = node
+            .disk_before
+            .take()
+            .filter(|_| self.defect == RegisterDefect::DiskForgetsSynced)
+        {
             node.disk = *before;
         }
         writes.iter().for_each(|write| {
@@ -118,9 +165,19 @@
 
     pub(super) fn wipe(&self, world: &mut RegisterWorld, at: usize) {
         let node = Arc::make_mut(&mut world.nodes[at]);
-        let DurableState { disk, roster, endorsed, .. } = std::mem::take(&mut node.disk).durable;
+        let DurableState {
+            disk,
+            roster,
+            endorsed,
+            ..
+        } = std::mem::take(&mut node.disk).durable;
         if self.defect == RegisterDefect::KeepsMarkAfterWipe {
-            node.disk.durable = DurableState { disk, roster, endorsed, ..DurableState::default() };
+            node.disk.durable = DurableState {
+                disk,
+                roster,
+                endorsed,
+                ..DurableState::default()
+            };
         }
         self.restart(world, at);
     }
@@ -137,18 +194,30 @@
     }
 
     pub(super) fn ask(&self, world: &mut RegisterWorld, order: usize, at: usize) {
-        let Order { mut change, bytes, .. } = self.scenario.orders[order].clone();
+        let Order {
+            mut change, bytes, ..
+        } = self.scenario.orders[order].clone();
         if self.defect == RegisterDefect::ResendsAsNew
             && world.asked[order] > 0
             && let Change::Setup { id, .. } | Change::Evacuate { id, .. } = &mut change
         {
             id.id.push_str("-again");
         }
-        if let (RegisterDefect::LosesNumbers, Change::Setup { number, .. }) = (self.defect, &mut change) {
+        if let (RegisterDefect::LosesNumbers, Change::Setup { number, .. }) =
+            (self.defect, &mut change)
+        {
             *number = None;
         }
         world.asked[order] += 1;
-        self.step(world, at, Event::Ask { token: order as u64, change, bytes });
+        self.step(
+            world,
+            at,
+            Event::Ask {
+                token: order as u64,
+                change,
+                bytes,
+            },
+        );
     }
 
     pub(super) fn read(&self, world: &mut RegisterWorld, at: usize) {
@@ -176,8 +245,14 @@
     }
 
     pub(super) fn may_wipe(&self, world: &RegisterWorld, at: usize) -> bool {
-        let whole = |node: &Arc<Node>| node.disk.durable.disk != 0 && *node.register.phase() == VoterPhase::Active;
-        world.nodes.iter().enumerate().all(|(other, node)| whole(node) || other == at)
+        let whole = |node: &Arc<Node>| {
+            node.disk.durable.disk != 0 && *node.register.phase() == VoterPhase::Active
+        };
+        world
+            .nodes
+            .iter()
+            .enumerate()
+            .all(|(other, node)| whole(node) || other == at)
             && world.nodes[at].disk.durable.disk != 0
     }
 }
--- a/crates/explorer/src/register_model/world.rs
+++ b/crates/explorer/src/register_model/world.rs
@@ -79,21 +79,42 @@
         if defect == RegisterDefect::DiskForgetsSynced {
             self.disk_before = Some(Box::new(self.disk.clone()));
         }
-        let dropped = defect == RegisterDefect::DropsBytes && matches!(content, Content::Setup { .. });
+        let dropped =
+            defect == RegisterDefect::DropsBytes && matches!(content, Content::Setup { .. });
         if !dropped {
             self.disk.apply(content);
         }
     }
 
     pub(super) fn renew_fingerprint(&mut self) {
-        let Node { register, disk, disk_before, writes, disk_is_stray, now, lives, .. } = self;
-        self.fingerprint = fingerprint_of(&(register, disk, disk_before, writes, disk_is_stray, now, lives));
+        let Node {
+            register,
+            disk,
+            disk_before,
+            writes,
+            disk_is_stray,
+            now,
+            lives,
+            ..
+        } = self;
+        self.fingerprint = fingerprint_of(&(
+            register,
+            disk,
+            disk_before,
+            writes,
+            disk_is_stray,
+            now,
+            lives,
+        ));
     }
 }
 
 impl RegisterWorld {
     /// Adds to what was seen and judges it.
-    pub(super) fn record(&mut self, seen: impl FnOnce(&mut History, &[&Disk]) -> Result<(), Violation>) {
+    pub(super) fn record(
+        &mut self,
+        seen: impl FnOnce(&mut History, &[&Disk]) -> Result<(), Violation>,
+    ) {
         let checked = seen(Arc::make_mut(&mut self.history), &disks(&self.nodes));
         self.history_fingerprint = fingerprint_of(&self.history);
         self.note(checked);
@@ -101,7 +122,10 @@
 
     /// Deliveries and syncs that may come next, whatever the order.
     pub(super) fn any_order(&self) -> Vec<RegisterAction> {
-        traffic::any_order(self).into_iter().map(RegisterAction::Traffic).collect()
+        traffic::any_order(self)
+            .into_iter()
+            .map(RegisterAction::Traffic)
+            .collect()
     }
 
     /// What comes in turn, the strays, and what may become one.
@@ -109,7 +133,10 @@
         let traffic::InOrder { turn, others } = traffic::in_order(self, self.strays_left);
         let ticks = (self.left.rounds > 0).then_some(RegisterAction::TickAll);
         let first = turn.map(RegisterAction::Traffic).or(ticks);
-        first.into_iter().chain(others.into_iter().map(RegisterAction::Traffic)).collect()
+        first
+            .into_iter()
+            .chain(others.into_iter().map(RegisterAction::Traffic))
+            .collect()
     }
 
     /// The first violation stays.
--- a/crates/explorer/src/search.rs
+++ b/crates/explorer/src/search.rs
@@ -23,7 +23,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { depth: 1000, states: 2_000_000, time: Duration::from_secs(600), threads: 4 }
+        Limits {
+            depth: 1000,
+            states: 2_000_000,
+            time: Duration::from_secs(600),
+            threads: 4,
+        }
     }
 }
 
@@ -57,18 +62,25 @@
 
 impl Visited {
     fn new() -> Self {
-        Visited { shards: (0..SHARDS).map(|_| Mutex::default()).collect(), count: AtomicU64::new(0) }
+        Visited {
+            shards: (0..SHARDS).map(|_| Mutex::default()).collect(),
+            count: AtomicU64::new(0),
+        }
     }
 
     fn shard(&self, fingerprint: u64) -> MutexGuard<'_, HashMap<u64, Option<Origin>>> {
         let shard = &self.shards[fingerprint as usize % SHARDS];
-        shard.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        shard
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// True where the state is new.
     fn insert(&self, fingerprint: u64, origin: Option<Origin>) -> bool {
         let mut shard = self.shard(fingerprint);
-        let Entry::Vacant(place) = shard.entry(fingerprint) else { return false };
+        let Entry::Vacant(place) = shard.entry(fingerprint) else {
+            return false;
+        };
         place.insert(origin);
         self.count.fetch_add(1, Ordering::Relaxed);
         true
@@ -103,17 +115,25 @@
 
 impl<M: Model> Search<'_, M> {
     fn is_over_limit(&self) -> bool {
-        self.visited.count.load(Ordering::Relaxed) >= self.limits.states || self.began.elapsed() >= self.limits.time
+        self.visited.count.load(Ordering::Relaxed) >= self.limits.states
+            || self.began.elapsed() >= self.limits.time
     }
 
     /// All new states that are one action away from this layer's.
     fn next_layer(&self, layer: Vec<Chunk<M::State>>) -> Vec<Chunk<M::State>> {
         let layer = Mutex::new(layer);
-        let take = || layer.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).pop();
+        let take = || {
+            layer
+                .lock()
+                .unwrap_or_else(|poisoned| poisoned.into_inner())
+                .pop()
+        };
         let work = || {
             let (mut chunks, mut found) = (Vec::new(), Vec::new());
             while let Some(chunk) = take().filter(|_| !self.stop.load(Ordering::Relaxed)) {
-                chunk.iter().for_each(|state| self.expand(state, &mut found));
+                chunk
+                    .iter()
+                    .for_each(|state| self.expand(state, &mut found));
                 if found.len() >= CHUNK {
                     chunks.push(std::mem::take(&mut found));
                 }
@@ -125,41 +145,63 @@
             chunks
         };
         std::thread::scope(|scope| {
-            let workers: Vec<_> = (0..self.limits.threads.max(1)).map(|_| scope.spawn(work)).collect();
-            workers.into_iter().flat_map(|worker| worker.join().expect("a model does not panic")).collect()
+            let workers: Vec<_> = (0..self.limits.threads.max(1))
+                .map(|_| scope.spawn(work))
+                .collect();
+            workers
+                .into_iter()
+                .flat_map(|worker| worker.join().expect("a model does not panic"))
+                .collect()
         })
     }
 
     fn expand(&self, state: &M::State, found: &mut Vec<M::State>) {
         let parent = self.model.fingerprint(state);
-        self.model.actions(state).into_iter().enumerate().for_each(|(choice, action)| {
-            let next = self.model.next(state, action);
-            if self.model.is_redundant(state, &next) {
-                return;
-            }
-            self.transitions.fetch_add(1, Ordering::Relaxed);
-            let fingerprint = self.model.fingerprint(&next);
-            if !self.visited.insert(fingerprint, Some(Origin { parent, choice: choice as u16 })) {
-                return;
-            }
-            if self.model.violation(&next).is_some() {
-                self.stop.store(true, Ordering::Relaxed);
-                let mut violating = self.violating.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-                violating.get_or_insert(fingerprint);
-            }
-            found.push(next);
-        });
+        self.model
+            .actions(state)
+            .into_iter()
+            .enumerate()
+            .for_each(|(choice, action)| {
+                let next = self.model.next(state, action);
+                if self.model.is_redundant(state, &next) {
+                    return;
+                }
+                self.transitions.fetch_add(1, Ordering::Relaxed);
+                let fingerprint = self.model.fingerprint(&next);
+                if !self.visited.insert(
+                    fingerprint,
+                    Some(Origin {
+                        parent,
+                        choice: choice as u16,
+                    }),
+                ) {
+                    return;
+                }
+                if self.model.violation(&next).is_some() {
+                    self.stop.store(true, Ordering::Relaxed);
+                    let mut violating = self
+                        .violating
+                        .lock()
+                        .unwrap_or_else(|poisoned| poisoned.into_inner());
+                    violating.get_or_insert(fingerprint);
+                }
+                found.push(next);
+            });
     }
 
     fn report(self, depth: usize, complete: bool) -> Report {
-        let violating = self.violating.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let violating = self
+            .violating
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         Report {
             states: self.visited.count.load(Ordering::Relaxed),
             transitions: self.transitions.load(Ordering::Relaxed),
             depth,
             complete: complete && violating.is_none(),
             time: self.began.elapsed(),
-            violating: violating.map(|fingerprint| replay(self.model, &self.visited.choices_to(fingerprint))),
+            violating: violating
+                .map(|fingerprint| replay(self.model, &self.visited.choices_to(fingerprint))),
         }
     }
 }
--- a/crates/explorer/src/traffic.rs
+++ b/crates/explorer/src/traffic.rs
@@ -60,7 +60,9 @@
 pub(crate) fn any_order<W: TrafficWorld>(world: &W) -> Vec<Traffic> {
     let deliveries = (0..world.network().len()).map(|message| Traffic::Deliver { message });
     let nodes = world.nodes().iter().enumerate();
-    let syncs = nodes.filter(|(_, node)| node.is_writing()).map(|(node, _)| Traffic::Sync { node });
+    let syncs = nodes
+        .filter(|(_, node)| node.is_writing())
+        .map(|(node, _)| Traffic::Sync { node });
     deliveries.chain(syncs).collect()
 }
 
@@ -70,14 +72,24 @@
     let ready = |node: &Arc<W::Node>| node.is_writing() && !node.disk_is_stray() && node.is_awake();
     let (disk, message) = (nodes.iter().position(ready), network.next_in_turn());
     let is_for_awake = |at: &usize| nodes[network.message(*at).to].is_awake();
-    let turn = disk.map(|node| Traffic::Sync { node }).or(message.map(|message| {
-        // What comes for a node that stands still waits at its door.
-        let waits = !is_for_awake(&message);
-        if waits { Traffic::StrayMessage { message } } else { Traffic::Deliver { message } }
-    }));
-    let mut others: Vec<Traffic> =
-        network.strays().filter(is_for_awake).map(|message| Traffic::Deliver { message }).collect();
-    let stray_disks = (0..nodes.len()).filter(|at| nodes[*at].disk_is_stray() && nodes[*at].is_awake());
+    let turn = disk
+        .map(|node| Traffic::Sync { node })
+        .or(message.map(|message| {
+            // What comes for a node that stands still waits at its door.
+            let waits = !is_for_awake(&message);
+            if waits {
+                Traffic::StrayMessage { message }
+            } else {
+                Traffic::Deliver { message }
+            }
+        }));
+    let mut others: Vec<Traffic> = network
+        .strays()
+        .filter(is_for_awake)
+        .map(|message| Traffic::Deliver { message })
+        .collect();
+    let stray_disks =
+        (0..nodes.len()).filter(|at| nodes[*at].disk_is_stray() && nodes[*at].is_awake());
     others.extend(stray_disks.map(|node| Traffic::Sync { node }));
     if strays_left > 0 {
         others.extend(disk.map(|node| Traffic::StrayDisk { node }));
@@ -91,7 +103,9 @@
 pub(crate) fn duplicates<W: TrafficWorld>(world: &W) -> Vec<Traffic> {
     let messages = 0..world.network().len();
     let awake = messages.filter(|at| world.nodes()[world.network().message(*at).to].is_awake());
-    awake.map(|message| Traffic::Duplicate { message }).collect()
+    awake
+        .map(|message| Traffic::Duplicate { message })
+        .collect()
 }
 
 /// Takes one of them: the model tells what a delivery and a sync do.
@@ -141,7 +155,10 @@
         Traffic::Sync { .. } | Traffic::StrayDisk { .. } => return format!("{traffic:?}"),
     };
     let Message { from, to, body } = world.network().message(message);
-    format!("{verb} v{from} -> v{to}: {}", shortened(&format!("{body:?}")))
+    format!(
+        "{verb} v{from} -> v{to}: {}",
+        shortened(&format!("{body:?}"))
+    )
 }
 
 /// Long enough to be told apart in a trace.
--- a/crates/explorer/src/walk.rs
+++ b/crates/explorer/src/walk.rs
@@ -33,7 +33,10 @@
 /// });
 /// assert!(walked.violating.is_none());
 /// ```
-pub fn walk<M: Model>(model: &M, mut choose: impl FnMut(Choice) -> Option<usize>) -> Walked<M::State> {
+pub fn walk<M: Model>(
+    model: &M,
+    mut choose: impl FnMut(Choice) -> Option<usize>,
+) -> Walked<M::State> {
     let mut state = model.initial();
     let mut choices = Vec::new();
     loop {
@@ -41,14 +44,27 @@
         let chosen = if actions.is_empty() {
             None
         } else {
-            choose(Choice { count: actions.len(), usual: model.usual_actions(&state).min(actions.len()) })
+            choose(Choice {
+                count: actions.len(),
+                usual: model.usual_actions(&state).min(actions.len()),
+            })
+        };
+        let Some((choice, action)) = chosen.and_then(|at| Some((at, *actions.get(at)?))) else {
+            break;
         };
-        let Some((choice, action)) = chosen.and_then(|at| Some((at, *actions.get(at)?))) else { break };
         choices.push(choice);
         state = model.next(&state, action);
         if model.violation(&state).is_some() {
-            return Walked { depth: choices.len(), end: state, violating: Some(replay(model, &choices)) };
+            return Walked {
+                depth: choices.len(),
+                end: state,
+                violating: Some(replay(model, &choices)),
+            };
         }
     }
-    Walked { depth: choices.len(), end: state, violating: None }
+    Walked {
+        depth: choices.len(),
+        end: state,
+        violating: None,
+    }
 }
--- a/crates/explorer/tests/control.rs
+++ b/crates/explorer/tests/control.rs
@@ -3,8 +3,8 @@
 
 use arbtest::arbtest;
 use explorer::{
-    ControlBudget, ControlDefect, ControlModel, ControlScenario, Invariant, Limits, Model, Schedule, control_scenario,
-    control_scenarios, replay, search, walk,
+    ControlBudget, ControlDefect, ControlModel, ControlScenario, Invariant, Limits, Model,
+    Schedule, control_scenario, control_scenarios, replay, search, walk,
 };
 use std::time::Duration;
 
@@ -17,7 +17,11 @@
 const UNUSUAL_EVERY: u8 = 12;
 
 fn limits(states: u64) -> Limits {
-    Limits { states, threads: 3, ..Limits::default() }
+    Limits {
+        states,
+        threads: 3,
+        ..Limits::default()
+    }
 }
 
 fn named(name: &str) -> ControlScenario {
@@ -32,9 +36,20 @@
         let model = ControlModel::new(scenario);
         assert_eq!(model.last_epoch(&model.initial()) > 0, is_held, "{name}");
         let report = search(&model, limits(STATES));
-        println!("{name}: {} states, depth {}, complete: {}", report.states, report.depth, report.complete);
-        assert_eq!(report.violating.map(|trace| trace.to_string()), None, "{name}");
-        assert!(report.complete || report.states >= STATES, "{name} ended early: {} states", report.states);
+        println!(
+            "{name}: {} states, depth {}, complete: {}",
+            report.states, report.depth, report.complete
+        );
+        assert_eq!(
+            report.violating.map(|trace| trace.to_string()),
+            None,
+            "{name}"
+        );
+        assert!(
+            report.complete || report.states >= STATES,
+            "{name} ended early: {} states",
+            report.states
+        );
     }
 }
 
@@ -43,7 +58,10 @@
 #[test]
 fn two_steps_of_a_change_within_a_span_bring_no_second_holder() {
     let scenario = ControlScenario {
-        budget: ControlBudget { passes: 4, ..named("voters-lease-begun-stray").budget },
+        budget: ControlBudget {
+            passes: 4,
+            ..named("voters-lease-begun-stray").budget
+        },
         ..named("voters-lease-begun-stray")
     };
     let report = search(&ControlModel::new(scenario), limits(10 * STATES));
@@ -54,23 +72,42 @@
 fn broken_by(defect: ControlDefect, scenario: ControlScenario) -> Invariant {
     let model = ControlModel::with_defect(scenario, defect);
     let report = search(&model, limits(60_000));
-    let trace = report.violating.unwrap_or_else(|| panic!("{defect:?} was not found in {} states", report.states));
-    assert_eq!(replay(&model, &trace.choices), trace, "the trace of {defect:?} can be replayed");
-    println!("{defect:?}: {} states, {} steps", report.states, trace.steps.len());
+    let trace = report
+        .violating
+        .unwrap_or_else(|| panic!("{defect:?} was not found in {} states", report.states));
+    assert_eq!(
+        replay(&model, &trace.choices),
+        trace,
+        "the trace of {defect:?} can be replayed"
+    );
+    println!(
+        "{defect:?}: {} states, {} steps",
+        report.states,
+        trace.steps.len()
+    );
     trace.violation.expect("a violation").invariant
 }
 
 #[test]
 fn a_new_voter_that_grants_at_once_is_found_out() {
     let scenario = named("voters-lease-begun-stray");
-    let budget = ControlBudget { passes: 4, ..scenario.budget };
-    let found = broken_by(ControlDefect::NewVoterGrantsAtOnce, ControlScenario { budget, ..scenario });
+    let budget = ControlBudget {
+        passes: 4,
+        ..scenario.budget
+    };
+    let found = broken_by(
+        ControlDefect::NewVoterGrantsAtOnce,
+        ControlScenario { budget, ..scenario },
+    );
     assert_eq!(found, Invariant::OneHolder);
 }
 
 #[test]
 fn new_voters_that_learn_of_no_granted_epoch_are_found_out() {
-    let found = broken_by(ControlDefect::AcceptsLackEpoch, named("voters-lease-begun-wipe"));
+    let found = broken_by(
+        ControlDefect::AcceptsLackEpoch,
+        named("voters-lease-begun-wipe"),
+    );
     assert_eq!(found, Invariant::EpochsRise);
 }
 
@@ -92,7 +129,12 @@
     };
     ControlScenario {
         replicas: 2,
-        replacements: vec![(voters - 1, voters), (0, voters + 1), (voters, voters - 1), (voters + 1, 0)],
+        replacements: vec![
+            (voters - 1, voters),
+            (0, voters + 1),
+            (voters, voters - 1),
+            (voters + 1, 0),
+        ],
         proposers: (0..voters + 2).collect(),
         budget,
         ..ControlScenario::new("walk", voters)
@@ -111,18 +153,27 @@
                         return None;
                     }
                     let unusual = choice.usual == 0 || noise.ratio(1, UNUSUAL_EVERY).ok()?;
-                    noise.choose_index(if unusual { choice.count } else { choice.usual }).ok()
+                    noise
+                        .choose_index(if unusual { choice.count } else { choice.usual })
+                        .ok()
                 });
                 steps += walked.depth;
                 epochs += model.last_epoch(&walked.end);
                 changes += model.voter_epoch(&walked.end);
-                found = found.take().or(walked.violating.map(|trace| trace.to_string()));
+                found = found
+                    .take()
+                    .or(walked.violating.map(|trace| trace.to_string()));
                 Ok(())
             })
             .seed(number << 32 | ENTROPY);
         });
-        println!("{voters} voters: {steps} steps, {epochs} lease epochs, {changes} steps of changes of the voters");
+        println!(
+            "{voters} voters: {steps} steps, {epochs} lease epochs, {changes} steps of changes of the voters"
+        );
         assert_eq!(found, None, "{voters} voters");
-        assert!(steps > 2_000 && epochs > 20 && changes > 20, "{steps} steps, {epochs} epochs, {changes} changes");
+        assert!(
+            steps > 2_000 && epochs > 20 && changes > 20,
+            "{steps} steps, {epochs} epochs, {changes} changes"
+        );
     }
 }
--- a/crates/explorer/tests/lease.rs
+++ b/crates/explorer/tests/lease.rs
@@ -1,6 +1,9 @@
 //! Every scenario of the lease within a bound, and the broken twins that must be found out.
 
-use explorer::{Invariant, LeaseBudget, LeaseDefect, LeaseModel, Limits, Schedule, lease_scenarios, replay, search};
+use explorer::{
+    Invariant, LeaseBudget, LeaseDefect, LeaseModel, Limits, Schedule, lease_scenarios, replay,
+    search,
+};
 use std::time::Duration;
 
 /// How many states of each scenario CI visits; `drill explore` goes on.
@@ -9,61 +12,117 @@
 const COMPLETE: [&str; 1] = ["lease-doubled"];
 
 fn limits(states: u64) -> Limits {
-    Limits { states, threads: 3, ..Limits::default() }
+    Limits {
+        states,
+        threads: 3,
+        ..Limits::default()
+    }
 }
 
 #[test]
 fn no_scenario_of_the_lease_breaks_an_invariant() {
     for (name, budget) in lease_scenarios() {
         let report = search(&LeaseModel::new(3, budget), limits(STATES));
-        println!("{name}: {} states, depth {}, complete: {}", report.states, report.depth, report.complete);
+        println!(
+            "{name}: {} states, depth {}, complete: {}",
+            report.states, report.depth, report.complete
+        );
         let found = report.violating.map(|trace| trace.to_string());
         assert_eq!(found, None, "{name}");
-        assert!(report.complete || report.states >= STATES, "{name} ended early: {} states", report.states);
-        assert!(report.complete || !COMPLETE.contains(&name), "{name} has grown: not searched to its end");
+        assert!(
+            report.complete || report.states >= STATES,
+            "{name} ended early: {} states",
+            report.states
+        );
+        assert!(
+            report.complete || !COMPLETE.contains(&name),
+            "{name} has grown: not searched to its end"
+        );
     }
 }
 
 fn in_order(passes: u8, quantum_ms: u64, strays: u8) -> LeaseBudget {
-    let (quantum, schedule) = (Duration::from_millis(quantum_ms), Schedule::InOrder { strays });
-    LeaseBudget { passes, quantum, schedule, ..LeaseBudget::default() }
+    let (quantum, schedule) = (
+        Duration::from_millis(quantum_ms),
+        Schedule::InOrder { strays },
+    );
+    LeaseBudget {
+        passes,
+        quantum,
+        schedule,
+        ..LeaseBudget::default()
+    }
 }
 
 /// Searches a twin, replays the trace it finds, and tells which invariant breaks.
 fn broken_by(defect: LeaseDefect, budget: LeaseBudget) -> Invariant {
     let model = LeaseModel::with_defect(3, budget, defect);
     let report = search(&model, limits(1_000_000));
-    let trace = report.violating.unwrap_or_else(|| panic!("{defect:?} was not found in {} states", report.states));
-    assert_eq!(replay(&model, &trace.choices), trace, "the trace of {defect:?} can be replayed");
+    let trace = report
+        .violating
+        .unwrap_or_else(|| panic!("{defect:?} was not found in {} states", report.states));
+    assert_eq!(
+        replay(&model, &trace.choices),
+        trace,
+        "the trace of {defect:?} can be replayed"
+    );
     trace.violation.expect("a violation").invariant
 }
 
 #[test]
 fn a_voter_that_grants_right_after_its_restart_is_found_out() {
-    let budget = LeaseBudget { crashes: 1, wipes: 1, ..in_order(7, 490, 1) };
-    assert_eq!(broken_by(LeaseDefect::GrantsAfterRestart, budget), Invariant::OneHolder);
+    let budget = LeaseBudget {
+        crashes: 1,
+        wipes: 1,
+        ..in_order(7, 490, 1)
+    };
+    assert_eq!(
+        broken_by(LeaseDefect::GrantsAfterRestart, budget),
+        Invariant::OneHolder
+    );
 }
 
 #[test]
 fn a_minority_that_counts_as_a_majority_is_found_out() {
-    let budget = LeaseBudget { crashes: 1, ..in_order(7, 490, 1) };
-    assert_eq!(broken_by(LeaseDefect::CountsMinority, budget), Invariant::OneHolder);
+    let budget = LeaseBudget {
+        crashes: 1,
+        ..in_order(7, 490, 1)
+    };
+    assert_eq!(
+        broken_by(LeaseDefect::CountsMinority, budget),
+        Invariant::OneHolder
+    );
 }
 
 #[test]
 fn clocks_far_off_the_bound_are_found_out() {
     let budget = in_order(30, 120, 1);
-    assert_eq!(broken_by(LeaseDefect::ClocksOffBound, budget), Invariant::OneHolder);
+    assert_eq!(
+        broken_by(LeaseDefect::ClocksOffBound, budget),
+        Invariant::OneHolder
+    );
 }
 
 #[test]
 fn epochs_granted_before_the_sync_are_found_out() {
-    let budget = LeaseBudget { crashes: 2, ..in_order(26, 120, 0) };
-    assert_eq!(broken_by(LeaseDefect::AnswersBeforeSync, budget), Invariant::EpochsRise);
+    let budget = LeaseBudget {
+        crashes: 2,
+        ..in_order(26, 120, 0)
+    };
+    assert_eq!(
+        broken_by(LeaseDefect::AnswersBeforeSync, budget),
+        Invariant::EpochsRise
+    );
 }
 
 #[test]
 fn a_mended_voter_that_knows_no_epoch_is_found_out() {
-    let budget = LeaseBudget { wipes: 2, ..in_order(26, 120, 0) };
-    assert_eq!(broken_by(LeaseDefect::MendsWithoutEpoch, budget), Invariant::EpochsRise);
+    let budget = LeaseBudget {
+        wipes: 2,
+        ..in_order(26, 120, 0)
+    };
+    assert_eq!(
+        broken_by(LeaseDefect::MendsWithoutEpoch, budget),
+        Invariant::EpochsRise
+    );
 }
--- a/crates/explorer/tests/register.rs
+++ b/crates/explorer/tests/register.rs
@@ -1,8 +1,8 @@
 //! Every scenario of the register within a bound, and the broken twins that must be found out.
 
 use explorer::{
-    Invariant, Limits, Order, RegisterBudget, RegisterDefect, RegisterModel, Scenario, Schedule, register_scenario,
-    register_scenarios, replay, search,
+    Invariant, Limits, Order, RegisterBudget, RegisterDefect, RegisterModel, Scenario, Schedule,
+    register_scenario, register_scenarios, replay, search,
 };
 
 /// How many states of each scenario CI visits; `drill explore` goes on.
@@ -13,19 +13,36 @@
 const NUMBERS: &str = "numbers";
 
 fn limits(states: u64) -> Limits {
-    Limits { states, threads: 3, ..Limits::default() }
+    Limits {
+        states,
+        threads: 3,
+        ..Limits::default()
+    }
 }
 
 #[test]
 fn no_scenario_of_the_register_breaks_an_invariant() {
-    for scenario in register_scenarios().into_iter().filter(|scenario| scenario.name != NUMBERS) {
+    for scenario in register_scenarios()
+        .into_iter()
+        .filter(|scenario| scenario.name != NUMBERS)
+    {
         let name = scenario.name;
         let report = search(&RegisterModel::new(scenario), limits(STATES));
-        println!("{name}: {} states, depth {}, complete: {}", report.states, report.depth, report.complete);
+        println!(
+            "{name}: {} states, depth {}, complete: {}",
+            report.states, report.depth, report.complete
+        );
         let found = report.violating.map(|trace| trace.to_string());
         assert_eq!(found, None, "{name}");
-        assert!(report.complete || report.states >= STATES, "{name} ended early: {} states", report.states);
-        assert!(report.complete || !COMPLETE.contains(&name), "{name} has grown: not searched to its end");
+        assert!(
+            report.complete || report.states >= STATES,
+            "{name} ended early: {} states",
+            report.states
+        );
+        assert!(
+            report.complete || !COMPLETE.contains(&name),
+            "{name} has grown: not searched to its end"
+        );
     }
 }
 
@@ -40,8 +57,14 @@
 fn broken_by(defect: RegisterDefect, scenario: Scenario) -> Invariant {
     let model = RegisterModel::with_defect(scenario, defect);
     let report = search(&model, limits(400_000));
-    let trace = report.violating.unwrap_or_else(|| panic!("{defect:?} was not found in {} states", report.states));
-    assert_eq!(replay(&model, &trace.choices), trace, "the trace of {defect:?} can be replayed");
+    let trace = report
+        .violating
+        .unwrap_or_else(|| panic!("{defect:?} was not found in {} states", report.states));
+    assert_eq!(
+        replay(&model, &trace.choices),
+        trace,
+        "the trace of {defect:?} can be replayed"
+    );
     trace.violation.expect("a violation").invariant
 }
 
@@ -51,59 +74,102 @@
 
 #[test]
 fn a_minority_that_counts_as_a_majority_is_found_out() {
-    assert_eq!(broken_by(RegisterDefect::CountsMinority, named("orders")), Invariant::OneHistory);
+    assert_eq!(
+        broken_by(RegisterDefect::CountsMinority, named("orders")),
+        Invariant::OneHistory
+    );
 }
 
 #[test]
 fn answers_before_the_sync_are_found_out() {
-    assert_eq!(broken_by(RegisterDefect::AnswersBeforeSync, named("any-crash")), Invariant::OneHistory);
+    assert_eq!(
+        broken_by(RegisterDefect::AnswersBeforeSync, named("any-crash")),
+        Invariant::OneHistory
+    );
 }
 
 #[test]
 fn a_disk_that_forgets_what_it_synced_is_found_out() {
     let found = broken_by(RegisterDefect::DiskForgetsSynced, named("crash"));
-    assert!([Invariant::OneHistory, Invariant::AcceptedIsKept].contains(&found), "{found:?}");
+    assert!(
+        [Invariant::OneHistory, Invariant::AcceptedIsKept].contains(&found),
+        "{found:?}"
+    );
 }
 
 #[test]
 fn a_wiped_disk_with_its_old_mark_is_found_out() {
-    assert_eq!(broken_by(RegisterDefect::KeepsMarkAfterWipe, named("wipe-stray")), Invariant::AcceptedIsKept);
+    assert_eq!(
+        broken_by(RegisterDefect::KeepsMarkAfterWipe, named("wipe-stray")),
+        Invariant::AcceptedIsKept
+    );
 }
 
 #[test]
 fn reads_that_ask_nobody_are_found_out() {
-    assert_eq!(broken_by(RegisterDefect::ReadsLocally, named("any-read")), Invariant::ReadsAreCurrent);
+    assert_eq!(
+        broken_by(RegisterDefect::ReadsLocally, named("any-read")),
+        Invariant::ReadsAreCurrent
+    );
 }
 
 #[test]
 fn orders_sent_again_as_new_ones_are_found_out() {
     let orders = vec![Order::setup("a", None, &[0, 1])];
     assert_eq!(
-        broken_by(RegisterDefect::ResendsAsNew, Scenario { orders, ..named("resent") }),
+        broken_by(
+            RegisterDefect::ResendsAsNew,
+            Scenario {
+                orders,
+                ..named("resent")
+            }
+        ),
         Invariant::ExecutedOnce
     );
 }
 
 #[test]
 fn orders_that_lose_their_number_are_found_out() {
-    assert_eq!(broken_by(RegisterDefect::LosesNumbers, named(NUMBERS)), Invariant::NumbersAreUnique);
+    assert_eq!(
+        broken_by(RegisterDefect::LosesNumbers, named(NUMBERS)),
+        Invariant::NumbersAreUnique
+    );
 }
 
 #[test]
 fn a_disk_that_drops_configurations_is_found_out() {
-    assert_eq!(broken_by(RegisterDefect::DropsBytes, named("bytes")), Invariant::BytesAreHeld);
+    assert_eq!(
+        broken_by(RegisterDefect::DropsBytes, named("bytes")),
+        Invariant::BytesAreHeld
+    );
 }
 
 #[test]
 fn a_replaced_voter_that_still_counts_is_found_out() {
-    let budget = RegisterBudget { asks: 1, ..RegisterBudget::default() };
-    let scenario = Scenario { schedule: Schedule::InOrder { strays: 2 }, budget, ..named("replaced") };
-    assert_eq!(broken_by(RegisterDefect::CountsReplacedVoter, scenario), Invariant::OneHistory);
+    let budget = RegisterBudget {
+        asks: 1,
+        ..RegisterBudget::default()
+    };
+    let scenario = Scenario {
+        schedule: Schedule::InOrder { strays: 2 },
+        budget,
+        ..named("replaced")
+    };
+    assert_eq!(
+        broken_by(RegisterDefect::CountsReplacedVoter, scenario),
+        Invariant::OneHistory
+    );
 }
 
 #[test]
 fn voters_that_change_without_a_joint_step_are_found_out() {
     let orders = Vec::new();
-    let scenario = Scenario { orders, ..named("replace") };
-    assert_eq!(broken_by(RegisterDefect::SkipsJointVoters, scenario), Invariant::VotersChangeByStep);
+    let scenario = Scenario {
+        orders,
+        ..named("replace")
+    };
+    assert_eq!(
+        broken_by(RegisterDefect::SkipsJointVoters, scenario),
+        Invariant::VotersChangeByStep
+    );
 }
--- a/crates/explorer/tests/walks.rs
+++ b/crates/explorer/tests/walks.rs
@@ -3,8 +3,8 @@
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
 use explorer::{
-    Choice, LeaseBudget, LeaseModel, Model, Order, RegisterBudget, RegisterDefect, RegisterModel, Scenario, Schedule,
-    walk,
+    Choice, LeaseBudget, LeaseModel, Model, Order, RegisterBudget, RegisterDefect, RegisterModel,
+    Scenario, Schedule, walk,
 };
 use std::time::Duration;
 
@@ -39,7 +39,10 @@
             let walked = walk(model, |choice| choose(noise, choice));
             walks.depth += walked.depth;
             walks.counted += count(&walked.end);
-            walks.found = walks.found.take().or(walked.violating.map(|trace| trace.to_string()));
+            walks.found = walks
+                .found
+                .take()
+                .or(walked.violating.map(|trace| trace.to_string()));
             Ok(())
         })
         .seed(number << 32 | ENTROPY);
@@ -51,7 +54,12 @@
     let everywhere: Vec<usize> = (0..voters).collect();
     let order = |at: usize| match at % 3 {
         0 => Order::setup(&format!("setup-{at}"), None, &everywhere),
-        1 => Order::evacuation(&format!("away-{at}"), &format!("north/n{at}"), false, &everywhere),
+        1 => Order::evacuation(
+            &format!("away-{at}"),
+            &format!("north/n{at}"),
+            false,
+            &everywhere,
+        ),
         _ => Order::setup(&format!("based-{at}"), Some(at as u64), &everywhere),
     };
     let budget = RegisterBudget {
@@ -66,7 +74,12 @@
     };
     Scenario {
         replicas: 2,
-        replacements: vec![(voters - 1, voters), (0, voters + 1), (voters, voters - 1), (voters + 1, 0)],
+        replacements: vec![
+            (voters - 1, voters),
+            (0, voters + 1),
+            (voters, voters - 1),
+            (voters + 1, 0),
+        ],
         proposers: (0..voters + 2).collect(),
         orders: (0..9).map(order).collect(),
         reads_by_itself: true,
@@ -82,11 +95,21 @@
     for voters in [3, 4, 5] {
         for schedule in [Schedule::AnyOrder, Schedule::InOrder { strays: 60 }] {
             let model = RegisterModel::new(scenario(voters, schedule));
-            let Walks { depth, counted, found } = walk_often(&model, |end| model.accepted_orders(end));
+            let Walks {
+                depth,
+                counted,
+                found,
+            } = walk_often(&model, |end| model.accepted_orders(end));
             println!("{voters} voters, {schedule:?}: {depth} steps, {counted} orders accepted");
             assert_eq!(found, None, "{voters} voters, {schedule:?}");
-            assert!(depth > 20_000, "{voters} voters, {schedule:?}: only {depth} steps");
-            assert!(counted > 20, "{voters} voters, {schedule:?}: only {counted} orders were accepted");
+            assert!(
+                depth > 20_000,
+                "{voters} voters, {schedule:?}: only {depth} steps"
+            );
+            assert!(
+                counted > 20,
+                "{voters} voters, {schedule:?}: only {counted} orders were accepted"
+            );
             let replaced = walk_often(&model, |end| model.voter_epoch(end) as usize).counted;
             println!("{voters} voters, {schedule:?}: {replaced} steps of changes of the voters");
         }
@@ -97,7 +120,10 @@
 fn walks_find_broken_twins() {
     let twins = [
         (RegisterDefect::AnswersBeforeSync, Schedule::AnyOrder),
-        (RegisterDefect::ReadsLocally, Schedule::InOrder { strays: 60 }),
+        (
+            RegisterDefect::ReadsLocally,
+            Schedule::InOrder { strays: 60 },
+        ),
     ];
     for (defect, schedule) in twins {
         let model = RegisterModel::with_defect(scenario(5, schedule), defect);
@@ -109,17 +135,41 @@
 
 #[test]
 fn walks_of_the_lease_break_nothing() {
-    let budget = LeaseBudget { passes: 250, duplicates: 20, crashes: 8, wipes: 4, ..LeaseBudget::default() };
-    let orders = [(Schedule::AnyOrder, 0, 120), (Schedule::InOrder { strays: 80 }, 20, 120)];
+    let budget = LeaseBudget {
+        passes: 250,
+        duplicates: 20,
+        crashes: 8,
+        wipes: 4,
+        ..LeaseBudget::default()
+    };
+    let orders = [
+        (Schedule::AnyOrder, 0, 120),
+        (Schedule::InOrder { strays: 80 }, 20, 120),
+    ];
     for voters in [4, 5] {
         for (schedule, freezes, quantum) in orders {
-            let budget = LeaseBudget { schedule, freezes, quantum: Duration::from_millis(quantum), ..budget };
+            let budget = LeaseBudget {
+                schedule,
+                freezes,
+                quantum: Duration::from_millis(quantum),
+                ..budget
+            };
             let model = LeaseModel::new(voters, budget);
-            let Walks { depth, counted, found } = walk_often(&model, |end| model.last_epoch(end) as usize);
+            let Walks {
+                depth,
+                counted,
+                found,
+            } = walk_often(&model, |end| model.last_epoch(end) as usize);
             println!("{voters} voters, {schedule:?}: {depth} steps, {counted} epochs");
             assert_eq!(found, None, "{voters} voters, {schedule:?}");
-            assert!(depth > 20_000, "{voters} voters, {schedule:?}: only {depth} steps");
-            assert!(counted > 100, "{voters} voters, {schedule:?}: only {counted} epochs");
+            assert!(
+                depth > 20_000,
+                "{voters} voters, {schedule:?}: only {depth} steps"
+            );
+            assert!(
+                counted > 100,
+                "{voters} voters, {schedule:?}: only {counted} epochs"
+            );
         }
     }
 }
--- a/crates/gazetteer/src/answer.rs
+++ b/crates/gazetteer/src/answer.rs
@@ -47,33 +47,63 @@
     let (owner, epoch) = match owners {
         Owners::One => {
             let owned = view.reservations.get(name);
-            let owned = owned.filter(|owned| !view.evacuated.contains(&owned.locality)).ok_or(Code::NoOwner)?;
-            (owned.locality.parse().map_err(|_| Code::NoOwner)?, owned.epoch)
+            let owned = owned
+                .filter(|owned| !view.evacuated.contains(&owned.locality))
+                .ok_or(Code::NoOwner)?;
+            (
+                owned.locality.parse().map_err(|_| Code::NoOwner)?,
+                owned.epoch,
+            )
         }
-        Owners::ByCaller => (owner_for(view, name, origin).ok_or(Code::NoOwner)?, view.edition),
+        Owners::ByCaller => (
+            owner_for(view, name, origin).ok_or(Code::NoOwner)?,
+            view.edition,
+        ),
     };
     let mut proxies: Vec<_> = able(view, name)
         .map(|proxy| {
-            let near = (proxy.suspect, proxy.locality != owner, proxy.locality.region != owner.region);
+            let near = (
+                proxy.suspect,
+                proxy.locality != owner,
+                proxy.locality.region != owner.region,
+            );
             let far = proxy.locality.region != origin.region;
-            (near, far, address::spread_all([asked, &origin.region, &origin.zone, &proxy.node]), proxy)
+            (
+                near,
+                far,
+                address::spread_all([asked, &origin.region, &origin.zone, &proxy.node]),
+                proxy,
+            )
         })
         .collect();
     proxies.sort_by_key(|(near, far, spread, _)| (*near, *far, *spread));
-    let best = proxies.first().map(|(near, ..)| *near).ok_or(Code::NoOwner)?;
+    let best = proxies
+        .first()
+        .map(|(near, ..)| *near)
+        .ok_or(Code::NoOwner)?;
     let proxies = proxies
         .into_iter()
         .take_while(|(near, ..)| *near == best)
         .take(most)
         .map(|(.., proxy)| proxy.address.clone())
         .collect();
-    Ok(Listing { name: name.to_owned(), locality: owner.to_string(), epoch, proxies, lifetime })
+    Ok(Listing {
+        name: name.to_owned(),
+        locality: owner.to_string(),
+        epoch,
+        proxies,
+        lifetime,
+    })
 }
 
 /// The proxies that may carry a name's work: not evacuated, and at home for all of its services.
 fn able<'a>(view: &'a View, name: &'a str) -> impl Iterator<Item = &'a Proxy> {
     let services: Vec<_> = view.setup.services_of(name).collect();
-    let regions: Vec<_> = view.setup.routes_of(name).map(|route| &route.terms.home_regions).collect();
+    let regions: Vec<_> = view
+        .setup
+        .routes_of(name)
+        .map(|route| &route.terms.home_regions)
+        .collect();
     view.proxies.iter().filter(move |proxy| {
         let place = proxy.locality.to_string();
         !view.evacuated.contains(&place)
@@ -85,13 +115,25 @@
 /// The zone that owns a name for the callers of one zone: their own where a proxy of it is alive, else one of their
 /// region, else any; among equals the one with the most proxies, ties broken by a spread over name and zones.
 fn owner_for(view: &View, name: &str, origin: &Locality) -> Option<Locality> {
-    let counts = able(view, name).fold(BTreeMap::new(), |mut counts: BTreeMap<&Locality, u64>, proxy| {
-        *counts.entry(&proxy.locality).or_insert(0) += if proxy.suspect { 1 } else { 1000 };
-        counts
-    });
+    let counts = able(view, name).fold(
+        BTreeMap::new(),
+        |mut counts: BTreeMap<&Locality, u64>, proxy| {
+            *counts.entry(&proxy.locality).or_insert(0) += if proxy.suspect { 1 } else { 1000 };
+            counts
+        },
+    );
     let rank = |(place, count): &(&Locality, u64)| {
         let spread = address::spread_all([name, &origin.zone, &place.zone]);
-        (*count >= 1000, *place == origin, place.region == origin.region, *count, spread)
+        (
+            *count >= 1000,
+            *place == origin,
+            place.region == origin.region,
+            *count,
+            spread,
+        )
     };
-    counts.into_iter().max_by_key(rank).map(|(place, _)| place.clone())
+    counts
+        .into_iter()
+        .max_by_key(rank)
+        .map(|(place, _)| place.clone())
 }
--- a/crates/gazetteer/src/patch.rs
+++ b/crates/gazetteer/src/patch.rs
@@ -16,7 +16,9 @@
     let gaps = |share: &Share| {
         // The first run that ends beyond the start of this share; those before it cover nothing of it.
         let first = covered.partition_point(|(_, until)| *until <= share.from);
-        let runs = covered[first..].iter().take_while(|(from, _)| *from < share.until);
+        let runs = covered[first..]
+            .iter()
+            .take_while(|(from, _)| *from < share.until);
         let mut parts = Vec::new();
         let end = runs.fold(share.from, |at, (from, until)| {
             parts.push((at, *from));
@@ -25,9 +27,18 @@
         parts.push((end, share.until));
         parts
     };
-    let part = |share: &Share, (from, until): (u32, u32)| Share { from, until, ..share.clone() };
-    let parts = shares.iter().flat_map(|share| gaps(share).into_iter().map(move |gap| (share, gap)));
-    parts.filter(|(_, (from, until))| from < until).map(|(share, gap)| part(share, gap)).collect()
+    let part = |share: &Share, (from, until): (u32, u32)| Share {
+        from,
+        until,
+        ..share.clone()
+    };
+    let parts = shares
+        .iter()
+        .flat_map(|share| gaps(share).into_iter().map(move |gap| (share, gap)));
+    parts
+        .filter(|(_, (from, until))| from < until)
+        .map(|(share, gap)| part(share, gap))
+        .collect()
 }
 
 /// Shares of which no two name the same key, in the order of their keys: where some of the rows do, the one of the highest
@@ -42,9 +53,17 @@
 pub fn latest_grants(mut rows: Vec<Share>) -> Vec<Share> {
     rows.sort_by_key(|share| std::cmp::Reverse(share.epoch));
     let mut covered = Covered::default();
-    let part = |share: &Share, (from, until): (u32, u32)| Share { from, until, ..share.clone() };
-    let parts =
-        rows.iter().flat_map(|share| covered.cover(share.from, share.until).into_iter().map(move |gap| (share, gap)));
+    let part = |share: &Share, (from, until): (u32, u32)| Share {
+        from,
+        until,
+        ..share.clone()
+    };
+    let parts = rows.iter().flat_map(|share| {
+        covered
+            .cover(share.from, share.until)
+            .into_iter()
+            .map(move |gap| (share, gap))
+    });
     let mut shares: Vec<Share> = parts.map(|(share, gap)| part(share, gap)).collect();
     shares.sort_by_key(|share| share.from);
     shares
@@ -61,9 +80,17 @@
         if from >= until {
             return Vec::new();
         }
-        let before = self.0.range(..from).next_back().filter(|(_, end)| **end >= from);
+        let before = self
+            .0
+            .range(..from)
+            .next_back()
+            .filter(|(_, end)| **end >= from);
         let first = before.map_or(from, |(start, _)| *start);
-        let touched: Vec<(u32, u32)> = self.0.range(first..=until).map(|(start, end)| (*start, *end)).collect();
+        let touched: Vec<(u32, u32)> = self
+            .0
+            .range(first..=until)
+            .map(|(start, end)| (*start, *end))
+            .collect();
         let mut gaps = Vec::new();
         let end = touched.iter().fold(from, |at, (start, end)| {
             if at < *start {
@@ -84,16 +111,20 @@
 
 /// The keys that some of the shares cover, as runs in order that don't touch.
 fn union(shares: &[Share]) -> Vec<(u32, u32)> {
-    let mut runs: Vec<(u32, u32)> =
-        shares.iter().filter(|share| share.from < share.until).map(|share| (share.from, share.until)).collect();
+    let mut runs: Vec<(u32, u32)> = shares
+        .iter()
+        .filter(|share| share.from < share.until)
+        .map(|share| (share.from, share.until))
+        .collect();
     runs.sort_unstable();
-    runs.into_iter().fold(Vec::new(), |mut union: Vec<(u32, u32)>, (from, until)| {
-        match union.last_mut().filter(|(_, end)| from <= *end) {
-            Some((_, end)) => *end = until.max(*end),
-            None => union.push((from, until)),
-        }
-        union
-    })
+    runs.into_iter()
+        .fold(Vec::new(), |mut union: Vec<(u32, u32)>, (from, until)| {
+            match union.last_mut().filter(|(_, end)| from <= *end) {
+                Some((_, end)) => *end = until.max(*end),
+                None => union.push((from, until)),
+            }
+            union
+        })
 }
 
 /// What makes one service's shares the new ones: new rows, and rows without an instance where nobody holds any more.
@@ -107,11 +138,18 @@
 /// ```
 pub fn patch(old: &[Share], new: &[Share]) -> Vec<Share> {
     let mut known: BTreeMap<u32, Vec<&Share>> = BTreeMap::new();
-    old.iter().for_each(|row| known.entry(row.from).or_default().push(row));
+    old.iter()
+        .for_each(|row| known.entry(row.from).or_default().push(row));
     let is_known = |row: &Share| known.get(&row.from).is_some_and(|rows| rows.contains(&row));
     let rows = new.iter().filter(|row| !is_known(row)).cloned();
-    let nobody = |row: Share| Share { epoch: 0, instance: String::new(), handover: String::new(), ..row };
-    rows.chain(uncovered(old, new).into_iter().map(nobody)).collect()
+    let nobody = |row: Share| Share {
+        epoch: 0,
+        instance: String::new(),
+        handover: String::new(),
+        ..row
+    };
+    rows.chain(uncovered(old, new).into_iter().map(nobody))
+        .collect()
 }
 
 /// The shares after a patch, in the order of their keys.
@@ -141,18 +179,27 @@
         return None;
     }
     let of = |placement: &Placement, service: &str| {
-        let known = placement.shares.iter().find(|known| known.service == service);
+        let known = placement
+            .shares
+            .iter()
+            .find(|known| known.service == service);
         known.map(|known| known.shares.clone()).unwrap_or_default()
     };
-    let mut services: Vec<&str> =
-        old.shares.iter().chain(&new.shares).map(|service| service.service.as_str()).collect();
+    let mut services: Vec<&str> = old
+        .shares
+        .iter()
+        .chain(&new.shares)
+        .map(|service| service.service.as_str())
+        .collect();
     services.sort_unstable();
     services.dedup();
     let shares = services.into_iter().map(|service| ServiceShares {
         service: service.to_owned(),
         shares: patch(&of(old, service), &of(new, service)),
     });
-    let shares = shares.filter(|service| !service.shares.is_empty()).collect();
+    let shares = shares
+        .filter(|service| !service.shares.is_empty())
+        .collect();
     Some(Placement {
         epoch: new.epoch,
         number: new.number,
@@ -171,8 +218,16 @@
 /// assert_eq!(shares.len(), 1);
 /// ```
 pub fn take_change(shares: &mut Vec<ServiceShares>, changes: &[ServiceShares]) {
-    changes.iter().for_each(|change| match shares.iter_mut().find(|known| known.service == change.service) {
-        Some(known) => known.shares = patched(&known.shares, &change.shares),
-        None => shares.push(ServiceShares { service: change.service.clone(), shares: patched(&[], &change.shares) }),
+    changes.iter().for_each(|change| {
+        match shares
+            .iter_mut()
+            .find(|known| known.service == change.service)
+        {
+            Some(known) => known.shares = patched(&known.shares, &change.shares),
+            None => shares.push(ServiceShares {
+                service: change.service.clone(),
+                shares: patched(&[], &change.shares),
+            }),
+        }
     });
 }
