--- a/crates/sorting/src/board.rs
+++ b/crates/sorting/src/board.rs
@@ -75,7 +75,9 @@
     /// assert!(board.drain_keys().is_empty(), "told once");
     /// ```
     pub fn count_key(&self, key: u32) {
-        let parts = self.keys.get_or_init(|| (0..address::KEY_PARTS).map(|_| AtomicU32::new(0)).collect());
+        let parts = self
+            .keys
+            .get_or_init(|| (0..address::KEY_PARTS).map(|_| AtomicU32::new(0)).collect());
         let part = parts.get((key / (address::KEYS / address::KEY_PARTS)) as usize);
         part.into_iter().for_each(|part| {
             part.fetch_add(1, Ordering::Relaxed);
@@ -135,7 +137,9 @@
     /// sorting::Desk::default().ring(Some("a"));
     /// ```
     pub fn ring(&self, freed: Option<&str>) {
-        let first = Some(()).filter(|()| self.waiting() > 0).and_then(|()| self.line(|line| line.first(freed)));
+        let first = Some(())
+            .filter(|()| self.waiting() > 0)
+            .and_then(|()| self.line(|line| line.first(freed)));
         // Outside the lock: whoever is called may look at the list.
         first.iter().for_each(Bell::ring);
     }
@@ -186,7 +190,8 @@
             (told & 0xffff_ffff) as u32
         } else {
             let taken = self.in_flight.load(Ordering::Acquire);
-            self.told.store(number << 32 | u64::from(taken), Ordering::Release);
+            self.told
+                .store(number << 32 | u64::from(taken), Ordering::Release);
             taken
         };
         let room = self.room.fetch_max(free, Ordering::AcqRel).max(free);
@@ -194,7 +199,11 @@
         // Each may have one where there are fewer places than proxies; the upstream denies what is too much.
         let fair = room.div_ceil(proxies.max(1));
         let most = taken.saturating_add(part(free)).max(fair);
-        if full { most.min(self.full_at.load(Ordering::Acquire)) } else { most }
+        if full {
+            most.min(self.full_at.load(Ordering::Acquire))
+        } else {
+            most
+        }
     }
 
     /// It sealed that it did not run what was sent: it has no room beyond the others that are there. `least` places are
@@ -204,8 +213,15 @@
     /// sorting::Seat::default().full(std::time::Duration::ZERO, 0);
     /// ```
     pub fn full(&self, now: Duration, least: u32) {
-        self.full_at.store(self.in_flight.load(Ordering::Acquire).saturating_sub(1).max(least), Ordering::Release);
-        self.full_until_ms.store((now + FULL_FOR).as_millis() as u64, Ordering::Release);
+        self.full_at.store(
+            self.in_flight
+                .load(Ordering::Acquire)
+                .saturating_sub(1)
+                .max(least),
+            Ordering::Release,
+        );
+        self.full_until_ms
+            .store((now + FULL_FOR).as_millis() as u64, Ordering::Release);
     }
 
     /// Requests there by the best guess, this proxy's and others'.
@@ -227,7 +243,11 @@
     /// assert_eq!(seat.load(std::time::Duration::ZERO), 2.0);
     /// ```
     pub fn hear(&self, now: Duration, load: Load) {
-        self.gauge.hear(now, load, self.in_flight.load(Ordering::Acquire).saturating_sub(1));
+        self.gauge.hear(
+            now,
+            load,
+            self.in_flight.load(Ordering::Acquire).saturating_sub(1),
+        );
     }
 
     /// Takes one place if fewer than `most` are taken.
@@ -241,7 +261,9 @@
     /// ```
     pub fn sit(&self, most: u32) -> bool {
         let more = |taken: u32| Some(taken + 1).filter(|taken| *taken <= most);
-        self.in_flight.fetch_update(Ordering::AcqRel, Ordering::Acquire, more).is_ok()
+        self.in_flight
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, more)
+            .is_ok()
     }
 
     fn copy(&self) -> Seat {
@@ -271,7 +293,9 @@
     /// ```
     pub fn rise(&self) {
         let fewer = |taken: u32| Some(taken.saturating_sub(1));
-        let _ = self.in_flight.fetch_update(Ordering::AcqRel, Ordering::Acquire, fewer);
+        let _ = self
+            .in_flight
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, fewer);
     }
 
     /// Notes how a call went; an instance that fails is left out for a growing while.
@@ -290,7 +314,8 @@
         }
         let failures = self.failures.fetch_add(1, Ordering::AcqRel).min(6);
         let span = (Duration::from_millis(250) * 2u32.pow(failures)).min(MOST_EJECTION);
-        self.ejected_until_ms.fetch_max((now + span).as_millis() as u64, Ordering::AcqRel);
+        self.ejected_until_ms
+            .fetch_max((now + span).as_millis() as u64, Ordering::AcqRel);
     }
 
     /// True while it is left out.
@@ -326,7 +351,12 @@
         now_ms >= due
             && self
                 .next_warm_ms
-                .compare_exchange(due.max(1), now_ms + every_ms, Ordering::AcqRel, Ordering::Acquire)
+                .compare_exchange(
+                    due.max(1),
+                    now_ms + every_ms,
+                    Ordering::AcqRel,
+                    Ordering::Acquire,
+                )
                 .is_ok()
     }
 }
@@ -415,7 +445,13 @@
         let copy = Board::default();
         self.desks.iter().for_each(|desk| {
             let serving = AtomicU64::new(desk.serving.load(Ordering::Acquire));
-            copy.desks.insert(desk.key().clone(), Arc::new(Desk { serving, ..Desk::default() }));
+            copy.desks.insert(
+                desk.key().clone(),
+                Arc::new(Desk {
+                    serving,
+                    ..Desk::default()
+                }),
+            );
         });
         self.seats.iter().for_each(|seat| {
             copy.seats.insert(seat.key().clone(), Arc::new(seat.copy()));
@@ -439,7 +475,11 @@
             resends: desk.resends.sum(now),
             denied: desk.denied.sum(now),
         };
-        let mut all: Vec<Tally> = self.desks.iter().map(|desk| tally(desk.key(), &desk)).collect();
+        let mut all: Vec<Tally> = self
+            .desks
+            .iter()
+            .map(|desk| tally(desk.key(), &desk))
+            .collect();
         all.sort_by(|a, b| a.service.cmp(&b.service));
         all
     }
@@ -453,7 +493,12 @@
     /// ```
     pub fn ejected(&self, now: Duration) -> Vec<String> {
         let out = |seat: &Seat| seat.is_ejected(now) || seat.replaced.load(Ordering::Acquire);
-        let mut all: Vec<String> = self.seats.iter().filter(|seat| out(seat)).map(|seat| seat.key().clone()).collect();
+        let mut all: Vec<String> = self
+            .seats
+            .iter()
+            .filter(|seat| out(seat))
+            .map(|seat| seat.key().clone())
+            .collect();
         all.sort();
         all
     }
@@ -465,9 +510,17 @@
     /// ```
     pub fn drain_keys(&self) -> Vec<KeyLoad> {
         let drained = self.desks.iter().filter_map(|desk| {
-            let counts = desk.keys.get()?.iter().map(|count| count.swap(0, Ordering::Relaxed));
+            let counts = desk
+                .keys
+                .get()?
+                .iter()
+                .map(|count| count.swap(0, Ordering::Relaxed));
             let (parts, counts) = (0..).zip(counts).filter(|(_, count)| *count > 0).unzip();
-            Some(KeyLoad { service: desk.key().clone(), parts, counts })
+            Some(KeyLoad {
+                service: desk.key().clone(),
+                parts,
+                counts,
+            })
         });
         drained.filter(|load| !load.parts.is_empty()).collect()
     }
@@ -492,6 +545,8 @@
     /// ```
     pub fn sweep(&self, now: Duration, present: impl Fn(&str) -> bool) {
         self.tries.retain(|_, until| *until > now);
-        self.seats.retain(|instance, seat| present(instance) || seat.in_flight.load(Ordering::Acquire) > 0);
+        self.seats.retain(|instance, seat| {
+            present(instance) || seat.in_flight.load(Ordering::Acquire) > 0
+        });
     }
 }
--- a/crates/sorting/src/calls.rs
+++ b/crates/sorting/src/calls.rs
@@ -43,7 +43,9 @@
     /// assert!(matches!(next, Move::Answer { .. }), "it had chosen nobody");
     /// ```
     pub fn connected(&mut self, now: Duration, view: &View, board: &Board) -> Move {
-        let (Stage::Chosen { upstream, share }, Some(service)) = (self.stage.clone(), self.service.clone()) else {
+        let (Stage::Chosen { upstream, share }, Some(service)) =
+            (self.stage.clone(), self.service.clone())
+        else {
             return self.answer(now, Code::Expired);
         };
         let withdrawn = self.withdrawn(now, view, &service, &upstream, share.as_ref());
@@ -52,15 +54,24 @@
             self.notes.push(Note::Withdrawn { upstream, why });
             self.leave_seat();
             self.turn(Stage::Waiting);
-            return if self.calls < MOST_CALLS { self.choose(now, view, board) } else { self.answer(now, Code::Busy) };
+            return if self.calls < MOST_CALLS {
+                self.choose(now, view, board)
+            } else {
+                self.answer(now, Code::Busy)
+            };
         }
         if !self.written {
             self.written = true;
             self.desk.iter().for_each(|desk| desk.firsts.add(now));
         }
         self.sends += 1;
-        self.sent_at = self.seat.as_ref().map(|(seat, _)| (now, seat.load(now), upstream.slots));
-        self.turn(Stage::Sent { instance: upstream.instance.clone() });
+        self.sent_at = self
+            .seat
+            .as_ref()
+            .map(|(seat, _)| (now, seat.load(now), upstream.slots));
+        self.turn(Stage::Sent {
+            instance: upstream.instance.clone(),
+        });
         self.sent_to = Some((upstream.clone(), share.clone()));
         self.notes.push(Note::Sent { upstream });
         Move::Send { share, within }
@@ -77,13 +88,25 @@
     /// assert!(matches!(journey.unsent(Duration::ZERO), Move::Answer { .. }), "it was to be written nowhere");
     /// ```
     pub fn unsent(&mut self, now: Duration) -> Move {
-        let Some((upstream, share)) = self.sent_to.take().filter(|_| matches!(self.stage, Stage::Sent { .. })) else {
+        let Some((upstream, share)) = self
+            .sent_to
+            .take()
+            .filter(|_| matches!(self.stage, Stage::Sent { .. }))
+        else {
             return self.answer(now, Code::Expired);
         };
         self.sends -= 1;
-        self.notes.push(Note::Unsent { upstream: upstream.clone() });
-        self.turn(Stage::Chosen { upstream: upstream.clone(), share });
-        Move::Connect { upstream, within: self.left(now) }
+        self.notes.push(Note::Unsent {
+            upstream: upstream.clone(),
+        });
+        self.turn(Stage::Chosen {
+            upstream: upstream.clone(),
+            share,
+        });
+        Move::Connect {
+            upstream,
+            within: self.left(now),
+        }
     }
 
     /// Why what was chosen is not allowed any more.
@@ -97,12 +120,17 @@
     ) -> Option<Why> {
         let stale = !self.site.may_use(view, now) || view.edition != self.edition;
         let late = stale || self.left(now).is_zero();
-        let known = view.upstreams.get(&service.name).and_then(|known| known.get(&chosen.instance));
+        let known = view
+            .upstreams
+            .get(&service.name)
+            .and_then(|known| known.get(&chosen.instance));
         let known = known.filter(|known| known.address == chosen.address && !late);
         let held = self.share(view, service);
         let other = service.keyed && held.as_ref() != share;
         known
-            .map_or(Some(Why::Gone), |known| self.barred(view, service, share, known))
+            .map_or(Some(Why::Gone), |known| {
+                self.barred(view, service, share, known)
+            })
             .or(Some(Why::OtherHolder).filter(|_| other))
     }
 
@@ -139,16 +167,23 @@
         self.seat.iter().for_each(|(seat, _)| {
             seat.note(
                 now,
-                matches!(outcome, Outcome::Sealed | Outcome::SealedNotRun | Outcome::NotHeld | Outcome::Failed),
+                matches!(
+                    outcome,
+                    Outcome::Sealed | Outcome::SealedNotRun | Outcome::NotHeld | Outcome::Failed
+                ),
             );
             match outcome {
                 Outcome::SealedNotRun => seat.full(now, least),
-                Outcome::Replaced | Outcome::ReplacedNotRun => seat.replaced.store(true, Ordering::Release),
-                Outcome::Sealed => {
-                    self.sent_at.iter().filter(|(.., slots)| *slots > 0).for_each(|(at, load, slots)| {
-                        seat.gauge.worked(now.saturating_sub(*at), *load, *slots);
-                    })
+                Outcome::Replaced | Outcome::ReplacedNotRun => {
+                    seat.replaced.store(true, Ordering::Release)
                 }
+                Outcome::Sealed => self
+                    .sent_at
+                    .iter()
+                    .filter(|(.., slots)| *slots > 0)
+                    .for_each(|(at, load, slots)| {
+                        seat.gauge.worked(now.saturating_sub(*at), *load, *slots);
+                    }),
                 _ => {}
             }
         });
@@ -166,10 +201,20 @@
             Outcome::Garbage | Outcome::Replaced => Code::Garbage,
             Outcome::TimedOut => Code::TimedOut,
         };
-        self.doubt = self.doubt.or(Some(code).filter(|code| code.kind() == Kind::Unknown));
+        self.doubt = self
+            .doubt
+            .or(Some(code).filter(|code| code.kind() == Kind::Unknown));
         let said = self.route.as_ref().and_then(|route| route.terms.repeatable);
-        let repeatable = said.unwrap_or_else(|| self.service.as_ref().is_some_and(|service| service.repeatable));
-        let attempts = self.route.as_ref().and_then(|route| route.terms.attempts).unwrap_or(MOST_CALLS);
+        let repeatable = said.unwrap_or_else(|| {
+            self.service
+                .as_ref()
+                .is_some_and(|service| service.repeatable)
+        });
+        let attempts = self
+            .route
+            .as_ref()
+            .and_then(|route| route.terms.attempts)
+            .unwrap_or(MOST_CALLS);
         let safe = repeatable || code.kind() == Kind::NotRun;
         let proxies = view.proxies.len();
         // Where no connection came up, nothing was sent: going elsewhere is no resend.
@@ -178,13 +223,21 @@
             && self.calls < MOST_CALLS
             && self.sends < attempts
             && !self.left(now).is_zero()
-            && (code == Code::ResendsSpent || self.desk.as_ref().is_some_and(|desk| desk.take_resend(now, proxies)));
+            && (code == Code::ResendsSpent
+                || self
+                    .desk
+                    .as_ref()
+                    .is_some_and(|desk| desk.take_resend(now, proxies)));
         if again {
             self.notes.push(Note::Again { after: code });
             return self.choose(now, view, board);
         }
         let answer = self.answer(now, code);
         // What it said of its failure is for the origin.
-        if outcome == Outcome::Failed { Move::Pass } else { answer }
+        if outcome == Outcome::Failed {
+            Move::Pass
+        } else {
+            answer
+        }
     }
 }
--- a/crates/sorting/src/choosing.rs
+++ b/crates/sorting/src/choosing.rs
@@ -54,48 +54,78 @@
         }
         let wants = share.as_ref().map(|share| share.instance.as_str());
         // Whoever came before goes first.
-        let behind = self.place.is_none() && self.site.wait_for > Duration::ZERO && desk.has_waiting(wants);
-        let chosen = if behind { None } else { self.seated(now, view, board, &service, share.as_ref()) };
+        let behind =
+            self.place.is_none() && self.site.wait_for > Duration::ZERO && desk.has_waiting(wants);
+        let chosen = if behind {
+            None
+        } else {
+            self.seated(now, view, board, &service, share.as_ref())
+        };
         match chosen {
             None => self.wait(now, &desk, wants),
             Some(upstream) => {
                 self.calls += 1;
                 self.tried.push(upstream.instance.clone());
-                self.notes.push(Note::Connecting { upstream: upstream.clone() });
-                self.turn(Stage::Chosen { upstream: upstream.clone(), share });
+                self.notes.push(Note::Connecting {
+                    upstream: upstream.clone(),
+                });
+                self.turn(Stage::Chosen {
+                    upstream: upstream.clone(),
+                    share,
+                });
                 if self.place.is_some() {
                     // There may be room for the next one too.
                     self.leave_place();
                     desk.ring(None);
                 }
-                Move::Connect { upstream, within: self.left(now) }
+                Move::Connect {
+                    upstream,
+                    within: self.left(now),
+                }
             }
         }
     }
 
     /// A place in the waitlist, for a set span and never for more than half of the time left.
     fn wait(&mut self, now: Duration, desk: &Arc<Desk>, wants: Option<&str>) -> Move {
-        let until = *self.wait_until.get_or_insert(now + self.site.wait_for.min(self.left(now) / 2));
+        let until = *self
+            .wait_until
+            .get_or_insert(now + self.site.wait_for.min(self.left(now) / 2));
         if now >= until {
             return self.answer(now, Code::Busy);
         }
         if self.place.is_none() {
             let key = address::spread(self.order.key.as_deref().unwrap_or(&self.order.try_id));
             let place = desk.join(key, wants, self.order.bell.clone());
-            self.place = place.map(|ticket| Place { desk: desk.clone(), ticket });
+            self.place = place.map(|ticket| Place {
+                desk: desk.clone(),
+                ticket,
+            });
             if self.place.is_none() {
                 return self.answer(now, Code::Busy);
             }
-            self.notes.push(Note::Waits { within: until - now });
+            self.notes.push(Note::Waits {
+                within: until - now,
+            });
         }
         self.turn(Stage::Waiting);
-        Move::Wait { within: until - now }
+        Move::Wait {
+            within: until - now,
+        }
     }
 
     pub(crate) fn share(&self, view: &View, service: &Service) -> Option<Share> {
-        let slot = self.order.key.as_deref().filter(|_| service.keyed).and_then(|key| service.place(key))?;
+        let slot = self
+            .order
+            .key
+            .as_deref()
+            .filter(|_| service.keyed)
+            .and_then(|key| service.place(key))?;
         let shares = view.shares.get(&service.name)?;
-        shares.iter().find(|share| (share.from..share.until).contains(&slot)).cloned()
+        shares
+            .iter()
+            .find(|share| (share.from..share.until).contains(&slot))
+            .cloned()
     }
 
     /// The best of those that may do it and have a seat.
@@ -107,21 +137,35 @@
         service: &Service,
         share: Option<&Share>,
     ) -> Option<Arc<Upstream>> {
-        let all = view.upstreams.get(&service.name).into_iter().flat_map(|known| known.values());
+        let all = view
+            .upstreams
+            .get(&service.name)
+            .into_iter()
+            .flat_map(|known| known.values());
         let mut able: Vec<(Rank, Arc<Seat>, &Arc<Upstream>)> = Vec::new();
         all.for_each(|upstream| {
             let seat = board.seat(&upstream.instance);
             let tried = Some(Why::Tried).filter(|_| self.tried.contains(&upstream.instance));
             let replaced = Some(Why::Replaced).filter(|_| seat.replaced.load(Ordering::Acquire));
-            match self.barred(view, service, share, upstream).or(tried).or(replaced) {
-                Some(why) => self.notes.push(Note::Passed { upstream: upstream.clone(), why }),
+            match self
+                .barred(view, service, share, upstream)
+                .or(tried)
+                .or(replaced)
+            {
+                Some(why) => self.notes.push(Note::Passed {
+                    upstream: upstream.clone(),
+                    why,
+                }),
                 None => able.push((self.rank(now, &seat, upstream), seat, upstream)),
             }
         });
         able.sort_by_key(|(rank, ..)| *rank);
         let chosen = able.into_iter().find(|(_, seat, upstream)| {
             let why = self.take_seat(now, view, seat, service, upstream).err();
-            self.notes.extend(why.map(|why| Note::Passed { upstream: (*upstream).clone(), why }));
+            self.notes.extend(why.map(|why| Note::Passed {
+                upstream: (*upstream).clone(),
+                why,
+            }));
             why.is_none()
         });
         chosen.map(|(_, seat, upstream)| {
@@ -133,25 +177,45 @@
     /// Own locality, own region, other home regions; ejected ones last; the least taken first.
     fn rank(&self, now: Duration, seat: &Seat, upstream: &Upstream) -> Rank {
         let place = upstream.locality.as_str();
-        let near = if place == self.site.here { 0 } else { 1 + u8::from(region(place) != self.site.locality.region) };
+        let near = if place == self.site.here {
+            0
+        } else {
+            1 + u8::from(region(place) != self.site.locality.region)
+        };
         let taken = seat.in_flight.load(Ordering::Acquire);
         let spread = address::spread_all([self.order.try_id.as_str(), upstream.instance.as_str()]);
         if upstream.slots > 0 {
             let far_ms = [0.0, self.site.far_ms.0, self.site.far_ms.1][usize::from(near.min(2))];
-            let cost = seat.gauge.cost_ms(now, taken, upstream.slots, far_ms, USUAL_WORK_MS);
+            let cost = seat
+                .gauge
+                .cost_ms(now, taken, upstream.slots, far_ms, USUAL_WORK_MS);
             let late = cost.is_none_or(|cost| cost > self.wanted_ms(now));
             // Bytes that cross are dear, so the near are taken as long as they are in time.
             let near = if late { 0 } else { near };
-            return (seat.is_ejected(now), late, near, cost.map_or(u32::MAX, |cost| (cost * 10.0) as u32), spread);
+            return (
+                seat.is_ejected(now),
+                late,
+                near,
+                cost.map_or(u32::MAX, |cost| (cost * 10.0) as u32),
+                spread,
+            );
         }
         (seat.is_ejected(now), false, near, taken, spread)
     }
 
     /// How long an answer may take from now on to be well in time, in milliseconds.
     fn wanted_ms(&self, now: Duration) -> f64 {
-        let target = self.route.as_ref().and_then(|route| route.terms.target).unwrap_or(self.order.remaining);
+        let target = self
+            .route
+            .as_ref()
+            .and_then(|route| route.terms.target)
+            .unwrap_or(self.order.remaining);
         let spent = now.saturating_sub(self.order.arrived_at);
-        target.mul_f64(WELL_IN_TIME).saturating_sub(spent).as_secs_f64() * 1000.0
+        target
+            .mul_f64(WELL_IN_TIME)
+            .saturating_sub(spent)
+            .as_secs_f64()
+            * 1000.0
     }
 
     /// What keeps the request from an upstream, whenever it is judged: when it is chosen, and just before the first byte.
@@ -164,9 +228,15 @@
     ) -> Option<Why> {
         let bars: [(Why, &dyn Fn() -> bool); 4] = [
             (Why::Leaving, &|| upstream.condition != 0),
-            (Why::Evacuated, &|| view.evacuated.contains(&upstream.locality)),
-            (Why::OutsideHomes, &|| !self.is_home(service, &upstream.locality)),
-            (Why::OtherHolder, &|| share.is_some_and(|share| share.instance != upstream.instance)),
+            (Why::Evacuated, &|| {
+                view.evacuated.contains(&upstream.locality)
+            }),
+            (Why::OutsideHomes, &|| {
+                !self.is_home(service, &upstream.locality)
+            }),
+            (Why::OtherHolder, &|| {
+                share.is_some_and(|share| share.instance != upstream.instance)
+            }),
         ];
         bars.iter().find(|(_, bars)| bars()).map(|(why, _)| *why)
     }
@@ -176,7 +246,11 @@
         let senders = view.senders.of(&service.name, &self.site.node);
         let settled = senders.filter(|_| now >= view.senders.since + SENDERS_SETTLE);
         let anyone = || {
-            let rank = view.proxies.iter().position(|proxy| proxy.node == self.site.node).unwrap_or(0);
+            let rank = view
+                .proxies
+                .iter()
+                .position(|proxy| proxy.node == self.site.node)
+                .unwrap_or(0);
             (view.proxies.len().max(1), rank)
         };
         let (count, rank) = settled.unwrap_or_else(anyone);
@@ -194,7 +268,10 @@
         let (proxies, rank) = self.division(now, view, service);
         if upstream.slots > 0 {
             let own = seat.in_flight.load(Ordering::Acquire);
-            let room = seat.gauge.cost_ms(now, own, upstream.slots, 0.0, USUAL_WORK_MS).is_some();
+            let room = seat
+                .gauge
+                .cost_ms(now, own, upstream.slots, 0.0, USUAL_WORK_MS)
+                .is_some();
             if !room || !seat.sit(u32::MAX) {
                 return Err(Why::NoSlot);
             }
@@ -216,7 +293,8 @@
         upstream: &Upstream,
         (proxies, rank): (u32, u32),
     ) -> Result<(), Why> {
-        let warm = upstream.warm || seat.warm_up(now, service.warm_up_per_second, proxies.into(), rank.into());
+        let warm = upstream.warm
+            || seat.warm_up(now, service.warm_up_per_second, proxies.into(), rank.into());
         if !warm {
             seat.rise();
         }
--- a/crates/sorting/src/journey.rs
+++ b/crates/sorting/src/journey.rs
@@ -113,7 +113,10 @@
     }
 
     pub(crate) fn answer(&mut self, now: Duration, code: Code) -> Move {
-        let code = self.doubt.filter(|_| code.kind() == Kind::NotRun).unwrap_or(code);
+        let code = self
+            .doubt
+            .filter(|_| code.kind() == Kind::NotRun)
+            .unwrap_or(code);
         // Only a denial for want of room asks for the pressure: it sums whole windows.
         let crowded = self.desk.as_ref().filter(|_| code == Code::Busy);
         let pressure = crowded.map(|desk| {
@@ -145,12 +148,17 @@
     }
 
     pub(crate) fn leave_place(&mut self) {
-        self.place.take().iter().for_each(|place| place.desk.leave(place.ticket));
+        self.place
+            .take()
+            .iter()
+            .for_each(|place| place.desk.leave(place.ticket));
     }
 
     pub(crate) fn left(&self, now: Duration) -> Duration {
         let timeout = self.route.as_ref().and_then(|route| route.terms.timeout);
-        let given = timeout.map_or(self.order.remaining, |timeout| timeout.min(self.order.remaining));
+        let given = timeout.map_or(self.order.remaining, |timeout| {
+            timeout.min(self.order.remaining)
+        });
         (self.order.arrived_at + given).saturating_sub(now)
     }
 }
@@ -169,7 +177,13 @@
 pub fn suppose(order: Order, site: &Site, now: Duration, view: &View, board: &Board) -> Vec<Note> {
     // A copy of the counts takes what the real ones would have given.
     let copy = board.copy();
-    let mut journey = Journey::new(order, Site { wait_for: Duration::ZERO, ..site.clone() });
+    let mut journey = Journey::new(
+        order,
+        Site {
+            wait_for: Duration::ZERO,
+            ..site.clone()
+        },
+    );
     journey.start(now, view, &copy);
     journey.into_notes()
 }
--- a/crates/sorting/src/load.rs
+++ b/crates/sorting/src/load.rs
@@ -58,7 +58,11 @@
     pub fn hear(&self, now: Duration, load: Load, own: u32) {
         let others = f64::from((load.running + load.waiting).saturating_sub(own));
         self.with(|known| {
-            let weight = if known.heard_at.is_zero() { 1.0 } else { NEWEST };
+            let weight = if known.heard_at.is_zero() {
+                1.0
+            } else {
+                NEWEST
+            };
             known.usual += weight * (others - known.usual);
             known.others = others;
             known.heard_at = now;
@@ -87,7 +91,13 @@
     /// assert_eq!(sorting::Gauge::default().work_ms(50.0), 50.0);
     /// ```
     pub fn work_ms(&self, fallback: f64) -> f64 {
-        self.with(|known| if known.work_ms > 0.0 { known.work_ms } else { fallback })
+        self.with(|known| {
+            if known.work_ms > 0.0 {
+                known.work_ms
+            } else {
+                fallback
+            }
+        })
     }
 
     /// How many requests of others are there by the best guess.
@@ -113,7 +123,14 @@
     /// assert!(cost(0) < cost(1) && cost(3) > Some(100.0));
     /// assert_eq!(cost(9), None);
     /// ```
-    pub fn cost_ms(&self, now: Duration, own: u32, slots: u32, far_ms: f64, fallback_ms: f64) -> Option<f64> {
+    pub fn cost_ms(
+        &self,
+        now: Duration,
+        own: u32,
+        slots: u32,
+        far_ms: f64,
+        fallback_ms: f64,
+    ) -> Option<f64> {
         let slots = f64::from(slots.max(1));
         let fill = (f64::from(own) + self.others(now) + 1.0) / slots;
         let work_ms = self.work_ms(fallback_ms);
--- a/crates/sorting/src/notes.rs
+++ b/crates/sorting/src/notes.rs
@@ -91,7 +91,11 @@
 impl fmt::Display for Note {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Note::Asked { name, route, edition } => write!(
+            Note::Asked {
+                name,
+                route,
+                edition,
+            } => write!(
                 f,
                 "asked for {name}, which is name {}: route {} of edition {edition}, service {}",
                 route.name,
@@ -102,15 +106,31 @@
             Note::Mark { to, epoch } => write!(f, "mark here: moved to {to} at epoch {epoch}"),
             Note::Forwarded { to } => write!(f, "forwarded to {to} by the mark"),
             Note::Passed { upstream, why } => write!(f, "{} passed over: {why}", upstream.instance),
-            Note::Connecting { upstream } => write!(f, "connecting to {} in {}", upstream.instance, upstream.locality),
+            Note::Connecting { upstream } => write!(
+                f,
+                "connecting to {} in {}",
+                upstream.instance, upstream.locality
+            ),
             Note::Withdrawn { upstream, why } => {
-                write!(f, "connected to {}, but nothing was sent: {why}", upstream.instance)
+                write!(
+                    f,
+                    "connected to {}, but nothing was sent: {why}",
+                    upstream.instance
+                )
+            }
+            Note::Sent { upstream } => {
+                write!(f, "sent to {} in {}", upstream.instance, upstream.locality)
             }
-            Note::Sent { upstream } => write!(f, "sent to {} in {}", upstream.instance, upstream.locality),
             Note::Unsent { upstream } => {
-                write!(f, "the kept connection to {} was closed, and nothing was sent", upstream.instance)
+                write!(
+                    f,
+                    "the kept connection to {} was closed, and nothing was sent",
+                    upstream.instance
+                )
+            }
+            Note::Waits { within } => {
+                write!(f, "waits for a seat, {} ms at most", within.as_millis())
             }
-            Note::Waits { within } => write!(f, "waits for a seat, {} ms at most", within.as_millis()),
             Note::Called => f.write_str("called: a seat may be free"),
             Note::Again { after } => write!(f, "sent again after: {after}"),
             Note::Answered { code } => write!(f, "answered: {code}"),
--- a/crates/sorting/src/routing.rs
+++ b/crates/sorting/src/routing.rs
@@ -39,7 +39,11 @@
             return self.answer(now, Code::NoSuchName);
         };
         self.edition = view.edition;
-        self.notes.push(Note::Asked { name: self.order.name.clone(), route: route.clone(), edition: view.edition });
+        self.notes.push(Note::Asked {
+            name: self.order.name.clone(),
+            route: route.clone(),
+            edition: view.edition,
+        });
         self.route = Some(route.clone());
         if self.order.body_bytes > service.most_bytes {
             return self.answer(now, Code::TooLarge);
@@ -64,13 +68,21 @@
     ) -> Move {
         let here = self.site.here.clone();
         let reservation = view.reservations.get(&route.name);
-        let Some(reservation) = reservation.filter(|owned| !view.evacuated.contains(&owned.locality)) else {
+        let Some(reservation) =
+            reservation.filter(|owned| !view.evacuated.contains(&owned.locality))
+        else {
             return self.answer(now, Code::NoOwner);
         };
-        self.notes.push(Note::Owner { locality: reservation.locality.clone(), epoch: reservation.epoch });
+        self.notes.push(Note::Owner {
+            locality: reservation.locality.clone(),
+            epoch: reservation.epoch,
+        });
         let home = self.is_home(service, &here) && !view.evacuated.contains(&here);
         let mark = view.marks.get(&(route.name.clone(), here.clone()));
-        self.notes.extend(mark.map(|mark| Note::Mark { to: mark.to.clone(), epoch: mark.epoch }));
+        self.notes.extend(mark.map(|mark| Note::Mark {
+            to: mark.to.clone(),
+            epoch: mark.epoch,
+        }));
         let away = reservation.locality != here && (mark.is_some() || !home);
         if away {
             return self.forward(now, view, service, &reservation.locality);
@@ -80,7 +92,10 @@
 
     /// True where its work may go there: both its service's and its route's home regions bind.
     pub(crate) fn is_home(&self, service: &Service, place: &str) -> bool {
-        let route = self.route.as_ref().is_none_or(|route| is_within(&route.terms.home_regions, place));
+        let route = self
+            .route
+            .as_ref()
+            .is_none_or(|route| is_within(&route.terms.home_regions, place));
         route && is_home(service, place)
     }
 
@@ -99,7 +114,9 @@
         }
         if !self.opened && service.numbered {
             let key = self.order.key.as_deref().and_then(|key| service.place(key));
-            key.zip(self.desk.as_ref()).into_iter().for_each(|(key, desk)| desk.count_key(key));
+            key.zip(self.desk.as_ref())
+                .into_iter()
+                .for_each(|(key, desk)| desk.count_key(key));
         }
         self.opened = true;
         self.choose(now, view, board)
@@ -112,27 +129,49 @@
             return self.answer(now, Code::NotMine);
         }
         let able = |place: &str| self.is_home(service, place) && !view.evacuated.contains(place);
-        let places =
-            view.proxies.iter().map(|proxy| (proxy.locality.to_string(), proxy.address.clone(), proxy.suspect));
+        let places = view.proxies.iter().map(|proxy| {
+            (
+                proxy.locality.to_string(),
+                proxy.address.clone(),
+                proxy.suspect,
+            )
+        });
         let region = region(owner);
         let mut able: Vec<(bool, u8, u64, String)> = places
             .filter(|(place, ..)| able(place))
             .map(|(place, address, suspect)| {
-                let near = if place == owner { 0 } else { 1 + u8::from(self::region(&place) != region) };
-                (suspect, near, address::spread_all([self.order.try_id.as_str(), address.as_str()]), address)
+                let near = if place == owner {
+                    0
+                } else {
+                    1 + u8::from(self::region(&place) != region)
+                };
+                (
+                    suspect,
+                    near,
+                    address::spread_all([self.order.try_id.as_str(), address.as_str()]),
+                    address,
+                )
             })
             .collect();
         able.sort();
         let within = self.left(now);
-        let proxies: Vec<String> = able.into_iter().take(2).map(|(.., address)| address).collect();
+        let proxies: Vec<String> = able
+            .into_iter()
+            .take(2)
+            .map(|(.., address)| address)
+            .collect();
         if proxies.is_empty() {
             return self.answer(now, Code::NoOwner);
         }
         if within.is_zero() {
             return self.answer(now, Code::Expired);
         }
-        self.notes.push(Note::Forwarded { to: owner.to_owned() });
-        self.turn(Stage::Sent { instance: owner.to_owned() });
+        self.notes.push(Note::Forwarded {
+            to: owner.to_owned(),
+        });
+        self.turn(Stage::Sent {
+            instance: owner.to_owned(),
+        });
         Move::Forward { proxies, within }
     }
 }
--- a/crates/sorting/src/steps.rs
+++ b/crates/sorting/src/steps.rs
@@ -52,15 +52,27 @@
 #[derive(Clone, Debug)]
 pub enum Move {
     /// Open a connection to this upstream and tell [`Journey::connected`]. Nothing is sent yet.
-    Connect { upstream: Arc<Upstream>, within: Duration },
+    Connect {
+        upstream: Arc<Upstream>,
+        within: Duration,
+    },
     /// Write the request on the connection that just came up, at once.
-    Send { share: Option<Share>, within: Duration },
+    Send {
+        share: Option<Share>,
+        within: Duration,
+    },
     /// Hand it to one of these proxies, once.
-    Forward { proxies: Vec<String>, within: Duration },
+    Forward {
+        proxies: Vec<String>,
+        within: Duration,
+    },
     /// No seat is free: tell [`Journey::called`] when the bell rings, or when this span is over.
     Wait { within: Duration },
     /// Pass the verdict that came.
     Pass,
     /// Answer with a code, and when to come back where that helps.
-    Answer { code: Code, retry_after: Option<Duration> },
+    Answer {
+        code: Code,
+        retry_after: Option<Duration>,
+    },
 }
--- a/crates/sorting/src/waitlist.rs
+++ b/crates/sorting/src/waitlist.rs
@@ -70,12 +70,21 @@
     /// assert!(join(&mut list, 8).is_some());
     /// ```
     pub fn join(&mut self, key: u64, wants: Option<&str>, bell: Bell) -> Option<u64> {
-        let of_key = self.line.iter().filter(|waiting| waiting.key == key).count();
+        let of_key = self
+            .line
+            .iter()
+            .filter(|waiting| waiting.key == key)
+            .count();
         if self.line.len() >= MOST_WAITING || of_key >= MOST_OF_A_KEY {
             return None;
         }
         self.next += 1;
-        self.line.push_back(Waiting { ticket: self.next, key, wants: wants.map(str::to_owned), bell });
+        self.line.push_back(Waiting {
+            ticket: self.next,
+            key,
+            wants: wants.map(str::to_owned),
+            bell,
+        });
         Some(self.next)
     }
 
@@ -104,7 +113,10 @@
             let wants = waiting.wants.as_deref();
             wants.zip(freed).is_none_or(|(wants, freed)| wants == freed)
         };
-        self.line.iter().find(fits).map(|waiting| waiting.bell.clone())
+        self.line
+            .iter()
+            .find(fits)
+            .map(|waiting| waiting.bell.clone())
     }
 
     /// True where one who wants the same is there already: who comes now goes behind.
@@ -116,7 +128,9 @@
     /// assert!(!list.has(Some("b")));
     /// ```
     pub fn has(&self, wants: Option<&str>) -> bool {
-        self.line.iter().any(|waiting| waiting.wants.as_deref() == wants)
+        self.line
+            .iter()
+            .any(|waiting| waiting.wants.as_deref() == wants)
     }
 
     /// How many wait.
--- a/crates/sorting/src/window.rs
+++ b/crates/sorting/src/window.rs
@@ -37,7 +37,13 @@
     pub fn add(&self, now: Duration) {
         let number = Self::number(now);
         let cell = &self.0[number as usize % BUCKETS];
-        let next = |old: u64| if old >> 32 == number { old + 1 } else { (number << 32) | 1 };
+        let next = |old: u64| {
+            if old >> 32 == number {
+                old + 1
+            } else {
+                (number << 32) | 1
+            }
+        };
         let _ = cell.fetch_update(Ordering::AcqRel, Ordering::Acquire, |old| Some(next(old)));
     }
 
@@ -51,7 +57,10 @@
         let number = Self::number(now);
         let recent = |packed: u64| (packed >> 32) + 100 >= number && packed >> 32 <= number;
         let packed = self.0.iter().map(|cell| cell.load(Ordering::Acquire));
-        packed.filter(|packed| recent(*packed)).map(|packed| packed & 0xffff_ffff).sum()
+        packed
+            .filter(|packed| recent(*packed))
+            .map(|packed| packed & 0xffff_ffff)
+            .sum()
     }
 
     fn number(now: Duration) -> u64 {
--- a/crates/sorting/tests/arbitrary.rs
+++ b/crates/sorting/tests/arbitrary.rs
@@ -15,9 +15,13 @@
                 now += MS(noise.int_in_range(0..=700)?);
                 window.add(now);
                 all.push(now);
-                let within = |span: Duration| all.iter().filter(|at| **at + span > now).count() as u64;
+                let within =
+                    |span: Duration| all.iter().filter(|at| **at + span > now).count() as u64;
                 let sum = window.sum(now);
-                assert!((within(MS(10_000))..=within(MS(10_100))).contains(&sum), "{sum} at {now:?}");
+                assert!(
+                    (within(MS(10_000))..=within(MS(10_100))).contains(&sum),
+                    "{sum} at {now:?}"
+                );
             }
             Ok(())
         })
@@ -41,14 +45,17 @@
                     sends.push((now, true));
                 }
                 let recent = sends.iter().filter(|(at, _)| *at + MS(10_000) > now);
-                let (firsts, again) =
-                    recent.fold(
-                        (0u64, 0u64),
-                        |(firsts, again), (_, resend)| {
-                            if *resend { (firsts, again + 1) } else { (firsts + 1, again) }
-                        },
-                    );
-                assert!(again <= firsts / 5 + 10, "{again} resends on {firsts} sends");
+                let (firsts, again) = recent.fold((0u64, 0u64), |(firsts, again), (_, resend)| {
+                    if *resend {
+                        (firsts, again + 1)
+                    } else {
+                        (firsts + 1, again)
+                    }
+                });
+                assert!(
+                    again <= firsts / 5 + 10,
+                    "{again} resends on {firsts} sends"
+                );
             }
             Ok(())
         })
--- a/crates/sorting/tests/unsent.rs
+++ b/crates/sorting/tests/unsent.rs
@@ -20,18 +20,29 @@
         ..Upstream::default()
     };
     let news = ViewUpdate {
-        state: Some(ClusterState { edition: 1, ..ClusterState::default() }),
+        state: Some(ClusterState {
+            edition: 1,
+            ..ClusterState::default()
+        }),
         setup: Some(setup.into()),
         upstreams: vec![upstream("a"), upstream("b")],
         ..ViewUpdate::default()
     };
-    let mut view = View { as_of: Some(NOW), ..View::default() };
+    let mut view = View {
+        as_of: Some(NOW),
+        ..View::default()
+    };
     view.take(news, true).expect("the setup is fine");
     view
 }
 
 fn journey() -> Journey {
-    let mut site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(9), Duration::ZERO);
+    let mut site = Site::new(
+        "p",
+        "n/1".parse().unwrap(),
+        Duration::from_secs(9),
+        Duration::ZERO,
+    );
     site.owners = Owners::ByCaller;
     let order = Order {
         try_id: "t-1".into(),
@@ -56,11 +67,20 @@
     let (view, board) = (view(), Board::default());
     let mut journey = journey();
     let first = journey.start(NOW, &view, &board);
-    assert!(matches!(journey.connected(NOW, &view, &board), Move::Send { .. }));
+    assert!(matches!(
+        journey.connected(NOW, &view, &board),
+        Move::Send { .. }
+    ));
     let again = journey.unsent(NOW);
     assert_eq!(chosen(&again), chosen(&first));
-    assert!(matches!(journey.connected(NOW, &view, &board), Move::Send { .. }));
-    assert!(matches!(journey.after(NOW, &view, &board, Outcome::Sealed), Move::Pass));
+    assert!(matches!(
+        journey.connected(NOW, &view, &board),
+        Move::Send { .. }
+    ));
+    assert!(matches!(
+        journey.after(NOW, &view, &board, Outcome::Sealed),
+        Move::Pass
+    ));
 }
 
 #[test]
@@ -70,8 +90,20 @@
     let first = chosen(&journey.start(NOW, &view, &board));
     journey.connected(NOW, &view, &board);
     assert_eq!(chosen(&journey.unsent(NOW)), first);
-    let gone = Upstream { service: "slots".into(), instance: first.clone(), condition: 2, ..Upstream::default() };
-    view.take(ViewUpdate { upstreams: vec![gone], ..ViewUpdate::default() }, false).unwrap();
+    let gone = Upstream {
+        service: "slots".into(),
+        instance: first.clone(),
+        condition: 2,
+        ..Upstream::default()
+    };
+    view.take(
+        ViewUpdate {
+            upstreams: vec![gone],
+            ..ViewUpdate::default()
+        },
+        false,
+    )
+    .unwrap();
     let next = journey.connected(NOW, &view, &board);
     assert_ne!(chosen(&next), first, "it has gone meanwhile");
 }
@@ -82,10 +114,15 @@
     let mut journey = journey();
     let mut next = journey.start(NOW, &view, &board);
     while let Move::Connect { .. } = next {
-        assert!(matches!(journey.connected(NOW, &view, &board), Move::Send { .. }));
+        assert!(matches!(
+            journey.connected(NOW, &view, &board),
+            Move::Send { .. }
+        ));
         next = journey.after(NOW, &view, &board, Outcome::NotConnected);
     }
-    let Move::Answer { code, .. } = next else { panic!("{next:?}") };
+    let Move::Answer { code, .. } = next else {
+        panic!("{next:?}")
+    };
     assert_eq!(code.kind(), address::Kind::NotRun);
 }
 
--- a/crates/storage/src/departures.rs
+++ b/crates/storage/src/departures.rs
@@ -45,13 +45,33 @@
     /// Opens the log in a data folder that this process has locked; gives what an earlier process wrote there at most
     /// 60 s before `now`, the time since the machine's boot. Files that can't be read, or bear a later time, as of before the
     /// last boot, count as missing.
-    pub(crate) fn open(files: Arc<dyn FileSystem>, folder: &Path, now: Duration) -> (DepartureLog, Vec<Departure>) {
-        let records = FILES.iter().filter_map(|name| decode(&files.read(&folder.join(name)).ok()?));
-        let latest = records.max_by_key(|record| record.sequence).unwrap_or_default();
-        let log = DepartureLog { files, folder: folder.to_owned(), open: [None, None], sequence: latest.sequence };
+    pub(crate) fn open(
+        files: Arc<dyn FileSystem>,
+        folder: &Path,
+        now: Duration,
+    ) -> (DepartureLog, Vec<Departure>) {
+        let records = FILES
+            .iter()
+            .filter_map(|name| decode(&files.read(&folder.join(name)).ok()?));
+        let latest = records
+            .max_by_key(|record| record.sequence)
+            .unwrap_or_default();
+        let log = DepartureLog {
+            files,
+            folder: folder.to_owned(),
+            open: [None, None],
+            sequence: latest.sequence,
+        };
         let age_ms = (now.as_millis() as u64).checked_sub(latest.written_at_ms);
         let recent = age_ms.is_some_and(|age_ms| Duration::from_millis(age_ms) < REMEMBERED);
-        (log, if recent { latest.departures } else { Vec::new() })
+        (
+            log,
+            if recent {
+                latest.departures
+            } else {
+                Vec::new()
+            },
+        )
     }
 
     /// Writes these departures in the place of those of the write before the last one.
@@ -68,9 +88,17 @@
     /// assert!(storage.departure_log(now + Duration::from_secs(60)).1.is_empty(), "it is over");
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
-    pub fn keep(&mut self, departures: Vec<Departure>, now: Duration) -> Result<(), Report<StorageError>> {
+    pub fn keep(
+        &mut self,
+        departures: Vec<Departure>,
+        now: Duration,
+    ) -> Result<(), Report<StorageError>> {
         self.sequence += 1;
-        let record = DeparturesFile { sequence: self.sequence, written_at_ms: now.as_millis() as u64, departures };
+        let record = DeparturesFile {
+            sequence: self.sequence,
+            written_at_ms: now.as_millis() as u64,
+            departures,
+        };
         let written = self.write(&encode(&record));
         if written.is_err() {
             // The next try may find the disk repaired, with other files.
@@ -86,6 +114,8 @@
             let known = self.files.exists(&path)?;
             self.open[turn] = Some(self.files.open_database(&path, !known)?);
         }
-        self.open[turn].iter().try_for_each(|file| file.write(0, bytes))
+        self.open[turn]
+            .iter()
+            .try_for_each(|file| file.write(0, bytes))
     }
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -31,7 +31,10 @@
 
 impl StorageError {
     pub(crate) fn new(step: impl Into<String>, trouble: Trouble) -> Self {
-        StorageError { step: step.into(), trouble }
+        StorageError {
+            step: step.into(),
+            trouble,
+        }
     }
 
     /// The trouble that an I/O error stands for.
--- a/crates/storage/src/files.rs
+++ b/crates/storage/src/files.rs
@@ -78,7 +78,9 @@
     }
 
     fn list(&self, folder: &Path) -> io::Result<Vec<String>> {
-        fs::read_dir(folder)?.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned())).collect()
+        fs::read_dir(folder)?
+            .map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned()))
+            .collect()
     }
 
     fn exists(&self, path: &Path) -> io::Result<bool> {
@@ -105,7 +107,11 @@
     }
 
     fn open_database(&self, file: &Path, new: bool) -> io::Result<Box<dyn StorageBackend>> {
-        let file = OpenOptions::new().read(true).write(true).create_new(new).open(file)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(new)
+            .open(file)?;
         let backend = FileBackend::new(file).map_err(io::Error::other)?;
         Ok(Box::new(backend))
     }
@@ -144,7 +150,11 @@
         self.0.try_lock_range(start, end)
     }
 
-    fn try_lock_shared_range(&self, start: Bound<u64>, end: Bound<u64>) -> Result<bool, BackendError> {
+    fn try_lock_shared_range(
+        &self,
+        start: Bound<u64>,
+        end: Bound<u64>,
+    ) -> Result<bool, BackendError> {
         self.0.try_lock_shared_range(start, end)
     }
 
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -110,12 +110,22 @@
     /// assert!(storage::Storage::open_on(files, &folder).unwrap().1.damaged.is_empty());
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
-    pub fn open_on(files: Arc<dyn FileSystem>, folder: &Path) -> Result<(Storage, Contents), Report<StorageError>> {
+    pub fn open_on(
+        files: Arc<dyn FileSystem>,
+        folder: &Path,
+    ) -> Result<(Storage, Contents), Report<StorageError>> {
         make_folders(&*files, folder)?;
         let lock = lock(&*files, folder)?;
         let witness = Witness::open(&*files, &folder.join(WITNESS_FILE));
         let folder = folder.to_owned();
-        let mut storage = Storage { folder, files, database: None, sequence: 0, witness, _lock: lock };
+        let mut storage = Storage {
+            folder,
+            files,
+            database: None,
+            sequence: 0,
+            witness,
+            _lock: lock,
+        };
         let mut contents = Contents::default();
         read_setups(&*storage.files, &storage.folder, &mut contents, Tidy::Yes)?;
         storage.open_state(&mut contents)?;
@@ -144,10 +154,15 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(contents),
             read => read.map_err(failed("cannot read word.redb"))?,
         };
-        let confirmed = files.read(&folder.join(WITNESS_FILE)).map(|bytes| witness::decode(&bytes)).unwrap_or(0);
+        let confirmed = files
+            .read(&folder.join(WITNESS_FILE))
+            .map(|bytes| witness::decode(&bytes))
+            .unwrap_or(0);
         match state_file::open_copy(&bytes)? {
             Opened::Whole(_, found) => {
-                contents.damaged.extend(older_state(&found, confirmed).map(damaged_state));
+                contents
+                    .damaged
+                    .extend(older_state(&found, confirmed).map(damaged_state));
                 contents.durable = found.state;
             }
             Opened::Damaged(finding) => contents.damaged.push(damaged_state(finding)),
@@ -179,7 +194,9 @@
     }
 
     fn sync_folder(&self, folder: &Path) -> Result<(), Report<StorageError>> {
-        self.files.sync_folder(folder).map_err(failed("cannot sync the data folder"))
+        self.files
+            .sync_folder(folder)
+            .map_err(failed("cannot sync the data folder"))
     }
 
     fn open_state(&mut self, contents: &mut Contents) -> Result<(), Report<StorageError>> {
@@ -201,7 +218,9 @@
         match finding {
             Some(finding) => {
                 contents.damaged.push(damaged_state(finding));
-                let aside = self.files.rename(&self.path(STATE_FILE), &self.path(DAMAGED_STATE_FILE));
+                let aside = self
+                    .files
+                    .rename(&self.path(STATE_FILE), &self.path(DAMAGED_STATE_FILE));
                 aside.map_err(failed("cannot move word.redb aside"))?;
             }
             None => contents.damaged.extend(self.lost_state(contents)?),
@@ -211,7 +230,10 @@
 
     /// A folder that was used before must hold a state.
     fn lost_state(&self, contents: &Contents) -> Result<Option<Damage>, Report<StorageError>> {
-        let aside = self.files.exists(&self.path(DAMAGED_STATE_FILE)).map_err(failed("cannot read the data folder"))?;
+        let aside = self
+            .files
+            .exists(&self.path(DAMAGED_STATE_FILE))
+            .map_err(failed("cannot read the data folder"))?;
         let used = aside || self.sequence > 0 || !contents.setups.is_empty();
         Ok(used.then(|| damaged_state("missing, though this folder was used before".into())))
     }
@@ -220,7 +242,9 @@
     fn write_afresh(&mut self, state: &DurableState) -> Result<(), Report<StorageError>> {
         self.database = None;
         let new = self.path(NEW_STATE_FILE);
-        self.files.remove(&new).map_err(failed("cannot remove word.new"))?;
+        self.files
+            .remove(&new)
+            .map_err(failed("cannot remove word.new"))?;
         self.sequence += 1;
         let database = state_file::create(&*self.files, &new, state, self.sequence)?;
         let renamed = self.files.rename(&new, &self.path(STATE_FILE));
@@ -242,7 +266,9 @@
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
     pub fn keep(&mut self, durable: &DurableState) -> Result<(), Report<StorageError>> {
-        let Some(database) = &self.database else { return self.write_afresh(durable) };
+        let Some(database) = &self.database else {
+            return self.write_afresh(durable);
+        };
         self.sequence += 1;
         let written = state_file::write(database, durable, self.sequence);
         match &written {
@@ -272,7 +298,9 @@
         file.write_all(bytes).map_err(failed(context))?;
         file.sync().map_err(failed(context))?;
         self.files.rename(&aside, &name).map_err(failed(context))?;
-        self.files.sync_folder(&self.path(SETUPS)).map_err(failed(context))
+        self.files
+            .sync_folder(&self.path(SETUPS))
+            .map_err(failed(context))
     }
 
     /// Removes a setup's file. Which may go is decided by the register, from what refers to it; a file that comes back
@@ -290,7 +318,9 @@
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
     pub fn drop_setup(&mut self, digest: &str) -> Result<(), Report<StorageError>> {
-        self.files.remove(&self.setup_path(digest)).map_err(failed("cannot remove a setup"))
+        self.files
+            .remove(&self.setup_path(digest))
+            .map_err(failed("cannot remove a setup"))
     }
 }
 
@@ -318,19 +348,27 @@
         files.sync_folder(&setups).map_err(failed(context))?;
     }
     for name in names {
-        let Some(digest) = name.strip_suffix(SETUP_ENDING) else { continue };
+        let Some(digest) = name.strip_suffix(SETUP_ENDING) else {
+            continue;
+        };
         match files.read(&setups.join(&name)) {
             Ok(bytes) if protocol::digest(&bytes) == digest => {
                 contents.setups.insert(digest.to_owned(), bytes);
             }
             Ok(_) => {
-                contents.damaged.push(damaged_setup(&name, "does not match its digest".into()));
+                contents
+                    .damaged
+                    .push(damaged_setup(&name, "does not match its digest".into()));
                 if tidy == Tidy::Yes {
-                    files.remove(&setups.join(&name)).map_err(failed("cannot remove a damaged setup"))?;
+                    files
+                        .remove(&setups.join(&name))
+                        .map_err(failed("cannot remove a damaged setup"))?;
                 }
             }
             // It may be readable again later.
-            Err(error) => contents.damaged.push(damaged_setup(&name, format!("can't be read: {error}"))),
+            Err(error) => contents
+                .damaged
+                .push(damaged_setup(&name, format!("can't be read: {error}"))),
         }
     }
     Ok(())
@@ -339,13 +377,22 @@
 /// Why a state is not the newest that was synced: its promises would be older than those that were given.
 fn older_state(found: &Numbered, confirmed: u64) -> Option<String> {
     let older = found.sequence < confirmed;
-    older.then(|| format!("holds write {} though write {confirmed} was synced", found.sequence))
+    older.then(|| {
+        format!(
+            "holds write {} though write {confirmed} was synced",
+            found.sequence
+        )
+    })
 }
 
 fn damaged_state(finding: String) -> Damage {
     let consequence = "this voter counts as blank and takes the state from a majority of the others; \
                        where the file still exists it lies in word.damaged";
-    Damage { file: STATE_FILE.into(), finding, consequence }
+    Damage {
+        file: STATE_FILE.into(),
+        finding,
+        consequence,
+    }
 }
 
 fn damaged_setup(name: &str, finding: String) -> Damage {
@@ -356,21 +403,34 @@
     }
 }
 
-fn lock(files: &dyn FileSystem, folder: &Path) -> Result<Box<dyn FolderLock>, Report<StorageError>> {
-    let lock = files.lock(folder).map_err(failed("cannot lock the data folder"))?;
-    lock.ok_or_else(|| Report::new(StorageError::new("another process uses this data folder", Trouble::InUse)))
+fn lock(
+    files: &dyn FileSystem,
+    folder: &Path,
+) -> Result<Box<dyn FolderLock>, Report<StorageError>> {
+    let lock = files
+        .lock(folder)
+        .map_err(failed("cannot lock the data folder"))?;
+    lock.ok_or_else(|| {
+        Report::new(StorageError::new(
+            "another process uses this data folder",
+            Trouble::InUse,
+        ))
+    })
 }
 
 /// Makes the data folder and its parts, each with its name synced.
 fn make_folders(files: &dyn FileSystem, folder: &Path) -> Result<(), Report<StorageError>> {
     let context = "cannot make the data folder";
-    let missing = |folder: &&Path| !folder.as_os_str().is_empty() && !files.exists(folder).unwrap_or(true);
+    let missing =
+        |folder: &&Path| !folder.as_os_str().is_empty() && !files.exists(folder).unwrap_or(true);
     let mut to_make: Vec<&Path> = folder.ancestors().take_while(missing).collect();
     while let Some(folder) = to_make.pop() {
         files.create_folder(folder).map_err(failed(context))?;
         sync_parent(files, folder).map_err(failed(context))?;
     }
-    files.create_folder(&folder.join(SETUPS)).map_err(failed(context))?;
+    files
+        .create_folder(&folder.join(SETUPS))
+        .map_err(failed(context))?;
     files.sync_folder(folder).map_err(failed(context))?;
     // An earlier process may have ended before it did so.
     match sync_parent(files, folder) {
@@ -381,5 +441,9 @@
 
 fn sync_parent(files: &dyn FileSystem, folder: &Path) -> io::Result<()> {
     let parent = folder.parent().unwrap_or(folder);
-    files.sync_folder(if parent.as_os_str().is_empty() { Path::new(".") } else { parent })
+    files.sync_folder(if parent.as_os_str().is_empty() {
+        Path::new(".")
+    } else {
+        parent
+    })
 }
--- a/crates/storage/src/state_file.rs
+++ b/crates/storage/src/state_file.rs
@@ -5,7 +5,9 @@
 use error_stack::{Report, ResultExt};
 use protocol::DurableState;
 use redb::backends::InMemoryBackend;
-use redb::{Builder, Database, DatabaseError, ReadableDatabase, StorageBackend, TableDefinition, TableError};
+use redb::{
+    Builder, Database, DatabaseError, ReadableDatabase, StorageBackend, TableDefinition, TableError,
+};
 use std::io;
 use std::path::Path;
 
@@ -40,7 +42,9 @@
 fn builder() -> Builder {
     let mut builder = Builder::new();
     // A plain open trusts a file that was closed cleanly, and may panic where it rotted since.
-    builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
+    builder
+        .set_cache_size(CACHE_BYTES)
+        .set_check_integrity_on_open(true);
     builder
 }
 
@@ -70,7 +74,9 @@
 /// Opens a copy of a state file's bytes, in memory: the file itself is not touched.
 pub(crate) fn open_copy(bytes: &[u8]) -> Result<Opened, Report<StorageError>> {
     let memory = InMemoryBackend::new();
-    let copied = memory.set_len(bytes.len() as u64).and_then(|()| memory.write(0, bytes));
+    let copied = memory
+        .set_len(bytes.len() as u64)
+        .and_then(|()| memory.write(0, bytes));
     copied.change_context_lazy(|| StorageError::new("cannot copy word.redb", Trouble::Failing))?;
     match bytes.is_empty() {
         true => Ok(Opened::Damaged("the file is empty".into())),
@@ -82,7 +88,10 @@
     let database = match builder().create_with_backend(backend) {
         Ok(database) => database,
         Err(DatabaseError::DatabaseAlreadyOpen | DatabaseError::LockProtocolMismatch) => {
-            return Err(Report::new(StorageError::new("another process uses this data folder", Trouble::InUse)));
+            return Err(Report::new(StorageError::new(
+                "another process uses this data folder",
+                Trouble::InUse,
+            )));
         }
         Err(error) => match damage(error.into()) {
             Unread::Damaged(why) => return Ok(Opened::Damaged(why)),
@@ -104,7 +113,9 @@
 fn damage(error: redb::Error) -> Unread {
     match error {
         redb::Error::Io(error) => match error.kind() {
-            io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof => Unread::Damaged(error.to_string()),
+            io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof => {
+                Unread::Damaged(error.to_string())
+            }
             _ => Unread::Failed(redb::Error::Io(error)),
         },
         redb::Error::PreviousIo | redb::Error::DatabaseClosed => Unread::Failed(error),
@@ -113,7 +124,9 @@
 }
 
 fn read(database: &Database) -> Result<Numbered, Unread> {
-    let reading = database.begin_read().map_err(|error| damage(error.into()))?;
+    let reading = database
+        .begin_read()
+        .map_err(|error| damage(error.into()))?;
     let table = match reading.open_table(STATE) {
         Err(TableError::TableDoesNotExist(_)) => return Ok(Numbered::default()),
         Err(error) => return Err(damage(error.into())),
@@ -123,12 +136,20 @@
         Err(error) => Err(damage(error.into())),
         Ok(value) => Ok(value.map(|value| value.value().to_vec())),
     };
-    let Some(packed) = value(DURABLE)? else { return Ok(Numbered::default()) };
+    let Some(packed) = value(DURABLE)? else {
+        return Ok(Numbered::default());
+    };
     let state = protocol::unpack(&packed);
-    let state = state.ok_or_else(|| Unread::Damaged("the state does not match its digest".into()))?;
+    let state =
+        state.ok_or_else(|| Unread::Damaged("the state does not match its digest".into()))?;
     // Files of earlier versions number nothing.
-    let sequence = value(SEQUENCE)?.and_then(|bytes| bytes.try_into().ok()).map(u64::from_be_bytes);
-    Ok(Numbered { state, sequence: sequence.unwrap_or(0) })
+    let sequence = value(SEQUENCE)?
+        .and_then(|bytes| bytes.try_into().ok())
+        .map(u64::from_be_bytes);
+    Ok(Numbered {
+        state,
+        sequence: sequence.unwrap_or(0),
+    })
 }
 
 /// Makes a file that holds this state, synced. Its name is not.
@@ -143,19 +164,29 @@
         let context = StorageError::from_io("cannot make word.redb", &error);
         Report::new(error).change_context(context)
     })?;
-    let database = builder().create_with_backend(AnyBackend(backend)).change_context_lazy(context)?;
+    let database = builder()
+        .create_with_backend(AnyBackend(backend))
+        .change_context_lazy(context)?;
     write(&database, state, sequence)?;
     Ok(database)
 }
 
 /// Syncs this state.
-pub(crate) fn write(database: &Database, state: &DurableState, sequence: u64) -> Result<(), Report<StorageError>> {
+pub(crate) fn write(
+    database: &Database,
+    state: &DurableState,
+    sequence: u64,
+) -> Result<(), Report<StorageError>> {
     let context = || StorageError::new("cannot write word.redb", Trouble::Failing);
     let writing = database.begin_write().change_context_lazy(context)?;
     {
         let mut table = writing.open_table(STATE).change_context_lazy(context)?;
-        table.insert(DURABLE, protocol::pack(state).as_slice()).change_context_lazy(context)?;
-        table.insert(SEQUENCE, sequence.to_be_bytes().as_slice()).change_context_lazy(context)?;
+        table
+            .insert(DURABLE, protocol::pack(state).as_slice())
+            .change_context_lazy(context)?;
+        table
+            .insert(SEQUENCE, sequence.to_be_bytes().as_slice())
+            .change_context_lazy(context)?;
     }
     writing.commit().change_context_lazy(context)
 }
--- a/crates/storage/src/witness.rs
+++ b/crates/storage/src/witness.rs
@@ -24,7 +24,10 @@
     /// The highest number known to be synced; 0 where nothing is known.
     pub(crate) fn read(&self) -> u64 {
         let mut bytes = [0; LENGTH];
-        let read = self.0.as_ref().and_then(|file| file.read(0, &mut bytes).ok());
+        let read = self
+            .0
+            .as_ref()
+            .and_then(|file| file.read(0, &mut bytes).ok());
         read.map(|()| decode(&bytes)).unwrap_or(0)
     }
 
@@ -37,6 +40,13 @@
 
 /// The number in the file's bytes; 0 where they are not whole.
 pub(crate) fn decode(bytes: &[u8]) -> u64 {
-    let number = |from: usize| bytes.get(from..from + 8).and_then(|part| part.try_into().ok()).map(u64::from_be_bytes);
-    number(0).filter(|sequence| number(8) == Some(!sequence)).unwrap_or(0)
+    let number = |from: usize| {
+        bytes
+            .get(from..from + 8)
+            .and_then(|part| part.try_into().ok())
+            .map(u64::from_be_bytes)
+    };
+    number(0)
+        .filter(|sequence| number(8) == Some(!sequence))
+        .unwrap_or(0)
 }
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -31,10 +31,26 @@
 }
 
 fn state(random: &mut Random, number: usize) -> DurableState {
-    let padding = (0..random.below(200)).map(|at| format!("voter-{number}-{at}")).collect();
-    let accepted = ClusterState { edition: number as u64, digest: format!("{number:064}"), ..Default::default() };
-    let promised = Ballot { round: number as u64, ..Default::default() };
-    DurableState { disk: 7, lease_epoch: number as u64, promised, accepted, roster: padding, ..Default::default() }
+    let padding = (0..random.below(200))
+        .map(|at| format!("voter-{number}-{at}"))
+        .collect();
+    let accepted = ClusterState {
+        edition: number as u64,
+        digest: format!("{number:064}"),
+        ..Default::default()
+    };
+    let promised = Ballot {
+        round: number as u64,
+        ..Default::default()
+    };
+    DurableState {
+        disk: 7,
+        lease_epoch: number as u64,
+        promised,
+        accepted,
+        roster: padding,
+        ..Default::default()
+    }
 }
 
 /// Runs storage on a disk while moments are recorded.
@@ -47,15 +63,25 @@
 impl Run {
     /// Records a moment before each operation, each with this chance in a thousand.
     fn new(disk: SimulatedDisk, ledger: Ledger, per_mille: u64, seed: u64) -> Run {
-        let (ledger, moments) = (Arc::new(Mutex::new(ledger)), Arc::new(Mutex::new(Vec::new())));
+        let (ledger, moments) = (
+            Arc::new(Mutex::new(ledger)),
+            Arc::new(Mutex::new(Vec::new())),
+        );
         let (known, recorded, mut random) = (ledger.clone(), moments.clone(), Random::new(seed));
         disk.watch(move |platter| {
             if random.below(1000) < per_mille {
-                let moment = Moment { platter: platter.clone(), ledger: known.lock().unwrap().clone() };
+                let moment = Moment {
+                    platter: platter.clone(),
+                    ledger: known.lock().unwrap().clone(),
+                };
                 recorded.lock().unwrap().push(moment);
             }
         });
-        Run { disk, ledger, moments }
+        Run {
+            disk,
+            ledger,
+            moments,
+        }
     }
 
     /// Opens the folder and checks what it gives against what was reported.
@@ -66,13 +92,24 @@
         if !contents.damaged.is_empty() {
             return Err(format!("damaged: {:?}", contents.damaged));
         }
-        let found = ledger.handed.iter().rposition(|handed| *handed == contents.durable);
+        let found = ledger
+            .handed
+            .iter()
+            .rposition(|handed| *handed == contents.durable);
         match found {
             Some(number) if number >= ledger.reported => ledger.reported = number,
-            Some(number) => return Err(format!("state {number} after {} was reported", ledger.reported)),
+            Some(number) => {
+                return Err(format!(
+                    "state {number} after {} was reported",
+                    ledger.reported
+                ));
+            }
             None => return Err("a state that was never handed over".into()),
         }
-        let lost = ledger.reported_setups.iter().find(|digest| !contents.setups.contains_key(*digest));
+        let lost = ledger
+            .reported_setups
+            .iter()
+            .find(|digest| !contents.setups.contains_key(*digest));
         if let Some(digest) = lost {
             return Err(format!("setup {digest} was reported and is gone"));
         }
@@ -85,7 +122,11 @@
         for _ in 0..changes {
             let bytes = vec![random.below(256) as u8; 100 + random.below(9000) as usize];
             let digest = protocol::digest(&bytes);
-            self.ledger.lock().unwrap().setups.insert(digest.clone(), bytes.clone());
+            self.ledger
+                .lock()
+                .unwrap()
+                .setups
+                .insert(digest.clone(), bytes.clone());
             storage.keep_setup(&digest, &bytes).unwrap();
             self.ledger.lock().unwrap().reported_setups.insert(digest);
             for _ in 0..2 {
@@ -103,9 +144,13 @@
         let earliest = {
             let mut ledger = self.ledger.lock().unwrap();
             let too_many = ledger.reported_setups.len() > KEPT_SETUPS;
-            too_many.then(|| ledger.reported_setups.pop_first()).flatten()
+            too_many
+                .then(|| ledger.reported_setups.pop_first())
+                .flatten()
         };
-        earliest.into_iter().for_each(|digest| storage.drop_setup(&digest).unwrap());
+        earliest
+            .into_iter()
+            .for_each(|digest| storage.drop_setup(&digest).unwrap());
     }
 
     fn moments(&self) -> Vec<Moment> {
@@ -129,10 +174,16 @@
             tally.crashes += 1;
             let disk = moment.platter.after(&mut random, loss, omits);
             // Not every crash is followed by further ones.
-            let per_mille = if depth > 0 && random.below(25) == 0 { 60 } else { 0 };
+            let per_mille = if depth > 0 && random.below(25) == 0 {
+                60
+            } else {
+                0
+            };
             let run = Run::new(disk, moment.ledger.clone(), per_mille, random.next_u64());
             match run.open() {
-                Err(broken) => tally.broken.push(format!("{loss:?}, depth {depth}: {broken}")),
+                Err(broken) => tally
+                    .broken
+                    .push(format!("{loss:?}, depth {depth}: {broken}")),
                 Ok(mut storage) if per_mille > 0 => {
                     run.storm(&mut storage, 2, &mut random);
                     drop(storage);
@@ -147,7 +198,10 @@
 /// A first start, a storm, a second start, a storm; crashes everywhere.
 fn play(omits: Omits, per_mille: u64, seed: u64) -> Tally {
     let mut random = Random::new(seed);
-    let first = Ledger { handed: vec![DurableState::default()], ..Ledger::default() };
+    let first = Ledger {
+        handed: vec![DurableState::default()],
+        ..Ledger::default()
+    };
     let run = Run::new(SimulatedDisk::new(omits), first, per_mille, seed);
     for _ in 0..2 {
         let mut storage = run.open().unwrap();
@@ -172,7 +226,11 @@
 
 #[test]
 fn the_checker_sees_the_state_files_name_not_synced() {
-    assert!(!play(Omits::FolderSync("/var/data"), 200, 1).broken.is_empty());
+    assert!(
+        !play(Omits::FolderSync("/var/data"), 200, 1)
+            .broken
+            .is_empty()
+    );
 }
 
 #[test]
@@ -182,7 +240,11 @@
 
 #[test]
 fn the_checker_sees_setups_names_not_synced() {
-    assert!(!play(Omits::FolderSync("/var/data/setups"), 200, 1).broken.is_empty());
+    assert!(
+        !play(Omits::FolderSync("/var/data/setups"), 200, 1)
+            .broken
+            .is_empty()
+    );
 }
 
 #[test]
--- a/crates/storage/tests/failures.rs
+++ b/crates/storage/tests/failures.rs
@@ -19,12 +19,19 @@
 
 fn state(number: u64) -> DurableState {
     let roster = (0..number * 40).map(|at| format!("voter-{at}")).collect();
-    DurableState { disk: 1, lease_epoch: number, roster, ..Default::default() }
+    DurableState {
+        disk: 1,
+        lease_epoch: number,
+        roster,
+        ..Default::default()
+    }
 }
 
 /// What is found after the power went and came back.
 fn after_power_loss(disk: &SimulatedDisk, loss: Loss, seed: u64) -> Contents {
-    let disk = disk.platter().after(&mut Random::new(seed), loss, Omits::Nothing);
+    let disk = disk
+        .platter()
+        .after(&mut Random::new(seed), loss, Omits::Nothing);
     let opened = Storage::open_on(Arc::new(disk), Path::new(FOLDER)).unwrap();
     opened.1
 }
@@ -40,7 +47,10 @@
         while storage.keep(&state(last + 1)).is_ok() {
             last += 1;
         }
-        assert!(storage.keep(&state(last + 1)).is_err(), "there is no room for a new file either");
+        assert!(
+            storage.keep(&state(last + 1)).is_err(),
+            "there is no room for a new file either"
+        );
         for seed in 0..20 {
             // What failed was handed over, so it may be there.
             let found = after_power_loss(&disk, Loss::Some, seed);
@@ -49,7 +59,10 @@
         }
         disk.set_room(None);
         storage.keep(&state(last + 1)).unwrap();
-        assert_eq!(after_power_loss(&disk, Loss::All, 1).durable, state(last + 1));
+        assert_eq!(
+            after_power_loss(&disk, Loss::All, 1).durable,
+            state(last + 1)
+        );
     }
 }
 
@@ -64,7 +77,10 @@
     storage.keep_setup(&digest, &bytes).unwrap();
     storage.keep(&state(1)).unwrap();
     let found = after_power_loss(&disk, Loss::All, 1);
-    assert_eq!((found.setups.get(&digest).map(Vec::len), found.durable), (Some(9000), state(1)));
+    assert_eq!(
+        (found.setups.get(&digest).map(Vec::len), found.durable),
+        (Some(9000), state(1))
+    );
 }
 
 /// After a failed sync the system may show what never reached the disk, and calls the next sync a success.
@@ -96,7 +112,9 @@
     storage.keep(&state(3)).unwrap();
     drop(storage);
     disk.set_syncs_fail(true);
-    let refused = Storage::open_on(Arc::new(disk.clone()), Path::new(FOLDER)).err().unwrap();
+    let refused = Storage::open_on(Arc::new(disk.clone()), Path::new(FOLDER))
+        .err()
+        .unwrap();
     assert_eq!(refused.current_context().trouble(), Trouble::Failing);
     disk.set_syncs_fail(false);
     let (_, contents) = open(&disk);
@@ -109,7 +127,9 @@
     let (mut storage, _) = open(&disk);
     (1..5).for_each(|number| storage.keep(&state(number)).unwrap());
     // Killed, so that the next start has to repair.
-    let disk = disk.platter().after(&mut Random::new(1), Loss::All, Omits::Nothing);
+    let disk = disk
+        .platter()
+        .after(&mut Random::new(1), Loss::All, Omits::Nothing);
     disk.set_room(Some(0));
     let refused = Storage::open_on(Arc::new(disk.clone()), Path::new(FOLDER)).err();
     assert!(refused.is_none_or(|refused| refused.current_context().trouble() == Trouble::Failing));
@@ -130,7 +150,8 @@
         2 => bytes.clear(),
         // Where redb keeps what it trusts.
         3 => bytes[random.below(length.min(320)) as usize] ^= 1 << random.below(8),
-        _ => (0..1 + random.below(40)).for_each(|_| bytes[random.below(length) as usize] ^= 1 << random.below(8)),
+        _ => (0..1 + random.below(40))
+            .for_each(|_| bytes[random.below(length) as usize] ^= 1 << random.below(8)),
     }
 }
 
@@ -160,7 +181,11 @@
         storage.keep(&state(9)).unwrap();
         drop(storage);
         let again = open(&disk).1;
-        assert_eq!((again.durable, again.damaged.len()), (state(9), 0), "round {round}");
+        assert_eq!(
+            (again.durable, again.damaged.len()),
+            (state(9), 0),
+            "round {round}"
+        );
     }
     println!("{told} of 600 told");
     assert!(told > 100);
@@ -175,7 +200,13 @@
     drop(storage);
     storage::FileSystem::remove(&disk, Path::new(STATE_FILE)).unwrap();
     let (_, contents) = open(&disk);
-    assert!(contents.damaged[0].to_string().starts_with("word.redb: missing, though"), "{:?}", contents.damaged);
+    assert!(
+        contents.damaged[0]
+            .to_string()
+            .starts_with("word.redb: missing, though"),
+        "{:?}",
+        contents.damaged
+    );
 }
 
 #[test]
@@ -185,7 +216,10 @@
     let digest = protocol::digest(b"{}");
     storage.keep_setup(&digest, b"{}").unwrap();
     drop(storage);
-    disk.rot(&Path::new("/data/setups").join(format!("{digest}.json")), |bytes| bytes.clear());
+    disk.rot(
+        &Path::new("/data/setups").join(format!("{digest}.json")),
+        |bytes| bytes.clear(),
+    );
     let (storage, contents) = open(&disk);
     assert_eq!((contents.setups.len(), contents.damaged.len()), (0, 1));
     drop(storage);
@@ -195,18 +229,24 @@
 /// The last copy of a lost majority's state may lie in such a folder.
 #[test]
 fn inspecting_a_damaged_folder_changes_nothing() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("inspect-{}", std::process::id()));
+    let folder =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("inspect-{}", std::process::id()));
     let (mut storage, _) = Storage::open(&folder).unwrap();
     storage.keep(&state(2)).unwrap();
     storage.keep_setup(&protocol::digest(b"{}"), b"{}").unwrap();
     drop(storage);
-    let setup = folder.join("setups").join(format!("{}.json", protocol::digest(b"{}")));
+    let setup = folder
+        .join("setups")
+        .join(format!("{}.json", protocol::digest(b"{}")));
     let mut bytes = std::fs::read(folder.join("word.redb")).unwrap();
     bytes.truncate(5000);
     std::fs::write(folder.join("word.redb"), &bytes).unwrap();
     std::fs::write(&setup, b"rotten").unwrap();
     let contents = Storage::inspect(&folder).unwrap();
-    assert_eq!((contents.durable, contents.damaged.len()), (DurableState::default(), 2));
+    assert_eq!(
+        (contents.durable, contents.damaged.len()),
+        (DurableState::default(), 2)
+    );
     assert_eq!(std::fs::read(folder.join("word.redb")).unwrap(), bytes);
     assert_eq!(std::fs::read(&setup).unwrap(), b"rotten");
     assert!(!folder.join("word.damaged").exists());
@@ -215,7 +255,8 @@
 
 #[test]
 fn two_processes_never_share_a_folder() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("shared-{}", std::process::id()));
+    let folder =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("shared-{}", std::process::id()));
     let first = Storage::open(&folder).unwrap();
     let second = Storage::open(&folder).err().unwrap();
     assert_eq!(second.current_context().trouble(), Trouble::InUse);
@@ -228,7 +269,13 @@
 const AN_HOUR: Duration = Duration::from_secs(3600);
 
 fn departures(count: usize) -> Vec<Departure> {
-    (0..count).map(|at| Departure { instance: format!("unit-{at}"), condition: 1, ..Default::default() }).collect()
+    (0..count)
+        .map(|at| Departure {
+            instance: format!("unit-{at}"),
+            condition: 1,
+            ..Default::default()
+        })
+        .collect()
 }
 
 /// A process that is killed in the middle of a write leaves any part of it.
@@ -239,16 +286,30 @@
     let now = AN_HOUR;
     let mut log = storage.departure_log(now).0;
     // The longer one's end stays behind the shorter one.
-    [7, 9, 3, 2].into_iter().for_each(|count| log.keep(departures(count), now).unwrap());
+    [7, 9, 3, 2]
+        .into_iter()
+        .for_each(|count| log.keep(departures(count), now).unwrap());
     assert_eq!(storage.departure_log(now).1, departures(2));
     let newest = Path::new("/data/departures.0");
     let whole = 8 + 64 + departures(2).len();
     (0..whole).for_each(|kept| {
-        disk.rot(newest, |bytes| bytes.iter_mut().skip(kept).for_each(|byte| *byte = !*byte));
-        assert_eq!(storage.departure_log(now).1, departures(3), "{kept} bytes were written");
-        disk.rot(newest, |bytes| bytes.iter_mut().skip(kept).for_each(|byte| *byte = !*byte));
+        disk.rot(newest, |bytes| {
+            bytes.iter_mut().skip(kept).for_each(|byte| *byte = !*byte)
+        });
+        assert_eq!(
+            storage.departure_log(now).1,
+            departures(3),
+            "{kept} bytes were written"
+        );
+        disk.rot(newest, |bytes| {
+            bytes.iter_mut().skip(kept).for_each(|byte| *byte = !*byte)
+        });
     });
-    assert_eq!(storage.departure_log(now).1, departures(2), "the test mended it each time");
+    assert_eq!(
+        storage.departure_log(now).1,
+        departures(2),
+        "the test mended it each time"
+    );
 }
 
 #[test]
@@ -261,7 +322,10 @@
         assert_eq!(found, departures(count - 1));
         log.keep(departures(count), now).unwrap();
     });
-    assert!(storage.departure_log(now + minute).1.is_empty(), "an instance id may be in use again");
+    assert!(
+        storage.departure_log(now + minute).1.is_empty(),
+        "an instance id may be in use again"
+    );
     assert!(
         storage.departure_log(now - minute).1.is_empty(),
         "the machine has booted since: nobody knows how old they are"
--- a/crates/storage/tests/simulated/mod.rs
+++ b/crates/storage/tests/simulated/mod.rs
@@ -53,8 +53,16 @@
 
 #[derive(Clone)]
 enum Node {
-    File { platter: Arc<Vec<u8>>, cache: Arc<Vec<u8>>, unsynced: Vec<Change> },
-    Folder { platter: BTreeMap<String, usize>, cache: BTreeMap<String, usize>, unsynced: Vec<NameChange> },
+    File {
+        platter: Arc<Vec<u8>>,
+        cache: Arc<Vec<u8>>,
+        unsynced: Vec<Change>,
+    },
+    Folder {
+        platter: BTreeMap<String, usize>,
+        cache: BTreeMap<String, usize>,
+        unsynced: Vec<NameChange>,
+    },
 }
 
 /// Everything on a disk at one moment.
@@ -87,7 +95,10 @@
 
 fn apply(bytes: &mut Vec<u8>, change: &Change) {
     match change {
-        Change::Write { offset, bytes: written } => {
+        Change::Write {
+            offset,
+            bytes: written,
+        } => {
             let end = offset + written.len();
             if bytes.len() < end {
                 bytes.resize(end, 0);
@@ -124,9 +135,18 @@
         (Loss::All, _) | (Loss::Some, 1) => {}
         (Loss::Some, _) => match change {
             Change::Write { offset, bytes } => {
-                let sectors = bytes.chunks(SECTOR).enumerate().filter(|_| random.below(2) == 0);
+                let sectors = bytes
+                    .chunks(SECTOR)
+                    .enumerate()
+                    .filter(|_| random.below(2) == 0);
                 for (at, sector) in sectors {
-                    apply(onto, &Change::Write { offset: offset + at * SECTOR, bytes: Arc::new(sector.to_vec()) });
+                    apply(
+                        onto,
+                        &Change::Write {
+                            offset: offset + at * SECTOR,
+                            bytes: Arc::new(sector.to_vec()),
+                        },
+                    );
                 }
             }
             length => apply(onto, length),
@@ -139,33 +159,70 @@
     pub fn after(&self, random: &mut Random, loss: Loss, omits: Omits) -> SimulatedDisk {
         let nodes = self.nodes.iter().map(|node| match (node, loss) {
             (node, Loss::None) => node.clone(),
-            (Node::File { platter, unsynced, .. }, _) => {
+            (
+                Node::File {
+                    platter, unsynced, ..
+                },
+                _,
+            ) => {
                 let mut bytes = Arc::clone(platter);
                 if !unsynced.is_empty() && loss != Loss::All {
                     let bytes = Arc::make_mut(&mut bytes);
-                    unsynced.iter().for_each(|change| kept(random, loss, change, bytes));
+                    unsynced
+                        .iter()
+                        .for_each(|change| kept(random, loss, change, bytes));
+                }
+                Node::File {
+                    platter: bytes.clone(),
+                    cache: bytes,
+                    unsynced: Vec::new(),
                 }
-                Node::File { platter: bytes.clone(), cache: bytes, unsynced: Vec::new() }
             }
-            (Node::Folder { platter, unsynced, .. }, _) => {
+            (
+                Node::Folder {
+                    platter, unsynced, ..
+                },
+                _,
+            ) => {
                 let mut names = platter.clone();
-                let survivors = unsynced.iter().filter(|_| loss == Loss::Some && random.below(2) == 0);
+                let survivors = unsynced
+                    .iter()
+                    .filter(|_| loss == Loss::Some && random.below(2) == 0);
                 survivors.for_each(|change| apply_name(&mut names, change));
-                Node::Folder { platter: names.clone(), cache: names, unsynced: Vec::new() }
+                Node::Folder {
+                    platter: names.clone(),
+                    cache: names,
+                    unsynced: Vec::new(),
+                }
             }
         });
-        SimulatedDisk::holding(Platter { nodes: nodes.collect() }, omits)
+        SimulatedDisk::holding(
+            Platter {
+                nodes: nodes.collect(),
+            },
+            omits,
+        )
     }
 }
 
 impl SimulatedDisk {
     pub fn new(omits: Omits) -> Self {
-        let root = Node::Folder { platter: BTreeMap::new(), cache: BTreeMap::new(), unsynced: Vec::new() };
+        let root = Node::Folder {
+            platter: BTreeMap::new(),
+            cache: BTreeMap::new(),
+            unsynced: Vec::new(),
+        };
         SimulatedDisk::holding(Platter { nodes: vec![root] }, omits)
     }
 
     fn holding(platter: Platter, omits: Omits) -> Self {
-        let state = State { platter, omits, room: None, syncs_fail: false, watcher: None };
+        let state = State {
+            platter,
+            omits,
+            room: None,
+            syncs_fail: false,
+            watcher: None,
+        };
         SimulatedDisk(Arc::new(Mutex::new(state)))
     }
 
@@ -224,7 +281,10 @@
 }
 
 fn name(path: &Path) -> String {
-    path.file_name().unwrap_or_default().to_string_lossy().into_owned()
+    path.file_name()
+        .unwrap_or_default()
+        .to_string_lossy()
+        .into_owned()
 }
 
 impl State {
@@ -236,10 +296,15 @@
     }
 
     fn find(&self, path: &Path) -> io::Result<usize> {
-        let parts = path.components().filter(|part| matches!(part, Component::Normal(_)));
+        let parts = path
+            .components()
+            .filter(|part| matches!(part, Component::Normal(_)));
         let mut at = 0;
         for part in parts {
-            at = *self.names(at)?.get(&*part.as_os_str().to_string_lossy()).ok_or_else(not_found)?;
+            at = *self
+                .names(at)?
+                .get(&*part.as_os_str().to_string_lossy())
+                .ok_or_else(not_found)?;
         }
         Ok(at)
     }
@@ -253,7 +318,9 @@
 
     fn change_names(&mut self, folder: usize, change: NameChange) -> io::Result<()> {
         match &mut self.platter.nodes[folder] {
-            Node::Folder { cache, unsynced, .. } => {
+            Node::Folder {
+                cache, unsynced, ..
+            } => {
                 apply_name(cache, &change);
                 unsynced.push(change);
                 Ok(())
@@ -281,14 +348,21 @@
     fn change_file(&mut self, id: usize, change: Change) -> io::Result<()> {
         let grows = match (&change, &self.platter.nodes[id]) {
             (Change::Write { bytes, .. }, _) => bytes.len(),
-            (Change::Length(length), Node::File { cache, .. }) => length.saturating_sub(cache.len()),
+            (Change::Length(length), Node::File { cache, .. }) => {
+                length.saturating_sub(cache.len())
+            }
             _ => 0,
         };
         if let Some(room) = &mut self.room {
-            *room = room.checked_sub(grows).ok_or_else(|| io::Error::from(io::ErrorKind::StorageFull))?;
+            *room = room
+                .checked_sub(grows)
+                .ok_or_else(|| io::Error::from(io::ErrorKind::StorageFull))?;
         }
         self.about_to_change();
-        if let Node::File { cache, unsynced, .. } = &mut self.platter.nodes[id] {
+        if let Node::File {
+            cache, unsynced, ..
+        } = &mut self.platter.nodes[id]
+        {
             apply(Arc::make_mut(cache), &change);
             unsynced.push(change);
         }
@@ -304,7 +378,9 @@
                 unsynced.clear();
                 return Err(io::Error::other("input/output error"));
             }
-            Node::File { platter, unsynced, .. } => {
+            Node::File {
+                platter, unsynced, ..
+            } => {
                 let bytes = Arc::make_mut(platter);
                 unsynced.drain(..).for_each(|change| apply(bytes, &change));
             }
@@ -330,7 +406,10 @@
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         // In parts, as the system may take it.
         let part = &bytes[..bytes.len().min(4096)];
-        let change = Change::Write { offset: self.written, bytes: Arc::new(part.to_vec()) };
+        let change = Change::Write {
+            offset: self.written,
+            bytes: Arc::new(part.to_vec()),
+        };
         self.disk.state().change_file(self.id, change)?;
         self.written += part.len();
         Ok(part.len())
@@ -357,15 +436,21 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let state = self.disk.state();
-        let Node::File { cache, .. } = &state.platter.nodes[self.id] else { return Err(not_found()) };
+        let Node::File { cache, .. } = &state.platter.nodes[self.id] else {
+            return Err(not_found());
+        };
         let (from, to) = (offset as usize, offset as usize + out.len());
-        let bytes = cache.get(from..to).ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))?;
+        let bytes = cache
+            .get(from..to)
+            .ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))?;
         out.copy_from_slice(bytes);
         Ok(())
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.disk.state().change_file(self.id, Change::Length(length as usize))
+        self.disk
+            .state()
+            .change_file(self.id, Change::Length(length as usize))
     }
 
     fn sync_data(&self) -> io::Result<()> {
@@ -373,14 +458,21 @@
     }
 
     fn write(&self, offset: u64, bytes: &[u8]) -> io::Result<()> {
-        let change = Change::Write { offset: offset as usize, bytes: Arc::new(bytes.to_vec()) };
+        let change = Change::Write {
+            offset: offset as usize,
+            bytes: Arc::new(bytes.to_vec()),
+        };
         self.disk.state().change_file(self.id, change)
     }
 }
 
 impl FileSystem for SimulatedDisk {
     fn create_folder(&self, folder: &Path) -> io::Result<()> {
-        let node = Node::Folder { platter: BTreeMap::new(), cache: BTreeMap::new(), unsynced: Vec::new() };
+        let node = Node::Folder {
+            platter: BTreeMap::new(),
+            cache: BTreeMap::new(),
+            unsynced: Vec::new(),
+        };
         match self.state().add(folder, node) {
             Err(error) if error.kind() != io::ErrorKind::AlreadyExists => Err(error),
             _ => Ok(()),
@@ -395,8 +487,12 @@
         match &mut state.platter.nodes[id] {
             _ if skip => {}
             _ if fail => return Err(io::Error::other("input/output error")),
-            Node::Folder { platter, unsynced, .. } => {
-                unsynced.drain(..).for_each(|change| apply_name(platter, &change));
+            Node::Folder {
+                platter, unsynced, ..
+            } => {
+                unsynced
+                    .drain(..)
+                    .for_each(|change| apply_name(platter, &change));
             }
             Node::File { .. } => return Err(io::Error::from(io::ErrorKind::NotADirectory)),
         }
@@ -425,9 +521,17 @@
     }
 
     fn create(&self, file: &Path) -> io::Result<Box<dyn NewFile>> {
-        let node = Node::File { platter: Arc::default(), cache: Arc::default(), unsynced: Vec::new() };
+        let node = Node::File {
+            platter: Arc::default(),
+            cache: Arc::default(),
+            unsynced: Vec::new(),
+        };
         let id = self.state().add(file, node)?;
-        Ok(Box::new(OpenFile { disk: self.clone(), id, written: 0 }))
+        Ok(Box::new(OpenFile {
+            disk: self.clone(),
+            id,
+            written: 0,
+        }))
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
@@ -443,7 +547,9 @@
 
     fn remove(&self, file: &Path) -> io::Result<()> {
         let mut state = self.state();
-        let Ok(id) = state.find(file) else { return Ok(()) };
+        let Ok(id) = state.find(file) else {
+            return Ok(());
+        };
         let folder = state.parent(file)?;
         state.about_to_change();
         state.change_names(folder, NameChange::Unlink(name(file), id))
@@ -451,11 +557,19 @@
 
     fn open_database(&self, file: &Path, new: bool) -> io::Result<Box<dyn StorageBackend>> {
         let id = if new {
-            let node = Node::File { platter: Arc::default(), cache: Arc::default(), unsynced: Vec::new() };
+            let node = Node::File {
+                platter: Arc::default(),
+                cache: Arc::default(),
+                unsynced: Vec::new(),
+            };
             self.state().add(file, node)?
         } else {
             self.state().find(file)?
         };
-        Ok(Box::new(OpenFile { disk: self.clone(), id, written: 0 }))
+        Ok(Box::new(OpenFile {
+            disk: self.clone(),
+            id,
+            written: 0,
+        }))
     }
 }
--- a/crates/tariff/src/check.rs
+++ b/crates/tariff/src/check.rs
@@ -25,7 +25,10 @@
 /// assert_eq!(complaints[0].to_string(), "/routes/0: no such service");
 /// ```
 pub fn complain(complaints: &mut Vec<Complaint>, path: &str, text: impl Into<String>) {
-    complaints.push(Complaint { path: path.to_owned(), text: text.into() });
+    complaints.push(Complaint {
+        path: path.to_owned(),
+        text: text.into(),
+    });
 }
 
 /// Reads the fields of one object; whatever nobody asked for is complained of at the end.
@@ -64,7 +67,12 @@
                 &[]
             }
         };
-        Fields { fields, path: path.to_owned(), asked: Vec::new(), complaints }
+        Fields {
+            fields,
+            path: path.to_owned(),
+            asked: Vec::new(),
+            complaints,
+        }
     }
 
     /// A field of any shape, where it is there.
@@ -82,7 +90,10 @@
 
     fn ask(&mut self, name: &'static str) -> Option<&'a Sheet> {
         self.asked.push(name);
-        self.fields.iter().find(|(field, _)| field == name).map(|(_, sheet)| sheet)
+        self.fields
+            .iter()
+            .find(|(field, _)| field == name)
+            .map(|(_, sheet)| sheet)
     }
 
     fn complain<T>(&mut self, name: &str, text: impl Into<String>) -> Option<T> {
@@ -118,7 +129,10 @@
             if address::is_id(&text) {
                 Some(text)
             } else {
-                self.complain(name, format!("'{text}' is no id; use 1 to 64 of a-z A-Z 0-9 - _ ."))
+                self.complain(
+                    name,
+                    format!("'{text}' is no id; use 1 to 64 of a-z A-Z 0-9 - _ ."),
+                )
             }
         })
     }
@@ -130,7 +144,12 @@
     /// let mut fields = tariff::Fields::open(&sheet, "", &mut complaints);
     /// assert_eq!(fields.count("size", 1..=9, Some(4)), Some(4));
     /// ```
-    pub fn count(&mut self, name: &'static str, allowed: RangeInclusive<u64>, fallback: Option<u64>) -> Option<u64> {
+    pub fn count(
+        &mut self,
+        name: &'static str,
+        allowed: RangeInclusive<u64>,
+        fallback: Option<u64>,
+    ) -> Option<u64> {
         let (least, most) = (*allowed.start(), *allowed.end());
         match self.ask(name) {
             Some(Sheet::Count(count)) if allowed.contains(count) => Some(*count),
@@ -151,7 +170,9 @@
     pub fn truth(&mut self, name: &'static str, fallback: bool) -> bool {
         match self.ask(name) {
             Some(Sheet::Truth(truth)) => *truth,
-            Some(_) => self.complain(name, "must be true or false").unwrap_or(fallback),
+            Some(_) => self
+                .complain(name, "must be true or false")
+                .unwrap_or(fallback),
             None => fallback,
         }
     }
@@ -186,7 +207,11 @@
                 complain(self.complaints, &path, "comes twice");
             } else if !self.asked.contains(&name.as_str()) {
                 let known = self.asked.join(", ");
-                complain(self.complaints, &path, format!("is unknown; known here: {known}"));
+                complain(
+                    self.complaints,
+                    &path,
+                    format!("is unknown; known here: {known}"),
+                );
             }
         });
     }
--- a/crates/tariff/src/settings.rs
+++ b/crates/tariff/src/settings.rs
@@ -37,22 +37,105 @@
 
 /// The design's time values, the same for both daemons.
 pub const TIMES: &[Setting] = &[
-    span("address-lifetime-ms", "2000", 200, 5000, "how long an origin may keep an address"),
-    span("confirm-every-ms", "500", 50, 2000, "how often a majority confirms the edition"),
-    span("stale-after-ms", "2000", 200, 3000, "the age at which a view is no longer used"),
-    span("probe-every-ms", "300", 20, 5000, "how often one other node is probed"),
-    span("suspect-for-ms", "1500", 100, 30000, "how long a suspect has to refute"),
-    span("claim-span-ms", "1500", 300, 30000, "how long a claim is granted for"),
-    span("claim-margin-ms", "500", 50, 5000, "how long before its end a holder stops"),
-    span("share-span-ms", "3000", 300, 30000, "how long a key share is held after a beat"),
-    span("upstream-silent-ms", "3000", 300, 30000, "how long a silent upstream is kept"),
-    span("mark-lifetime-ms", "60000", 5000, 86_400_000, "how long a forwarding mark is kept"),
-    span("wait-ms", "150", 0, 2000, "how long a request may wait for a seat; 0 denies at once"),
-    span("least-stay-ms", "4000", 0, 600_000, "how long a name stays before an unforced move"),
+    span(
+        "address-lifetime-ms",
+        "2000",
+        200,
+        5000,
+        "how long an origin may keep an address",
+    ),
+    span(
+        "confirm-every-ms",
+        "500",
+        50,
+        2000,
+        "how often a majority confirms the edition",
+    ),
+    span(
+        "stale-after-ms",
+        "2000",
+        200,
+        3000,
+        "the age at which a view is no longer used",
+    ),
+    span(
+        "probe-every-ms",
+        "300",
+        20,
+        5000,
+        "how often one other node is probed",
+    ),
+    span(
+        "suspect-for-ms",
+        "1500",
+        100,
+        30000,
+        "how long a suspect has to refute",
+    ),
+    span(
+        "claim-span-ms",
+        "1500",
+        300,
+        30000,
+        "how long a claim is granted for",
+    ),
+    span(
+        "claim-margin-ms",
+        "500",
+        50,
+        5000,
+        "how long before its end a holder stops",
+    ),
+    span(
+        "share-span-ms",
+        "3000",
+        300,
+        30000,
+        "how long a key share is held after a beat",
+    ),
+    span(
+        "upstream-silent-ms",
+        "3000",
+        300,
+        30000,
+        "how long a silent upstream is kept",
+    ),
+    span(
+        "mark-lifetime-ms",
+        "60000",
+        5000,
+        86_400_000,
+        "how long a forwarding mark is kept",
+    ),
+    span(
+        "wait-ms",
+        "150",
+        0,
+        2000,
+        "how long a request may wait for a seat; 0 denies at once",
+    ),
+    span(
+        "least-stay-ms",
+        "4000",
+        0,
+        600_000,
+        "how long a name stays before an unforced move",
+    ),
 ];
 
-const fn span(name: &'static str, fallback: &'static str, least: u64, most: u64, help: &'static str) -> Setting {
-    Setting { name, shape: Shape::Span(least, most), fallback: Some(fallback), help }
+const fn span(
+    name: &'static str,
+    fallback: &'static str,
+    least: u64,
+    most: u64,
+    help: &'static str,
+) -> Setting {
+    Setting {
+        name,
+        shape: Shape::Span(least, most),
+        fallback: Some(fallback),
+        help,
+    }
 }
 
 /// Checks time values against each other.
@@ -71,7 +154,11 @@
     let ms = |name| settings.span(name).as_millis() as u64;
     let mut must = |held: bool, name: &str, text: &str| {
         if !held {
-            complain(&mut complaints, name, format!("{}: {text}", settings.get(name)));
+            complain(
+                &mut complaints,
+                name,
+                format!("{}: {text}", settings.get(name)),
+            );
         }
     };
     must(
@@ -94,7 +181,11 @@
         "claim-margin-ms",
         "must be a third of claim-span-ms at most",
     );
-    must(ms("probe-every-ms") * 2 <= ms("suspect-for-ms"), "suspect-for-ms", "must be twice probe-every-ms at least");
+    must(
+        ms("probe-every-ms") * 2 <= ms("suspect-for-ms"),
+        "suspect-for-ms",
+        "must be twice probe-every-ms at least",
+    );
     complaints
 }
 
@@ -132,24 +223,46 @@
         });
         given.extend(flags.iter().cloned());
         let known = || tables.iter().flat_map(|table| table.iter());
-        given.iter().filter(|(name, _)| !known().any(|setting| setting.name == name.as_str())).for_each(
-            |(name, value)| {
+        given
+            .iter()
+            .filter(|(name, _)| !known().any(|setting| setting.name == name.as_str()))
+            .for_each(|(name, value)| {
                 let names: Vec<&str> = known().map(|setting| setting.name).collect();
-                let text = format!("no such setting (given '{value}'); known: {}", names.join(", "));
+                let text = format!(
+                    "no such setting (given '{value}'); known: {}",
+                    names.join(", ")
+                );
                 complain(&mut complaints, name, text);
-            },
-        );
+            });
         let mut settings = BTreeMap::new();
-        known().for_each(|setting| match given.get(setting.name).map(String::as_str).or(setting.fallback) {
-            None => complain(&mut complaints, setting.name, format!("must be given: {}", setting.help)),
-            Some(value) => match fits(setting.shape, value) {
-                Ok(()) => {
-                    settings.insert(setting.name, value.to_owned());
-                }
-                Err(allowed) => complain(&mut complaints, setting.name, format!("'{value}': {allowed}")),
-            },
+        known().for_each(|setting| {
+            match given
+                .get(setting.name)
+                .map(String::as_str)
+                .or(setting.fallback)
+            {
+                None => complain(
+                    &mut complaints,
+                    setting.name,
+                    format!("must be given: {}", setting.help),
+                ),
+                Some(value) => match fits(setting.shape, value) {
+                    Ok(()) => {
+                        settings.insert(setting.name, value.to_owned());
+                    }
+                    Err(allowed) => complain(
+                        &mut complaints,
+                        setting.name,
+                        format!("'{value}': {allowed}"),
+                    ),
+                },
+            }
         });
-        if complaints.is_empty() { Ok(Settings(settings)) } else { Err(complaints) }
+        if complaints.is_empty() {
+            Ok(Settings(settings))
+        } else {
+            Err(complaints)
+        }
     }
 
     /// The text of a setting; empty where the tables have no such name.
@@ -188,7 +301,11 @@
     /// assert!(tariff::Settings::default().list("seeds").is_empty());
     /// ```
     pub fn list(&self, name: &str) -> Vec<String> {
-        self.get(name).split(',').filter(|part| !part.is_empty()).map(str::to_owned).collect()
+        self.get(name)
+            .split(',')
+            .filter(|part| !part.is_empty())
+            .map(str::to_owned)
+            .collect()
     }
 }
 
@@ -211,9 +328,18 @@
     };
     let truth = |held: bool, text: &str| if held { Ok(()) } else { Err(text.to_owned()) };
     match shape {
-        Shape::Id => truth(address::is_id(value), "must be 1 to 64 of a-z A-Z 0-9 - _ ."),
-        Shape::Locality => value.parse::<address::Locality>().map(drop).map_err(|_| "must be region/zone".into()),
-        Shape::Address => value.parse::<SocketAddr>().map(drop).map_err(|_| "must be an IP number and a port".into()),
+        Shape::Id => truth(
+            address::is_id(value),
+            "must be 1 to 64 of a-z A-Z 0-9 - _ .",
+        ),
+        Shape::Locality => value
+            .parse::<address::Locality>()
+            .map(drop)
+            .map_err(|_| "must be region/zone".into()),
+        Shape::Address => value
+            .parse::<SocketAddr>()
+            .map(drop)
+            .map_err(|_| "must be an IP number and a port".into()),
         Shape::Addresses => {
             let parts: Vec<&str> = value.split(',').filter(|part| !part.is_empty()).collect();
             truth(
@@ -222,13 +348,19 @@
             )
         }
         Shape::Localities => truth(
-            value.split(',').filter(|part| !part.is_empty()).all(|part| part.parse::<address::Locality>().is_ok()),
+            value
+                .split(',')
+                .filter(|part| !part.is_empty())
+                .all(|part| part.parse::<address::Locality>().is_ok()),
             "must be localities (region/zone), with commas",
         ),
         Shape::Folder => truth(!value.is_empty(), "must be a folder"),
         Shape::Span(least, most) => number(least, most, " (milliseconds)"),
         Shape::Count(least, most) => number(least, most, ""),
-        Shape::OneOf(allowed) => truth(allowed.contains(&value), &format!("must be one of {}", allowed.join(", "))),
+        Shape::OneOf(allowed) => truth(
+            allowed.contains(&value),
+            &format!("must be one of {}", allowed.join(", ")),
+        ),
         Shape::SomeOf(allowed) => truth(
             !value.is_empty() && value.split(',').all(|part| allowed.contains(&part)),
             &format!("must be some of {}, with commas", allowed.join(", ")),
--- a/crates/tariff/src/setup.rs
+++ b/crates/tariff/src/setup.rs
@@ -104,7 +104,8 @@
     /// ```
     pub fn services(&self) -> impl Iterator<Item = &str> {
         let one = Some(self.service.as_str()).filter(|_| self.split.is_empty());
-        one.into_iter().chain(self.split.iter().map(|(service, _)| service.as_str()))
+        one.into_iter()
+            .chain(self.split.iter().map(|(service, _)| service.as_str()))
     }
 
     /// The service for one request, by weight; the same salt always leads to the same one.
@@ -122,7 +123,9 @@
             at = at.saturating_sub(*weight);
             found
         });
-        picked.map(|(service, _)| service.as_str()).unwrap_or(&self.service)
+        picked
+            .map(|(service, _)| service.as_str())
+            .unwrap_or(&self.service)
     }
 }
 
@@ -161,9 +164,17 @@
     /// assert_eq!(complaints.len(), 2);
     /// ```
     pub fn read(bytes: &[u8]) -> Result<Setup, Vec<Complaint>> {
-        let whole = |text: String| vec![Complaint { path: "/".into(), text }];
+        let whole = |text: String| {
+            vec![Complaint {
+                path: "/".into(),
+                text,
+            }]
+        };
         if bytes.len() > MOST_SETUP_BYTES {
-            return Err(whole(format!("{} bytes; at most {MOST_SETUP_BYTES} are read", bytes.len())));
+            return Err(whole(format!(
+                "{} bytes; at most {MOST_SETUP_BYTES} are read",
+                bytes.len()
+            )));
         }
         let sheet = std::str::from_utf8(bytes)
             .map_err(|_| "this is not UTF-8".to_owned())
@@ -172,20 +183,49 @@
         let mut complaints = Vec::new();
         let mut fields = Fields::open(&sheet, "", &mut complaints);
         let numbered = fields.part("number").is_some();
-        let number = fields.count("number", 1..=u64::MAX, Some(1)).filter(|_| numbered);
-        let (services, routes, aliases) = (fields.list("services"), fields.list("routes"), fields.list("aliases"));
+        let number = fields
+            .count("number", 1..=u64::MAX, Some(1))
+            .filter(|_| numbered);
+        let (services, routes, aliases) = (
+            fields.list("services"),
+            fields.list("routes"),
+            fields.list("aliases"),
+        );
         fields.close();
-        let most = [services.len(), routes.len(), aliases.len()].into_iter().max().unwrap_or(0);
+        let most = [services.len(), routes.len(), aliases.len()]
+            .into_iter()
+            .max()
+            .unwrap_or(0);
         if most > MOST_ITEMS {
-            complain(&mut complaints, "/", format!("a list of {most}; at most {MOST_ITEMS}"));
+            complain(
+                &mut complaints,
+                "/",
+                format!("a list of {most}; at most {MOST_ITEMS}"),
+            );
             return Err(complaints);
         }
-        let mut setup = Setup { number, ..Setup::default() };
-        services.iter().enumerate().for_each(|(at, sheet)| setup.add_service(sheet, at, &mut complaints));
-        routes.iter().enumerate().for_each(|(at, sheet)| setup.add_route(sheet, at, &mut complaints));
-        aliases.iter().enumerate().for_each(|(at, sheet)| setup.add_alias(sheet, at, &mut complaints));
+        let mut setup = Setup {
+            number,
+            ..Setup::default()
+        };
+        services
+            .iter()
+            .enumerate()
+            .for_each(|(at, sheet)| setup.add_service(sheet, at, &mut complaints));
+        routes
+            .iter()
+            .enumerate()
+            .for_each(|(at, sheet)| setup.add_route(sheet, at, &mut complaints));
+        aliases
+            .iter()
+            .enumerate()
+            .for_each(|(at, sheet)| setup.add_alias(sheet, at, &mut complaints));
         setup.check_links(routes, aliases, &mut complaints);
-        if complaints.is_empty() { Ok(setup) } else { Err(complaints) }
+        if complaints.is_empty() {
+            Ok(setup)
+        } else {
+            Err(complaints)
+        }
     }
 
     fn add_service(&mut self, sheet: &Sheet, at: usize, complaints: &mut Vec<Complaint>) {
@@ -202,11 +242,21 @@
         fields.close();
         let home_regions: Vec<String> = regions.iter().filter_map(region).collect();
         if home_regions.len() != regions.len() {
-            complain(complaints, &format!("{path}/homeRegions"), "must be a list of region ids");
+            complain(
+                complaints,
+                &format!("{path}/homeRegions"),
+                "must be a list of region ids",
+            );
         }
-        let repeatable = work.as_deref().and_then(|work| repeatable(work, &path, complaints));
-        let service = name.zip(repeatable).zip(warm_up_per_second).zip(most_bytes.zip(concurrency));
-        if let Some((((name, repeatable), warm_up_per_second), (most_bytes, concurrency))) = service {
+        let repeatable = work
+            .as_deref()
+            .and_then(|work| repeatable(work, &path, complaints));
+        let service = name
+            .zip(repeatable)
+            .zip(warm_up_per_second)
+            .zip(most_bytes.zip(concurrency));
+        if let Some((((name, repeatable), warm_up_per_second), (most_bytes, concurrency))) = service
+        {
             let known = name.clone();
             let service = Service {
                 name,
@@ -219,7 +269,11 @@
                 concurrency,
             };
             if !self.put_service(service) {
-                complain(complaints, &format!("{path}/name"), format!("service '{known}' comes twice"));
+                complain(
+                    complaints,
+                    &format!("{path}/name"),
+                    format!("service '{known}' comes twice"),
+                );
             }
         }
     }
@@ -232,7 +286,9 @@
     /// assert!(!setup.put_service(tariff::Service { name: "s".into(), ..Default::default() }));
     /// ```
     pub fn put_service(&mut self, service: Service) -> bool {
-        self.services.insert(service.name.clone(), Arc::new(service)).is_none()
+        self.services
+            .insert(service.name.clone(), Arc::new(service))
+            .is_none()
     }
 
     /// Adds a route, and complains of what clashes.
@@ -247,16 +303,30 @@
     /// ```
     pub fn put_route(&mut self, route: Route, path: &str, complaints: &mut Vec<Complaint>) {
         if !is_path(&route.path) {
-            let text = format!("'{}' is no path; start it with / and leave out spaces, ? and #", route.path);
+            let text = format!(
+                "'{}' is no path; start it with / and leave out spaces, ? and #",
+                route.path
+            );
             complain(complaints, &format!("{path}/path"), text);
         }
         let by_path = self.places.entry(route.name.clone()).or_default();
-        if by_path.insert(route.path.clone(), route.id.clone()).is_some() {
-            complain(complaints, path, format!("name '{}' and path '{}' come twice", route.name, route.path));
+        if by_path
+            .insert(route.path.clone(), route.id.clone())
+            .is_some()
+        {
+            complain(
+                complaints,
+                path,
+                format!("name '{}' and path '{}' come twice", route.name, route.path),
+            );
         }
         let id = route.id.clone();
         if self.routes.insert(id.clone(), Arc::new(route)).is_some() {
-            complain(complaints, &format!("{path}/id"), format!("route '{id}' comes twice"));
+            complain(
+                complaints,
+                &format!("{path}/id"),
+                format!("route '{id}' comes twice"),
+            );
         }
     }
 
@@ -267,22 +337,42 @@
         let to = fields.text("path");
         let prefix = fields.truth("prefix", false);
         let split = fields.list("split");
-        let service = if split.is_empty() { fields.id("service") } else { Some(String::new()) };
-        let work = fields.part("work").map(|_| fields.text("work").unwrap_or_default());
-        let mut span = |name| fields.count(name, 0..=600_000, Some(0)).filter(|ms| *ms > 0).map(Duration::from_millis);
+        let service = if split.is_empty() {
+            fields.id("service")
+        } else {
+            Some(String::new())
+        };
+        let work = fields
+            .part("work")
+            .map(|_| fields.text("work").unwrap_or_default());
+        let mut span = |name| {
+            fields
+                .count(name, 0..=600_000, Some(0))
+                .filter(|ms| *ms > 0)
+                .map(Duration::from_millis)
+        };
         let (timeout, target) = (span("timeoutMs"), span("targetMs"));
-        let attempts = fields.count("attempts", 0..=100, Some(0)).filter(|most| *most > 0).map(|most| most as u32);
+        let attempts = fields
+            .count("attempts", 0..=100, Some(0))
+            .filter(|most| *most > 0)
+            .map(|most| most as u32);
         let priority = fields.count("priority", 0..=100, Some(0)).unwrap_or(0) as u32;
         let regions = fields.list("homeRegions");
         fields.close();
         let home_regions: Vec<String> = regions.iter().filter_map(region).collect();
         if home_regions.len() != regions.len() {
-            complain(complaints, &format!("{path}/homeRegions"), "must be a list of region ids");
+            complain(
+                complaints,
+                &format!("{path}/homeRegions"),
+                "must be a list of region ids",
+            );
         }
         let repeatable = work.and_then(|work| repeatable(&work, &path, complaints));
         let split = split.iter().enumerate().filter_map(|(part, sheet)| {
             let mut fields = Fields::open(sheet, &format!("{path}/split/{part}"), complaints);
-            let share = fields.id("service").zip(fields.count("weight", 0..=1_000_000, None));
+            let share = fields
+                .id("service")
+                .zip(fields.count("weight", 0..=1_000_000, None));
             fields.close();
             share
         });
@@ -290,12 +380,29 @@
         if !split.is_empty() && split.iter().all(|(_, weight)| *weight == 0) {
             complain(complaints, &format!("{path}/split"), "the weights sum to 0");
         }
-        let terms = Terms { repeatable, timeout, target, attempts, priority, home_regions };
-        ids.zip(to.zip(service)).into_iter().for_each(|((id, name), (to, service))| {
-            let split = split.clone();
-            let route = Route { id, name, path: to, prefix, service, split, terms: terms.clone() };
-            self.put_route(route, &path, complaints);
-        });
+        let terms = Terms {
+            repeatable,
+            timeout,
+            target,
+            attempts,
+            priority,
+            home_regions,
+        };
+        ids.zip(to.zip(service))
+            .into_iter()
+            .for_each(|((id, name), (to, service))| {
+                let split = split.clone();
+                let route = Route {
+                    id,
+                    name,
+                    path: to,
+                    prefix,
+                    service,
+                    split,
+                    terms: terms.clone(),
+                };
+                self.put_route(route, &path, complaints);
+            });
     }
 
     fn add_alias(&mut self, sheet: &Sheet, at: usize, complaints: &mut Vec<Complaint>) {
@@ -304,8 +411,22 @@
         let link = fields.id("alias").zip(fields.id("to"));
         fields.close();
         link.into_iter().for_each(|(alias, to)| {
-            if self.aliases.insert(alias.clone(), Alias { alias: alias.clone(), to }).is_some() {
-                complain(complaints, &format!("{path}/alias"), format!("alias '{alias}' comes twice"));
+            if self
+                .aliases
+                .insert(
+                    alias.clone(),
+                    Alias {
+                        alias: alias.clone(),
+                        to,
+                    },
+                )
+                .is_some()
+            {
+                complain(
+                    complaints,
+                    &format!("{path}/alias"),
+                    format!("alias '{alias}' comes twice"),
+                );
             }
         });
     }
@@ -319,11 +440,22 @@
                 .get(id)
                 .map(|route| route.services().collect())
                 .unwrap_or_else(|| Vec::from_iter(sheet.text("service")));
-            services.into_iter().filter(|name| address::is_id(name) && !self.services.contains_key(*name)).for_each(
-                |name| complain(complaints, &format!("/routes/{at}/service"), format!("no service '{name}'")),
-            );
+            services
+                .into_iter()
+                .filter(|name| address::is_id(name) && !self.services.contains_key(*name))
+                .for_each(|name| {
+                    complain(
+                        complaints,
+                        &format!("/routes/{at}/service"),
+                        format!("no service '{name}'"),
+                    )
+                });
             if self.places.contains_key(id) {
-                complain(complaints, &format!("/routes/{at}/id"), format!("'{id}' is also a route's name"));
+                complain(
+                    complaints,
+                    &format!("/routes/{at}/id"),
+                    format!("'{id}' is also a route's name"),
+                );
             }
         });
         aliases.iter().enumerate().for_each(|(at, sheet)| {
@@ -345,7 +477,9 @@
     /// ```
     pub fn resolve<'a>(&'a self, asked: &'a str) -> Option<&'a str> {
         let link = |name: &&'a str| self.aliases.get(*name).map(|alias| alias.to.as_str());
-        let id = std::iter::successors(Some(asked), link).take(MOST_LINKS + 1).last()?;
+        let id = std::iter::successors(Some(asked), link)
+            .take(MOST_LINKS + 1)
+            .last()?;
         let route = self.routes.get(id).map(|route| route.name.as_str());
         route.or_else(|| self.places.get_key_value(id).map(|(name, _)| name.as_str()))
     }
@@ -390,8 +524,15 @@
     /// assert!(tariff::Setup::default().names().is_empty());
     /// ```
     pub fn names(&self) -> BTreeMap<&str, BTreeSet<&str>> {
-        let services = |name: &str| self.routes_of(name).flat_map(|route| route.services()).collect();
-        self.places.keys().map(|name| (name.as_str(), services(name))).collect()
+        let services = |name: &str| {
+            self.routes_of(name)
+                .flat_map(|route| route.services())
+                .collect()
+        };
+        self.places
+            .keys()
+            .map(|name| (name.as_str(), services(name)))
+            .collect()
     }
 }
 
@@ -417,5 +558,7 @@
 fn is_path(path: &str) -> bool {
     path.starts_with('/')
         && path.len() <= 256
-        && path.bytes().all(|b| b.is_ascii_graphic() && !matches!(b, b'?' | b'#'))
+        && path
+            .bytes()
+            .all(|b| b.is_ascii_graphic() && !matches!(b, b'?' | b'#'))
 }
--- a/crates/tariff/src/sheet.rs
+++ b/crates/tariff/src/sheet.rs
@@ -51,7 +51,10 @@
     /// ```
     pub fn get(&self, name: &str) -> Option<&Sheet> {
         match self {
-            Sheet::Fields(fields) => fields.iter().find(|(field, _)| field == name).map(|(_, sheet)| sheet),
+            Sheet::Fields(fields) => fields
+                .iter()
+                .find(|(field, _)| field == name)
+                .map(|(_, sheet)| sheet),
             _ => None,
         }
     }
@@ -101,7 +104,12 @@
     /// assert_eq!(Sheet::fields([("a", 1u64.into())]).to_string(), r#"{"a":1}"#);
     /// ```
     pub fn fields<const N: usize>(fields: [(&str, Sheet); N]) -> Sheet {
-        Sheet::Fields(fields.into_iter().map(|(name, sheet)| (name.to_owned(), sheet)).collect())
+        Sheet::Fields(
+            fields
+                .into_iter()
+                .map(|(name, sheet)| (name.to_owned(), sheet))
+                .collect(),
+        )
     }
 }
 
@@ -192,7 +200,9 @@
 
 impl ser::Map for Entries<'_> {
     fn next(&mut self) -> Option<(Cow<'_, str>, &dyn Serialize)> {
-        self.0.next().map(|(name, sheet)| (Cow::Borrowed(name.as_str()), sheet as &dyn Serialize))
+        self.0
+            .next()
+            .map(|(name, sheet)| (Cow::Borrowed(name.as_str()), sheet as &dyn Serialize))
     }
 }
 
@@ -230,11 +240,20 @@
     }
 
     fn seq(&mut self) -> Result<Box<dyn Seq + '_>> {
-        Ok(Box::new(ListBuilder { out: &mut self.out, items: Vec::new(), item: None }))
+        Ok(Box::new(ListBuilder {
+            out: &mut self.out,
+            items: Vec::new(),
+            item: None,
+        }))
     }
 
     fn map(&mut self) -> Result<Box<dyn Map + '_>> {
-        Ok(Box::new(FieldsBuilder { out: &mut self.out, fields: Vec::new(), name: None, field: None }))
+        Ok(Box::new(FieldsBuilder {
+            out: &mut self.out,
+            fields: Vec::new(),
+            name: None,
+            field: None,
+        }))
     }
 }
 
--- a/crates/tariff/tests/denials.rs
+++ b/crates/tariff/tests/denials.rs
@@ -21,37 +21,106 @@
 fn each_kind_of_mistake_is_complained_of_at_its_place() {
     let fine = route("r", "n", "/p", "s");
     let loops = [alias("a", "b"), alias("b", "a")].join(",");
-    let chain: Vec<String> = (0..12).map(|at| alias(&format!("a{at}"), &format!("a{}", at + 1))).collect();
+    let chain: Vec<String> = (0..12)
+        .map(|at| alias(&format!("a{at}"), &format!("a{}", at + 1)))
+        .collect();
     let two = |second: String| [fine.clone(), second].join(",");
     let with = |field: &str| setup(&SERVICE.replace('}', &format!(", {field}}}")), &fine, "");
     let cases: Vec<(&str, String, &str)> = vec![
         ("broken JSON", "{\"services\": [".into(), "/"),
         ("no object", "[]".into(), ""),
         ("too deep", "[".repeat(5000), "/"),
-        ("unknown field", with(r#""colour": 1"#), "/services/0/colour"),
+        (
+            "unknown field",
+            with(r#""colour": 1"#),
+            "/services/0/colour",
+        ),
         ("field twice", with(r#""work": "once""#), "/services/0/work"),
         ("wrong kind", with(r#""keyed": "yes""#), "/services/0/keyed"),
-        ("out of range", with(r#""warmUpPerSecond": 0"#), "/services/0/warmUpPerSecond"),
-        ("below zero", with(r#""concurrency": -4"#), "/services/0/concurrency"),
-        ("home regions", with(r#""homeRegions": ["a b"]"#), "/services/0/homeRegions"),
-        ("neither once nor repeatable", setup(&SERVICE.replace("once", "thrice"), "", ""), "/services/0/work"),
-        ("service twice", setup(&[SERVICE, SERVICE].join(","), &fine, ""), "/services/1/name"),
-        ("dangling service", setup(SERVICE, &route("r", "n", "/p", "moon"), ""), "/routes/0/service"),
-        ("name and path twice", setup(SERVICE, &two(route("q", "n", "/p", "s")), ""), "/routes/1"),
-        ("id twice", setup(SERVICE, &two(route("r", "n", "/q", "s")), ""), "/routes/1/id"),
-        ("id like a name", setup(SERVICE, &two(route("n", "m", "/q", "s")), ""), "/routes/1/id"),
-        ("no path", setup(SERVICE, &route("r", "n", "p?q", "s"), ""), "/routes/0/path"),
-        ("alias to nothing", setup(SERVICE, &fine, &alias("a", "moon")), "/aliases/0/to"),
+        (
+            "out of range",
+            with(r#""warmUpPerSecond": 0"#),
+            "/services/0/warmUpPerSecond",
+        ),
+        (
+            "below zero",
+            with(r#""concurrency": -4"#),
+            "/services/0/concurrency",
+        ),
+        (
+            "home regions",
+            with(r#""homeRegions": ["a b"]"#),
+            "/services/0/homeRegions",
+        ),
+        (
+            "neither once nor repeatable",
+            setup(&SERVICE.replace("once", "thrice"), "", ""),
+            "/services/0/work",
+        ),
+        (
+            "service twice",
+            setup(&[SERVICE, SERVICE].join(","), &fine, ""),
+            "/services/1/name",
+        ),
+        (
+            "dangling service",
+            setup(SERVICE, &route("r", "n", "/p", "moon"), ""),
+            "/routes/0/service",
+        ),
+        (
+            "name and path twice",
+            setup(SERVICE, &two(route("q", "n", "/p", "s")), ""),
+            "/routes/1",
+        ),
+        (
+            "id twice",
+            setup(SERVICE, &two(route("r", "n", "/q", "s")), ""),
+            "/routes/1/id",
+        ),
+        (
+            "id like a name",
+            setup(SERVICE, &two(route("n", "m", "/q", "s")), ""),
+            "/routes/1/id",
+        ),
+        (
+            "no path",
+            setup(SERVICE, &route("r", "n", "p?q", "s"), ""),
+            "/routes/0/path",
+        ),
+        (
+            "alias to nothing",
+            setup(SERVICE, &fine, &alias("a", "moon")),
+            "/aliases/0/to",
+        ),
         ("alias loop", setup(SERVICE, &fine, &loops), "/aliases/0/to"),
-        ("alias chain too long", setup(SERVICE, &fine, &chain.join(",")), "/aliases/0/to"),
-        ("alias like a name", setup(SERVICE, &fine, &alias("n", "r")), "/aliases/0/alias"),
-        ("number zero", setup(SERVICE, &fine, "").replacen('{', r#"{"number": 0, "#, 1), "/number"),
-        ("number no number", setup(SERVICE, &fine, "").replacen('{', r#"{"number": "7", "#, 1), "/number"),
+        (
+            "alias chain too long",
+            setup(SERVICE, &fine, &chain.join(",")),
+            "/aliases/0/to",
+        ),
+        (
+            "alias like a name",
+            setup(SERVICE, &fine, &alias("n", "r")),
+            "/aliases/0/alias",
+        ),
+        (
+            "number zero",
+            setup(SERVICE, &fine, "").replacen('{', r#"{"number": 0, "#, 1),
+            "/number",
+        ),
+        (
+            "number no number",
+            setup(SERVICE, &fine, "").replacen('{', r#"{"number": "7", "#, 1),
+            "/number",
+        ),
         ("too large", " ".repeat(MOST_SETUP_BYTES + 1), "/"),
     ];
     cases.into_iter().for_each(|(what, text, path)| {
         let complaints = Setup::read(text.as_bytes()).expect_err(what);
-        assert!(complaints.iter().any(|complaint| complaint.path == path), "{what}: {complaints:?}");
+        assert!(
+            complaints.iter().any(|complaint| complaint.path == path),
+            "{what}: {complaints:?}"
+        );
     });
     assert!(Setup::read(b"\xff\xfe").is_err());
     assert!(Setup::read(setup(SERVICE, &fine, &alias("a", "r")).as_bytes()).is_ok());
@@ -63,21 +132,45 @@
     let numbered = |number: u64| plain.replacen('{', &format!("{{\"number\": {number}, "), 1);
     let read = |text: &str| Setup::read(text.as_bytes()).map(|setup| setup.number);
     assert_eq!(read(&plain), Ok(None));
-    [1, 7, u64::MAX].into_iter().for_each(|number| assert_eq!(read(&numbered(number)), Ok(Some(number))));
+    [1, 7, u64::MAX]
+        .into_iter()
+        .for_each(|number| assert_eq!(read(&numbered(number)), Ok(Some(number))));
 }
 
 #[test]
 fn all_complaints_come_at_once() {
-    let text = setup(&SERVICE.replace("once", "thrice"), &route("r", "a b", "p", "moon"), &alias("a", "b"));
-    let paths: Vec<String> = Setup::read(text.as_bytes()).unwrap_err().into_iter().map(|c| c.path).collect();
+    let text = setup(
+        &SERVICE.replace("once", "thrice"),
+        &route("r", "a b", "p", "moon"),
+        &alias("a", "b"),
+    );
+    let paths: Vec<String> = Setup::read(text.as_bytes())
+        .unwrap_err()
+        .into_iter()
+        .map(|c| c.path)
+        .collect();
     assert!(paths.len() >= 4, "{paths:?}");
 }
 
 /// Whatever bytes come, reading ends with a setup or with complaints.
 #[test]
 fn no_text_makes_reading_panic() {
-    let words =
-        ["{", "}", "[", "]", ":", ",", "\"services\"", "\"routes\"", "\"id\"", "\"to\"", "1", "-1e9", "null", "\"\\"];
+    let words = [
+        "{",
+        "}",
+        "[",
+        "]",
+        ":",
+        ",",
+        "\"services\"",
+        "\"routes\"",
+        "\"id\"",
+        "\"to\"",
+        "1",
+        "-1e9",
+        "null",
+        "\"\\",
+    ];
     // Fixed seeds, each of a fixed size: the same run every time.
     (1..2000u64).for_each(|number| {
         arbtest(|noise| {
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -25,7 +25,10 @@
     /// assert_eq!(reply.header("x-code"), "");
     /// ```
     pub fn header(&self, name: &str) -> &str {
-        self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
+        self.headers
+            .get(name)
+            .and_then(|value| value.to_str().ok())
+            .unwrap_or_default()
     }
 }
 
@@ -72,10 +75,20 @@
         within: Duration,
         reuse: bool,
     ) -> Result<Reply, Called> {
-        let outbound = Outbound { method, path, headers: self::headers(headers), body, id: None };
+        let outbound = Outbound {
+            method,
+            path,
+            headers: self::headers(headers),
+            body,
+            id: None,
+        };
         let deadline = Instant::now() + within;
         let left = || deadline.saturating_duration_since(Instant::now());
-        let kept = if reuse { self.idle.take(address).await } else { None };
+        let kept = if reuse {
+            self.idle.take(address).await
+        } else {
+            None
+        };
         if let Some(connection) = kept {
             match connection.exchange(outbound.clone(), left()).await {
                 // It was closed before a byte went out.
@@ -88,8 +101,14 @@
         self.ended(called, again.filter(|_| reuse))
     }
 
-    fn ended(&self, called: Result<Reply, Called>, again: Option<Connection>) -> Result<Reply, Called> {
-        again.into_iter().for_each(|connection| self.idle.keep(connection));
+    fn ended(
+        &self,
+        called: Result<Reply, Called>,
+        again: Option<Connection>,
+    ) -> Result<Reply, Called> {
+        again
+            .into_iter()
+            .for_each(|connection| self.idle.keep(connection));
         called
     }
 }
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -77,11 +77,23 @@
             // What the other side's machine does not take soon is not delivered at all: a request may not
             // lie in a cut network and arrive when it is not allowed any more.
             close_unacknowledged_after(&stream, CONNECT_WITHIN);
-            http1::handshake(TokioIo::new(Wire::new(stream, record.clone()))).await.ok()
+            http1::handshake(TokioIo::new(Wire::new(stream, record.clone())))
+                .await
+                .ok()
         };
-        let opened = tokio::time::timeout(within.min(CONNECT_WITHIN), opened).await.ok().flatten();
+        let opened = tokio::time::timeout(within.min(CONNECT_WITHIN), opened)
+            .await
+            .ok()
+            .flatten();
         let (sender, driver) = opened.ok_or(Called::NotConnected)?;
-        Ok(Connection { address: address.to_owned(), sender, driver, record, carried: 0, keep_for: KEEP_IDLE })
+        Ok(Connection {
+            address: address.to_owned(),
+            sender,
+            driver,
+            record,
+            carried: 0,
+            keep_for: KEEP_IDLE,
+        })
     }
 
     /// Where it leads.
@@ -155,7 +167,9 @@
             let reply = match called.unwrap_or(Err(Called::TimedOut)) {
                 Ok(reply) => reply,
                 // The kernel took nothing: that proves more than what the library hands back unsent.
-                Err(_) if asked.progress() == Progress::Unsent => return (Err(Called::NotConnected), None),
+                Err(_) if asked.progress() == Progress::Unsent => {
+                    return (Err(Called::NotConnected), None);
+                }
                 Err(failed) => return (Err(failed), None),
             };
             match asked.belongs(&reply, id) {
@@ -174,7 +188,8 @@
 
     /// True where the other side has neither closed it nor sent anything that nobody asked for.
     pub(crate) async fn is_quiet(&mut self) -> bool {
-        let looked = poll_fn(|context| Poll::Ready(self.driver.poll_without_shutdown(context).is_pending()));
+        let looked =
+            poll_fn(|context| Poll::Ready(self.driver.poll_without_shutdown(context).is_pending()));
         looked.await && self.sender.is_ready()
     }
 }
@@ -196,14 +211,34 @@
 }
 
 impl Asked {
-    fn begin(connection: Connection, outbound: Outbound<'_>) -> Result<(Asked, Request<Full<Bytes>>), Called> {
-        let Connection { address, sender, driver, record, carried, .. } = connection;
+    fn begin(
+        connection: Connection,
+        outbound: Outbound<'_>,
+    ) -> Result<(Asked, Request<Full<Bytes>>), Called> {
+        let Connection {
+            address,
+            sender,
+            driver,
+            record,
+            carried,
+            ..
+        } = connection;
         let body_bytes = outbound.body.len() as u64;
         let request = build(&address, outbound)?;
         let method = request.method().clone();
         record.begin();
         let (driver, carried) = (Some(driver), carried + 1);
-        let asked = Asked { address, sender, driver, open: true, record, carried, method, body_bytes, passed: 0 };
+        let asked = Asked {
+            address,
+            sender,
+            driver,
+            open: true,
+            record,
+            carried,
+            method,
+            body_bytes,
+            passed: 0,
+        };
         Ok((asked, request))
     }
 
@@ -238,7 +273,10 @@
     }
 
     fn belongs(&self, reply: &Reply, id: Option<AnswerId<'_>>) -> Belongs {
-        let came = Came { sole: self.carried == 1 && self.passed == 0, early: self.is_early() };
+        let came = Came {
+            sole: self.carried == 1 && self.passed == 0,
+            early: self.is_early(),
+        };
         identity::belongs(&reply.headers, reply.status, id, came)
     }
 
@@ -255,25 +293,56 @@
         // Stands for the request that is out already: the library reads an answer only to one that it wrote.
         let mut unheard = Request::new(Full::default());
         *unheard.method_mut() = self.method.clone();
-        Some((Asked { sender, driver: Some(driver), open: true, passed: self.passed + 1, ..self }, unheard))
+        Some((
+            Asked {
+                sender,
+                driver: Some(driver),
+                open: true,
+                passed: self.passed + 1,
+                ..self
+            },
+            unheard,
+        ))
     }
 
     /// The connection for another request; none where anything was not as expected.
     fn into_idle(self, reply: &Reply) -> Option<Connection> {
-        let expected = self.open && self.passed == 0 && self.progress() == Progress::Whole && !self.is_early();
+        let expected =
+            self.open && self.passed == 0 && self.progress() == Progress::Whole && !self.is_early();
         // What follows an answer without its body can't be told from that body.
         let expected = expected && self.method != Method::HEAD && !is_ambiguous(reply);
         let keep_for = Some(reply).filter(|_| expected).and_then(keep_for)?;
-        let Asked { address, sender, driver, record, carried, .. } = self;
-        Some(Connection { address, sender, driver: driver?, record, carried, keep_for })
+        let Asked {
+            address,
+            sender,
+            driver,
+            record,
+            carried,
+            ..
+        } = self;
+        Some(Connection {
+            address,
+            sender,
+            driver: driver?,
+            record,
+            carried,
+            keep_for,
+        })
     }
 }
 
 /// How long a connection may lie idle after this reply; none where it may not be used again.
 fn keep_for(reply: &Reply) -> Option<Duration> {
-    let told = reply.header("keep-alive").split(',').find_map(|part| part.trim().strip_prefix("timeout="));
-    let told = told.and_then(|seconds| seconds.trim().parse::<u64>().ok()).map(Duration::from_secs);
-    let keep = told.map_or(KEEP_IDLE, |told| told.saturating_sub(CLOSE_EARLIER).min(KEEP_IDLE));
+    let told = reply
+        .header("keep-alive")
+        .split(',')
+        .find_map(|part| part.trim().strip_prefix("timeout="));
+    let told = told
+        .and_then(|seconds| seconds.trim().parse::<u64>().ok())
+        .map(Duration::from_secs);
+    let keep = told.map_or(KEEP_IDLE, |told| {
+        told.saturating_sub(CLOSE_EARLIER).min(KEEP_IDLE)
+    });
     Some(keep).filter(|keep| !says_close(reply) && !keep.is_zero())
 }
 
@@ -283,13 +352,28 @@
 }
 
 fn says_close(reply: &Reply) -> bool {
-    let words = reply.headers.get_all("connection").iter().filter_map(|value| value.to_str().ok());
-    words.flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close"))
+    let words = reply
+        .headers
+        .get_all("connection")
+        .iter()
+        .filter_map(|value| value.to_str().ok());
+    words
+        .flat_map(|value| value.split(','))
+        .any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
 fn build(address: &str, outbound: Outbound<'_>) -> Result<Request<Full<Bytes>>, Called> {
-    let Outbound { method, path, headers, body, .. } = outbound;
-    let request = Request::builder().method(method).uri(path).body(Full::new(body));
+    let Outbound {
+        method,
+        path,
+        headers,
+        body,
+        ..
+    } = outbound;
+    let request = Request::builder()
+        .method(method)
+        .uri(path)
+        .body(Full::new(body));
     let mut request = request.map_err(|_| Called::NotConnected)?;
     *request.headers_mut() = headers;
     if let (false, Ok(host)) = (request.headers().contains_key("host"), address.parse()) {
@@ -299,7 +383,9 @@
 }
 
 /// Waits for a whole reply.
-async fn reply(response: impl Future<Output = Result<Response<Incoming>, Unsent>>) -> Result<Reply, Called> {
+async fn reply(
+    response: impl Future<Output = Result<Response<Incoming>, Unsent>>,
+) -> Result<Reply, Called> {
     let failed = |failure: Unsent| match () {
         // Handed back before any byte of it was written.
         () if failure.message().is_some() => Called::NotConnected,
@@ -307,14 +393,27 @@
         () => Called::Lost,
     };
     let (head, body) = response.await.map_err(failed)?.into_parts();
-    let chunked = |value: &hyper::header::HeaderValue| value.as_bytes().to_ascii_lowercase().ends_with(b"chunked");
+    let chunked = |value: &hyper::header::HeaderValue| {
+        value.as_bytes().to_ascii_lowercase().ends_with(b"chunked")
+    };
     let framed = head.headers.contains_key("content-length")
-        || head.headers.get_all("transfer-encoding").iter().any(chunked)
+        || head
+            .headers
+            .get_all("transfer-encoding")
+            .iter()
+            .any(chunked)
         || body.is_end_stream();
     // Where only the close of the connection ends the body, the whole can't be told from a part.
     if !framed || head.status.is_informational() {
         return Err(Called::Garbage);
     }
-    let body = Limited::new(body, MOST_REPLY_BYTES).collect().await.map_err(|_| Called::Garbage)?;
-    Ok(Reply { status: head.status.as_u16(), headers: head.headers, body: body.to_bytes() })
+    let body = Limited::new(body, MOST_REPLY_BYTES)
+        .collect()
+        .await
+        .map_err(|_| Called::Garbage)?;
+    Ok(Reply {
+        status: head.status.as_u16(),
+        headers: head.headers,
+        body: body.to_bytes(),
+    })
 }
--- a/crates/transport/src/desk.rs
+++ b/crates/transport/src/desk.rs
@@ -46,7 +46,10 @@
     /// assert_eq!(enquiry.header("x-try-id"), "");
     /// ```
     pub fn header(&self, name: &str) -> &str {
-        self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
+        self.headers
+            .get(name)
+            .and_then(|value| value.to_str().ok())
+            .unwrap_or_default()
     }
 
     /// A query field; empty where it is missing.
@@ -81,12 +84,17 @@
 /// assert_eq!(response.headers()["x-code"], "1201");
 /// ```
 pub fn verdict(code: Code, retry_after: Option<Duration>) -> Response<Full<Bytes>> {
-    let sheet = Sheet::fields([("code", u64::from(code.number()).into()), ("text", code.text().into())]);
+    let sheet = Sheet::fields([
+        ("code", u64::from(code.number()).into()),
+        ("text", code.text().into()),
+    ]);
     let mut response = json(code, &sheet);
     retry_after.into_iter().for_each(|span| {
         let seconds = (span.as_millis() as u64).div_ceil(1000).max(1);
         response.headers_mut().insert("retry-after", seconds.into());
-        response.headers_mut().insert("x-retry-after-ms", (span.as_millis() as u64).into());
+        response
+            .headers_mut()
+            .insert("x-retry-after-ms", (span.as_millis() as u64).into());
     });
     response
 }
@@ -116,8 +124,13 @@
 pub fn answer(code: Code, kind: &'static str, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = hyper::StatusCode::from_u16(code.status()).unwrap_or_default();
-    response.headers_mut().insert("content-type", hyper::header::HeaderValue::from_static(kind));
-    response.headers_mut().insert("x-code", code.number().into());
+    response.headers_mut().insert(
+        "content-type",
+        hyper::header::HeaderValue::from_static(kind),
+    );
+    response
+        .headers_mut()
+        .insert("x-code", code.number().into());
     response
 }
 
@@ -164,7 +177,9 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else { continue };
+        let Ok(permit) = room.clone().try_acquire_owned() else {
+            continue;
+        };
         let _ = stream.set_nodelay(true);
         let (handler, mut closing) = (handler.clone(), closing.clone());
         tokio::spawn(async move {
@@ -204,22 +219,42 @@
     F: Future<Output = Response<Full<Bytes>>>,
 {
     let (head, body) = request.into_parts();
-    let read = tokio::time::timeout(BODY_WITHIN, Limited::new(body, MOST_BODY_BYTES).collect()).await;
+    let read =
+        tokio::time::timeout(BODY_WITHIN, Limited::new(body, MOST_BODY_BYTES).collect()).await;
     let body = match read {
         Err(_) => return verdict(Code::TooSlow, None),
         Ok(Err(failure)) => {
             let large = failure.is::<http_body_util::LengthLimitError>();
-            return verdict(if large { Code::TooLarge } else { Code::Malformed }, None);
+            return verdict(
+                if large {
+                    Code::TooLarge
+                } else {
+                    Code::Malformed
+                },
+                None,
+            );
         }
         Ok(Ok(collected)) => collected.to_bytes(),
     };
-    let query = head.uri.query().unwrap_or_default().split('&').filter(|part| !part.is_empty());
+    let query = head
+        .uri
+        .query()
+        .unwrap_or_default()
+        .split('&')
+        .filter(|part| !part.is_empty());
     let query = query.map(|part| part.split_once('=').unwrap_or((part, "")));
     handler(Enquiry {
         method: head.method,
         path: head.uri.path().to_owned(),
-        target: head.uri.path_and_query().map(|target| target.as_str()).unwrap_or("/").to_owned(),
-        query: query.map(|(name, value)| (plain(name), plain(value))).collect(),
+        target: head
+            .uri
+            .path_and_query()
+            .map(|target| target.as_str())
+            .unwrap_or("/")
+            .to_owned(),
+        query: query
+            .map(|(name, value)| (plain(name), plain(value)))
+            .collect(),
         headers: head.headers,
         body,
     })
@@ -231,7 +266,9 @@
     let bytes = text.as_bytes();
     let (mut at, mut out) = (0, Vec::with_capacity(bytes.len()));
     while let Some(byte) = bytes.get(at) {
-        let coded = bytes.get(at + 1..at + 3).and_then(|hex| std::str::from_utf8(hex).ok());
+        let coded = bytes
+            .get(at + 1..at + 3)
+            .and_then(|hex| std::str::from_utf8(hex).ok());
         match (byte, coded.and_then(|hex| u8::from_str_radix(hex, 16).ok())) {
             (b'%', Some(decoded)) => {
                 out.push(decoded);
--- a/crates/transport/src/doors.rs
+++ b/crates/transport/src/doors.rs
@@ -53,7 +53,9 @@
         Ok(Doors {
             http: listen(settings, "http").await?,
             link: listen(settings, "link").await?,
-            probe: UdpSocket::bind(settings.get("link")).await.change_context_lazy(shut)?,
+            probe: UdpSocket::bind(settings.get("link"))
+                .await
+                .change_context_lazy(shut)?,
         })
     }
 }
@@ -70,7 +72,9 @@
 /// ```
 pub async fn listen(settings: &Settings, name: &str) -> Result<TcpListener, Report<NoStart>> {
     let shut = || NoStart::new(format!("{name}: can't listen on {}", settings.get(name)));
-    TcpListener::bind(settings.get(name)).await.change_context_lazy(shut)
+    TcpListener::bind(settings.get(name))
+        .await
+        .change_context_lazy(shut)
 }
 
 /// A failure and what led to it, in one line.
--- a/crates/transport/src/links.rs
+++ b/crates/transport/src/links.rs
@@ -33,7 +33,10 @@
 
 impl Waiting {
     fn now(envelope: Envelope) -> Waiting {
-        Waiting { envelope, since: Instant::now() }
+        Waiting {
+            envelope,
+            since: Instant::now(),
+        }
     }
 
     /// The message, where it is still worth sending.
@@ -81,9 +84,22 @@
     /// assert_eq!(heard.recv().await, Some(("a".to_owned(), read)));
     /// # });
     /// ```
-    pub fn open(me: String, socket: Option<TcpListener>, arrivals: mpsc::Sender<(String, Payload)>) -> Links {
-        let source = socket.as_ref().and_then(|socket| socket.local_addr().ok()).map(|address| address.ip());
-        let links = Links { me, source, table: Arc::default(), sent: Arc::default(), arrivals };
+    pub fn open(
+        me: String,
+        socket: Option<TcpListener>,
+        arrivals: mpsc::Sender<(String, Payload)>,
+    ) -> Links {
+        let source = socket
+            .as_ref()
+            .and_then(|socket| socket.local_addr().ok())
+            .map(|address| address.ip());
+        let links = Links {
+            me,
+            source,
+            table: Arc::default(),
+            sent: Arc::default(),
+            arrivals,
+        };
         socket.into_iter().for_each(|socket| {
             let links = links.clone();
             tokio::spawn(async move {
@@ -124,7 +140,10 @@
     /// ```
     pub fn send(&self, to: &str, body: Payload) {
         let kind = protocol::kind(&body);
-        let envelope = Envelope { from: self.me.clone(), body: Some(body) };
+        let envelope = Envelope {
+            from: self.me.clone(),
+            body: Some(body),
+        };
         {
             let mut sent = self.sent.lock().unwrap_or_else(PoisonError::into_inner);
             let counts = sent.entry(kind).or_default();
@@ -166,16 +185,27 @@
     /// # });
     /// ```
     pub fn sent(&self) -> Sent {
-        self.sent.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.sent
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     async fn connect(&self, address: &str) -> std::io::Result<TcpStream> {
         let to: SocketAddr = address.parse().map_err(std::io::Error::other)?;
-        let socket = if to.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        let source = self.source.filter(|source| !source.is_unspecified() && source.is_ipv4() == to.is_ipv4());
+        let socket = if to.is_ipv4() {
+            TcpSocket::new_v4()
+        } else {
+            TcpSocket::new_v6()
+        }?;
+        let source = self
+            .source
+            .filter(|source| !source.is_unspecified() && source.is_ipv4() == to.is_ipv4());
         // So that no port is kept from a process that starts again and listens there.
         socket.set_reuseaddr(true)?;
-        source.map(|source| socket.bind(SocketAddr::new(source, 0))).transpose()?;
+        source
+            .map(|source| socket.bind(SocketAddr::new(source, 0)))
+            .transpose()?;
         socket.connect(to).await
     }
 
@@ -184,7 +214,9 @@
         let _ = stream.set_nodelay(true);
         close_unacknowledged_after(&stream, ACKNOWLEDGED_WITHIN);
         let (reader, writer) = stream.into_split();
-        let frames = || Frames { most_bytes: MOST_FRAME_BYTES };
+        let frames = || Frames {
+            most_bytes: MOST_FRAME_BYTES,
+        };
         let mut reader = FramedRead::new(reader, frames());
         let mut writer = FramedWrite::new(writer, frames());
         writer.set_backpressure_boundary(64 * 1024);
@@ -202,7 +234,9 @@
             };
             match next {
                 Ok(Some(waiting)) => {
-                    let Some(envelope) = waiting.in_time() else { continue };
+                    let Some(envelope) = waiting.in_time() else {
+                        continue;
+                    };
                     let sent = tokio::time::timeout(WRITE_WITHIN, writer.send(envelope)).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         return;
@@ -240,7 +274,12 @@
 /// # });
 /// ```
 pub fn send_datagram(socket: &UdpSocket, address: &str, body: Payload) {
-    let bytes = Envelope { from: String::new(), body: Some(body) }.encode_to_vec();
+    let bytes = Envelope {
+        from: String::new(),
+        body: Some(body),
+    }
+    .encode_to_vec();
     let to = address.parse::<std::net::SocketAddr>().ok();
-    to.into_iter().for_each(|to| drop(socket.try_send_to(&bytes, to)));
+    to.into_iter()
+        .for_each(|to| drop(socket.try_send_to(&bytes, to)));
 }
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -29,7 +29,8 @@
     /// ```
     pub async fn take(&self, address: &str) -> Option<Connection> {
         loop {
-            let (since, mut connection) = self.with(|idle| idle.get_mut(address).and_then(Vec::pop))?;
+            let (since, mut connection) =
+                self.with(|idle| idle.get_mut(address).and_then(Vec::pop))?;
             if since.elapsed() < connection.keep_for() && connection.is_quiet().await {
                 return Some(connection);
             }
@@ -64,7 +65,8 @@
     /// ```
     pub fn sweep(&self) {
         self.with(|idle| {
-            idle.values_mut().for_each(|kept| kept.retain(|(since, kept)| since.elapsed() < kept.keep_for()));
+            idle.values_mut()
+                .for_each(|kept| kept.retain(|(since, kept)| since.elapsed() < kept.keep_for()));
             idle.retain(|_, kept| !kept.is_empty());
         });
     }
--- a/crates/transport/src/reload.rs
+++ b/crates/transport/src/reload.rs
@@ -26,7 +26,12 @@
 /// ```
 pub fn reload_signal(program: &'static Program, settings: &Settings) -> Reload {
     let asked = signal(SignalKind::hangup()).ok();
-    Reload { program, settings: settings.clone(), seeds: seeds(settings), asked }
+    Reload {
+        program,
+        settings: settings.clone(),
+        seeds: seeds(settings),
+        asked,
+    }
 }
 
 impl Reload {
@@ -54,13 +59,27 @@
     }
 
     fn read(&mut self) -> Option<Vec<String>> {
-        let refused = |complaint: Complaint| log::error!("settings: refused, going on with the old ones: {complaint}");
-        let (settings, ..) = read_flags(self.program).map_err(|all| all.into_iter().for_each(refused)).ok()?;
-        let names = self.program.tables.iter().flat_map(|table| table.iter()).map(|setting| setting.name);
+        let refused = |complaint: Complaint| {
+            log::error!("settings: refused, going on with the old ones: {complaint}")
+        };
+        let (settings, ..) = read_flags(self.program)
+            .map_err(|all| all.into_iter().for_each(refused))
+            .ok()?;
+        let names = self
+            .program
+            .tables
+            .iter()
+            .flat_map(|table| table.iter())
+            .map(|setting| setting.name);
         let waits = names.filter(|name| !matches!(*name, "seeds" | "seed-port"));
-        waits.filter(|name| settings.get(name) != self.settings.get(name)).for_each(|name| {
-            log::warn!("settings: {name} is now '{}'; that takes effect at the next start", settings.get(name));
-        });
+        waits
+            .filter(|name| settings.get(name) != self.settings.get(name))
+            .for_each(|name| {
+                log::warn!(
+                    "settings: {name} is now '{}'; that takes effect at the next start",
+                    settings.get(name)
+                );
+            });
         let seeds = seeds(&settings);
         let changed = seeds != self.seeds;
         log::info!(
--- a/crates/transport/src/start.rs
+++ b/crates/transport/src/start.rs
@@ -88,7 +88,9 @@
             settings
         }
         Err(complaints) => {
-            complaints.iter().for_each(|complaint| eprintln!("{}: {complaint}", program.name));
+            complaints
+                .iter()
+                .for_each(|complaint| eprintln!("{}: {complaint}", program.name));
             eprintln!("{}: see --help", program.name);
             std::process::exit(exit::USAGE)
         }
@@ -96,11 +98,22 @@
 }
 
 /// The settings, how much is logged, and whether they are only to be checked.
-pub(crate) fn read_flags(program: &Program) -> Result<(Settings, LevelFilter, bool), Vec<Complaint>> {
-    let wrong = |path: &str, text: String| vec![Complaint { path: path.to_owned(), text }];
-    let (mut flags, mut file, mut check_only, mut level) = (Vec::new(), None, false, LevelFilter::Info);
+pub(crate) fn read_flags(
+    program: &Program,
+) -> Result<(Settings, LevelFilter, bool), Vec<Complaint>> {
+    let wrong = |path: &str, text: String| {
+        vec![Complaint {
+            path: path.to_owned(),
+            text,
+        }]
+    };
+    let (mut flags, mut file, mut check_only, mut level) =
+        (Vec::new(), None, false, LevelFilter::Info);
     let mut parser = lexopt::Parser::from_env();
-    while let Some(arg) = parser.next().map_err(|failure| wrong("flags", failure.to_string()))? {
+    while let Some(arg) = parser
+        .next()
+        .map_err(|failure| wrong("flags", failure.to_string()))?
+    {
         use lexopt::Arg::{Long, Short, Value};
         let name = match arg {
             Long("help") | Short('h') => {
@@ -117,18 +130,26 @@
             }
             Long(name) => name.to_owned(),
             Short(short) => return Err(wrong(&format!("-{short}"), "no such flag".into())),
-            Value(value) => return Err(wrong(&value.to_string_lossy(), "not expected here".into())),
+            Value(value) => {
+                return Err(wrong(&value.to_string_lossy(), "not expected here".into()));
+            }
         };
-        let value = parser.value().map_err(|failure| wrong(&name, failure.to_string()))?;
+        let value = parser
+            .value()
+            .map_err(|failure| wrong(&name, failure.to_string()))?;
         let value = value.to_string_lossy().into_owned();
         match name.as_str() {
             "settings" => {
                 let text = std::fs::read_to_string(&value);
-                file = Some(text.map_err(|failure| wrong("settings", format!("'{value}': {failure}")))?);
+                file = Some(
+                    text.map_err(|failure| wrong("settings", format!("'{value}': {failure}")))?,
+                );
             }
             "log" => {
                 let text = "must be off, error, warn, info, debug or trace";
-                level = value.parse().map_err(|_| wrong("log", format!("'{value}': {text}")))?;
+                level = value
+                    .parse()
+                    .map_err(|_| wrong("log", format!("'{value}': {text}")))?;
             }
             _ => flags.push((name, value)),
         }
@@ -143,32 +164,53 @@
 }
 
 fn log_shape() -> Config {
-    ConfigBuilder::new().set_time_format_rfc3339().set_target_level(LevelFilter::Off).build()
+    ConfigBuilder::new()
+        .set_time_format_rfc3339()
+        .set_target_level(LevelFilter::Off)
+        .build()
 }
 
 fn help(program: &Program) {
-    println!("{} {}\n{}\n", program.name, env!("CARGO_PKG_VERSION"), program.about);
-    println!("usage: {} [--settings FILE] [--NAME VALUE ...]\n", program.name);
+    println!(
+        "{} {}\n{}\n",
+        program.name,
+        env!("CARGO_PKG_VERSION"),
+        program.about
+    );
+    println!(
+        "usage: {} [--settings FILE] [--NAME VALUE ...]\n",
+        program.name
+    );
     println!("  --settings FILE   a JSON object of the settings below; flags win over it");
     println!("  --check           check the settings and stop");
     println!("  --log LEVEL       off, error, warn, info (default), debug or trace");
     println!("  --help, --version\n\nsettings:");
-    program.tables.iter().flat_map(|table| table.iter()).for_each(|setting| {
-        let allowed = match setting.shape {
-            Shape::Span(least, most) => format!("{least} to {most} ms"),
-            Shape::Count(least, most) => format!("{least} to {most}"),
-            Shape::OneOf(allowed) => allowed.join(" or "),
-            Shape::SomeOf(allowed) => format!("some of {}", allowed.join(",")),
-            Shape::Id => "an id".into(),
-            Shape::Locality => "region/zone".into(),
-            Shape::Address => "IP:port".into(),
-            Shape::Addresses => "up to three IP:port, with commas".into(),
-            Shape::Localities => "some of region/zone, with commas".into(),
-            Shape::Folder => "a folder".into(),
-        };
-        let fallback = setting.fallback.map(|value| format!("default {value}")).unwrap_or("required".into());
-        println!("  --{:<20} {} ({allowed}; {fallback})", setting.name, setting.help);
-    });
+    program
+        .tables
+        .iter()
+        .flat_map(|table| table.iter())
+        .for_each(|setting| {
+            let allowed = match setting.shape {
+                Shape::Span(least, most) => format!("{least} to {most} ms"),
+                Shape::Count(least, most) => format!("{least} to {most}"),
+                Shape::OneOf(allowed) => allowed.join(" or "),
+                Shape::SomeOf(allowed) => format!("some of {}", allowed.join(",")),
+                Shape::Id => "an id".into(),
+                Shape::Locality => "region/zone".into(),
+                Shape::Address => "IP:port".into(),
+                Shape::Addresses => "up to three IP:port, with commas".into(),
+                Shape::Localities => "some of region/zone, with commas".into(),
+                Shape::Folder => "a folder".into(),
+            };
+            let fallback = setting
+                .fallback
+                .map(|value| format!("default {value}"))
+                .unwrap_or("required".into());
+            println!(
+                "  --{:<20} {} ({allowed}; {fallback})",
+                setting.name, setting.help
+            );
+        });
     println!("\nexit codes: 0 fine, 1 failed, 2 flags or settings denied, 3 could not start");
 }
 
@@ -198,7 +240,9 @@
 /// ```
 pub fn chance() -> u64 {
     use std::hash::{BuildHasher, Hasher};
-    let drawn = std::collections::hash_map::RandomState::new().build_hasher().finish();
+    let drawn = std::collections::hash_map::RandomState::new()
+        .build_hasher()
+        .finish();
     Random::new(drawn).next_u64()
 }
 
@@ -210,7 +254,10 @@
 /// # }
 /// ```
 pub async fn stop_signal() {
-    let (terminate, interrupt) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
+    let (terminate, interrupt) = (
+        signal(SignalKind::terminate()),
+        signal(SignalKind::interrupt()),
+    );
     if let (Ok(mut terminate), Ok(mut interrupt)) = (terminate, interrupt) {
         tokio::select! {
             _ = terminate.recv() => {}
--- a/crates/transport/src/wire.rs
+++ b/crates/transport/src/wire.rs
@@ -100,7 +100,9 @@
     pub(crate) fn is_early(&self, body_bytes: u64) -> bool {
         self.with(|exchanged| {
             let whole = exchanged.head.map(|head| head + body_bytes);
-            exchanged.answered_at.is_some_and(|written| Some(written) != whole)
+            exchanged
+                .answered_at
+                .is_some_and(|written| Some(written) != whole)
         })
     }
 }
@@ -127,12 +129,24 @@
 
 impl Wire {
     pub(crate) fn new(stream: TcpStream, record: Record) -> Self {
-        Wire { stream, record, ahead: Bytes::new(), writing: Writing::Open }
+        Wire {
+            stream,
+            record,
+            ahead: Bytes::new(),
+            writing: Writing::Open,
+        }
     }
 
     /// The same socket for reading one more answer to the request that is out already: `ahead` was read and not used.
     pub(crate) fn reading_on(self, ahead: Bytes) -> Self {
-        Wire { ahead, writing: Writing::Withheld { reader: None, wrote: false }, ..self }
+        Wire {
+            ahead,
+            writing: Writing::Withheld {
+                reader: None,
+                wrote: false,
+            },
+            ..self
+        }
     }
 }
 
@@ -142,7 +156,11 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if let Writing::Withheld { reader, wrote: false } = &mut self.writing {
+        if let Writing::Withheld {
+            reader,
+            wrote: false,
+        } = &mut self.writing
+        {
             *reader = Some(context.waker().clone());
             return Poll::Pending;
         }
@@ -154,7 +172,9 @@
         let before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
         if buffer.filled().len() > before {
-            self.record.with(|exchanged| exchanged.answered_at = exchanged.answered_at.or(Some(exchanged.written)));
+            self.record.with(|exchanged| {
+                exchanged.answered_at = exchanged.answered_at.or(Some(exchanged.written))
+            });
         }
         Poll::Ready(Ok(()))
     }
@@ -182,19 +202,27 @@
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
             Err(failure) if failure.kind() == io::ErrorKind::WouldBlock => Ok(()),
             Err(failure) => Err(failure),
-            Ok(_) => Err(io::Error::new(io::ErrorKind::ConnectionAborted, "closed, or answered before it was asked")),
+            Ok(_) => Err(io::Error::new(
+                io::ErrorKind::ConnectionAborted,
+                "closed, or answered before it was asked",
+            )),
         }
     }
 }
 
 impl AsyncWrite for Wire {
-    fn poll_write(mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         if self.withholds() {
             return Poll::Ready(Ok(bytes.len()));
         }
         self.look()?;
         let count = ready!(Pin::new(&mut self.stream).poll_write(context, bytes))?;
-        self.record.with(|exchanged| exchanged.wrote(&bytes[..count]));
+        self.record
+            .with(|exchanged| exchanged.wrote(&bytes[..count]));
         Poll::Ready(Ok(count))
     }
 
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -18,12 +18,24 @@
 
 fn outbound(id: &str) -> Outbound<'_> {
     let headers = transport::headers(&[("x-try-id", id)]);
-    let id = Some(AnswerId { header: "x-try-id", value: id });
-    Outbound { method: "POST", path: "/", headers, id, ..Outbound::default() }
+    let id = Some(AnswerId {
+        header: "x-try-id",
+        value: id,
+    });
+    Outbound {
+        method: "POST",
+        path: "/",
+        headers,
+        id,
+        ..Outbound::default()
+    }
 }
 
 fn answer(id: &str, body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nx-try-id: {id}\r\ncontent-length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nx-try-id: {id}\r\ncontent-length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// Reads one request without a body; empty where the other side is gone.
@@ -76,7 +88,10 @@
     tokio::task::yield_now().await;
     let began = Instant::now();
     let (called, again) = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
-    assert_eq!((called.unwrap_err(), again.is_none()), (Called::NotConnected, true));
+    assert_eq!(
+        (called.unwrap_err(), again.is_none()),
+        (Called::NotConnected, true)
+    );
     assert!(began.elapsed() < AMPLE / 2, "it is known at once");
 }
 
@@ -84,9 +99,14 @@
 async fn a_request_that_meets_a_surplus_answer_before_its_first_byte_is_known_to_be_unsent() {
     let (connection, mut peer) = pair().await;
     let (_, kept) = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
-    peer.write_all(answer("t-1", "one").as_bytes()).await.unwrap();
+    peer.write_all(answer("t-1", "one").as_bytes())
+        .await
+        .unwrap();
     let (called, again) = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
-    assert_eq!((called.unwrap_err(), again.is_none()), (Called::NotConnected, true));
+    assert_eq!(
+        (called.unwrap_err(), again.is_none()),
+        (Called::NotConnected, true)
+    );
     assert_eq!(read_request(&mut peer).await, "", "no byte of it left");
 }
 
@@ -106,16 +126,27 @@
 #[tokio::test]
 async fn a_part_of_a_request_may_have_been_read() {
     let (connection, peer) = pair().await;
-    let long = Outbound { body: vec![0; LONG].into(), ..outbound("t-1") };
+    let long = Outbound {
+        body: vec![0; LONG].into(),
+        ..outbound("t-1")
+    };
     let (called, again) = connection.exchange(long, Duration::from_millis(30)).await;
-    assert_eq!((called.unwrap_err(), again.is_none()), (Called::TimedOut, true));
+    assert_eq!(
+        (called.unwrap_err(), again.is_none()),
+        (Called::TimedOut, true)
+    );
     drop(peer);
 
     let (connection, mut peer) = pair().await;
-    let long = Outbound { body: vec![0; LONG].into(), ..outbound("t-1") };
+    let long = Outbound {
+        body: vec![0; LONG].into(),
+        ..outbound("t-1")
+    };
     let resetting = async {
         peer.read_exact(&mut [0; 64]).await.unwrap();
-        socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).unwrap();
+        socket2::SockRef::from(&peer)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
         drop(peer);
     };
     let ((called, again), ()) = tokio::join!(connection.exchange(long, AMPLE), resetting);
@@ -126,7 +157,11 @@
 async fn an_answer_before_the_request_was_whole_ends_the_connection() {
     let early = |told: String, id: Option<AnswerId<'static>>| async move {
         let (connection, mut peer) = pair().await;
-        let long = Outbound { body: vec![0; LONG].into(), id, ..outbound("t-1") };
+        let long = Outbound {
+            body: vec![0; LONG].into(),
+            id,
+            ..outbound("t-1")
+        };
         let mut head = vec![0; 64];
         let telling = async {
             peer.read_exact(&mut head).await.unwrap();
@@ -136,21 +171,47 @@
         assert!(again.is_none());
         called.map(|reply| reply.status)
     };
-    let id = Some(AnswerId { header: "x-try-id", value: "t-1" });
-    assert_eq!(early(answer("t-1", "own"), id).await, Ok(200), "it says whose it is");
-    assert_eq!(early(answer("t-0", "of another"), id).await, Err(Called::Garbage));
+    let id = Some(AnswerId {
+        header: "x-try-id",
+        value: "t-1",
+    });
+    assert_eq!(
+        early(answer("t-1", "own"), id).await,
+        Ok(200),
+        "it says whose it is"
+    );
+    assert_eq!(
+        early(answer("t-0", "of another"), id).await,
+        Err(Called::Garbage)
+    );
     let too_large = "HTTP/1.1 413 Too Large\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(early(too_large.into(), None).await, Ok(413), "a refusal needs not have read all");
-    assert_eq!(early(answer("t-1", "own"), None).await, Err(Called::Garbage), "a success of nobody knows what");
+    assert_eq!(
+        early(too_large.into(), None).await,
+        Ok(413),
+        "a refusal needs not have read all"
+    );
+    assert_eq!(
+        early(answer("t-1", "own"), None).await,
+        Err(Called::Garbage),
+        "a success of nobody knows what"
+    );
 }
 
 #[tokio::test]
 async fn the_answer_behind_those_to_other_requests_is_found_and_the_connection_ends() {
     let (connection, mut peer) = pair().await;
     let (_, kept) = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
-    let told = [answer("t-1", "one"), answer("t-0", ""), answer("t-2", "two")].concat();
+    let told = [
+        answer("t-1", "one"),
+        answer("t-0", ""),
+        answer("t-2", "two"),
+    ]
+    .concat();
     let (called, again) = exchange(kept.unwrap(), &mut peer, "t-2", &told).await;
-    assert_eq!((&called.unwrap().body[..], again.is_none()), (&b"two"[..], true));
+    assert_eq!(
+        (&called.unwrap().body[..], again.is_none()),
+        (&b"two"[..], true)
+    );
 }
 
 #[tokio::test]
@@ -165,8 +226,13 @@
             tokio::task::yield_now().await;
             peer.write_all(&told.as_bytes()[cut..]).await.unwrap();
         };
-        let ((called, again), ()) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
-        assert_eq!((&called.unwrap().body[..], again.is_none()), (&b"own"[..], true), "cut at {cut}");
+        let ((called, again), ()) =
+            tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
+        assert_eq!(
+            (&called.unwrap().body[..], again.is_none()),
+            (&b"own"[..], true),
+            "cut at {cut}"
+        );
     }
 }
 
@@ -177,7 +243,10 @@
     let (called, kept) = exchange(connection, &mut peer, "t-1", nameless).await;
     assert_eq!(called.unwrap().status, 503);
     let (called, again) = exchange(kept.unwrap(), &mut peer, "t-2", nameless).await;
-    assert_eq!((called.unwrap_err(), again.is_none()), (Called::Garbage, true));
+    assert_eq!(
+        (called.unwrap_err(), again.is_none()),
+        (Called::Garbage, true)
+    );
 }
 
 #[tokio::test]
@@ -185,20 +254,30 @@
     let (connection, mut peer) = pair().await;
     let telling = async {
         read_request(&mut peer).await;
-        peer.write_all(b"HTTP/1.1 200 OK\r\nx-try-id: t-1\r\n\r\nperhaps all").await.unwrap();
+        peer.write_all(b"HTTP/1.1 200 OK\r\nx-try-id: t-1\r\n\r\nperhaps all")
+            .await
+            .unwrap();
         drop(peer);
     };
     let ((called, again), ()) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
-    assert_eq!((called.unwrap_err(), again.is_none()), (Called::Garbage, true));
+    assert_eq!(
+        (called.unwrap_err(), again.is_none()),
+        (Called::Garbage, true)
+    );
 }
 
 #[tokio::test]
 async fn an_answer_without_a_body_leaves_the_connection_in_doubt() {
     let (connection, mut peer) = pair().await;
-    let head = Outbound { method: "HEAD", ..outbound("t-1") };
+    let head = Outbound {
+        method: "HEAD",
+        ..outbound("t-1")
+    };
     let telling = async {
         read_request(&mut peer).await;
-        peer.write_all(b"HTTP/1.1 200 OK\r\nx-try-id: t-1\r\ncontent-length: 99\r\n\r\n").await.unwrap();
+        peer.write_all(b"HTTP/1.1 200 OK\r\nx-try-id: t-1\r\ncontent-length: 99\r\n\r\n")
+            .await
+            .unwrap();
     };
     let ((called, again), ()) = tokio::join!(connection.exchange(head, AMPLE), telling);
     assert_eq!((called.unwrap().status, again.is_none()), (200, true));
--- a/crates/transport/tests/links.rs
+++ b/crates/transport/tests/links.rs
@@ -8,7 +8,10 @@
 use transport::{LONGEST_WAIT, Links};
 
 fn told(beat: u64) -> Payload {
-    Payload::Alive(Alive { beats: vec![beat], ..Alive::default() })
+    Payload::Alive(Alive {
+        beats: vec![beat],
+        ..Alive::default()
+    })
 }
 
 /// Two processes, the first of which knows where to reach the second.
@@ -41,5 +44,8 @@
 
 #[tokio::test]
 async fn what_waited_for_a_shorter_time_is_sent_in_order() {
-    assert_eq!(first_after(LONGEST_WAIT - Duration::from_millis(1)).await, told(1));
+    assert_eq!(
+        first_after(LONGEST_WAIT - Duration::from_millis(1)).await,
+        told(1)
+    );
 }
