--- a/crates/clerk/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -4,10 +4,10 @@
 mod rescue;
 mod site;
 
-use address::Code;
+use config::{Complaint, Setup, Sheet};
 use error_stack::Report;
+use result_code::ResultCode;
 use std::time::Duration;
-use tariff::{Complaint, Setup, Sheet};
 use transport::{Called, Caller, Reply, exit};
 
 /// Nobody can tell whether it was done: ask again with the same id.
@@ -359,7 +359,7 @@
             .header("location")
             .strip_prefix("http://")
             .and_then(|at| at.split_once('/'));
-        match location.filter(|_| reply.status == Code::Elsewhere.status()) {
+        match location.filter(|_| reply.status == ResultCode::Elsewhere.status()) {
             Some((address, target)) => (node, path) = (address.to_owned(), format!("/{target}")),
             None => return Ok(reply),
         }
@@ -437,7 +437,7 @@
         .header("x-code")
         .parse()
         .ok()
-        .and_then(Code::from_number);
+        .and_then(ResultCode::from_number);
     Sheet::read(&text)
         .ok()
         .iter()
@@ -448,8 +448,8 @@
                 .for_each(|(path, text)| eprintln!("clerk: {path}: {text}"));
         });
     match code {
-        Some(Code::Fine | Code::Overtaken) => exit::FINE,
-        Some(Code::SetupUnknown) => UNKNOWN,
+        Some(ResultCode::Fine | ResultCode::Overtaken) => exit::FINE,
+        Some(ResultCode::SetupUnknown) => UNKNOWN,
         _ => exit::FAILED,
     }
 }
--- a/crates/clerk/src/manifest.rs
+++ b/crates/cli/src/manifest.rs
@@ -1,8 +1,8 @@
 //! Manifests in the manner of the Gateway API, turned into a setup. What a setup can't express is denied with its
 //! path, never left out in silence.
 
+use config::{Complaint, Fields, Setup, Sheet, complain};
 use std::collections::{BTreeMap, BTreeSet};
-use tariff::{Complaint, Fields, Setup, Sheet, complain};
 use yaml_rust2::{Yaml, YamlLoader};
 
 const GROUP: &str = "gateway.networking.k8s.io/v1";
@@ -203,7 +203,7 @@
             .iter()
             .enumerate()
             .filter_map(|(at, host)| match host {
-                Sheet::Text(host) if address::is_id(host) => Some(host.as_str()),
+                Sheet::Text(host) if locality::is_valid_id(host) => Some(host.as_str()),
                 _ => {
                     let text = "must be a whole host name; patterns can't be expressed";
                     complain(
@@ -336,7 +336,7 @@
             route("{path: {type: Exact, value: /book}}", "")
         );
         let (setup, remarks) = turn(&manifests, SERVICES).expect("it can be expressed");
-        let setup = tariff::Setup::read(setup.as_bytes()).expect("a whole setup");
+        let setup = config::Setup::read(setup.as_bytes()).expect("a whole setup");
         assert_eq!(setup.resolve("booking.example"), Some("book.example"));
         assert_eq!(
             setup
--- a/crates/clerk/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -1,8 +1,8 @@
 //! The whole site at a glance, put together from what every node says of itself.
 
+use config::Sheet;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tariff::Sheet;
 use tokio::task::JoinSet;
 use transport::Caller;
 
--- a/crates/tariff/src/check.rs
+++ b/crates/config/src/check.rs
@@ -21,7 +21,7 @@
 ///
 /// ```
 /// let mut complaints = Vec::new();
-/// tariff::complain(&mut complaints, "/routes/0", "no such service");
+/// config::complain(&mut complaints, "/routes/0", "no such service");
 /// assert_eq!(complaints[0].to_string(), "/routes/0: no such service");
 /// ```
 pub fn complain(complaints: &mut Vec<Complaint>, path: &str, text: impl Into<String>) {
@@ -34,7 +34,7 @@
 /// Reads the fields of one object; whatever nobody asked for is complained of at the end.
 ///
 /// ```
-/// use tariff::{Fields, Sheet};
+/// use config::{Fields, Sheet};
 /// let sheet = Sheet::read(r#"{"name": "a b", "size": 9, "colour": 1}"#).unwrap();
 /// let mut complaints = Vec::new();
 /// let mut fields = Fields::open(&sheet, "/x", &mut complaints);
@@ -56,7 +56,7 @@
     ///
     /// ```
     /// let mut complaints = Vec::new();
-    /// tariff::Fields::open(&tariff::Sheet::Null, "/x", &mut complaints).close();
+    /// config::Fields::open(&config::Sheet::Null, "/x", &mut complaints).close();
     /// assert_eq!(complaints[0].text, "must be an object");
     /// ```
     pub fn open(sheet: &'a Sheet, path: &str, complaints: &'c mut Vec<Complaint>) -> Self {
@@ -78,9 +78,9 @@
     /// A field of any shape, where it is there.
     ///
     /// ```
-    /// let sheet = tariff::Sheet::read(r#"{"spec": {}}"#).unwrap();
+    /// let sheet = config::Sheet::read(r#"{"spec": {}}"#).unwrap();
     /// let mut complaints = Vec::new();
-    /// let mut fields = tariff::Fields::open(&sheet, "", &mut complaints);
+    /// let mut fields = config::Fields::open(&sheet, "", &mut complaints);
     /// assert!(fields.part("spec").is_some());
     /// assert!(fields.part("status").is_none());
     /// ```
@@ -105,8 +105,8 @@
     /// A text that must be there.
     ///
     /// ```
-    /// let (sheet, mut complaints) = (tariff::Sheet::read("{}").unwrap(), Vec::new());
-    /// let mut fields = tariff::Fields::open(&sheet, "", &mut complaints);
+    /// let (sheet, mut complaints) = (config::Sheet::read("{}").unwrap(), Vec::new());
+    /// let mut fields = config::Fields::open(&sheet, "", &mut complaints);
     /// assert_eq!(fields.text("name"), None);
     /// assert_eq!(complaints[0].text, "is missing");
     /// ```
@@ -121,12 +121,12 @@
     /// An id that must be there.
     ///
     /// ```
-    /// let (sheet, mut complaints) = (tariff::Sheet::read(r#"{"id":"a-1"}"#).unwrap(), Vec::new());
-    /// assert_eq!(tariff::Fields::open(&sheet, "", &mut complaints).id("id").as_deref(), Some("a-1"));
+    /// let (sheet, mut complaints) = (config::Sheet::read(r#"{"id":"a-1"}"#).unwrap(), Vec::new());
+    /// assert_eq!(config::Fields::open(&sheet, "", &mut complaints).id("id").as_deref(), Some("a-1"));
     /// ```
     pub fn id(&mut self, name: &'static str) -> Option<String> {
         self.text(name).and_then(|text| {
-            if address::is_id(&text) {
+            if locality::is_valid_id(&text) {
                 Some(text)
             } else {
                 self.complain(
@@ -140,8 +140,8 @@
     /// A whole number within a range; `fallback` where it may be left out.
     ///
     /// ```
-    /// let (sheet, mut complaints) = (tariff::Sheet::read("{}").unwrap(), Vec::new());
-    /// let mut fields = tariff::Fields::open(&sheet, "", &mut complaints);
+    /// let (sheet, mut complaints) = (config::Sheet::read("{}").unwrap(), Vec::new());
+    /// let mut fields = config::Fields::open(&sheet, "", &mut complaints);
     /// assert_eq!(fields.count("size", 1..=9, Some(4)), Some(4));
     /// ```
     pub fn count(
@@ -164,8 +164,8 @@
     /// A truth that may be left out.
     ///
     /// ```
-    /// let (sheet, mut complaints) = (tariff::Sheet::read(r#"{"keyed":true}"#).unwrap(), Vec::new());
-    /// assert!(tariff::Fields::open(&sheet, "", &mut complaints).truth("keyed", false));
+    /// let (sheet, mut complaints) = (config::Sheet::read(r#"{"keyed":true}"#).unwrap(), Vec::new());
+    /// assert!(config::Fields::open(&sheet, "", &mut complaints).truth("keyed", false));
     /// ```
     pub fn truth(&mut self, name: &'static str, fallback: bool) -> bool {
         match self.ask(name) {
@@ -180,8 +180,8 @@
     /// A list; empty where it is left out.
     ///
     /// ```
-    /// let (sheet, mut complaints) = (tariff::Sheet::read(r#"{"x":[1,2]}"#).unwrap(), Vec::new());
-    /// assert_eq!(tariff::Fields::open(&sheet, "", &mut complaints).list("x").len(), 2);
+    /// let (sheet, mut complaints) = (config::Sheet::read(r#"{"x":[1,2]}"#).unwrap(), Vec::new());
+    /// assert_eq!(config::Fields::open(&sheet, "", &mut complaints).list("x").len(), 2);
     /// ```
     pub fn list(&mut self, name: &'static str) -> &'a [Sheet] {
         match self.ask(name) {
@@ -194,8 +194,8 @@
     /// Complains of fields that nobody asked for, and of fields that came twice.
     ///
     /// ```
-    /// let (sheet, mut complaints) = (tariff::Sheet::read(r#"{"x":1,"x":2}"#).unwrap(), Vec::new());
-    /// let mut fields = tariff::Fields::open(&sheet, "", &mut complaints);
+    /// let (sheet, mut complaints) = (config::Sheet::read(r#"{"x":1,"x":2}"#).unwrap(), Vec::new());
+    /// let mut fields = config::Fields::open(&sheet, "", &mut complaints);
     /// fields.count("x", 0..=9, None);
     /// fields.close();
     /// assert_eq!(complaints[0].to_string(), "/x: comes twice");
--- a/crates/tariff/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -141,7 +141,7 @@
 /// Checks time values against each other.
 ///
 /// ```
-/// use tariff::{Settings, TIMES, check_times};
+/// use config::{Settings, TIMES, check_times};
 /// let flags = vec![("stale-after-ms".to_owned(), "3000".to_owned()),
 ///                  ("address-lifetime-ms".to_owned(), "2500".to_owned())];
 /// let settings = Settings::read(&[TIMES], None, &flags).unwrap();
@@ -197,7 +197,7 @@
     /// Reads a settings file's text and flags against tables of settings; every complaint at once.
     ///
     /// ```
-    /// use tariff::{Settings, TIMES};
+    /// use config::{Settings, TIMES};
     /// let file = Some(r#"{"probe-every-ms": 100, "colour": "red"}"#);
     /// let complaints = Settings::read(&[TIMES], file, &[]).unwrap_err();
     /// assert_eq!(complaints[0].path, "colour");
@@ -268,7 +268,7 @@
     /// The text of a setting; empty where the tables have no such name.
     ///
     /// ```
-    /// let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap();
+    /// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
     /// assert_eq!(settings.get("claim-span-ms"), "1500");
     /// ```
     pub fn get(&self, name: &str) -> &str {
@@ -278,7 +278,7 @@
     /// A setting in milliseconds as a span.
     ///
     /// ```
-    /// let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap();
+    /// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
     /// assert_eq!(settings.span("claim-span-ms").as_millis(), 1500);
     /// ```
     pub fn span(&self, name: &str) -> Duration {
@@ -288,7 +288,7 @@
     /// A setting that is a whole number.
     ///
     /// ```
-    /// let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap();
+    /// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
     /// assert_eq!(settings.count("claim-span-ms"), 1500);
     /// ```
     pub fn count(&self, name: &str) -> u64 {
@@ -298,7 +298,7 @@
     /// A setting that is a list with commas.
     ///
     /// ```
-    /// assert!(tariff::Settings::default().list("seeds").is_empty());
+    /// assert!(config::Settings::default().list("seeds").is_empty());
     /// ```
     pub fn list(&self, name: &str) -> Vec<String> {
         self.get(name)
@@ -329,11 +329,11 @@
     let truth = |held: bool, text: &str| if held { Ok(()) } else { Err(text.to_owned()) };
     match shape {
         Shape::Id => truth(
-            address::is_id(value),
+            locality::is_valid_id(value),
             "must be 1 to 64 of a-z A-Z 0-9 - _ .",
         ),
         Shape::Locality => value
-            .parse::<address::Locality>()
+            .parse::<locality::Locality>()
             .map(drop)
             .map_err(|_| "must be region/zone".into()),
         Shape::Address => value
@@ -351,7 +351,7 @@
             value
                 .split(',')
                 .filter(|part| !part.is_empty())
-                .all(|part| part.parse::<address::Locality>().is_ok()),
+                .all(|part| part.parse::<locality::Locality>().is_ok()),
             "must be localities (region/zone), with commas",
         ),
         Shape::Folder => truth(!value.is_empty(), "must be a folder"),
--- a/crates/tariff/src/setup.rs
+++ b/crates/config/src/setup.rs
@@ -20,7 +20,7 @@
     pub repeatable: bool,
     /// True where keys are divided among the upstreams.
     pub keyed: bool,
-    /// True where keys are whole numbers of `address::KEYS`, divided as they are; else they are hashed into slots.
+    /// True where keys are whole numbers of `key_space::KEY_COUNT`, divided as they are; else they are hashed into slots.
     pub numbered: bool,
     /// First sends a second that one cold upstream may get, over all proxies together.
     pub warm_up_per_second: u64,
@@ -36,16 +36,19 @@
     /// The place of a key in the space that this service's upstreams divide; none where it can't be one.
     ///
     /// ```
-    /// let service = tariff::Service { numbered: true, ..Default::default() };
+    /// let service = config::Service { numbered: true, ..Default::default() };
     /// assert_eq!(service.place("65535"), Some(65_535));
     /// assert_eq!(service.place("65536"), None);
-    /// assert_eq!(tariff::Service::default().place("any"), Some(address::slot("any")));
+    /// assert_eq!(config::Service::default().place("any"), Some(key_space::slot_of_key("any")));
     /// ```
     pub fn place(&self, key: &str) -> Option<u32> {
         if self.numbered {
-            return key.parse::<u32>().ok().filter(|key| *key < address::KEYS);
+            return key
+                .parse::<u32>()
+                .ok()
+                .filter(|key| *key < key_space::KEY_COUNT);
         }
-        Some(address::slot(key))
+        Some(key_space::slot_of_key(key))
     }
 }
 
@@ -99,7 +102,7 @@
     /// Every service that it may lead to.
     ///
     /// ```
-    /// let route = tariff::Route { service: "s".into(), ..Default::default() };
+    /// let route = config::Route { service: "s".into(), ..Default::default() };
     /// assert_eq!(route.services().collect::<Vec<_>>(), ["s"]);
     /// ```
     pub fn services(&self) -> impl Iterator<Item = &str> {
@@ -112,12 +115,12 @@
     ///
     /// ```
     /// let split = vec![("a".to_owned(), 0), ("b".to_owned(), 3)];
-    /// let route = tariff::Route { split, ..Default::default() };
+    /// let route = config::Route { split, ..Default::default() };
     /// assert_eq!(route.pick("try-1"), "b");
     /// ```
     pub fn pick(&self, salt: &str) -> &str {
         let sum: u64 = self.split.iter().map(|(_, weight)| weight).sum();
-        let mut at = address::spread(salt).checked_rem(sum).unwrap_or(0);
+        let mut at = random::stable_hash(salt).checked_rem(sum).unwrap_or(0);
         let picked = self.split.iter().find(|(_, weight)| {
             let found = at < *weight;
             at = at.saturating_sub(*weight);
@@ -152,7 +155,7 @@
     /// Reads and checks a setup; a bad one is denied whole, with every complaint at once.
     ///
     /// ```
-    /// use tariff::Setup;
+    /// use config::Setup;
     /// let setup = Setup::read(br#"{
     ///   "services": [{"name": "slots", "work": "once", "warmUpPerSecond": 5}],
     ///   "routes": [{"id": "r1", "name": "book", "path": "/book", "service": "slots"}],
@@ -281,9 +284,9 @@
     /// Adds a service; false where one of this name is there already.
     ///
     /// ```
-    /// let mut setup = tariff::Setup::default();
-    /// assert!(setup.put_service(tariff::Service { name: "s".into(), ..Default::default() }));
-    /// assert!(!setup.put_service(tariff::Service { name: "s".into(), ..Default::default() }));
+    /// let mut setup = config::Setup::default();
+    /// assert!(setup.put_service(config::Service { name: "s".into(), ..Default::default() }));
+    /// assert!(!setup.put_service(config::Service { name: "s".into(), ..Default::default() }));
     /// ```
     pub fn put_service(&mut self, service: Service) -> bool {
         self.services
@@ -294,8 +297,8 @@
     /// Adds a route, and complains of what clashes.
     ///
     /// ```
-    /// let (mut setup, mut complaints) = (tariff::Setup::default(), Vec::new());
-    /// let route = tariff::Route { id: "r".into(), name: "book".into(), path: "/a/".into(), prefix: true,
+    /// let (mut setup, mut complaints) = (config::Setup::default(), Vec::new());
+    /// let route = config::Route { id: "r".into(), name: "book".into(), path: "/a/".into(), prefix: true,
     ///     ..Default::default() };
     /// setup.put_route(route, "/routes/0", &mut complaints);
     /// assert_eq!(setup.route("book", "/a/b/c").map(|route| route.id.as_str()), Some("r"));
@@ -442,7 +445,7 @@
                 .unwrap_or_else(|| Vec::from_iter(sheet.text("service")));
             services
                 .into_iter()
-                .filter(|name| address::is_id(name) && !self.services.contains_key(*name))
+                .filter(|name| locality::is_valid_id(name) && !self.services.contains_key(*name))
                 .for_each(|name| {
                     complain(
                         complaints,
@@ -473,7 +476,7 @@
     /// The route name behind a name, an id-form name or an alias. Aliases go through the id form.
     ///
     /// ```
-    /// assert_eq!(tariff::Setup::default().resolve("x"), None);
+    /// assert_eq!(config::Setup::default().resolve("x"), None);
     /// ```
     pub fn resolve<'a>(&'a self, asked: &'a str) -> Option<&'a str> {
         let link = |name: &&'a str| self.aliases.get(*name).map(|alias| alias.to.as_str());
@@ -487,7 +490,7 @@
     /// The route that serves a path under a name: the very path, or else the longest prefix that begins it.
     ///
     /// ```
-    /// assert!(tariff::Setup::default().route("book", "/book").is_none());
+    /// assert!(config::Setup::default().route("book", "/book").is_none());
     /// ```
     pub fn route(&self, name: &str, path: &str) -> Option<&Arc<Route>> {
         let by_path = self.places.get(name)?;
@@ -501,7 +504,7 @@
     /// The services behind one name, once for each of its routes.
     ///
     /// ```
-    /// assert_eq!(tariff::Setup::default().services_of("book").count(), 0);
+    /// assert_eq!(config::Setup::default().services_of("book").count(), 0);
     /// ```
     pub fn services_of(&self, name: &str) -> impl Iterator<Item = &Arc<Service>> {
         let services = self.routes_of(name).flat_map(|route| route.services());
@@ -511,7 +514,7 @@
     /// The routes of one name.
     ///
     /// ```
-    /// assert_eq!(tariff::Setup::default().routes_of("book").count(), 0);
+    /// assert_eq!(config::Setup::default().routes_of("book").count(), 0);
     /// ```
     pub fn routes_of(&self, name: &str) -> impl Iterator<Item = &Arc<Route>> {
         let ids = self.places.get(name).into_iter().flat_map(BTreeMap::values);
@@ -521,7 +524,7 @@
     /// The services that a name's routes lead to, with its name, for each name.
     ///
     /// ```
-    /// assert!(tariff::Setup::default().names().is_empty());
+    /// assert!(config::Setup::default().names().is_empty());
     /// ```
     pub fn names(&self) -> BTreeMap<&str, BTreeSet<&str>> {
         let services = |name: &str| {
@@ -550,7 +553,7 @@
 
 fn region(sheet: &Sheet) -> Option<String> {
     match sheet {
-        Sheet::Text(text) if address::is_id(text) => Some(text.clone()),
+        Sheet::Text(text) if locality::is_valid_id(text) => Some(text.clone()),
         _ => None,
     }
 }
--- a/crates/tariff/src/sheet.rs
+++ b/crates/config/src/sheet.rs
@@ -11,7 +11,7 @@
 /// One JSON value. Objects keep the order and the duplicates of their fields.
 ///
 /// ```
-/// use tariff::Sheet;
+/// use config::Sheet;
 /// let sheet = Sheet::read(r#"{"a": [1, "two"], "a": null}"#).unwrap();
 /// let Sheet::Fields(fields) = &sheet else { panic!() };
 /// assert_eq!(fields.len(), 2);
@@ -32,8 +32,8 @@
     /// Reads JSON; broken or absurdly deep text is denied with a sentence.
     ///
     /// ```
-    /// assert!(tariff::Sheet::read("{").is_err());
-    /// assert!(tariff::Sheet::read(&"[".repeat(100_000)).is_err());
+    /// assert!(config::Sheet::read("{").is_err());
+    /// assert!(config::Sheet::read(&"[".repeat(100_000)).is_err());
     /// ```
     pub fn read(text: &str) -> std::result::Result<Sheet, String> {
         if depth(text) > MOST_DEPTH {
@@ -45,8 +45,8 @@
     /// The first field with this name.
     ///
     /// ```
-    /// let sheet = tariff::Sheet::read(r#"{"a": 1}"#).unwrap();
-    /// assert_eq!(sheet.get("a"), Some(&tariff::Sheet::Count(1)));
+    /// let sheet = config::Sheet::read(r#"{"a": 1}"#).unwrap();
+    /// assert_eq!(sheet.get("a"), Some(&config::Sheet::Count(1)));
     /// assert_eq!(sheet.get("b"), None);
     /// ```
     pub fn get(&self, name: &str) -> Option<&Sheet> {
@@ -62,7 +62,7 @@
     /// The text under a field name, where it is one.
     ///
     /// ```
-    /// assert_eq!(tariff::Sheet::read(r#"{"a": "b"}"#).unwrap().text("a"), Some("b"));
+    /// assert_eq!(config::Sheet::read(r#"{"a": "b"}"#).unwrap().text("a"), Some("b"));
     /// ```
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name).and_then(|sheet| match sheet {
@@ -74,7 +74,7 @@
     /// The whole number under a field name, where it is one.
     ///
     /// ```
-    /// assert_eq!(tariff::Sheet::read(r#"{"a": 7}"#).unwrap().count("a"), Some(7));
+    /// assert_eq!(config::Sheet::read(r#"{"a": 7}"#).unwrap().count("a"), Some(7));
     /// ```
     pub fn count(&self, name: &str) -> Option<u64> {
         self.get(name).and_then(|sheet| match sheet {
@@ -86,7 +86,7 @@
     /// The items under a field name; none where it is no list.
     ///
     /// ```
-    /// assert_eq!(tariff::Sheet::read(r#"{"a": [1]}"#).unwrap().list("a").len(), 1);
+    /// assert_eq!(config::Sheet::read(r#"{"a": [1]}"#).unwrap().list("a").len(), 1);
     /// ```
     pub fn list(&self, name: &str) -> &[Sheet] {
         self.get(name)
@@ -100,7 +100,7 @@
     /// Builds an object.
     ///
     /// ```
-    /// use tariff::Sheet;
+    /// use config::Sheet;
     /// assert_eq!(Sheet::fields([("a", 1u64.into())]).to_string(), r#"{"a":1}"#);
     /// ```
     pub fn fields<const N: usize>(fields: [(&str, Sheet); N]) -> Sheet {
--- a/crates/tariff/tests/denials.rs
+++ b/crates/config/tests/denials.rs
@@ -1,7 +1,7 @@
 //! Bad setups are denied whole, with a path in every complaint.
 
 use arbtest::arbtest;
-use tariff::{MOST_SETUP_BYTES, Setup};
+use config::{MOST_SETUP_BYTES, Setup};
 
 const SERVICE: &str = r#"{"name": "s", "work": "once"}"#;
 
--- a/crates/controller/src/anonymous_orders.rs
+++ b/crates/control-plane/src/anonymous_orders.rs
@@ -8,8 +8,8 @@
 //! for a moment after that: whoever still waits asks again.
 
 use crate::node::ControlNode;
-use address::Code;
 use quorum_register::{Change, Decision, OrderId};
+use result_code::ResultCode;
 use std::time::Duration;
 
 const MAX_WAITING: usize = 256;
@@ -109,7 +109,7 @@
                 now,
                 token,
                 Decision {
-                    code: Code::Fine,
+                    code: ResultCode::Fine,
                     edition,
                 },
             );
@@ -134,7 +134,7 @@
             now,
             token,
             Decision {
-                code: Code::Stale,
+                code: ResultCode::Stale,
                 edition,
             },
         );
--- a/crates/controller/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -1,9 +1,9 @@
 //! Whether this node is in contact with a majority of the voters, and where callers are sent while it is not.
 
 use crate::node::{Answer, Ask, ControlNode, Effect};
-use address::Code;
 use protocol::Payload;
 use quorum_register::VoterPhase;
+use result_code::ResultCode;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
     }
 
     /// The answer of a node that may not vouch for anything: nothing was done, and another node may be asked.
-    pub(crate) fn refuse(&mut self, now: Duration, token: u64, code: Code) {
+    pub(crate) fn refuse(&mut self, now: Duration, token: u64, code: ResultCode) {
         let edition = self.register.state().edition;
         let answer = match self.address_in_contact(now) {
             Some(to) => Answer::Redirect { to },
@@ -122,7 +122,7 @@
             .retain(|wait| !waiting.contains(&wait.token));
         waiting.into_iter().for_each(|token| {
             let answer = Answer::Verdict {
-                code: Code::SetupUnknown,
+                code: ResultCode::SetupUnknown,
                 edition,
             };
             self.effects.push_back(Effect::Answer { token, answer });
--- a/crates/controller/src/departure_writer.rs
+++ b/crates/control-plane/src/departure_writer.rs
@@ -18,7 +18,7 @@
     /// Starts the thread. `report` hears the ticket of each write once it is done; once it gives false, the thread ends.
     ///
     /// ```
-    /// use controller::departure_writer::DepartureWriter;
+    /// use control_plane::departure_writer::DepartureWriter;
     /// let folder = std::env::temp_dir().join(format!("departure-writer-{}", std::process::id()));
     /// let (storage, _) = storage::Storage::open(&folder).unwrap();
     /// let (log, _) = storage.departure_log(transport::since_boot());
--- a/crates/controller/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -5,14 +5,15 @@
 //! do the carriers that follow it.
 
 use crate::node::{BATCH_EVERY, ControlNode, Effect};
-use address::{Code, spread_all};
-use enrolment::{GONE, READY};
 use protocol::{
     Beats, BeatsAck, Departure, DeparturesRead, DeparturesReadBack, Payload, Read, ReadBack,
     Upstream,
 };
+use random::stable_hash_parts;
+use result_code::ResultCode;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
+use upstream_registry::{GONE, READY};
 
 /// How long an acknowledgement may take: within the second that callers wait for one.
 const PATIENCE: Duration = Duration::from_millis(700);
@@ -60,7 +61,7 @@
 fn digest(departures: &[Departure]) -> u64 {
     let one = |departure: &Departure| {
         let condition = departure.condition.to_string();
-        spread_all([
+        stable_hash_parts([
             departure.service.as_str(),
             "/",
             &departure.instance,
@@ -88,7 +89,7 @@
     /// Tells every control node of a departure, and the caller once a majority of the voters knows.
     pub(crate) fn tell_departure(&mut self, now: Duration, token: u64, upstream: Upstream) {
         if self.departures.waiting.len() >= MOST_WAITING {
-            return self.refuse(now, token, Code::Stale);
+            return self.refuse(now, token, ResultCode::Stale);
         }
         let nonce = self.random.next_u64().max(1);
         let wait = Wait {
@@ -248,7 +249,7 @@
         late.into_iter().for_each(|nonce| {
             let wait = self.departures.waiting.remove(&nonce);
             wait.into_iter()
-                .for_each(|wait| self.refuse(now, wait.token, Code::Stale));
+                .for_each(|wait| self.refuse(now, wait.token, ResultCode::Stale));
         });
         let due = self
             .departures
--- a/crates/controller/src/dialect.rs
+++ b/crates/control-plane/src/dialect.rs
@@ -2,19 +2,19 @@
 //! an adapter to another site's way brings its own.
 
 use crate::node::{Answer, Ask};
-use address::Code;
 use bytes::Bytes;
-use gazetteer::SetupReader;
+use config::{Complaint, Fields, Sheet, complain};
 use http_body_util::Full;
 use hyper::Response;
+use name_directory::SetupReader;
 use protocol::{Share, Upstream};
 use quorum_register::OrderId;
+use result_code::ResultCode;
 use std::time::Duration;
-use tariff::{Complaint, Fields, Sheet, complain};
 use transport::Enquiry;
 
 /// Why a question can't be read.
-pub type Unread = (Code, Vec<Complaint>);
+pub type Unread = (ResultCode, Vec<Complaint>);
 
 type Asking = dyn Fn(&Enquiry) -> Result<Ask, Unread> + Send + Sync;
 
@@ -32,8 +32,8 @@
     /// The product's own interface, as docs/interface.md has it.
     ///
     /// ```
-    /// let answer = controller::Answer::Verdict { code: address::Code::Fine, edition: 3 };
-    /// assert_eq!((controller::Dialect::own().show)(answer).status(), 200);
+    /// let answer = control_plane::Answer::Verdict { code: result_code::ResultCode::Fine, edition: 3 };
+    /// assert_eq!((control_plane::Dialect::own().show)(answer).status(), 200);
     /// ```
     pub fn own() -> Dialect {
         Dialect {
@@ -44,7 +44,7 @@
     }
 }
 
-fn read_ask(enquiry: &Enquiry) -> Result<Ask, (Code, Vec<Complaint>)> {
+fn read_ask(enquiry: &Enquiry) -> Result<Ask, (ResultCode, Vec<Complaint>)> {
     let mut complaints = Vec::new();
     let id = read_order_id(enquiry, &mut complaints);
     let in_force = enquiry.query("wait") == "force";
@@ -52,7 +52,7 @@
         (enquiry.method.as_str(), enquiry.path.as_str()),
         ("PUT", "/setup") | ("POST", "/evacuations")
     );
-    if needs_id && !address::is_id(&id.id) {
+    if needs_id && !locality::is_valid_id(&id.id) {
         complain(
             &mut complaints,
             "id",
@@ -80,7 +80,7 @@
         }
         ("POST", "/evacuations") => {
             let locality = enquiry.query("locality").to_owned();
-            if let Err(text) = locality.parse::<address::Locality>() {
+            if let Err(text) = locality.parse::<locality::Locality>() {
                 complain(&mut complaints, "locality", text);
             }
             let back = enquiry.query("back") == "true";
@@ -98,7 +98,7 @@
             let wrong = [&add, &remove]
                 .into_iter()
                 .flatten()
-                .any(|node| !address::is_id(node));
+                .any(|node| !locality::is_valid_id(node));
             if wrong || (add.is_none() && remove.is_none()) {
                 complain(
                     &mut complaints,
@@ -114,12 +114,12 @@
         ("GET", "/reservations") => Ask::Reservations,
         ("GET", "/marks") => Ask::Marks,
         ("POST", "/beats") => Ask::Beat(read_beat(&enquiry.body, &mut complaints)),
-        _ => return Err((Code::NoSuchPage, Vec::new())),
+        _ => return Err((ResultCode::NoSuchPage, Vec::new())),
     };
     if complaints.is_empty() {
         Ok(ask)
     } else {
-        Err((Code::Malformed, complaints))
+        Err((ResultCode::Malformed, complaints))
     }
 }
 
@@ -162,7 +162,7 @@
     fields.close();
     let holds = holds.iter().enumerate().filter_map(|(at, hold)| {
         let mut fields = Fields::open(hold, &format!("/holds/{at}"), complaints);
-        let most = u64::from(address::SLOTS);
+        let most = u64::from(key_space::SLOT_COUNT);
         let run = fields
             .count("from", 0..=most, None)
             .zip(fields.count("until", 0..=most, None));
@@ -178,16 +178,16 @@
     });
     let holds = holds.collect();
     let condition = match condition.as_str() {
-        "ready" => enrolment::READY,
-        "leaving" => enrolment::LEAVING,
-        "gone" => enrolment::GONE,
+        "ready" => upstream_registry::READY,
+        "leaving" => upstream_registry::LEAVING,
+        "gone" => upstream_registry::GONE,
         other => {
             complain(
                 complaints,
                 "/condition",
                 format!("'{other}' is none of ready, leaving, gone"),
             );
-            enrolment::GONE
+            upstream_registry::GONE
         }
     };
     let ((service, instance), (address, locality)) = ids.zip(place).unwrap_or_default();
@@ -198,7 +198,7 @@
             format!("'{address}' is not an IP number and a port"),
         );
     }
-    if complaints.is_empty() && locality.parse::<address::Locality>().is_err() {
+    if complaints.is_empty() && locality.parse::<locality::Locality>().is_err() {
         complain(
             complaints,
             "/locality",
@@ -229,14 +229,15 @@
 fn show(answer: Answer) -> Response<Full<Bytes>> {
     match answer {
         Answer::Redirect { to } => transport::redirect(&to),
-        Answer::Sheet(sheet) => transport::json(Code::Fine, &sheet),
+        Answer::Sheet(sheet) => transport::json(ResultCode::Fine, &sheet),
         Answer::Beat {
             holder,
             shares,
             span,
-        } => transport::json(Code::Fine, &beat_sheet(holder, shares, span)),
+        } => transport::json(ResultCode::Fine, &beat_sheet(holder, shares, span)),
         Answer::Setup { edition, bytes } => {
-            let mut response = transport::answer(Code::Fine, "application/json", bytes.into());
+            let mut response =
+                transport::answer(ResultCode::Fine, "application/json", bytes.into());
             response.headers_mut().insert("x-edition", edition.into());
             response
         }
@@ -272,12 +273,12 @@
 /// The answer to a beat in the product's own way.
 ///
 /// ```
-/// let sheet = controller::beat_sheet(3, None, std::time::Duration::ZERO);
+/// let sheet = control_plane::beat_sheet(3, None, std::time::Duration::ZERO);
 /// assert_eq!(sheet.to_string(), r#"{"code":1000,"holder":3}"#);
 /// ```
 pub fn beat_sheet(holder: u64, shares: Option<Vec<Share>>, span: Duration) -> Sheet {
     let mut fields = vec![
-        ("code", u64::from(Code::Fine.number()).into()),
+        ("code", u64::from(ResultCode::Fine.number()).into()),
         ("holder", holder.into()),
     ];
     shares.into_iter().for_each(|shares| {
--- a/crates/controller/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -69,7 +69,7 @@
     /// The pause after so many failures in a row.
     ///
     /// ```
-    /// let pauses = controller::disk::Pauses::default();
+    /// let pauses = control_plane::disk::Pauses::default();
     /// assert_eq!(pauses.after(1).as_millis(), 50);
     /// assert_eq!(pauses.after(3).as_millis(), 200);
     /// assert_eq!(pauses.after(1000), pauses.longest);
@@ -129,7 +129,7 @@
     /// Starts the thread. `report` hears of everything, in order; once it gives false, the thread ends.
     ///
     /// ```
-    /// use controller::disk::{Disk, DiskReport, Pauses, Write};
+    /// use control_plane::disk::{Disk, DiskReport, Pauses, Write};
     /// let folder = std::env::temp_dir().join(format!("disk-start-{}", std::process::id()));
     /// let (storage, _) = storage::Storage::open(&folder).unwrap();
     /// let (tell, told) = std::sync::mpsc::channel();
@@ -179,7 +179,7 @@
     /// What the disk has done since the start.
     ///
     /// ```
-    /// # use controller::disk::{Disk, Pauses};
+    /// # use control_plane::disk::{Disk, Pauses};
     /// let folder = std::env::temp_dir().join(format!("disk-counts-{}", std::process::id()));
     /// let (storage, _) = storage::Storage::open(&folder).unwrap();
     /// let disk = Disk::start(storage, Pauses::default(), transport::Clock::default(), |_| true);
@@ -195,7 +195,7 @@
 /// removal follows: the setup that goes may be named by the state before it.
 ///
 /// ```
-/// use controller::disk::{Write, merge};
+/// use control_plane::disk::{Write, merge};
 /// let state = |ticket| Write::State { ticket, durable: Default::default() };
 /// let removal = Write::DropSetup { digest: "a".into() };
 /// let merged = merge(vec![state(1), state(2), removal.clone(), state(3), state(4)]);
--- a/crates/controller/src/gossip.rs
+++ b/crates/control-plane/src/gossip.rs
@@ -28,13 +28,13 @@
         let before = self
             .roll
             .one(now, upstream)
-            .map(|known| enrolment::mark(&known));
+            .map(|known| upstream_registry::mark(&known));
         if !self.record_beat(now, upstream) {
             return;
         }
         // With its age as it is known here: this beat may have lain in a frozen process.
         let known = self.roll.one(now, upstream);
-        let news = known.filter(|known| Some(enrolment::mark(known)) != before);
+        let news = known.filter(|known| Some(upstream_registry::mark(known)) != before);
         // Which keys it holds is worth telling only while no placement says so.
         let unplaced = self.placement.epoch == 0;
         news.into_iter().for_each(|mut known| {
@@ -111,11 +111,11 @@
             // A newer beat went elsewhere, and is told from there.
             self.roll
                 .one(now, &id)
-                .filter(|known| known.beat == *beat && known.condition != enrolment::GONE)
+                .filter(|known| known.beat == *beat && known.condition != upstream_registry::GONE)
         });
         let told: Vec<Upstream> = heard.chain(self.roll.farewells(now)).collect();
         Alive {
-            marks: told.iter().map(enrolment::mark).collect(),
+            marks: told.iter().map(upstream_registry::mark).collect(),
             beats: told.iter().map(told_beat).collect(),
             ages_ms: told.iter().map(|upstream| upstream.age_ms).collect(),
             tell_on: false,
@@ -211,13 +211,13 @@
 /// An upstream's last beat as a batch tells it. One that signed off has the last beat there can be, a long number on the
 /// wire; its mark says that it is gone, so it goes as none.
 fn told_beat(upstream: &Upstream) -> u64 {
-    let signed_off = upstream.condition == enrolment::GONE && upstream.beat == u64::MAX;
+    let signed_off = upstream.condition == upstream_registry::GONE && upstream.beat == u64::MAX;
     if signed_off { 0 } else { upstream.beat }
 }
 
 /// The beat that a batch means. Of an upstream that is gone it decides only whether its record is asked for.
 fn meant_beat(mark: u64, told: u64) -> u64 {
-    if told == 0 && enrolment::is_gone_mark(mark) {
+    if told == 0 && upstream_registry::is_gone_mark(mark) {
         u64::MAX
     } else {
         told
--- a/crates/controller/src/keys.rs
+++ b/crates/control-plane/src/keys.rs
@@ -2,12 +2,12 @@
 
 use crate::node::{ControlNode, Effect};
 use crate::placement::{DECIDE_EVERY, Duty};
-use address::{KEY_PARTS, KEYS};
-use enrolment::{Heartbeat, Load, READY, Ranges, Released, Row, Terms};
+use key_space::{KEY_COUNT, LOAD_BUCKET_COUNT};
 use protocol::{KeyLoad, KeyLoads, Payload, ServiceShares, Share, Upstream};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
+use upstream_registry::{Heartbeat, Load, READY, Ranges, Released, Row, Terms};
 
 /// An upstream that heard no answer for so long asks elsewhere, and takes a later one for nothing.
 const ANSWER_WITHIN: Duration = Duration::from_secs(1);
@@ -35,7 +35,7 @@
         load.parts
             .iter()
             .zip(load.counts)
-            .filter(|(part, _)| **part < KEY_PARTS)
+            .filter(|(part, _)| **part < LOAD_BUCKET_COUNT)
             .for_each(|(part, count)| {
                 *counts.entry(*part).or_insert(0.0) += f64::from(count);
             });
@@ -74,7 +74,10 @@
                 .and_then(|counts| counts.get(&part))
                 .map_or(0, |count| (count * FINE) as u64)
         };
-        Load::new(KEYS, &(0..KEY_PARTS).map(count).collect::<Vec<u64>>())
+        Load::new(
+            KEY_COUNT,
+            &(0..LOAD_BUCKET_COUNT).map(count).collect::<Vec<u64>>(),
+        )
     }
 }
 
@@ -115,7 +118,7 @@
             .filter(|service| service.keyed && service.numbered);
         let of = |name: &str| {
             let heard = self.roll.heard_within(name, now, self.times.share_span);
-            let live = heard.filter(|upstream| upstream.condition != enrolment::GONE);
+            let live = heard.filter(|upstream| upstream.condition != upstream_registry::GONE);
             let rows = live.flat_map(|upstream| {
                 upstream.holds.iter().map(|share| Share {
                     instance: upstream.instance.clone(),
@@ -125,7 +128,7 @@
             // Where two say that they hold a key, the later grant counts.
             ServiceShares {
                 service: name.to_owned(),
-                shares: gazetteer::latest_grants(rows.collect()),
+                shares: name_directory::latest_grants(rows.collect()),
             }
         };
         numbered.map(|service| of(&service.name)).collect()
@@ -162,10 +165,10 @@
             ..
         } = self.duty.as_mut()?;
         all_inputs.insert(upstream.service.clone(), inputs.clone());
-        let new = || Ranges::new(*since, terms, KEYS, epoch, *founding);
+        let new = || Ranges::new(*since, terms, KEY_COUNT, epoch, *founding);
         let ranges = ranges.entry(upstream.service.clone()).or_insert_with(new);
         let grants = ranges.beat(held_at, &heartbeat(upstream), &inputs.ready, &inputs.load)?;
-        let share = |grant: enrolment::Grant| Share {
+        let share = |grant: upstream_registry::Grant| Share {
             from: grant.from,
             until: grant.to + 1,
             epoch: grant.fence,
@@ -244,7 +247,7 @@
 
 /// Who holds which keys of a service, as shares to be told on.
 pub(crate) fn held(ranges: &Ranges, now: Duration) -> Vec<Share> {
-    let share = |holding: enrolment::Holding| Share {
+    let share = |holding: upstream_registry::Holding| Share {
         from: holding.from,
         until: holding.to + 1,
         epoch: holding.fence,
--- a/crates/controller/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -8,21 +8,22 @@
 use crate::placement::Duty;
 use crate::updates::Reader;
 use crate::voters::VoterChanges;
-use address::{Code, Random};
-use enrolment::Roll;
-use gazetteer::{Owners, SetupReader};
+use config::{Complaint, Setup, Sheet};
 use lease::HoldClock;
 use lease::Lease;
 use membership::Membership;
+use name_directory::{Owners, SetupReader};
 use protocol::{
     Departure, DurableState, Member, Payload, Placement, Share, Upstream, UpstreamsReply,
     UpstreamsRequest,
 };
 use quorum_register::{Change, OrderId, Register, VoterPhase};
+use random::Random;
+use result_code::ResultCode;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
-use tariff::{Complaint, Setup, Sheet};
+use upstream_registry::Roll;
 
 /// How often upstreams that go on beating are told on.
 pub(crate) const BATCH_EVERY: Duration = Duration::from_millis(500);
@@ -33,7 +34,7 @@
     pub register: quorum_register::Times,
     pub membership: membership::Times,
     pub lease: lease::Times,
-    pub placement: gazetteer::Times,
+    pub placement: name_directory::Times,
     pub share_span: Duration,
     pub upstream_silent: Duration,
     pub stale_after: Duration,
@@ -94,11 +95,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Verdict {
-        code: Code,
+        code: ResultCode,
         edition: u64,
     },
     Denied {
-        code: Code,
+        code: ResultCode,
         complaints: Vec<Complaint>,
     },
     Setup {
@@ -282,13 +283,13 @@
     /// A postmaster as its disk left it.
     ///
     /// ```
-    /// # let times = controller::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// let start = controller::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     ///     durable: Default::default(), setups: Default::default(), departures: vec![], times };
-    /// assert_eq!(controller::ControlNode::new(start).edition(), 0);
+    /// assert_eq!(control_plane::ControlNode::new(start).edition(), 0);
     /// ```
     pub fn new(start: Start) -> Self {
-        let life = address::spread(&format!("life {}", start.seed)).max(1);
+        let life = random::stable_hash(&format!("life {}", start.seed)).max(1);
         let mut random = Random::new(start.seed);
         let Start {
             me,
@@ -359,10 +360,10 @@
     /// The edition in force here.
     ///
     /// ```
-    /// # let times = controller::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// # let start = controller::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
-    /// assert_eq!(controller::ControlNode::new(start).edition(), 0);
+    /// assert_eq!(control_plane::ControlNode::new(start).edition(), 0);
     /// ```
     pub fn edition(&self) -> u64 {
         self.register.state().edition
@@ -371,10 +372,10 @@
     /// The one reducer: takes an event in, gives effects out.
     ///
     /// ```
-    /// # let times = controller::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// # let start = controller::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
-    /// use controller::{Answer, Ask, Effect, Event, ControlNode};
+    /// use control_plane::{Answer, Ask, Effect, Event, ControlNode};
     /// let mut control = ControlNode::new(start);
     /// let ask = Ask::Submit { id: "a".into(), base: None, bytes: b"{".to_vec(), in_force: false };
     /// let effects = control.step(Default::default(), Event::Ask { token: 7, ask });
@@ -392,7 +393,9 @@
                     .step(now, membership::Event::Received { address, body });
                 self.run_membership(now, effects);
             }
-            Event::Ask { token, .. } if self.closing => self.refuse(now, token, Code::Closing),
+            Event::Ask { token, .. } if self.closing => {
+                self.refuse(now, token, ResultCode::Closing)
+            }
             Event::Ask { token, ask } => self.ask(now, token, ask),
             Event::Kept { ticket } => {
                 self.run_register(now, quorum_register::Event::Kept { ticket })
--- a/crates/controller/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -2,13 +2,13 @@
 
 use crate::keys::{DivisionInputs, KeyCounts};
 use crate::node::{ControlNode, Effect};
-use enrolment::{GONE, Ranges, Shares};
-use gazetteer::{Needs, Owners, Placer};
+use config::Setup;
+use name_directory::{Needs, Owners, Placer};
 use protocol::{Holder, Payload, Placement, PlacementRequest, ServiceShares, Share, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use tariff::Setup;
+use upstream_registry::{GONE, Ranges, Shares};
 
 /// How long a new holder listens before it decides, so that beats and the last placement can reach it.
 const LISTEN: Duration = Duration::from_millis(1200);
@@ -40,10 +40,10 @@
     /// True while this node holds the placement duty.
     ///
     /// ```
-    /// # let times = controller::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// # let start = controller::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
-    /// assert!(!controller::ControlNode::new(start).holds_placement(Default::default()));
+    /// assert!(!control_plane::ControlNode::new(start).holds_placement(Default::default()));
     /// ```
     pub fn holds_placement(&self, now: Duration) -> bool {
         self.lease.holds(now).is_some()
@@ -159,7 +159,7 @@
         }
         self.counts.placements_told += 1;
         let placement = placer.placement(now, shares.to_vec());
-        let change = gazetteer::change(&self.placement, &placement).filter(|_| ageless);
+        let change = name_directory::change(&self.placement, &placement).filter(|_| ageless);
         self.tell_postmasters(Payload::Placement(
             change.unwrap_or_else(|| placement.clone()),
         ));
@@ -191,7 +191,7 @@
             let told = self.placement.shares.iter().chain(&heard);
             let last = told.into_iter().find(|last| last.service == *name && quiet);
             let kept = last
-                .map(|last| gazetteer::uncovered(&last.shares, &known))
+                .map(|last| name_directory::uncovered(&last.shares, &known))
                 .unwrap_or_default();
             ServiceShares {
                 service: name.clone(),
@@ -213,7 +213,7 @@
         if !placement.partial {
             self.placement = placement;
         } else if (placement.epoch, placement.after) == known {
-            gazetteer::take_change(&mut self.placement.shares, &placement.shares);
+            name_directory::take_change(&mut self.placement.shares, &placement.shares);
             self.placement.number = placement.number;
         } else {
             self.effects.push_back(Effect::Send {
--- a/crates/controller/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -2,11 +2,11 @@
 
 use crate::departures::signed_off;
 use crate::node::{Answer, Ask, BeatWait, ControlNode, Effect, InForce, ReadWait};
-use address::Code;
+use config::Sheet;
 use protocol::{Beats, Payload, SharesReply, SharesRequest, Upstream};
 use quorum_register::{Change, Decision, VoterPhase};
+use result_code::ResultCode;
 use std::time::Duration;
-use tariff::Sheet;
 
 const MOST_BEAT_WAITS: usize = 4096;
 const MOST_READ_WAITS: usize = 256;
@@ -29,7 +29,7 @@
                 Err(complaints) => self.answer(
                     token,
                     Answer::Denied {
-                        code: Code::SetupBad,
+                        code: ResultCode::SetupBad,
                         complaints,
                     },
                 ),
@@ -85,7 +85,7 @@
                     self.answer(
                         token,
                         Answer::Verdict {
-                            code: Code::SetupCrowded,
+                            code: ResultCode::SetupCrowded,
                             edition: 0,
                         },
                     );
@@ -140,7 +140,7 @@
                     return self.answer(
                         token,
                         Answer::Denied {
-                            code: Code::SetupBad,
+                            code: ResultCode::SetupBad,
                             complaints,
                         },
                     );
@@ -154,7 +154,7 @@
             }
             _ => {}
         }
-        self.refuse(now, token, Code::Stale);
+        self.refuse(now, token, ResultCode::Stale);
     }
 
     /// Records that an instance is gone, known here or not.
@@ -180,9 +180,9 @@
             let edition = self.register.state().edition;
             let confirmed = self.register.is_confirmed_since(wait.asked_at);
             let answer = match self.register.setup() {
-                _ if !confirmed => return self.refuse(now, wait.token, Code::Stale),
+                _ if !confirmed => return self.refuse(now, wait.token, ResultCode::Stale),
                 None => Answer::Verdict {
-                    code: Code::NoWord,
+                    code: ResultCode::NoWord,
                     edition,
                 },
                 Some(bytes) => Answer::Setup {
@@ -202,7 +202,7 @@
     fn wait_for_force(&mut self, now: Duration, token: u64, in_force: bool) {
         if in_force {
             let answer = Answer::Verdict {
-                code: Code::SetupUnknown,
+                code: ResultCode::SetupUnknown,
                 edition: 0,
             };
             let until = now + self.times.register.patience * 2;
@@ -221,14 +221,14 @@
         }
         let Decision { code, edition } = decision;
         let answer = Answer::Verdict { code, edition };
-        if matches!(code, Code::NumberTaken | Code::OrderForgotten) {
+        if matches!(code, ResultCode::NumberTaken | ResultCode::OrderForgotten) {
             self.effects
                 .push_back(Effect::Note(format!("an order was not taken: {code}")));
         }
         let waiting = self
             .waiting_force
             .iter_mut()
-            .find(|waiting| waiting.token == token && code == Code::Fine);
+            .find(|waiting| waiting.token == token && code == ResultCode::Fine);
         match waiting {
             Some(waiting) => {
                 // Every view that was not told has aged out by then.
@@ -287,7 +287,7 @@
 
     /// The answer to a beat that was taken in: with the keys that the upstream holds from now on, where it has any.
     pub(crate) fn answer_taken_beat(&mut self, now: Duration, token: u64, upstream: Upstream) {
-        let may_hold = upstream.condition != enrolment::GONE;
+        let may_hold = upstream.condition != upstream_registry::GONE;
         let keyed = may_hold
             && self
                 .setup
@@ -462,8 +462,8 @@
 
 fn upstream_sheet(upstream: &Upstream) -> Sheet {
     let condition = match upstream.condition {
-        enrolment::READY => "ready",
-        enrolment::LEAVING => "leaving",
+        upstream_registry::READY => "ready",
+        upstream_registry::LEAVING => "leaving",
         _ => "gone",
     };
     Sheet::fields([
--- a/crates/controller/src/shell.rs
+++ b/crates/control-plane/src/shell.rs
@@ -4,20 +4,20 @@
 use crate::dialect::Dialect;
 use crate::disk::{Disk, DiskCounts, DiskReport, Pauses, Write};
 use crate::node::{Answer, Ask, ControlNode, Effect, Event, Start, Times};
-use address::Code;
 use bytes::Bytes;
+use config::{Setting, Settings, Shape, Sheet};
 use error_stack::{Report, ResultExt};
-use gazetteer::Owners;
 use http_body_util::Full;
 use hyper::Response;
+use name_directory::Owners;
 use protocol::{Envelope, Member, Message};
+use result_code::ResultCode;
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 use storage::{Contents, Storage, Trouble};
-use tariff::{Setting, Settings, Shape, Sheet};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot, watch};
 use transport::{Clock, Doors, Enquiry, Links, NoStart, Program};
@@ -104,17 +104,17 @@
 
 /// What the postmaster says of itself.
 pub const PROGRAM: Program = Program {
-    name: "postmaster",
+    name: "control-plane",
     about: "The control plane of mothspindle: keeps the operator's state and tells the carriers.",
-    tables: &[SETTINGS, tariff::TIMES],
+    tables: &[SETTINGS, config::TIMES],
     check: |_| Vec::new(),
 };
 
 /// The time values in the settings.
 ///
 /// ```
-/// let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap();
-/// assert_eq!(controller::shell::times(&settings).lease.span.as_millis(), 1500);
+/// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
+/// assert_eq!(control_plane::shell::times(&settings).lease.span.as_millis(), 1500);
 /// ```
 pub fn times(settings: &Settings) -> Times {
     Times {
@@ -130,7 +130,7 @@
             settings.span("claim-span-ms"),
             settings.span("claim-margin-ms"),
         ),
-        placement: gazetteer::Times {
+        placement: name_directory::Times {
             least_stay: settings.span("least-stay-ms"),
             mark_lifetime: settings.span("mark-lifetime-ms"),
         },
@@ -159,8 +159,8 @@
 /// Runs a postmaster until it is told to close. An error is why it could not start.
 ///
 /// ```no_run
-/// # async fn run(settings: tariff::Settings) {
-/// controller::shell::run(settings, controller::Dialect::own()).await.unwrap();
+/// # async fn run(settings: config::Settings) {
+/// control_plane::shell::run(settings, control_plane::Dialect::own()).await.unwrap();
 /// # }
 /// ```
 pub async fn run(settings: Settings, dialect: Dialect) -> Result<(), Report<NoStart>> {
@@ -401,14 +401,14 @@
 async fn serve(shared: Arc<Shared>, enquiry: Enquiry) -> Response<Full<Bytes>> {
     shared.asked.fetch_add(1, Ordering::Relaxed);
     match (enquiry.method.as_str(), enquiry.path.as_str()) {
-        ("GET", "/live") => transport::verdict(Code::Fine, None),
+        ("GET", "/live") => transport::verdict(ResultCode::Fine, None),
         ("GET", "/ready") if shared.closing.load(Ordering::Relaxed) => {
-            transport::verdict(Code::Closing, None)
+            transport::verdict(ResultCode::Closing, None)
         }
         ("GET", "/ready") if shared.ready.load(Ordering::Relaxed) => {
-            transport::verdict(Code::Fine, None)
+            transport::verdict(ResultCode::Fine, None)
         }
-        ("GET", "/ready") => transport::verdict(Code::Stale, Some(Duration::from_secs(1))),
+        ("GET", "/ready") => transport::verdict(ResultCode::Stale, Some(Duration::from_secs(1))),
         ("GET", "/counters") => {
             let count = |counter: &AtomicU64| Sheet::from(counter.load(Ordering::Relaxed));
             let sheet = Sheet::fields([
@@ -425,7 +425,7 @@
                 ),
                 ("diskDamaged", shared.damaged.into()),
             ]);
-            transport::json(Code::Fine, &sheet)
+            transport::json(ResultCode::Fine, &sheet)
         }
         _ => match (shared.dialect.ask)(&enquiry) {
             Ok(ask) => put(&shared, ask, &enquiry.target).await,
@@ -440,7 +440,7 @@
     let event = (Event::Ask { token, ask }, Some(answer));
     if shared.events.try_send(event).is_err() {
         return (shared.dialect.show)(Answer::Verdict {
-            code: Code::SetupCrowded,
+            code: ResultCode::SetupCrowded,
             edition: 0,
         });
     }
@@ -449,7 +449,7 @@
         .ok()
         .and_then(Result::ok);
     let answer = match answered.unwrap_or(Answer::Verdict {
-        code: Code::SetupUnknown,
+        code: ResultCode::SetupUnknown,
         edition: 0,
     }) {
         Answer::Redirect { to } => Answer::Redirect {
--- a/crates/controller/src/updates.rs
+++ b/crates/control-plane/src/updates.rs
@@ -39,8 +39,8 @@
             return change.clone();
         }
         let change = Some(self.new).filter(|new| ***new != **old);
-        let change =
-            change.map(|new| gazetteer::change(old, new).unwrap_or_else(|| Placement::clone(new)));
+        let change = change
+            .map(|new| name_directory::change(old, new).unwrap_or_else(|| Placement::clone(new)));
         self.known.push((old.clone(), change.clone()));
         change
     }
--- a/crates/controller/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -6,13 +6,14 @@
 //! votes along, and the nodes that are left never decide that they are enough.
 
 use crate::node::{Answer, ControlNode, Effect};
-use address::{Code, majority};
+use config::Sheet;
 use membership::ALIVE;
+use protocol::majority;
 use protocol::{Payload, VoterLeaving};
 use quorum_register::{Change, Event};
+use result_code::ResultCode;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tariff::Sheet;
 
 /// How often the voters are looked at.
 const LOOK_EVERY: Duration = Duration::from_millis(250);
@@ -122,12 +123,12 @@
         now: Duration,
         add: Option<String>,
         remove: Option<String>,
-    ) -> Result<Vec<String>, Code> {
+    ) -> Result<Vec<String>, ResultCode> {
         if !self.is_current(now) {
-            return Err(Code::Stale);
+            return Err(ResultCode::Stale);
         }
         if !self.may_begin_change(now) {
-            return Err(Code::VotersBusy);
+            return Err(ResultCode::VotersBusy);
         }
         let voters = &self.register.state().voter_set.voters;
         let unknown = remove.as_ref().is_some_and(|node| !voters.contains(node));
@@ -135,7 +136,7 @@
             .as_ref()
             .is_some_and(|node| !self.candidates(now).contains(node) || !self.has_caught_up(node));
         if unknown || unfit {
-            return Err(Code::VoterUnfit);
+            return Err(ResultCode::VoterUnfit);
         }
         let kept = voters
             .iter()
@@ -147,7 +148,7 @@
             .filter(|voter| self.has_caught_up(voter))
             .count();
         if after.is_empty() || caught_up < majority(after.len()) {
-            Err(Code::VoterUnfit)
+            Err(ResultCode::VoterUnfit)
         } else {
             Ok(after)
         }
@@ -263,12 +264,12 @@
     /// True once a node that was told to end owes nobody anything: its place is taken, or cannot be.
     ///
     /// ```
-    /// # let times = controller::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// # let start = controller::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
-    /// let mut control = controller::ControlNode::new(start);
+    /// let mut control = control_plane::ControlNode::new(start);
     /// assert!(!control.may_end());
-    /// control.step(Default::default(), controller::Event::Close);
+    /// control.step(Default::default(), control_plane::Event::Close);
     /// assert!(control.may_end());
     /// ```
     pub fn may_end(&self) -> bool {
@@ -278,10 +279,10 @@
     /// Who votes, as far as this node knows.
     ///
     /// ```
-    /// # let times = controller::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// # let start = controller::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
-    /// assert!(controller::ControlNode::new(start).voters().is_empty());
+    /// assert!(control_plane::ControlNode::new(start).voters().is_empty());
     /// ```
     pub fn voters(&self) -> Vec<String> {
         self.register.voter_set().members().cloned().collect()
--- a/crates/controller/tests/anonymous_orders.rs
+++ b/crates/control-plane/tests/anonymous_orders.rs
@@ -2,13 +2,13 @@
 
 mod site;
 
-use address::Code;
-use controller::{Answer, Ask, Event};
+use control_plane::{Answer, Ask, Event};
+use result_code::ResultCode;
 use site::{Site, site};
 use std::time::Duration;
 
 /// The code of the answer to an order to evacuate, after a moment.
-fn evacuated(site: &mut Site, back: bool) -> Option<Code> {
+fn evacuated(site: &mut Site, back: bool) -> Option<ResultCode> {
     let ask = Ask::Evacuate {
         id: Default::default(),
         locality: "north/n1".into(),
@@ -27,10 +27,10 @@
 fn an_evacuation_without_an_id_is_begun_and_ended() {
     let mut site = site();
     let before = site.control.edition();
-    assert_eq!(evacuated(&mut site, false), Some(Code::Fine));
-    assert_eq!(evacuated(&mut site, false), Some(Code::Fine));
-    assert_eq!(evacuated(&mut site, true), Some(Code::Fine));
-    assert_eq!(evacuated(&mut site, false), Some(Code::Fine));
+    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Fine));
+    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Fine));
+    assert_eq!(evacuated(&mut site, true), Some(ResultCode::Fine));
+    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Fine));
     assert_eq!(site.control.edition(), before + 3);
 }
 
@@ -41,10 +41,10 @@
     site.now += Duration::from_secs(3);
     assert_eq!(
         evacuated(&mut site, false),
-        Some(Code::Stale),
+        Some(ResultCode::Stale),
         "it may be three seconds old"
     );
     assert_eq!(site.control.edition(), before);
     site.run(Duration::from_millis(500));
-    assert_eq!(evacuated(&mut site, false), Some(Code::Fine));
+    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Fine));
 }
--- a/crates/controller/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -1,14 +1,14 @@
 //! What a control node answers while it is cut off from the others: nothing is confirmed, handed out or acknowledged
 //! without contact with a majority since the question came, and the caller hears so at once.
 
-use address::Code;
-use controller::{Answer, Ask, ControlNode, Effect, Event, Start};
-use gazetteer::View;
+use control_plane::{Answer, Ask, ControlNode, Effect, Event, Start};
+use name_directory::View;
 use protocol::{
     ClusterState, Departure, DurableState, Heard, Member, Payload, Probe, UpdateRequest, Upstream,
     ViewUpdate, VoterSet,
 };
 use quorum_register::OrderId;
+use result_code::ResultCode;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -258,7 +258,7 @@
             }
         });
         let upstreams = view.upstreams.values().flat_map(|service| service.values());
-        let at_work = upstreams.filter(|upstream| upstream.condition == enrolment::READY);
+        let at_work = upstreams.filter(|upstream| upstream.condition == upstream_registry::READY);
         vouched.then(|| at_work.map(|upstream| upstream.instance.clone()).collect())
     }
 
@@ -267,7 +267,7 @@
         let Some(Answer::Sheet(sheet)) = self.answer_at_once(at, Ask::Upstreams) else {
             return None;
         };
-        let tariff::Sheet::List(rows) = sheet else {
+        let config::Sheet::List(rows) = sheet else {
             return None;
         };
         let row = rows
@@ -291,7 +291,7 @@
 }
 
 fn control(node: &str, departures: Vec<Departure>) -> ControlNode {
-    let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).expect("no flags");
+    let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
     let roster: Vec<String> = NODES.iter().map(|node| (*node).to_owned()).collect();
     let accepted = ClusterState {
         voter_set: VoterSet::new(roster.clone()),
@@ -312,7 +312,7 @@
         },
         setups: Default::default(),
         departures,
-        times: controller::shell::times(&settings),
+        times: control_plane::shell::times(&settings),
     })
 }
 
@@ -339,9 +339,9 @@
 }
 
 fn acknowledged(answer: &Option<Answer>) -> bool {
-    let fine = Code::Fine;
+    let fine = ResultCode::Fine;
     matches!(answer, Some(Answer::Beat { .. } | Answer::Setup { .. }))
-        || matches!(answer, Some(Answer::Verdict { code, .. }) if *code == fine || *code == Code::NoWord)
+        || matches!(answer, Some(Answer::Verdict { code, .. }) if *code == fine || *code == ResultCode::NoWord)
 }
 
 /// Every question whose answer confirms, acknowledges or hands out something.
@@ -349,10 +349,10 @@
     vec![
         Ask::ReadSetup,
         evacuate(&format!("order-{turn}")),
-        Ask::Beat(beat(turn + 2, enrolment::READY)),
+        Ask::Beat(beat(turn + 2, upstream_registry::READY)),
         Ask::Beat(Upstream {
             instance: "leaver".into(),
-            ..beat(turn + 2, enrolment::LEAVING)
+            ..beat(turn + 2, upstream_registry::LEAVING)
         }),
         Ask::SignOff {
             instance: "u".into(),
@@ -387,7 +387,7 @@
         .for_each(|(hears, speaks)| {
             [true, false].into_iter().for_each(|holder| {
                 let mut site = Site::settled();
-                site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
+                site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
                 let at = if holder {
                     site.holder()
                 } else {
@@ -402,7 +402,7 @@
                         matches!(
                             answer,
                             Some(Answer::Verdict {
-                                code: Code::Stale,
+                                code: ResultCode::Stale,
                                 ..
                             })
                         ),
@@ -437,13 +437,13 @@
         .into_iter()
         .for_each(|(hears, speaks)| {
             let mut site = Site::settled();
-            site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
+            site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
             let at = site.bystander();
             site.cut_off(at, hears, speaks);
             let asks = [
                 Ask::ReadSetup,
                 evacuate("order"),
-                Ask::Beat(beat(2, enrolment::LEAVING)),
+                Ask::Beat(beat(2, upstream_registry::LEAVING)),
                 Ask::SignOff {
                     instance: "u".into(),
                 },
@@ -484,7 +484,7 @@
         matches!(
             answer,
             Answer::Verdict {
-                code: Code::SetupUnknown,
+                code: ResultCode::SetupUnknown,
                 ..
             }
         ),
@@ -546,7 +546,8 @@
                     }
                     match site.answers.remove(&token).map(|(_, answer)| answer) {
                         Some(Answer::Verdict {
-                            code: Code::Fine, ..
+                            code: ResultCode::Fine,
+                            ..
                         }) => break site.now - asked_at,
                         Some(Answer::Redirect { to }) if hops < 2 => {
                             hops += 1;
@@ -573,7 +574,7 @@
 #[test]
 fn an_acknowledged_leaving_is_known_to_every_node_that_is_current() {
     let mut site = Site::settled();
-    site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
+    site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
     let other = |at: usize| (at + 1) % NODES.len();
     // What is said of upstreams between two nodes gets lost, both ways; confirmations don't.
     site.loses = |from, to, body| {
@@ -585,7 +586,7 @@
     };
     let at = other(0);
     assert!(acknowledged(
-        &site.answer(at, Ask::Beat(beat(2, enrolment::LEAVING)))
+        &site.answer(at, Ask::Beat(beat(2, upstream_registry::LEAVING)))
     ));
     site.run_for(600);
     assert_eq!(site.condition(3, "u").as_deref(), Some("leaving"));
@@ -608,10 +609,10 @@
     site.cut_off(at, false, false);
     site.cuts.remove(&(at, reached));
     site.cuts.remove(&(reached, at));
-    let answer = site.answer(at, Ask::Beat(beat(2, enrolment::LEAVING)));
+    let answer = site.answer(at, Ask::Beat(beat(2, upstream_registry::LEAVING)));
     assert!(answer.is_some() && !acknowledged(&answer), "{answer:?}");
     // It told whom it could, and that one gets it acknowledged.
-    let token = site.ask(reached, Ask::Beat(beat(3, enrolment::LEAVING)));
+    let token = site.ask(reached, Ask::Beat(beat(3, upstream_registry::LEAVING)));
     let asked_at = site.now;
     site.run_for(200);
     let (answered_at, answer) = site.answers.remove(&token).expect("an answer");
@@ -631,7 +632,7 @@
             instance: "u".into()
         }
     )));
-    site.answer(2, Ask::Beat(beat(9, enrolment::READY)));
+    site.answer(2, Ask::Beat(beat(9, upstream_registry::READY)));
     site.run_for(600);
     (0..NODES.len()).for_each(|at| {
         let known = site.condition(at, "u");
@@ -647,7 +648,7 @@
 #[test]
 fn what_a_cut_off_node_was_told_is_known_once_it_is_back() {
     let mut site = Site::settled();
-    site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
+    site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
     let at = site.bystander();
     site.cut_off(at, false, false);
     assert!(!acknowledged(&site.answer(
@@ -669,7 +670,7 @@
 /// those two that nobody else needs from the rest.
 fn departed_with_three_of_five(departure: Ask) -> Site {
     let mut site = Site::settled();
-    site.answer(0, Ask::Beat(beat(1, enrolment::READY)));
+    site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
     site.run_for(600);
     site.split(&[3, 4]);
     let token = site.ask(0, departure);
@@ -687,7 +688,7 @@
         instance: "unknown".into(),
     };
     [
-        Ask::Beat(beat(2, enrolment::LEAVING)),
+        Ask::Beat(beat(2, upstream_registry::LEAVING)),
         Ask::SignOff {
             instance: "u".into(),
         },
@@ -700,9 +701,9 @@
     match departure {
         Ask::SignOff { instance } => Upstream {
             instance: instance.clone(),
-            ..beat(1, enrolment::READY)
+            ..beat(1, upstream_registry::READY)
         },
-        _ => beat(1, enrolment::READY),
+        _ => beat(1, upstream_registry::READY),
     }
 }
 
--- a/crates/controller/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -3,10 +3,10 @@
 #[path = "../../storage/tests/simulated/mod.rs"]
 mod simulated;
 
-use address::Random;
-use controller::disk::{Disk, DiskReport, Pauses, Write, merge};
+use control_plane::disk::{Disk, DiskReport, Pauses, Write, merge};
 use protocol::DurableState;
 use quorum_register::{Change, Effect, Event, Register, Start, Times, VoterPhase};
+use random::Random;
 use simulated::{Loss, Omits, SimulatedDisk};
 use std::collections::{BTreeSet, VecDeque};
 use std::path::Path;
@@ -176,7 +176,7 @@
     }
 }
 
-/// As many as `controller::disk` lets wait.
+/// As many as `control_plane::disk` lets wait.
 const QUEUE_ROOM: u64 = 256;
 
 #[test]
--- a/crates/controller/tests/gossip.rs
+++ b/crates/control-plane/tests/gossip.rs
@@ -1,6 +1,6 @@
 //! What postmasters tell one another of upstreams, and how lost news is made good.
 
-use controller::{Ask, ControlNode, Effect, Event, Start};
+use control_plane::{Ask, ControlNode, Effect, Event, Start};
 use protocol::{
     Alive, Heard, Member, Message, Payload, Probe, Upstream, UpstreamsReply, UpstreamsRequest,
 };
@@ -22,7 +22,7 @@
 
 /// A postmaster that knows one other in its zone, and two in another region.
 fn control(node: &str) -> ControlNode {
-    let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).expect("no flags");
+    let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
     let all = [
         ("a", "north/n1"),
         ("b", "north/n1"),
@@ -44,7 +44,7 @@
         durable: Default::default(),
         setups: Default::default(),
         departures: vec![],
-        times: controller::shell::times(&settings),
+        times: control_plane::shell::times(&settings),
     });
     let members = all
         .iter()
@@ -149,13 +149,16 @@
 #[test]
 fn news_goes_to_all_at_once_and_what_goes_on_in_batches_by_turns() {
     let mut a = control("a");
-    let told: Vec<String> = beat(&mut a, 1000, unit(1, enrolment::READY))
+    let told: Vec<String> = beat(&mut a, 1000, unit(1, upstream_registry::READY))
         .into_iter()
         .map(|(to, _)| to)
         .collect();
     assert_eq!(told, ["b", "c", "d"]);
     ticked(&mut a, 1000, 1400);
-    assert_eq!(beat(&mut a, 1400, unit(2, enrolment::READY)), vec![]);
+    assert_eq!(
+        beat(&mut a, 1400, unit(2, upstream_registry::READY)),
+        vec![]
+    );
     let told = ticked(&mut a, 1450, 2500);
     let far: Vec<(&str, bool)> = batches(&told)
         .into_iter()
@@ -176,7 +179,7 @@
             .all(|(_, body)| matches!(body, Payload::Alive(_))),
         "nothing in full"
     );
-    let told: Vec<String> = beat(&mut a, 2500, unit(3, enrolment::GONE))
+    let told: Vec<String> = beat(&mut a, 2500, unit(3, upstream_registry::GONE))
         .into_iter()
         .map(|(to, _)| to)
         .collect();
@@ -187,9 +190,9 @@
 fn lost_news_and_a_lost_farewell_are_asked_for_with_the_next_batch() {
     let (mut a, mut c, mut d) = (control("a"), control("c"), control("d"));
     [
-        (1, enrolment::READY),
-        (2, enrolment::LEAVING),
-        (3, enrolment::GONE),
+        (1, upstream_registry::READY),
+        (2, upstream_registry::LEAVING),
+        (3, upstream_registry::GONE),
     ]
     .into_iter()
     .for_each(|(number, condition)| {
@@ -294,7 +297,7 @@
             .expect("a batch to the south");
         (far.0.to_owned(), far.1.clone())
     };
-    beat(&mut a, 1000, unit(1, enrolment::READY));
+    beat(&mut a, 1000, unit(1, upstream_registry::READY));
     let (_, ready) = batch_to_the_south(&ticked(&mut a, 1000, 1600));
     // What is told at once gets lost.
     said(
@@ -328,7 +331,7 @@
         2500,
         Event::Ask {
             token: 2500,
-            ask: Ask::Beat(unit(9, enrolment::READY)),
+            ask: Ask::Beat(unit(9, upstream_registry::READY)),
         },
     );
     let answers = said(
@@ -364,7 +367,7 @@
     };
     assert_eq!(
         (beats.upstreams[0].beat, beats.upstreams[0].condition),
-        (u64::MAX, enrolment::GONE)
+        (u64::MAX, upstream_registry::GONE)
     );
     said(
         near,
--- a/crates/controller/tests/keys.rs
+++ b/crates/control-plane/tests/keys.rs
@@ -1,8 +1,8 @@
 //! Numeric keys at a control node that holds the placement lease: who is given what after jumps, restarts and changes
 //! of the lease. One node founds the whole control plane, so nothing but its own state and disk decides.
 
-use address::KEYS;
-use controller::{Answer, Ask, ControlNode, Effect, Event, Start};
+use control_plane::{Answer, Ask, ControlNode, Effect, Event, Start};
+use key_space::KEY_COUNT;
 use protocol::{
     DurableState, Holder, Member, Payload, Share, SharesReply, SharesRequest, UpdateRequest,
     Upstream, ViewUpdate,
@@ -38,20 +38,20 @@
     seed: u64,
     trusts_jumps: bool,
 ) -> ControlNode {
-    let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).expect("no flags");
+    let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
     let me = Member {
         node: "a".into(),
         locality: "n/n1".into(),
         roles: "postmaster".into(),
         ..Member::default()
     };
-    let times = controller::shell::times(&settings);
+    let times = control_plane::shell::times(&settings);
     let longest_step = if trusts_jumps {
         Duration::MAX
     } else {
         times.longest_step
     };
-    let times = controller::Times {
+    let times = control_plane::Times {
         longest_step,
         ..times
     };
@@ -207,7 +207,7 @@
     let mut site = Site::new(trusts_jumps);
     assert_eq!(
         keys(&site.beat("u", 1, &[])),
-        KEYS,
+        KEY_COUNT,
         "the founder gives at once"
     );
     let mut beat = 0;
@@ -292,7 +292,7 @@
     // A fence that this lease never gave is not believed.
     let forged = Share {
         from: 0,
-        until: KEYS,
+        until: KEY_COUNT,
         epoch: second + 5,
         ..Share::default()
     };
@@ -315,7 +315,7 @@
     };
     let reply = |nonce| {
         let shares = vec![Share {
-            until: KEYS,
+            until: KEY_COUNT,
             epoch: 1000 << 24,
             instance: "u".into(),
             ..Share::default()
@@ -364,7 +364,7 @@
     let mut site = Site::new(false);
     assert_eq!(
         keys(&site.beat("u", 1, &[])),
-        KEYS,
+        KEY_COUNT,
         "the founder gives at once"
     );
     site.step(Event::Ask {
@@ -390,7 +390,7 @@
         "it may serve on after its sign-off"
     );
     assert_eq!(given_after_signing_off(2900), 0);
-    assert_eq!(given_after_signing_off(4500), KEYS);
+    assert_eq!(given_after_signing_off(4500), KEY_COUNT);
 }
 
 /// After all control nodes started anew nobody holds the placement lease, and carriers are told what the upstreams say that
@@ -403,7 +403,7 @@
     let mut site = Site::new(false);
     site.restart();
     site.wait(500);
-    let width = KEYS / (UPSTREAMS * ROWS);
+    let width = KEY_COUNT / (UPSTREAMS * ROWS);
     (0..UPSTREAMS).for_each(|upstream| {
         let from = |row| (row * UPSTREAMS + upstream) * width;
         let row = |row| Share {
--- a/crates/controller/tests/repair.rs
+++ b/crates/control-plane/tests/repair.rs
@@ -1,10 +1,10 @@
 //! A node whose disk lacks what its state names says so, and takes it from the others.
 
-use controller::{Answer, Ask, ControlNode, Effect, Event, Start};
+use config::Sheet;
+use control_plane::{Answer, Ask, ControlNode, Effect, Event, Start};
 use protocol::{ClusterState, DurableState, Member, Payload, SetupAsk, SetupBytes, VoterSet};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tariff::Sheet;
 
 const SETUP: &[u8] = br#"{"services": {}, "routes": []}"#;
 
@@ -28,7 +28,7 @@
         accepted,
         ..Default::default()
     };
-    let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap();
+    let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
     let me = Member {
         node: "pm-1".into(),
         roles: "postmaster".into(),
@@ -44,7 +44,7 @@
         durable,
         setups,
         departures: vec![],
-        times: controller::shell::times(&settings),
+        times: control_plane::shell::times(&settings),
     })
 }
 
--- a/crates/controller/tests/site/mod.rs
+++ b/crates/control-plane/tests/site/mod.rs
@@ -1,9 +1,9 @@
 //! A site of one voter, for tests.
 #![allow(dead_code, reason = "not every test uses all of it")]
 
-use address::Code;
-use controller::{Answer, Ask, ControlNode, Effect, Event, Start};
+use control_plane::{Answer, Ask, ControlNode, Effect, Event, Start};
 use protocol::{Member, Payload, UpdateRequest, ViewUpdate};
+use result_code::ResultCode;
 use std::time::Duration;
 
 const SETUP: &str = include_str!("../../../../docs/example-setup.json");
@@ -18,7 +18,7 @@
 
 impl Site {
     pub fn new() -> Site {
-        let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).expect("no flags");
+        let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
         let me = Member {
             node: "a".into(),
             locality: "north/n1".into(),
@@ -38,7 +38,7 @@
             durable: Default::default(),
             setups: Default::default(),
             departures: vec![],
-            times: controller::shell::times(&settings),
+            times: control_plane::shell::times(&settings),
         });
         Site {
             control,
@@ -78,7 +78,7 @@
         let fine = matches!(
             self.answers.pop(),
             Some(Answer::Verdict {
-                code: Code::Fine,
+                code: ResultCode::Fine,
                 ..
             })
         );
--- a/crates/carrier/src/core.rs
+++ b/crates/data-plane/src/core.rs
@@ -1,10 +1,11 @@
 //! What a carrier decides away from the path of requests: whom it follows and how old its view is.
 
 use crate::pending_loads::PendingLoads;
-use address::{Locality, Random};
-use gazetteer::{Proxy, SetupReader, View};
+use locality::Locality;
 use membership::Membership;
+use name_directory::{Proxy, SetupReader, View};
 use protocol::{Freshness, KeyLoad, Member, Payload, UpdateAck, UpdateRequest, ViewUpdate};
+use random::Random;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -160,9 +161,9 @@
     /// A carrier that knows nothing yet.
     ///
     /// ```
-    /// # let times = carrier::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// let start = carrier::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
-    /// assert_eq!(carrier::Carrier::new(start).view().edition, 0);
+    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
+    /// assert_eq!(data_plane::Carrier::new(start).view().edition, 0);
     /// ```
     pub fn new(start: Start) -> Self {
         let Start {
@@ -207,9 +208,9 @@
     /// The view to publish.
     ///
     /// ```
-    /// # let times = carrier::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// # let start = carrier::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
-    /// assert_eq!(carrier::Carrier::new(start).view().as_of, None);
+    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
+    /// assert_eq!(data_plane::Carrier::new(start).view().as_of, None);
     /// ```
     pub fn view(&self) -> &View {
         &self.view
@@ -218,11 +219,11 @@
     /// Whether it serves, closes or denies.
     ///
     /// ```
-    /// # let times = carrier::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// # let start = carrier::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
-    /// use carrier::{Event, Phase};
+    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
+    /// use data_plane::{Event, Phase};
     /// use std::time::Duration;
-    /// let mut carrier = carrier::Carrier::new(start);
+    /// let mut carrier = data_plane::Carrier::new(start);
     /// carrier.step(Duration::ZERO, Event::Close);
     /// carrier.step(Duration::from_secs(1), Event::Tick);
     /// assert!(matches!(carrier.phase(), Phase::Closing { .. }), "origins may still have its address");
@@ -242,9 +243,9 @@
     /// Postmasters that membership knows, the one followed first.
     ///
     /// ```
-    /// # let times = carrier::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// # let start = carrier::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
-    /// assert!(carrier::Carrier::new(start).postmasters().is_empty());
+    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
+    /// assert!(data_plane::Carrier::new(start).postmasters().is_empty());
     /// ```
     pub fn postmasters(&self) -> Vec<String> {
         let first = self.source().map(str::to_owned);
@@ -259,10 +260,10 @@
     /// The one reducer: takes an event in, gives effects out.
     ///
     /// ```
-    /// # let times = carrier::shell::times(&tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap());
-    /// # let start = carrier::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
-    /// let mut carrier = carrier::Carrier::new(start);
-    /// assert!(carrier.step(Default::default(), carrier::Event::Tick).is_empty(), "nobody to ask");
+    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
+    /// let mut carrier = data_plane::Carrier::new(start);
+    /// assert!(carrier.step(Default::default(), data_plane::Event::Tick).is_empty(), "nobody to ask");
     /// ```
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         match event {
@@ -345,7 +346,7 @@
         let me = self.me.node.clone();
         self.postmasters.sort_by_key(|member| {
             let place: Locality = member.locality.parse().unwrap_or_default();
-            let spread = address::spread(&format!("{me}{}", member.node));
+            let spread = random::stable_hash(&format!("{me}{}", member.node));
             (
                 member.condition != membership::ALIVE,
                 place.region != here.region,
--- a/crates/carrier/src/dialect.rs
+++ b/crates/data-plane/src/dialect.rs
@@ -1,15 +1,16 @@
 //! What a carrier speaks with origins and upstreams, as policies: the product's own way is [`Dialect::own`], and an
 //! adapter to another site's way brings its own.
 
-use address::{Code, Locality};
 use bytes::Bytes;
-use gazetteer::{Listing, SetupReader};
+use config::Sheet;
 use http_body_util::Full;
 use hyper::{HeaderMap, Response};
+use locality::Locality;
+use name_directory::{Listing, SetupReader};
 use protocol::Share;
-use sorting::{Load, Order, Outcome};
+use request_routing::{Load, Order, Outcome};
+use result_code::ResultCode;
 use std::time::Duration;
-use tariff::Sheet;
 use transport::{Called, Enquiry, Reply};
 
 /// Where a question came in.
@@ -58,13 +59,13 @@
 }
 
 type Paging = dyn Fn(Door, &Enquiry) -> Page + Send + Sync;
-type Ordering = dyn Fn(&Enquiry) -> Result<Order, Code> + Send + Sync;
+type Ordering = dyn Fn(&Enquiry) -> Result<Order, ResultCode> + Send + Sync;
 type Aiming = dyn Fn(&Enquiry, &Order) -> String + Send + Sync;
 type Heading = dyn Fn(&Enquiry, &Order, Call) -> HeaderMap + Send + Sync;
 type Judging = dyn Fn(&Result<Reply, Called>, &str, Option<&str>) -> Outcome + Send + Sync;
 type Weighing = dyn Fn(&Reply) -> Option<Load> + Send + Sync;
 type Passing = dyn Fn(&Reply) -> Response<Full<Bytes>> + Send + Sync;
-type Denying = dyn Fn(Code, Option<Duration>, &str) -> Response<Full<Bytes>> + Send + Sync;
+type Denying = dyn Fn(ResultCode, Option<Duration>, &str) -> Response<Full<Bytes>> + Send + Sync;
 type Telling = dyn Fn(Listing) -> Response<Full<Bytes>> + Send + Sync;
 
 /// How questions are read and answers written.
@@ -100,7 +101,7 @@
     ///
     /// ```
     /// let reply = transport::Reply { status: 200, headers: Default::default(), body: Default::default() };
-    /// assert_eq!((carrier::Dialect::own().load)(&reply), None);
+    /// assert_eq!((data_plane::Dialect::own().load)(&reply), None);
     /// ```
     pub fn own() -> Dialect {
         Dialect {
@@ -126,14 +127,14 @@
                     .map(|address| Sheet::from(address.as_str()))
                     .collect();
                 let sheet = Sheet::fields([
-                    ("code", u64::from(Code::Fine.number()).into()),
+                    ("code", u64::from(ResultCode::Fine.number()).into()),
                     ("name", listing.name.into()),
                     ("locality", listing.locality.into()),
                     ("epoch", listing.epoch.into()),
                     ("proxies", proxies),
                     ("lifetimeMs", (listing.lifetime.as_millis() as u64).into()),
                 ]);
-                transport::json(Code::Fine, &sheet)
+                transport::json(ResultCode::Fine, &sheet)
             }),
             reader: SetupReader::default(),
             most_addresses: 3,
--- a/crates/carrier/src/node.rs
+++ b/crates/data-plane/src/node.rs
@@ -2,19 +2,20 @@
 
 use crate::dialect::{Dialect, Door, Page};
 use crate::traces::Traces;
-use address::{Code, Locality};
 use arc_swap::ArcSwap;
 use bytes::Bytes;
+use config::Sheet;
 use dashmap::DashMap;
-use gazetteer::View;
 use http_body_util::Full;
 use hyper::Response;
+use locality::Locality;
+use name_directory::View;
 use protocol::KeyLoad;
-use sorting::{Board, Note, Order, Site};
+use request_routing::{Board, Note, Order, Site};
+use result_code::ResultCode;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
-use tariff::Sheet;
 use transport::{Caller, Clock, Enquiry, Pool};
 
 #[derive(Default)]
@@ -61,8 +62,8 @@
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
     /// # use std::{sync::Arc, time::Duration};
-    /// use carrier::{Dialect, Door, Node, NodeTerms};
-    /// let site = sorting::Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// use data_plane::{Dialect, Door, Node, NodeTerms};
+    /// let site = request_routing::Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// let terms = NodeTerms {
     ///     clock: transport::Clock::default(),
     ///     keeps_connections: true,
@@ -137,17 +138,17 @@
         match (self.dialect.page)(door, &enquiry) {
             Page::Request if serves("proxy") => self.carry(enquiry).await,
             Page::Listing { name, origin } if serves("directory") => self.list(&name, origin),
-            Page::Live => transport::verdict(Code::Fine, None),
+            Page::Live => transport::verdict(ResultCode::Fine, None),
             Page::Ready => {
                 let code = self.ready();
-                transport::verdict(code, retry.filter(|_| code != Code::Fine))
+                transport::verdict(code, retry.filter(|_| code != ResultCode::Fine))
             }
             Page::Counters => self.show_counters(),
             Page::Node => self.show_node(),
             Page::Trace { try_id } => self.show_trace(&try_id),
             Page::Supposed => self.show_supposed(&enquiry),
             Page::Relay => self.relay(enquiry).await,
-            _ => transport::verdict(Code::NoSuchPage, None),
+            _ => transport::verdict(ResultCode::NoSuchPage, None),
         }
     }
 
@@ -155,16 +156,16 @@
         self.denying.load(Ordering::Acquire)
     }
 
-    pub(crate) fn count(&self, code: Code) {
+    pub(crate) fn count(&self, code: ResultCode) {
         *self.counters.codes.entry(code.number()).or_insert(0) += 1;
     }
 
-    fn ready(&self) -> Code {
+    fn ready(&self) -> ResultCode {
         let fresh = self.site.may_use(&self.view.load(), self.clock.now());
         match (self.closing.load(Ordering::Acquire), fresh) {
-            (true, _) => Code::Closing,
-            (false, false) => Code::Stale,
-            (false, true) => Code::Fine,
+            (true, _) => ResultCode::Closing,
+            (false, false) => ResultCode::Stale,
+            (false, true) => ResultCode::Fine,
         }
     }
 
@@ -172,10 +173,10 @@
         self.counters.listings.fetch_add(1, Ordering::Relaxed);
         let view = self.view.load();
         let Some(origin) = origin else {
-            return self.deny(Code::Malformed, None, "");
+            return self.deny(ResultCode::Malformed, None, "");
         };
         let listed = if self.site.may_use(&view, self.clock.now()) {
-            gazetteer::list(
+            name_directory::list(
                 &view,
                 name,
                 &origin,
@@ -183,11 +184,11 @@
                 (self.site.owners, self.dialect.most_addresses),
             )
         } else {
-            Err(Code::Stale)
+            Err(ResultCode::Stale)
         };
         let salt = || format!("{name}{origin}");
         listed.map_or_else(
-            |code| self.deny(code, sorting::come_back(code, 0.0, &salt()), ""),
+            |code| self.deny(code, request_routing::come_back(code, 0.0, &salt()), ""),
             |listing| (self.dialect.listing)(listing),
         )
     }
@@ -232,7 +233,7 @@
             ),
             ("codes", Sheet::Fields(codes)),
         ]);
-        transport::json(Code::Fine, &sheet)
+        transport::json(ResultCode::Fine, &sheet)
     }
 
     fn show_node(&self) -> Response<Full<Bytes>> {
@@ -251,10 +252,10 @@
             ("roles", self.roles.as_str().into()),
             ("edition", view.edition.into()),
             ("ageMs", age_ms.unwrap_or(Sheet::Null)),
-            ("ready", (self.ready() == Code::Fine).into()),
+            ("ready", (self.ready() == ResultCode::Fine).into()),
             ("proxies", proxies.collect()),
         ]);
-        transport::json(Code::Fine, &sheet)
+        transport::json(ResultCode::Fine, &sheet)
     }
 
     /// What would be decided for such a request at this moment. Nothing is sent, and nothing is counted.
@@ -270,7 +271,7 @@
             remaining: Duration::from_secs(1),
             ..Order::default()
         };
-        let notes = sorting::suppose(
+        let notes = request_routing::suppose(
             order,
             &self.site,
             self.clock.now(),
@@ -282,18 +283,18 @@
 
     fn show_notes(&self, try_id: &str, notes: Vec<String>) -> Response<Full<Bytes>> {
         let sheet = Sheet::fields([
-            ("code", u64::from(Code::Fine.number()).into()),
+            ("code", u64::from(ResultCode::Fine.number()).into()),
             ("node", self.site.node.as_str().into()),
             ("tryId", try_id.into()),
             ("notes", notes.into_iter().map(Sheet::from).collect()),
         ]);
-        transport::json(Code::Fine, &sheet)
+        transport::json(ResultCode::Fine, &sheet)
     }
 
     fn show_trace(&self, try_id: &str) -> Response<Full<Bytes>> {
         let notes = self.traces.find(try_id);
         notes.map_or_else(
-            || transport::verdict(Code::NoSuchTrace, None),
+            || transport::verdict(ResultCode::NoSuchTrace, None),
             |notes| self.show_notes(try_id, notes),
         )
     }
--- a/crates/carrier/src/relay.rs
+++ b/crates/data-plane/src/relay.rs
@@ -1,10 +1,10 @@
 //! Operators and upstreams may call any node: a carrier passes what is not its own on to a postmaster.
 
 use crate::node::Node;
-use address::Code;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Response;
+use result_code::ResultCode;
 use std::time::Duration;
 use transport::{Called, Enquiry};
 
@@ -41,8 +41,8 @@
                         .header("x-code")
                         .parse()
                         .ok()
-                        .and_then(Code::from_number)
-                        .unwrap_or(Code::Garbage);
+                        .and_then(ResultCode::from_number)
+                        .unwrap_or(ResultCode::Garbage);
                     let mut response =
                         transport::answer(code, "application/json", reply.body.clone());
                     ["x-edition", "retry-after"].into_iter().for_each(|name| {
@@ -52,17 +52,22 @@
                         });
                     });
                     // A postmaster that is cut off, blank or closing surely did nothing: ask another.
-                    if !matches!(code, Code::Stale | Code::Closing | Code::Elsewhere) {
+                    if !matches!(
+                        code,
+                        ResultCode::Stale | ResultCode::Closing | ResultCode::Elsewhere
+                    ) {
                         return response;
                     }
                     last = Some(response);
                 }
                 Err(Called::NotConnected) => {}
                 Err(_) if read => {}
-                Err(_) => return transport::verdict(Code::SetupUnknown, None),
+                Err(_) => return transport::verdict(ResultCode::SetupUnknown, None),
             }
         }
-        last.unwrap_or_else(|| transport::verdict(Code::NoPostmaster, Some(Duration::from_secs(1))))
+        last.unwrap_or_else(|| {
+            transport::verdict(ResultCode::NoPostmaster, Some(Duration::from_secs(1)))
+        })
     }
 }
 
--- a/crates/carrier/src/serve.rs
+++ b/crates/data-plane/src/serve.rs
@@ -2,11 +2,11 @@
 
 use crate::dialect::Call;
 use crate::node::Node;
-use address::Code;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{HeaderMap, Response};
-use sorting::{Bell, Journey, Move, Order, Outcome};
+use request_routing::{Bell, Journey, Move, Order, Outcome};
+use result_code::ResultCode;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// Headers that a verdict carries from the upstream to the origin.
 ///
 /// ```
-/// assert!(carrier::service_headers().contains(&"x-seal"));
+/// assert!(data_plane::service_headers().contains(&"x-seal"));
 /// ```
 pub fn service_headers() -> [&'static str; 7] {
     [
@@ -37,7 +37,7 @@
 /// says that the upstream did not and will not run it.
 ///
 /// ```
-/// use sorting::Outcome;
+/// use request_routing::Outcome;
 /// use transport::{Called, Reply};
 /// let seal = protocol::seal("t", "a", 200, b"fine");
 /// let reply = |seal: &str, body: &'static str| {
@@ -47,11 +47,11 @@
 ///     headers.insert("x-seal", seal.parse().unwrap());
 ///     Ok(Reply { status: 200, headers, body: body.into() })
 /// };
-/// assert_eq!(carrier::judge(&reply(&seal, "fine"), "t", Some("a")), Outcome::Sealed);
-/// assert_eq!(carrier::judge(&reply(&seal, "fin"), "t", Some("a")), Outcome::Garbage);
-/// assert_eq!(carrier::judge(&reply(&seal, "fine"), "t", Some("b")), Outcome::Replaced, "another instance's own");
-/// assert_eq!(carrier::judge(&reply(&seal, "fine"), "u", Some("a")), Outcome::Garbage);
-/// assert_eq!(carrier::judge(&Err(Called::Lost), "t", Some("a")), Outcome::Lost);
+/// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "t", Some("a")), Outcome::Sealed);
+/// assert_eq!(data_plane::judge(&reply(&seal, "fin"), "t", Some("a")), Outcome::Garbage);
+/// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "t", Some("b")), Outcome::Replaced, "another instance's own");
+/// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "u", Some("a")), Outcome::Garbage);
+/// assert_eq!(data_plane::judge(&Err(Called::Lost), "t", Some("a")), Outcome::Lost);
 /// ```
 pub fn judge(called: &Result<Reply, Called>, try_id: &str, instance: Option<&str>) -> Outcome {
     match called {
@@ -76,21 +76,21 @@
 }
 
 /// A request in the product's own way.
-pub(crate) fn own_order(enquiry: &Enquiry) -> Result<Order, Code> {
+pub(crate) fn own_order(enquiry: &Enquiry) -> Result<Order, ResultCode> {
     let (name, path) = enquiry
         .path
         .strip_prefix("/r/")
         .and_then(|rest| rest.find('/').map(|at| rest.split_at(at)))
-        .ok_or(Code::NoSuchName)?;
+        .ok_or(ResultCode::NoSuchName)?;
     let try_id = Some(enquiry.header("x-try-id"))
-        .filter(|try_id| address::is_id(try_id))
-        .ok_or(Code::MissingTry)?;
+        .filter(|try_id| locality::is_valid_id(try_id))
+        .ok_or(ResultCode::MissingTry)?;
     let remaining = enquiry
         .header("x-remaining-ms")
         .parse::<u64>()
         .ok()
         .filter(|remaining| (1..=MOST_REMAINING_MS).contains(remaining))
-        .ok_or(Code::MissingRemaining)?;
+        .ok_or(ResultCode::MissingRemaining)?;
     Ok(Order {
         try_id: try_id.to_owned(),
         name: name.to_owned(),
@@ -124,7 +124,7 @@
     let mut response = Response::new(Full::new(reply.body.clone()));
     *response.status_mut() = hyper::StatusCode::from_u16(reply.status).unwrap_or_default();
     let headers = response.headers_mut();
-    headers.insert("x-code", Code::Fine.number().into());
+    headers.insert("x-code", ResultCode::Fine.number().into());
     service_headers().into_iter().for_each(|name| {
         let value = reply.headers.get(name).cloned();
         value.into_iter().for_each(|value| {
@@ -143,7 +143,11 @@
             Ok(order) => order,
             Err((code, try_id)) => {
                 self.count(code);
-                return self.deny(code, sorting::come_back(code, 0.0, &try_id), &try_id);
+                return self.deny(
+                    code,
+                    request_routing::come_back(code, 0.0, &try_id),
+                    &try_id,
+                );
             }
         };
         let try_id = order.try_id.clone();
@@ -166,7 +170,7 @@
                 }
                 Move::Send { share, within } => {
                     let Some((open, instance)) = connection.take() else {
-                        break self.deny(Code::Lost, None, &try_id);
+                        break self.deny(ResultCode::Lost, None, &try_id);
                     };
                     let target = (self.dialect.target)(&enquiry, &order);
                     let call = Call {
@@ -225,11 +229,11 @@
                 Move::Pass => {
                     let passed = reply.as_ref().map(|reply| (self.dialect.pass)(reply));
                     self.count(if passed.is_some() {
-                        Code::Fine
+                        ResultCode::Fine
                     } else {
-                        Code::Lost
+                        ResultCode::Lost
                     });
-                    break passed.unwrap_or_else(|| self.deny(Code::Lost, None, &try_id));
+                    break passed.unwrap_or_else(|| self.deny(ResultCode::Lost, None, &try_id));
                 }
             };
             next = journey.after(self.clock.now(), &self.view.load(), &self.board, outcome);
@@ -240,7 +244,7 @@
 
     pub(crate) fn deny(
         &self,
-        code: Code,
+        code: ResultCode,
         retry_after: Option<Duration>,
         try_id: &str,
     ) -> Response<Full<Bytes>> {
@@ -271,18 +275,18 @@
             .header("x-code")
             .parse()
             .ok()
-            .and_then(Code::from_number);
+            .and_then(ResultCode::from_number);
         let denied =
-            reply.header("x-seal").is_empty() && code.is_some_and(|code| code != Code::Fine);
+            reply.header("x-seal").is_empty() && code.is_some_and(|code| code != ResultCode::Fine);
         let sealed = judge(&Ok(reply.clone()), try_id, None) != Outcome::Garbage;
         reply.header("x-try-id") == try_id && (denied || sealed)
     }
 
-    fn enrol(&self, enquiry: &Enquiry, bell: Bell) -> Result<Order, (Code, String)> {
+    fn enrol(&self, enquiry: &Enquiry, bell: Bell) -> Result<Order, (ResultCode, String)> {
         let order = (self.dialect.order)(enquiry)
             .map_err(|code| (code, enquiry.header("x-try-id").to_owned()))?;
         if self.is_closing() {
-            return Err((Code::Closing, order.try_id));
+            return Err((ResultCode::Closing, order.try_id));
         }
         Ok(Order {
             arrived_at: self.clock.now(),
--- a/crates/carrier/src/shell.rs
+++ b/crates/data-plane/src/shell.rs
@@ -3,14 +3,14 @@
 use crate::core::{Carrier, Effect, Event, Phase, Start, Times};
 use crate::dialect::{Dialect, Door};
 use crate::node::{Node, NodeTerms};
-use address::Locality;
+use config::{Setting, Settings, Shape};
 use error_stack::{Report, ResultExt};
-use gazetteer::Owners;
+use locality::Locality;
+use name_directory::Owners;
 use protocol::{Envelope, Member, Message};
-use sorting::Site;
+use request_routing::Site;
 use std::sync::Arc;
 use std::time::Duration;
-use tariff::{Setting, Settings, Shape};
 use tokio::sync::{mpsc, watch};
 use transport::{Clock, Doors, Links, NoStart, Program};
 
@@ -127,17 +127,17 @@
 
 /// What the carrier says of itself.
 pub const PROGRAM: Program = Program {
-    name: "carrier",
+    name: "data-plane",
     about: "The data plane of mothspindle: answers where names live and carries requests.",
-    tables: &[SETTINGS, tariff::TIMES],
+    tables: &[SETTINGS, config::TIMES],
     check: |_| Vec::new(),
 };
 
 /// The time values in the settings.
 ///
 /// ```
-/// let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).unwrap();
-/// assert_eq!(carrier::shell::times(&settings).ask_every.as_millis(), 500);
+/// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
+/// assert_eq!(data_plane::shell::times(&settings).ask_every.as_millis(), 500);
 /// ```
 pub fn times(settings: &Settings) -> Times {
     let ask_every = settings.span("confirm-every-ms");
@@ -157,8 +157,8 @@
 /// Runs a carrier until it is told to close. An error is why it could not start.
 ///
 /// ```no_run
-/// # async fn run(settings: tariff::Settings) {
-/// carrier::shell::run(settings, carrier::Dialect::own()).await.unwrap();
+/// # async fn run(settings: config::Settings) {
+/// data_plane::shell::run(settings, data_plane::Dialect::own()).await.unwrap();
 /// # }
 /// ```
 pub async fn run(settings: Settings, dialect: Dialect) -> Result<(), Report<NoStart>> {
--- a/crates/carrier/src/traces.rs
+++ b/crates/data-plane/src/traces.rs
@@ -1,7 +1,7 @@
 //! Why requests went where they went: a bounded memory of the latest.
 
 use dashmap::DashMap;
-use sorting::Note;
+use request_routing::Note;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 const MOST_TRACES: u64 = 4096;
@@ -19,7 +19,7 @@
     /// Keeps a request's notes, and forgets the oldest beyond the bound.
     ///
     /// ```
-    /// let traces = carrier::Traces::default();
+    /// let traces = data_plane::Traces::default();
     /// (0..5000).for_each(|at| traces.keep(format!("t{at}"), vec![]));
     /// assert!(traces.find("t0").is_none());
     /// assert!(traces.find("t4999").is_some());
@@ -37,8 +37,8 @@
     /// The notes of a try, as text.
     ///
     /// ```
-    /// let traces = carrier::Traces::default();
-    /// traces.keep("t".into(), vec![sorting::Note::Called]);
+    /// let traces = data_plane::Traces::default();
+    /// traces.keep("t".into(), vec![request_routing::Note::Called]);
     /// assert_eq!(traces.find("t").unwrap(), ["called: a seat may be free"]);
     /// ```
     pub fn find(&self, try_id: &str) -> Option<Vec<String>> {
--- a/crates/carrier/tests/following.rs
+++ b/crates/data-plane/tests/following.rs
@@ -1,6 +1,6 @@
 //! Which postmaster a carrier follows, and when it leaves it.
 
-use carrier::{Carrier, Effect, Event, Start};
+use data_plane::{Carrier, Effect, Event, Start};
 use protocol::{
     ClusterState, Freshness, Heard, KeyLoad, Member, Payload, Probe, UpdateRequest, Upstream,
     ViewUpdate,
@@ -24,14 +24,14 @@
 
 /// A carrier in north/n1 that knows three postmasters.
 fn carrier() -> Carrier {
-    let settings = tariff::Settings::read(&[tariff::TIMES], None, &[]).expect("no flags");
+    let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
     let me = member("c", "north/n1", "proxy,directory");
     let mut carrier = Carrier::new(Start {
         me,
         seeds: vec![],
         seed: 1,
         reader: Default::default(),
-        times: carrier::shell::times(&settings),
+        times: data_plane::shell::times(&settings),
     });
     let members = [
         ("far", "south/s1"),
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -9,8 +9,8 @@
 
 pub use hold_clock::{HoldClock, LONGEST_STEP};
 
-use address::Random;
 use protocol::{LeaseRelease, LeaseReply, LeaseRequest, Payload, VoterSet};
+use random::Random;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -37,7 +37,7 @@
     /// The marks of one part of the table.
     pub(crate) fn marks(&self, part: u64, parts: u64) -> Vec<u64> {
         let within =
-            |member: &Member| address::spread(&member.node).checked_rem(parts) == Some(part);
+            |member: &Member| random::stable_hash(&member.node).checked_rem(parts) == Some(part);
         self.there()
             .filter(|(member, _)| within(member))
             .map(|(_, mark)| mark)
@@ -102,7 +102,7 @@
     ) {
         let theirs: BTreeSet<u64> = marks.into_iter().collect();
         let within =
-            |member: &Member| address::spread(&member.node).checked_rem(parts) == Some(part);
+            |member: &Member| random::stable_hash(&member.node).checked_rem(parts) == Some(part);
         let lacked = self
             .there()
             .filter(|(member, mark)| within(member) && !theirs.contains(mark));
@@ -162,7 +162,7 @@
             .get(&member.node)
             .map(|known| supersedes(&member, &known.member));
         let fresh = newer.unwrap_or(member.condition < GONE && self.known.len() < MOST_MEMBERS);
-        if fresh && address::is_id(&member.node) {
+        if fresh && locality::is_valid_id(&member.node) {
             self.mind_region(&member);
             let mark = mark(&member);
             self.known.insert(
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,10 +11,10 @@
 
 pub use members::{ALIVE, GONE, LEFT, SUSPECT, supersedes};
 
-use address::Random;
 use dissemination::{MOST_MARKS, with};
 use members::unfolded;
 use protocol::{Heard, Member, Payload, Probe, ProbeFor};
+use random::Random;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,7 +1,7 @@
 //! Which of two records about a node counts.
 
-use address::Random;
 use protocol::{Member, Message};
+use random::Random;
 
 /// It answers.
 pub const ALIVE: u32 = 0;
--- a/crates/explorer/src/control_model.rs
+++ b/crates/model-checker/src/control_model.rs
@@ -101,7 +101,7 @@
     /// A founded roster with one replica that may take the place of the last voter.
     ///
     /// ```
-    /// assert_eq!(explorer::ControlScenario::new("quiet", 3).replicas, 1);
+    /// assert_eq!(model_checker::ControlScenario::new("quiet", 3).replicas, 1);
     /// ```
     pub fn new(name: &'static str, voters: usize) -> Self {
         ControlScenario {
@@ -263,7 +263,7 @@
     /// The scenario on the code as it is.
     ///
     /// ```
-    /// use explorer::{ControlModel, ControlScenario, Model};
+    /// use model_checker::{ControlModel, ControlScenario, Model};
     /// let model = ControlModel::new(ControlScenario::new("quiet", 3));
     /// assert!(model.violation(&model.initial()).is_none());
     /// ```
@@ -274,7 +274,7 @@
     /// The scenario with something taken away.
     ///
     /// ```
-    /// use explorer::{ControlDefect, ControlModel, ControlScenario, Model};
+    /// use model_checker::{ControlDefect, ControlModel, ControlScenario, Model};
     /// let model = ControlModel::with_defect(ControlScenario::new("quiet", 3), ControlDefect::AcceptsLackEpoch);
     /// assert!(model.violation(&model.initial()).is_none());
     /// ```
@@ -308,7 +308,7 @@
     /// The epoch of the last node that held the lease on the way to a state; 0 where none did.
     ///
     /// ```
-    /// use explorer::{ControlModel, ControlScenario, Model};
+    /// use model_checker::{ControlModel, ControlScenario, Model};
     /// let model = ControlModel::new(ControlScenario::new("quiet", 3));
     /// assert_eq!(model.last_epoch(&model.initial()), 0);
     /// ```
@@ -319,7 +319,7 @@
     /// The epoch of the newest voters in force anywhere in a state.
     ///
     /// ```
-    /// use explorer::{ControlModel, ControlScenario, Model};
+    /// use model_checker::{ControlModel, ControlScenario, Model};
     /// let model = ControlModel::new(ControlScenario::new("quiet", 3));
     /// assert_eq!(model.voter_epoch(&model.initial()), 0);
     /// ```
--- a/crates/explorer/src/lease_model.rs
+++ b/crates/model-checker/src/lease_model.rs
@@ -9,8 +9,8 @@
 use crate::model::{Invariant, Model, Violation, fingerprint_of, node_index, node_name};
 use crate::network::{InFlight, Message, Network, Schedule};
 use crate::traffic::{self, Traffic, TrafficNode, TrafficWorld};
-use address::majority;
 use lease::{Effect, Event, Lease, Times};
+use protocol::majority;
 use protocol::{LeaseReply, Payload, VoterSet};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -179,7 +179,7 @@
     /// So many voters, the code as it is, clocks as far apart as the bound allows.
     ///
     /// ```
-    /// use explorer::{LeaseBudget, LeaseModel, Model};
+    /// use model_checker::{LeaseBudget, LeaseModel, Model};
     /// let model = LeaseModel::new(3, LeaseBudget::default());
     /// assert!(model.violation(&model.initial()).is_none());
     /// ```
@@ -190,7 +190,7 @@
     /// The same with something taken away.
     ///
     /// ```
-    /// use explorer::{LeaseBudget, LeaseDefect, LeaseModel, Model};
+    /// use model_checker::{LeaseBudget, LeaseDefect, LeaseModel, Model};
     /// let model = LeaseModel::with_defect(3, LeaseBudget::default(), LeaseDefect::CountsMinority);
     /// assert!(model.violation(&model.initial()).is_none());
     /// ```
@@ -217,7 +217,7 @@
     /// The epoch of the last node that held the lease on the way to a state; 0 where none did.
     ///
     /// ```
-    /// use explorer::{LeaseBudget, LeaseModel, Model};
+    /// use model_checker::{LeaseBudget, LeaseModel, Model};
     /// let model = LeaseModel::new(3, LeaseBudget::default());
     /// assert_eq!(model.last_epoch(&model.initial()), 0);
     /// ```
--- a/crates/explorer/src/model.rs
+++ b/crates/model-checker/src/model.rs
@@ -95,7 +95,7 @@
 /// Takes the actions with these places and tells what happens, up to the first violation or impossible choice.
 ///
 /// ```
-/// use explorer::{LeaseBudget, LeaseModel, replay};
+/// use model_checker::{LeaseBudget, LeaseModel, replay};
 /// let model = LeaseModel::new(3, LeaseBudget::default());
 /// let trace = replay(&model, &[0, 0]);
 /// assert_eq!(trace.steps.len(), 2);
--- a/crates/explorer/src/register_history.rs
+++ b/crates/model-checker/src/register_history.rs
@@ -3,9 +3,9 @@
 
 use crate::disk::Disk;
 use crate::model::{Invariant, Violation, node_index};
-use address::Code;
 use protocol::{Ballot, ClusterState, VoterSet};
 use quorum_register::Decision;
+use result_code::ResultCode;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -214,7 +214,7 @@
         orders: &[OrderFacts],
         disks: &[&Disk],
     ) -> Result<(), Violation> {
-        if decision.code != Code::Fine {
+        if decision.code != ResultCode::Fine {
             return Ok(());
         }
         if let Some(before) = self
--- a/crates/explorer/src/register_model/mod.rs
+++ b/crates/model-checker/src/register_model/mod.rs
@@ -49,7 +49,7 @@
     /// The scenario on the code as it is.
     ///
     /// ```
-    /// use explorer::{Model, RegisterModel, Scenario};
+    /// use model_checker::{Model, RegisterModel, Scenario};
     /// let model = RegisterModel::new(Scenario::new("quiet", 3));
     /// assert!(model.actions(&model.initial()).is_empty());
     /// ```
@@ -60,7 +60,7 @@
     /// The scenario with something taken away.
     ///
     /// ```
-    /// use explorer::{Model, RegisterDefect, RegisterModel, Scenario};
+    /// use model_checker::{Model, RegisterDefect, RegisterModel, Scenario};
     /// let model = RegisterModel::with_defect(Scenario::new("quiet", 3), RegisterDefect::CountsMinority);
     /// assert!(model.violation(&model.initial()).is_none());
     /// ```
@@ -96,7 +96,7 @@
     /// The scenario's name.
     ///
     /// ```
-    /// use explorer::{RegisterModel, Scenario};
+    /// use model_checker::{RegisterModel, Scenario};
     /// assert_eq!(RegisterModel::new(Scenario::new("quiet", 3)).name(), "quiet");
     /// ```
     pub fn name(&self) -> &'static str {
@@ -106,7 +106,7 @@
     /// How many orders some operator was told are accepted, on the way to a state.
     ///
     /// ```
-    /// use explorer::{Model, RegisterModel, Scenario};
+    /// use model_checker::{Model, RegisterModel, Scenario};
     /// let model = RegisterModel::new(Scenario::new("quiet", 3));
     /// assert_eq!(model.accepted_orders(&model.initial()), 0);
     /// ```
@@ -117,7 +117,7 @@
     /// The epoch of the newest voters in force anywhere in a state.
     ///
     /// ```
-    /// use explorer::{Model, RegisterModel, Scenario};
+    /// use model_checker::{Model, RegisterModel, Scenario};
     /// let model = RegisterModel::new(Scenario::new("quiet", 3));
     /// assert_eq!(model.voter_epoch(&model.initial()), 0);
     /// ```
--- a/crates/explorer/src/register_model/order.rs
+++ b/crates/model-checker/src/register_model/order.rs
@@ -16,7 +16,7 @@
     /// A new configuration with an id, made from this edition where one is named.
     ///
     /// ```
-    /// assert_eq!(explorer::Order::setup("a", Some(1), &[0]).at, [0]);
+    /// assert_eq!(model_checker::Order::setup("a", Some(1), &[0]).at, [0]);
     /// ```
     pub fn setup(id: &str, base: Option<u64>, at: &[usize]) -> Self {
         let bytes = id.as_bytes().to_vec();
@@ -36,7 +36,7 @@
     /// A new configuration under the operator's own number.
     ///
     /// ```
-    /// assert!(explorer::Order::numbered("a", 7, &[0, 1]).bytes.is_some());
+    /// assert!(model_checker::Order::numbered("a", 7, &[0, 1]).bytes.is_some());
     /// ```
     pub fn numbered(id: &str, number: u64, at: &[usize]) -> Self {
         let bytes = id.as_bytes().to_vec();
@@ -56,7 +56,7 @@
     /// An evacuation, or its end.
     ///
     /// ```
-    /// assert!(explorer::Order::evacuation("a", "north/n1", false, &[0]).bytes.is_none());
+    /// assert!(model_checker::Order::evacuation("a", "north/n1", false, &[0]).bytes.is_none());
     /// ```
     pub fn evacuation(id: &str, locality: &str, back: bool, at: &[usize]) -> Self {
         let change = Change::Evacuate {
--- a/crates/explorer/src/register_model/scenario.rs
+++ b/crates/model-checker/src/register_model/scenario.rs
@@ -79,7 +79,7 @@
     /// A founded roster and no orders.
     ///
     /// ```
-    /// assert_eq!(explorer::Scenario::new("quiet", 3).voters, 3);
+    /// assert_eq!(model_checker::Scenario::new("quiet", 3).voters, 3);
     /// ```
     pub fn new(name: &'static str, voters: usize) -> Self {
         let (orders, budget) = (Vec::new(), RegisterBudget::default());
--- a/crates/explorer/src/scenarios.rs
+++ b/crates/model-checker/src/scenarios.rs
@@ -39,7 +39,7 @@
 /// Every scenario of the register for three voters, small enough to be searched to the end, or nearly so.
 ///
 /// ```
-/// assert!(explorer::register_scenarios().iter().any(|scenario| scenario.name == "orders"));
+/// assert!(model_checker::register_scenarios().iter().any(|scenario| scenario.name == "orders"));
 /// ```
 pub fn register_scenarios() -> Vec<Scenario> {
     let none = RegisterBudget::default();
@@ -221,7 +221,7 @@
 /// Every scenario of the lease for three voters.
 ///
 /// ```
-/// assert!(explorer::lease_scenarios().iter().any(|(name, _)| *name == "lease-crash"));
+/// assert!(model_checker::lease_scenarios().iter().any(|(name, _)| *name == "lease-crash"));
 /// ```
 pub fn lease_scenarios() -> Vec<(&'static str, LeaseBudget)> {
     let none = LeaseBudget::default();
@@ -277,7 +277,7 @@
 /// otherwise, and one voter has not heard of that; `-begun` ones have the first replacement under way.
 ///
 /// ```
-/// assert!(explorer::control_scenarios().iter().any(|scenario| scenario.name == "voters-lease"));
+/// assert!(model_checker::control_scenarios().iter().any(|scenario| scenario.name == "voters-lease"));
 /// ```
 pub fn control_scenarios() -> Vec<ControlScenario> {
     let budget = ControlBudget {
@@ -367,7 +367,7 @@
 /// The scenario of register and lease with this name.
 ///
 /// ```
-/// assert!(explorer::control_scenario("voters-lease-begun-stray").is_some_and(|scenario| scenario.begun));
+/// assert!(model_checker::control_scenario("voters-lease-begun-stray").is_some_and(|scenario| scenario.begun));
 /// ```
 pub fn control_scenario(name: &str) -> Option<ControlScenario> {
     control_scenarios()
@@ -378,7 +378,7 @@
 /// The scenario with this name.
 ///
 /// ```
-/// assert!(explorer::register_scenario("founding").is_some_and(|scenario| scenario.blank));
+/// assert!(model_checker::register_scenario("founding").is_some_and(|scenario| scenario.blank));
 /// ```
 pub fn register_scenario(name: &str) -> Option<Scenario> {
     register_scenarios()
--- a/crates/explorer/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -209,7 +209,7 @@
 /// Visits every state within the model's budgets, until a violation or a limit.
 ///
 /// ```
-/// use explorer::{LeaseBudget, LeaseModel, Limits, search};
+/// use model_checker::{LeaseBudget, LeaseModel, Limits, search};
 /// let model = LeaseModel::new(3, LeaseBudget::default());
 /// let report = search(&model, Limits { depth: 4, ..Limits::default() });
 /// assert!(report.states > 10);
--- a/crates/explorer/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -25,7 +25,7 @@
 /// the actions by its place.
 ///
 /// ```
-/// use explorer::{LeaseBudget, LeaseModel, walk};
+/// use model_checker::{LeaseBudget, LeaseModel, walk};
 /// let mut left = 20;
 /// let walked = walk(&LeaseModel::new(3, LeaseBudget::default()), |_| {
 ///     left -= 1;
--- a/crates/explorer/tests/control.rs
+++ b/crates/model-checker/tests/control.rs
@@ -2,7 +2,7 @@
 //! found out.
 
 use arbtest::arbtest;
-use explorer::{
+use model_checker::{
     ControlBudget, ControlDefect, ControlModel, ControlScenario, Invariant, Limits, Model,
     Schedule, control_scenario, control_scenarios, replay, search, walk,
 };
--- a/crates/explorer/tests/lease.rs
+++ b/crates/model-checker/tests/lease.rs
@@ -1,6 +1,6 @@
 //! Every scenario of the lease within a bound, and the broken twins that must be found out.
 
-use explorer::{
+use model_checker::{
     Invariant, LeaseBudget, LeaseDefect, LeaseModel, Limits, Schedule, lease_scenarios, replay,
     search,
 };
--- a/crates/explorer/tests/register.rs
+++ b/crates/model-checker/tests/register.rs
@@ -1,6 +1,6 @@
 //! Every scenario of the register within a bound, and the broken twins that must be found out.
 
-use explorer::{
+use model_checker::{
     Invariant, Limits, Order, RegisterBudget, RegisterDefect, RegisterModel, Scenario, Schedule,
     register_scenario, register_scenarios, replay, search,
 };
--- a/crates/explorer/tests/walks.rs
+++ b/crates/model-checker/tests/walks.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
-use explorer::{
+use model_checker::{
     Choice, LeaseBudget, LeaseModel, Model, Order, RegisterBudget, RegisterDefect, RegisterModel,
     Scenario, Schedule, walk,
 };
--- a/crates/gazetteer/src/answer.rs
+++ b/crates/name-directory/src/answer.rs
@@ -1,7 +1,8 @@
 //! A directory node's answer: the owning locality's proxies, for a short lifetime.
 
 use crate::view::{Proxy, View, is_home, is_within};
-use address::{Code, Locality};
+use locality::Locality;
+use result_code::ResultCode;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -29,12 +30,12 @@
 /// where it has none alive, the nearest others that its work may pass through.
 ///
 /// ```
-/// use address::Code;
-/// use gazetteer::Owners;
+/// use result_code::ResultCode;
+/// use name_directory::Owners;
 /// use std::time::Duration;
-/// let view = gazetteer::View::default();
-/// let asked = gazetteer::list(&view, "book", &"north/n1".parse().unwrap(), Duration::from_secs(2), (Owners::One, 3));
-/// assert_eq!(asked, Err(Code::NoSuchName));
+/// let view = name_directory::View::default();
+/// let asked = name_directory::list(&view, "book", &"north/n1".parse().unwrap(), Duration::from_secs(2), (Owners::One, 3));
+/// assert_eq!(asked, Err(ResultCode::NoSuchName));
 /// ```
 pub fn list(
     view: &View,
@@ -42,21 +43,21 @@
     origin: &Locality,
     lifetime: Duration,
     (owners, most): (Owners, usize),
-) -> Result<Listing, Code> {
-    let name = view.setup.resolve(asked).ok_or(Code::NoSuchName)?;
+) -> Result<Listing, ResultCode> {
+    let name = view.setup.resolve(asked).ok_or(ResultCode::NoSuchName)?;
     let (owner, epoch) = match owners {
         Owners::One => {
             let owned = view.reservations.get(name);
             let owned = owned
                 .filter(|owned| !view.evacuated.contains(&owned.locality))
-                .ok_or(Code::NoOwner)?;
+                .ok_or(ResultCode::NoOwner)?;
             (
-                owned.locality.parse().map_err(|_| Code::NoOwner)?,
+                owned.locality.parse().map_err(|_| ResultCode::NoOwner)?,
                 owned.epoch,
             )
         }
         Owners::ByCaller => (
-            owner_for(view, name, origin).ok_or(Code::NoOwner)?,
+            owner_for(view, name, origin).ok_or(ResultCode::NoOwner)?,
             view.edition,
         ),
     };
@@ -71,7 +72,7 @@
             (
                 near,
                 far,
-                address::spread_all([asked, &origin.region, &origin.zone, &proxy.node]),
+                random::stable_hash_parts([asked, &origin.region, &origin.zone, &proxy.node]),
                 proxy,
             )
         })
@@ -80,7 +81,7 @@
     let best = proxies
         .first()
         .map(|(near, ..)| *near)
-        .ok_or(Code::NoOwner)?;
+        .ok_or(ResultCode::NoOwner)?;
     let proxies = proxies
         .into_iter()
         .take_while(|(near, ..)| *near == best)
@@ -123,7 +124,7 @@
         },
     );
     let rank = |(place, count): &(&Locality, u64)| {
-        let spread = address::spread_all([name, &origin.zone, &place.zone]);
+        let spread = random::stable_hash_parts([name, &origin.zone, &place.zone]);
         (
             *count >= 1000,
             *place == origin,
--- a/crates/gazetteer/src/patch.rs
+++ b/crates/name-directory/src/patch.rs
@@ -8,7 +8,7 @@
 /// ```
 /// use protocol::Share;
 /// let share = |from, until| Share { from, until, instance: "a".into(), ..Default::default() };
-/// let left = gazetteer::uncovered(&[share(0, 10)], &[share(2, 4)]);
+/// let left = name_directory::uncovered(&[share(0, 10)], &[share(2, 4)]);
 /// assert_eq!(left, [share(0, 2), share(4, 10)]);
 /// ```
 pub fn uncovered(shares: &[Share], by: &[Share]) -> Vec<Share> {
@@ -47,7 +47,7 @@
 /// ```
 /// use protocol::Share;
 /// let share = |from, until, epoch| Share { from, until, epoch, ..Share::default() };
-/// let held = gazetteer::latest_grants(vec![share(0, 10, 1), share(4, 6, 2)]);
+/// let held = name_directory::latest_grants(vec![share(0, 10, 1), share(4, 6, 2)]);
 /// assert_eq!(held, [share(0, 4, 1), share(4, 6, 2), share(6, 10, 1)]);
 /// ```
 pub fn latest_grants(mut rows: Vec<Share>) -> Vec<Share> {
@@ -133,8 +133,8 @@
 /// use protocol::Share;
 /// let share = |from, until, who: &str| Share { from, until, instance: who.into(), ..Default::default() };
 /// let (old, new) = ([share(0, 9, "a")], [share(0, 4, "a"), share(6, 9, "b")]);
-/// let patch = gazetteer::patch(&old, &new);
-/// assert_eq!(gazetteer::patched(&old, &patch), new);
+/// let patch = name_directory::patch(&old, &new);
+/// assert_eq!(name_directory::patched(&old, &patch), new);
 /// ```
 pub fn patch(old: &[Share], new: &[Share]) -> Vec<Share> {
     let mut known: BTreeMap<u32, Vec<&Share>> = BTreeMap::new();
@@ -155,7 +155,7 @@
 /// The shares after a patch, in the order of their keys.
 ///
 /// ```
-/// assert!(gazetteer::patched(&[], &[]).is_empty());
+/// assert!(name_directory::patched(&[], &[]).is_empty());
 /// ```
 pub fn patched(old: &[Share], patch: &[Share]) -> Vec<Share> {
     let kept = uncovered(old, patch);
@@ -171,8 +171,8 @@
 /// use protocol::Placement;
 /// let old = Placement { epoch: 3, number: 1, ..Default::default() };
 /// let new = Placement { number: 2, ..old.clone() };
-/// assert_eq!(gazetteer::change(&old, &new).map(|change| (change.partial, change.after)), Some((true, 1)));
-/// assert!(gazetteer::change(&old, &Placement { epoch: 4, ..new }).is_none());
+/// assert_eq!(name_directory::change(&old, &new).map(|change| (change.partial, change.after)), Some((true, 1)));
+/// assert!(name_directory::change(&old, &Placement { epoch: 4, ..new }).is_none());
 /// ```
 pub fn change(old: &Placement, new: &Placement) -> Option<Placement> {
     if old.epoch != new.epoch || old.reservations != new.reservations || old.marks != new.marks {
@@ -214,7 +214,7 @@
 ///
 /// ```
 /// let mut shares = vec![];
-/// gazetteer::take_change(&mut shares, &[protocol::ServiceShares { service: "s".into(), shares: vec![] }]);
+/// name_directory::take_change(&mut shares, &[protocol::ServiceShares { service: "s".into(), shares: vec![] }]);
 /// assert_eq!(shares.len(), 1);
 /// ```
 pub fn take_change(shares: &mut Vec<ServiceShares>, changes: &[ServiceShares]) {
--- a/crates/gazetteer/src/placement.rs
+++ b/crates/name-directory/src/placement.rs
@@ -1,10 +1,10 @@
 //! The placement duty: which locality owns each name, derived from beats, evacuations and editions.
 
 use crate::view::is_home;
+use config::Setup;
 use protocol::{Mark, Placement, Reservation, ServiceShares, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use tariff::Setup;
 
 /// Placement's time values.
 #[derive(Clone, Copy, Debug)]
@@ -50,8 +50,8 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let times = gazetteer::Times { least_stay: Duration::from_secs(4), mark_lifetime: Duration::from_secs(60) };
-    /// let placer = gazetteer::Placer::new(Duration::ZERO, 3, &Default::default(), times);
+    /// let times = name_directory::Times { least_stay: Duration::from_secs(4), mark_lifetime: Duration::from_secs(60) };
+    /// let placer = name_directory::Placer::new(Duration::ZERO, 3, &Default::default(), times);
     /// assert!(placer.placement(Duration::ZERO, vec![]).reservations.is_empty());
     /// ```
     pub fn new(now: Duration, lease_epoch: u64, last: &Placement, times: Times) -> Self {
@@ -103,11 +103,11 @@
     /// Decides anew; true where something moved.
     ///
     /// ```
-    /// use gazetteer::{Needs, Placer, Times};
+    /// use name_directory::{Needs, Placer, Times};
     /// use protocol::Upstream;
     /// use std::time::Duration;
     /// let times = Times { least_stay: Duration::from_secs(4), mark_lifetime: Duration::from_secs(60) };
-    /// let setup = tariff::Setup::read(br#"{"services": [{"name": "s", "work": "once", "homeRegions": ["n"]}],
+    /// let setup = config::Setup::read(br#"{"services": [{"name": "s", "work": "once", "homeRegions": ["n"]}],
     ///     "routes": [{"id": "r", "name": "book", "path": "/", "service": "s"}]}"#).unwrap();
     /// let unit = |name: &str, place: &str| Upstream { service: "s".into(), instance: name.into(),
     ///     locality: place.into(), free_slots: 4, warm: true, ..Default::default() };
@@ -197,7 +197,7 @@
 
     /// Keeps or moves one name; the one place where a reservation changes.
     fn settle(&mut self, now: Duration, name: &str, scores: &BTreeMap<String, u64>) -> bool {
-        let tie = |locality: &str| address::spread(&format!("{name} {locality}"));
+        let tie = |locality: &str| random::stable_hash(&format!("{name} {locality}"));
         let best = scores
             .iter()
             .max_by_key(|(locality, weight)| (**weight, tie(locality)));
@@ -248,8 +248,8 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// # let times = gazetteer::Times { least_stay: Duration::ZERO, mark_lifetime: Duration::ZERO };
-    /// let mut placer = gazetteer::Placer::new(Duration::ZERO, 3, &Default::default(), times);
+    /// # let times = name_directory::Times { least_stay: Duration::ZERO, mark_lifetime: Duration::ZERO };
+    /// let mut placer = name_directory::Placer::new(Duration::ZERO, 3, &Default::default(), times);
     /// placer.count();
     /// assert_eq!(placer.placement(Duration::ZERO, vec![]).number, 1);
     /// ```
@@ -282,8 +282,8 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// # let times = gazetteer::Times { least_stay: Duration::ZERO, mark_lifetime: Duration::ZERO };
-    /// let mut placer = gazetteer::Placer::new(Duration::ZERO, 3, &Default::default(), times);
+    /// # let times = name_directory::Times { least_stay: Duration::ZERO, mark_lifetime: Duration::ZERO };
+    /// let mut placer = name_directory::Placer::new(Duration::ZERO, 3, &Default::default(), times);
     /// assert_eq!(placer.placement(Duration::ZERO, vec![]).number, 0);
     /// placer.count();
     /// assert_eq!(placer.placement(Duration::ZERO, vec![]).number, 1);
--- a/crates/gazetteer/src/view.rs
+++ b/crates/name-directory/src/view.rs
@@ -1,11 +1,11 @@
 //! What a data node knows, as one immutable value.
 
-use address::Locality;
+use config::{Complaint, Service, Setup};
+use locality::Locality;
 use protocol::{Mark, Placement, Reservation, Share, Upstream, ViewUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use tariff::{Complaint, Service, Setup};
 
 /// A proxy that membership holds for present.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     /// How many proxies send to this service's upstreams, and this one's rank among them.
     ///
     /// ```
-    /// assert_eq!(gazetteer::Senders::default().of("s", "proxy-1"), None);
+    /// assert_eq!(name_directory::Senders::default().of("s", "proxy-1"), None);
     /// ```
     pub fn of(&self, service: &str, proxy: &str) -> Option<(usize, usize)> {
         let senders = self.by_service.get(service)?;
@@ -83,10 +83,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let view = gazetteer::View { as_of: Some(Duration::from_secs(1)), ..Default::default() };
+    /// let view = name_directory::View { as_of: Some(Duration::from_secs(1)), ..Default::default() };
     /// assert!(view.is_fresh(Duration::from_secs(2), Duration::from_secs(2)));
     /// assert!(!view.is_fresh(Duration::from_secs(3), Duration::from_secs(2)));
-    /// assert!(!gazetteer::View::default().is_fresh(Duration::ZERO, Duration::from_secs(2)));
+    /// assert!(!name_directory::View::default().is_fresh(Duration::ZERO, Duration::from_secs(2)));
     /// ```
     pub fn is_fresh(&self, now: Duration, stale_after: Duration) -> bool {
         self.as_of.is_some_and(|as_of| now < as_of + stale_after)
@@ -97,7 +97,7 @@
     ///
     /// ```
     /// use protocol::{ViewUpdate, Upstream};
-    /// let mut view = gazetteer::View::default();
+    /// let mut view = name_directory::View::default();
     /// let ready = Upstream { service: "s".into(), instance: "a".into(), ..Default::default() };
     /// view.take(ViewUpdate { upstreams: vec![ready.clone()], ..Default::default() }, true).unwrap();
     /// assert_eq!(view.upstreams["s"].len(), 1);
@@ -184,7 +184,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let mut view = gazetteer::View::default();
+    /// let mut view = name_directory::View::default();
     /// view.settle_senders(Duration::from_secs(1));
     /// assert_eq!(view.senders.since, Duration::ZERO, "nothing changed");
     /// ```
@@ -219,10 +219,10 @@
 /// True where a service's work may go to a locality (text form: region/zone).
 ///
 /// ```
-/// use tariff::Service;
+/// use config::Service;
 /// let service = Service { home_regions: vec!["north".into()], ..Default::default() };
-/// assert!(gazetteer::is_home(&service, "north/n1"));
-/// assert!(!gazetteer::is_home(&service, "south/s1"));
+/// assert!(name_directory::is_home(&service, "north/n1"));
+/// assert!(!name_directory::is_home(&service, "south/s1"));
 /// ```
 pub fn is_home(service: &Service, locality: &str) -> bool {
     is_within(&service.home_regions, locality)
@@ -231,8 +231,8 @@
 /// True where a locality (text form: region/zone) lies in one of these regions, or none are named.
 ///
 /// ```
-/// assert!(gazetteer::is_within(&[], "north/n1"));
-/// assert!(!gazetteer::is_within(&["south".to_owned()], "north/n1"));
+/// assert!(name_directory::is_within(&[], "north/n1"));
+/// assert!(!name_directory::is_within(&["south".to_owned()], "north/n1"));
 /// ```
 pub fn is_within(regions: &[String], locality: &str) -> bool {
     let region = locality.split('/').next().unwrap_or_default();
--- a/crates/gazetteer/tests/patches.rs
+++ b/crates/name-directory/tests/patches.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
-use gazetteer::{latest_grants, patch, patched, uncovered};
+use name_directory::{latest_grants, patch, patched, uncovered};
 use protocol::Share;
 use std::time::{Duration, Instant};
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -12,7 +12,7 @@
 pub use messages::*;
 pub use prost::Message;
 pub use squeeze::{MOST_SETUP_BYTES, squeeze, unsqueeze};
-pub use voters::VoterSet;
+pub use voters::{VoterSet, majority};
 
 use sha2::{Digest, Sha256};
 
--- a/crates/protocol/src/voters.rs
+++ b/crates/protocol/src/voters.rs
@@ -1,6 +1,5 @@
 //! The voters of the replicated state, and what makes a quorum of them.
 
-use address::majority;
 use prost::Message;
 
 /// Who votes. It is part of the replicated state, so it changes by agreement, and one change at a time: first to a joint
@@ -122,3 +121,13 @@
         })
     }
 }
+
+/// How many of `count` voters make a majority.
+///
+/// ```
+/// assert_eq!(protocol::majority(6), 4);
+/// assert_eq!(protocol::majority(3), 2);
+/// ```
+pub fn majority(count: usize) -> usize {
+    count / 2 + 1
+}
--- a/crates/quorum-register/src/change.rs
+++ b/crates/quorum-register/src/change.rs
@@ -1,7 +1,7 @@
 //! What operators ask of the state, and how the state changes by it.
 
-use address::Code;
 use protocol::{ClusterState, LocalityChange, NumberedSetup, Submission};
+use result_code::ResultCode;
 
 /// How many decided submissions the state remembers.
 const MAX_SUBMISSIONS: usize = 512;
@@ -71,7 +71,7 @@
 /// What became of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Decision {
-    pub code: Code,
+    pub code: ResultCode,
     pub edition: u64,
 }
 
@@ -79,20 +79,20 @@
 /// changes nothing.
 ///
 /// ```
-/// use address::Code;
+/// use result_code::ResultCode;
 /// use quorum_register::{Change, apply};
 /// let mut state = protocol::ClusterState::default();
 /// let change = |id: &str, base| Change::Setup { id: id.into(), base, number: None, digest: "d".into() };
 /// assert_eq!(apply(&mut state, &change("a", Some(0))).edition, 1);
 /// assert_eq!(apply(&mut state, &change("a", Some(0))).edition, 1);
-/// assert_eq!(apply(&mut state, &change("b", Some(0))).code, Code::SetupBehind);
+/// assert_eq!(apply(&mut state, &change("b", Some(0))).code, ResultCode::SetupBehind);
 /// assert_eq!(apply(&mut state, &change("c", None)).edition, 2);
 /// let numbered = |number, digest: &str| {
 ///     Change::Setup { id: "".into(), base: None, number: Some(number), digest: digest.into() }
 /// };
 /// assert_eq!(apply(&mut state, &numbered(7, "e")).edition, 3);
-/// assert_eq!(apply(&mut state, &numbered(7, "f")).code, Code::NumberTaken);
-/// assert_eq!(apply(&mut state, &numbered(5, "e")).code, Code::Overtaken, "the highest holds");
+/// assert_eq!(apply(&mut state, &numbered(7, "f")).code, ResultCode::NumberTaken);
+/// assert_eq!(apply(&mut state, &numbered(5, "e")).code, ResultCode::Overtaken, "the highest holds");
 /// let first = apply(&mut protocol::ClusterState::default(), &numbered(0, "e"));
 /// assert_eq!(first.edition, 1, "the first is new, whatever its number");
 /// ```
@@ -101,7 +101,7 @@
         Change::Setup { id, .. } | Change::Evacuate { id, .. } => id,
         Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::Finish => {
             return Decision {
-                code: Code::Fine,
+                code: ResultCode::Fine,
                 edition: state.edition,
             };
         }
@@ -123,7 +123,7 @@
     }
     if may_be_forgotten(state, order, change) {
         return Decision {
-            code: Code::OrderForgotten,
+            code: ResultCode::OrderForgotten,
             edition: state.edition,
         };
     }
@@ -168,9 +168,9 @@
     let asked = asked(change);
     // An earlier version kept what was asked for in full.
     let same = decided.asked == short(&asked) || decided.asked == asked;
-    let code = Code::from_number(decided.code)
+    let code = ResultCode::from_number(decided.code)
         .filter(|_| same)
-        .unwrap_or(Code::IdReused);
+        .unwrap_or(ResultCode::IdReused);
     Decision {
         code,
         edition: decided.edition,
@@ -209,7 +209,7 @@
     }
 }
 
-fn remember(state: &mut ClusterState, order: &OrderId, change: &Change, code: Code) {
+fn remember(state: &mut ClusterState, order: &OrderId, change: &Change, code: ResultCode) {
     let (id, asked, edition) = (order.id.clone(), short(&asked(change)), state.edition);
     state.submissions.push(Submission {
         id,
@@ -232,25 +232,25 @@
 }
 
 /// What a setup with the operator's own number comes to where it changes nothing; none where it goes ahead.
-fn decided_by_number(state: &ClusterState, number: u64, digest: &str) -> Option<Code> {
+fn decided_by_number(state: &ClusterState, number: u64, digest: &str) -> Option<ResultCode> {
     let first = state.digest.is_empty() || state.numbers.is_empty();
     match state.numbers.iter().find(|known| known.number == number) {
-        Some(known) if known.digest == short(digest) => Some(Code::Fine),
-        Some(_) => Some(Code::NumberTaken),
+        Some(known) if known.digest == short(digest) => Some(ResultCode::Fine),
+        Some(_) => Some(ResultCode::NumberTaken),
         None if first || number > state.number => None,
-        None => Some(Code::Overtaken),
+        None => Some(ResultCode::Overtaken),
     }
 }
 
 /// What an order without an id comes to where its locality may have changed since this edition.
-fn decided_since(state: &ClusterState, locality: &str, seen: u64) -> Option<Code> {
+fn decided_since(state: &ClusterState, locality: &str, seen: u64) -> Option<ResultCode> {
     let changes = &state.locality_changes;
     match changes.iter().find(|change| change.locality == locality) {
-        Some(change) if change.edition > seen => Some(Code::Fine),
+        Some(change) if change.edition > seen => Some(ResultCode::Fine),
         Some(_) => None,
         // Its change may have been dropped.
         None if changes.len() >= MAX_LOCALITY_CHANGES && changes[0].edition > seen => {
-            Some(Code::Stale)
+            Some(ResultCode::Stale)
         }
         None => None,
     }
@@ -271,10 +271,10 @@
     state.locality_changes.drain(..excess);
 }
 
-fn change_state(state: &mut ClusterState, change: &Change) -> Code {
+fn change_state(state: &mut ClusterState, change: &Change) -> ResultCode {
     match change {
         Change::Setup { base, .. } if base.is_some_and(|base| base != state.edition) => {
-            return Code::SetupBehind;
+            return ResultCode::SetupBehind;
         }
         Change::Setup { digest, number, .. } => {
             let decided = number.and_then(|number| decided_by_number(state, number, digest));
@@ -288,7 +288,7 @@
             }
         }
         Change::Evacuate { locality, back, .. } if state.evacuated.contains(locality) != *back => {
-            return Code::Fine;
+            return ResultCode::Fine;
         }
         Change::Evacuate {
             locality,
@@ -309,7 +309,7 @@
         Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::Finish => {}
     }
     state.edition += 1;
-    Code::Fine
+    ResultCode::Fine
 }
 
 /// Applies a change of the voter set to a state. The state it starts from must be known to be chosen: so no second change
@@ -317,32 +317,32 @@
 /// Any other change leaves the voters as they are.
 ///
 /// ```
-/// use address::Code;
+/// use result_code::ResultCode;
 /// use quorum_register::{Change, apply_to_voters};
 /// let mut state = protocol::ClusterState::default();
 /// state.voter_set.voters = vec!["a".into(), "b".into(), "c".into()];
 /// let begin = Change::BeginVoters { epoch: 0, voters: vec!["a".into(), "b".into(), "d".into()] };
-/// assert_eq!(apply_to_voters(&mut state.clone(), &begin, false), Code::VotersBusy);
-/// assert_eq!(apply_to_voters(&mut state, &begin, true), Code::Fine);
-/// assert_eq!(apply_to_voters(&mut state, &begin, true), Code::VotersBehind);
-/// assert_eq!(apply_to_voters(&mut state, &Change::CompleteVoters { epoch: 1 }, true), Code::Fine);
+/// assert_eq!(apply_to_voters(&mut state.clone(), &begin, false), ResultCode::VotersBusy);
+/// assert_eq!(apply_to_voters(&mut state, &begin, true), ResultCode::Fine);
+/// assert_eq!(apply_to_voters(&mut state, &begin, true), ResultCode::VotersBehind);
+/// assert_eq!(apply_to_voters(&mut state, &Change::CompleteVoters { epoch: 1 }, true), ResultCode::Fine);
 /// assert!(state.voter_set.contains("d") && !state.voter_set.contains("c"));
 /// ```
-pub fn apply_to_voters(state: &mut ClusterState, change: &Change, is_chosen: bool) -> Code {
+pub fn apply_to_voters(state: &mut ClusterState, change: &Change, is_chosen: bool) -> ResultCode {
     let (epoch, after) = match change {
         Change::BeginVoters { epoch, voters } => {
             (*epoch, state.voter_set.begin_change(voters.clone()))
         }
         Change::CompleteVoters { epoch } => (*epoch, state.voter_set.complete_change()),
-        Change::Setup { .. } | Change::Evacuate { .. } | Change::Finish => return Code::Fine,
+        Change::Setup { .. } | Change::Evacuate { .. } | Change::Finish => return ResultCode::Fine,
     };
     match after {
-        _ if epoch != state.voter_set.epoch => Code::VotersBehind,
-        None => Code::VotersBehind,
-        Some(_) if !is_chosen => Code::VotersBusy,
+        _ if epoch != state.voter_set.epoch => ResultCode::VotersBehind,
+        None => ResultCode::VotersBehind,
+        Some(_) if !is_chosen => ResultCode::VotersBusy,
         Some(after) => {
             state.voter_set = after;
-            Code::Fine
+            ResultCode::Fine
         }
     }
 }
--- a/crates/quorum-register/src/proposer.rs
+++ b/crates/quorum-register/src/proposer.rs
@@ -3,11 +3,11 @@
 use crate::change::{Change, Decision, apply, apply_to_voters};
 use crate::deltas::{WHOLE, told_state};
 use crate::register::{Effect, Register, VoterPhase};
-use address::Code;
 use protocol::{
     Accept, AcceptDelta, Accepted, Ballot, ClusterState, Payload, Prepare, Promise, SetupAsk,
     SetupBytes,
 };
+use result_code::ResultCode;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -111,8 +111,8 @@
     ) {
         let deny = match self.phase {
             VoterPhase::Active if self.pending.len() < MAX_PENDING_CHANGES => None,
-            VoterPhase::Active => Some(Code::SetupCrowded),
-            _ => Some(Code::Stale),
+            VoterPhase::Active => Some(ResultCode::SetupCrowded),
+            _ => Some(ResultCode::Stale),
         };
         if let Some(code) = deny {
             let decision = Decision {
@@ -222,9 +222,9 @@
         self.back_off(now);
         old.into_iter().for_each(|change| {
             let code = if change.tried {
-                Code::SetupUnknown
+                ResultCode::SetupUnknown
             } else {
-                Code::Stale
+                ResultCode::Stale
             };
             let decision = Decision { code, edition };
             self.effects.extend(
@@ -512,7 +512,7 @@
     match change {
         Change::BeginVoters { .. } | Change::CompleteVoters { .. } => {
             let code = apply_to_voters(state, change, *is_chosen);
-            *is_chosen &= code != Code::Fine;
+            *is_chosen &= code != ResultCode::Fine;
             Decision {
                 code,
                 edition: state.edition,
--- a/crates/quorum-register/src/register.rs
+++ b/crates/quorum-register/src/register.rs
@@ -4,8 +4,8 @@
 use crate::proposer::{PendingChange, Round};
 use crate::reading::Reading;
 use crate::replicas::Replicas;
-use address::Random;
 use protocol::{Ballot, ClusterState, DurableState, Payload, Promise, SetupAsk, VoterSet};
+use random::Random;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
--- a/crates/quorum-register/tests/changes.rs
+++ b/crates/quorum-register/tests/changes.rs
@@ -1,10 +1,10 @@
 //! What operators are told of their orders: numbers that are taken, and orders that come again.
 
-use address::Code;
 use protocol::{ClusterState, Submission};
 use quorum_register::{Change, Decision, OrderId, apply};
+use result_code::ResultCode;
 
-const TAKEN: Option<Code> = Some(Code::NumberTaken);
+const TAKEN: Option<ResultCode> = Some(ResultCode::NumberTaken);
 
 fn numbered(id: &str, number: u64, bytes: &str) -> Change {
     let digest = protocol::digest(bytes.as_bytes());
@@ -34,7 +34,7 @@
     }
 }
 
-fn code(state: &mut ClusterState, change: &Change) -> Option<Code> {
+fn code(state: &mut ClusterState, change: &Change) -> Option<ResultCode> {
     Some(apply(state, change).code)
 }
 
@@ -44,7 +44,7 @@
         let id = format!("other-{}-{at}", state.edition);
         assert_eq!(
             apply(state, &setup(&id, Some(state.edition))).code,
-            Code::Fine
+            ResultCode::Fine
         );
     });
 }
@@ -55,7 +55,7 @@
         let mut state = ClusterState::default();
         assert_eq!(
             code(&mut state, &numbered(first, 7, "one")),
-            Some(Code::Fine)
+            Some(ResultCode::Fine)
         );
         let before = (state.edition, state.digest.clone());
         assert_eq!(code(&mut state, &numbered(second, 7, "other")), TAKEN);
@@ -63,7 +63,7 @@
         // The first operator asks again, and is told again.
         assert_eq!(
             code(&mut state, &numbered(first, 7, "one")),
-            Some(Code::Fine)
+            Some(ResultCode::Fine)
         );
     }
 }
@@ -74,7 +74,10 @@
     apply(&mut state, &numbered("", 7, "one"));
     apply(&mut state, &numbered("", 9, "two"));
     assert_eq!(code(&mut state, &numbered("", 7, "other")), TAKEN);
-    assert_eq!(code(&mut state, &numbered("", 7, "one")), Some(Code::Fine));
+    assert_eq!(
+        code(&mut state, &numbered("", 7, "one")),
+        Some(ResultCode::Fine)
+    );
     assert_eq!((state.number, state.edition), (9, 2));
 }
 
@@ -84,7 +87,7 @@
     apply(&mut state, &numbered("", 9, "two"));
     assert_eq!(
         code(&mut state, &numbered("", 8, "late")),
-        Some(Code::Overtaken)
+        Some(ResultCode::Overtaken)
     );
     assert_eq!((state.number, state.edition), (9, 1));
 }
@@ -94,7 +97,7 @@
     let mut state = ClusterState::default();
     others(&mut state, 3);
     let first = apply(&mut state, &order);
-    assert_eq!(first.code, Code::Fine);
+    assert_eq!(first.code, ResultCode::Fine);
     others(&mut state, after);
     let before = state.clone();
     let again = apply(&mut state, &order);
@@ -129,7 +132,7 @@
         let changed = (after.edition, &after.digest, &after.evacuated)
             != (before.edition, &before.digest, &before.evacuated);
         assert!(!changed, "{order:?} was done twice");
-        let refused = again.code.kind() == address::Kind::NotRun;
+        let refused = again.code.kind() == result_code::Execution::NotRun;
         assert!(
             !refused,
             "{order:?} was done, and is refused with {:?}",
@@ -180,7 +183,7 @@
         let decision = apply(&mut state, &order);
         assert_eq!(
             (decision.code, decision.edition),
-            (Code::Fine, 3001),
+            (ResultCode::Fine, 3001),
             "{order:?}"
         );
         assert_eq!(apply(&mut state, &order), decision, "{order:?} again");
@@ -202,7 +205,7 @@
         let mut after = state.clone();
         assert_eq!(
             code(&mut after, &order),
-            Some(Code::OrderForgotten),
+            Some(ResultCode::OrderForgotten),
             "{order:?}"
         );
         assert_eq!(after, state, "{order:?}");
@@ -215,7 +218,7 @@
     let base = state.edition - 100;
     assert_eq!(
         code(&mut state, &setup("late", Some(base))),
-        Some(Code::SetupBehind)
+        Some(ResultCode::SetupBehind)
     );
 }
 
@@ -227,14 +230,14 @@
         let since = Some(state.decided);
         assert_eq!(
             code(&mut state, &evacuation_since(&format!("e-{at}"), since)),
-            Some(Code::Fine)
+            Some(ResultCode::Fine)
         );
     });
     assert_eq!(state.edition, 1);
     let decided = state.decided;
     assert_eq!(
         code(&mut state, &evacuation_since("one-more", Some(decided))),
-        Some(Code::Fine)
+        Some(ResultCode::Fine)
     );
 }
 
@@ -260,20 +263,23 @@
     assert_eq!(
         apply(&mut state, &setup("s-0", None)),
         Decision {
-            code: Code::Fine,
+            code: ResultCode::Fine,
             edition: 1
         }
     );
     assert_eq!(
         code(&mut state, &numbered("", 7, "seven")),
-        Some(Code::Fine)
+        Some(ResultCode::Fine)
     );
     assert_eq!(code(&mut state, &numbered("", 7, "other")), TAKEN);
-    assert_eq!(code(&mut state, &setup("new", None)), Some(Code::Fine));
+    assert_eq!(
+        code(&mut state, &setup("new", None)),
+        Some(ResultCode::Fine)
+    );
     // It may have forgotten some.
     assert_eq!(
         code(&mut before(256), &setup("new", None)),
-        Some(Code::OrderForgotten)
+        Some(ResultCode::OrderForgotten)
     );
 }
 
@@ -318,7 +324,7 @@
     assert_eq!(
         apply(&mut state, &waiting),
         Decision {
-            code: Code::Fine,
+            code: ResultCode::Fine,
             edition
         }
     );
@@ -355,5 +361,5 @@
         let other = anonymous_evacuation(&format!("north/m{at}"), false, state.edition);
         apply(&mut state, &other);
     });
-    assert_eq!(code(&mut state, &waiting), Some(Code::Stale));
+    assert_eq!(code(&mut state, &waiting), Some(ResultCode::Stale));
 }
--- a/crates/quorum-register/tests/cluster/mod.rs
+++ b/crates/quorum-register/tests/cluster/mod.rs
@@ -130,7 +130,7 @@
                     .writes
                     .push_back((0, None, Some((digest, Vec::new()))))
             }
-            Effect::Decided { decision, .. } if decision.code == address::Code::Fine => {
+            Effect::Decided { decision, .. } if decision.code == result_code::ResultCode::Fine => {
                 self.accepted = self.accepted.max(decision.edition);
             }
             _ => {}
--- a/crates/sorting/src/board.rs
+++ b/crates/request-routing/src/board.rs
@@ -36,7 +36,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let (desk, now) = (sorting::Desk::default(), Duration::from_secs(1));
+    /// let (desk, now) = (request_routing::Desk::default(), Duration::from_secs(1));
     /// assert!(!desk.take_resend(now, 13), "nothing was sent yet");
     /// (0..10).for_each(|_| desk.firsts.add(now));
     /// assert!(desk.take_resend(now, 13));
@@ -55,7 +55,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let (desk, now) = (sorting::Desk::default(), Duration::from_secs(1));
+    /// let (desk, now) = (request_routing::Desk::default(), Duration::from_secs(1));
     /// (0..10).for_each(|_| desk.firsts.add(now));
     /// (0..20).for_each(|_| desk.denied.add(now));
     /// assert_eq!(desk.pressure(now), 2.0);
@@ -67,7 +67,7 @@
     /// Counts a request for a key.
     ///
     /// ```
-    /// let board = sorting::Board::default();
+    /// let board = request_routing::Board::default();
     /// board.desk("s").count_key(65_535);
     /// board.desk("s").count_key(65_534);
     /// let told = board.drain_keys();
@@ -75,10 +75,13 @@
     /// assert!(board.drain_keys().is_empty(), "told once");
     /// ```
     pub fn count_key(&self, key: u32) {
-        let parts = self
-            .keys
-            .get_or_init(|| (0..address::KEY_PARTS).map(|_| AtomicU32::new(0)).collect());
-        let part = parts.get((key / (address::KEYS / address::KEY_PARTS)) as usize);
+        let parts = self.keys.get_or_init(|| {
+            (0..key_space::LOAD_BUCKET_COUNT)
+                .map(|_| AtomicU32::new(0))
+                .collect()
+        });
+        let part =
+            parts.get((key / (key_space::KEY_COUNT / key_space::LOAD_BUCKET_COUNT)) as usize);
         part.into_iter().for_each(|part| {
             part.fetch_add(1, Ordering::Relaxed);
         });
@@ -94,8 +97,8 @@
     /// Takes a place in the waitlist; none where it is full.
     ///
     /// ```
-    /// let desk = sorting::Desk::default();
-    /// let ticket = desk.join(1, None, sorting::Bell::default()).unwrap();
+    /// let desk = request_routing::Desk::default();
+    /// let ticket = desk.join(1, None, request_routing::Bell::default()).unwrap();
     /// assert!(desk.has_waiting(None));
     /// desk.leave(ticket);
     /// assert!(!desk.has_waiting(None));
@@ -107,7 +110,7 @@
     /// Gives a place in the waitlist up.
     ///
     /// ```
-    /// sorting::Desk::default().leave(7);
+    /// request_routing::Desk::default().leave(7);
     /// ```
     pub fn leave(&self, ticket: u64) {
         self.line(|line| line.leave(ticket));
@@ -116,7 +119,7 @@
     /// How many wait.
     ///
     /// ```
-    /// assert_eq!(sorting::Desk::default().waiting(), 0);
+    /// assert_eq!(request_routing::Desk::default().waiting(), 0);
     /// ```
     pub fn waiting(&self) -> usize {
         self.waiting.load(Ordering::Acquire)
@@ -125,7 +128,7 @@
     /// True where one who wants the same waits already.
     ///
     /// ```
-    /// assert!(!sorting::Desk::default().has_waiting(None));
+    /// assert!(!request_routing::Desk::default().has_waiting(None));
     /// ```
     pub fn has_waiting(&self, wants: Option<&str>) -> bool {
         self.waiting() > 0 && self.line(|line| line.has(wants))
@@ -134,7 +137,7 @@
     /// Rings for the first who would take a seat at this upstream, or anywhere.
     ///
     /// ```
-    /// sorting::Desk::default().ring(Some("a"));
+    /// request_routing::Desk::default().ring(Some("a"));
     /// ```
     pub fn ring(&self, freed: Option<&str>) {
         let first = Some(())
@@ -172,7 +175,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let (seat, now) = (sorting::Seat::default(), Duration::from_secs(1));
+    /// let (seat, now) = (request_routing::Seat::default(), Duration::from_secs(1));
     /// assert_eq!(seat.most(now, 1, 8, (2, 0)), 4, "half of eight");
     /// (0..4).for_each(|_| assert!(seat.sit(4)));
     /// assert_eq!(seat.most(now, 2, 4, (2, 0)), 6, "the other one sends nothing");
@@ -210,7 +213,7 @@
     /// left to it all the same, where it may have denied for another reason.
     ///
     /// ```
-    /// sorting::Seat::default().full(std::time::Duration::ZERO, 0);
+    /// request_routing::Seat::default().full(std::time::Duration::ZERO, 0);
     /// ```
     pub fn full(&self, now: Duration, least: u32) {
         self.full_at.store(
@@ -227,7 +230,7 @@
     /// Requests there by the best guess, this proxy's and others'.
     ///
     /// ```
-    /// let seat = sorting::Seat::default();
+    /// let seat = request_routing::Seat::default();
     /// seat.sit(1);
     /// assert_eq!(seat.load(std::time::Duration::ZERO), 1.0);
     /// ```
@@ -238,8 +241,8 @@
     /// Takes in what it told of its load.
     ///
     /// ```
-    /// let seat = sorting::Seat::default();
-    /// seat.hear(std::time::Duration::ZERO, sorting::Load { running: 2, waiting: 0, slots: 3 });
+    /// let seat = request_routing::Seat::default();
+    /// seat.hear(std::time::Duration::ZERO, request_routing::Load { running: 2, waiting: 0, slots: 3 });
     /// assert_eq!(seat.load(std::time::Duration::ZERO), 2.0);
     /// ```
     pub fn hear(&self, now: Duration, load: Load) {
@@ -253,7 +256,7 @@
     /// Takes one place if fewer than `most` are taken.
     ///
     /// ```
-    /// let seat = sorting::Seat::default();
+    /// let seat = request_routing::Seat::default();
     /// assert!(seat.sit(1));
     /// assert!(!seat.sit(1));
     /// seat.rise();
@@ -286,7 +289,7 @@
     /// Gives the place back.
     ///
     /// ```
-    /// let seat = sorting::Seat::default();
+    /// let seat = request_routing::Seat::default();
     /// seat.sit(1);
     /// seat.rise();
     /// assert_eq!(seat.in_flight.load(std::sync::atomic::Ordering::Relaxed), 0);
@@ -302,7 +305,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let seat = sorting::Seat::default();
+    /// let seat = request_routing::Seat::default();
     /// seat.note(Duration::ZERO, false);
     /// assert!(seat.is_ejected(Duration::from_millis(100)));
     /// assert!(!seat.is_ejected(Duration::from_secs(1)));
@@ -321,7 +324,7 @@
     /// True while it is left out.
     ///
     /// ```
-    /// assert!(!sorting::Seat::default().is_ejected(std::time::Duration::ZERO));
+    /// assert!(!request_routing::Seat::default().is_ejected(std::time::Duration::ZERO));
     /// ```
     pub fn is_ejected(&self, now: Duration) -> bool {
         (now.as_millis() as u64) < self.ejected_until_ms.load(Ordering::Acquire)
@@ -332,7 +335,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let seat = sorting::Seat::default();
+    /// let seat = request_routing::Seat::default();
     /// let now = Duration::from_secs(5);
     /// assert!(!seat.warm_up(now, 2, 4, 1), "the second of four waits its turn");
     /// assert!(seat.warm_up(now + Duration::from_millis(500), 2, 4, 1));
@@ -384,7 +387,7 @@
     /// The counts of a service.
     ///
     /// ```
-    /// let board = sorting::Board::default();
+    /// let board = request_routing::Board::default();
     /// board.desk("s").firsts.add(std::time::Duration::ZERO);
     /// assert_eq!(board.desk("s").firsts.sum(std::time::Duration::ZERO), 1);
     /// ```
@@ -396,7 +399,7 @@
     /// The counts of an upstream, by instance.
     ///
     /// ```
-    /// let board = sorting::Board::default();
+    /// let board = request_routing::Board::default();
     /// board.seat("a").sit(1);
     /// assert!(!board.seat("a").sit(1));
     /// ```
@@ -409,7 +412,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let board = sorting::Board::default();
+    /// let board = request_routing::Board::default();
     /// assert!(board.open_try("t", Duration::ZERO, Duration::from_secs(1)));
     /// assert!(!board.open_try("t", Duration::ZERO, Duration::from_secs(1)));
     /// board.sweep(Duration::from_secs(2), |_| true);
@@ -437,7 +440,7 @@
     /// The same counts, on a board of their own: what is taken there is not taken here.
     ///
     /// ```
-    /// let board = sorting::Board::default();
+    /// let board = request_routing::Board::default();
     /// board.copy().seat("a").sit(1);
     /// assert!(board.seat("a").sit(1));
     /// ```
@@ -462,7 +465,7 @@
     /// Every service's counts, in the order of their names.
     ///
     /// ```
-    /// let board = sorting::Board::default();
+    /// let board = request_routing::Board::default();
     /// board.desk("s").firsts.add(std::time::Duration::ZERO);
     /// assert_eq!(board.tallies(std::time::Duration::ZERO)[0].firsts, 1);
     /// ```
@@ -487,7 +490,7 @@
     /// Upstreams set aside at this moment.
     ///
     /// ```
-    /// let board = sorting::Board::default();
+    /// let board = request_routing::Board::default();
     /// board.seat("a").note(std::time::Duration::ZERO, false);
     /// assert_eq!(board.ejected(std::time::Duration::ZERO), ["a"]);
     /// ```
@@ -506,7 +509,7 @@
     /// Requests by key since the last call, for each service that has any.
     ///
     /// ```
-    /// assert!(sorting::Board::default().drain_keys().is_empty());
+    /// assert!(request_routing::Board::default().drain_keys().is_empty());
     /// ```
     pub fn drain_keys(&self) -> Vec<KeyLoad> {
         let drained = self.desks.iter().filter_map(|desk| {
@@ -528,7 +531,7 @@
     /// Rings once for every service: there may be room that nobody here gave back.
     ///
     /// ```
-    /// sorting::Board::default().ring_all();
+    /// request_routing::Board::default().ring_all();
     /// ```
     pub fn ring_all(&self) {
         let desks: Vec<Arc<Desk>> = self.desks.iter().map(|desk| desk.clone()).collect();
@@ -538,7 +541,7 @@
     /// Forgets tries whose life is over and upstreams that are gone.
     ///
     /// ```
-    /// let board = sorting::Board::default();
+    /// let board = request_routing::Board::default();
     /// board.seat("a").note(std::time::Duration::ZERO, false);
     /// board.sweep(std::time::Duration::ZERO, |instance| instance != "a");
     /// assert!(!board.seat("a").is_ejected(std::time::Duration::ZERO));
--- a/crates/sorting/src/calls.rs
+++ b/crates/request-routing/src/calls.rs
@@ -5,12 +5,12 @@
 use crate::load::Load;
 use crate::notes::{Note, Why};
 use crate::steps::{Move, Outcome, Stage};
-use address::{Code, Kind};
-use gazetteer::View;
+use config::Service;
+use name_directory::View;
 use protocol::{Share, Upstream};
+use result_code::{Execution, ResultCode};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use tariff::Service;
 
 /// Most connections tried for one request, those that never came up included.
 const MOST_CALLS: u32 = 4;
@@ -19,7 +19,7 @@
     /// The bell rang, or the waiting is over: one more look for a seat.
     ///
     /// ```
-    /// # use sorting::{Journey, Move, Order, Site};
+    /// # use request_routing::{Journey, Move, Order, Site};
     /// # use std::time::Duration;
     /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// let mut journey = Journey::new(Order::default(), site);
@@ -35,7 +35,7 @@
     /// stood still in between: only what may still go there is written, and else another is chosen.
     ///
     /// ```
-    /// # use sorting::{Journey, Move, Order, Site};
+    /// # use request_routing::{Journey, Move, Order, Site};
     /// # use std::time::Duration;
     /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// let mut journey = Journey::new(Order::default(), site);
@@ -46,7 +46,7 @@
         let (Stage::Chosen { upstream, share }, Some(service)) =
             (self.stage.clone(), self.service.clone())
         else {
-            return self.answer(now, Code::Expired);
+            return self.answer(now, ResultCode::Expired);
         };
         let withdrawn = self.withdrawn(now, view, &service, &upstream, share.as_ref());
         let within = self.left(now);
@@ -57,7 +57,7 @@
             return if self.calls < MOST_CALLS {
                 self.choose(now, view, board)
             } else {
-                self.answer(now, Code::Busy)
+                self.answer(now, ResultCode::Busy)
             };
         }
         if !self.written {
@@ -81,7 +81,7 @@
     /// upstream is called on a new one, and the choice judged again.
     ///
     /// ```
-    /// # use sorting::{Journey, Move, Order, Site};
+    /// # use request_routing::{Journey, Move, Order, Site};
     /// # use std::time::Duration;
     /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// let mut journey = Journey::new(Order::default(), site);
@@ -93,7 +93,7 @@
             .take()
             .filter(|_| matches!(self.stage, Stage::Sent { .. }))
         else {
-            return self.answer(now, Code::Expired);
+            return self.answer(now, ResultCode::Expired);
         };
         self.sends -= 1;
         self.notes.push(Note::Unsent {
@@ -137,7 +137,7 @@
     /// What the upstream told of its load with its answer; to be told before the outcome.
     ///
     /// ```
-    /// # use sorting::{Journey, Load, Order, Site};
+    /// # use request_routing::{Journey, Load, Order, Site};
     /// # use std::time::Duration;
     /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// Journey::new(Order::default(), site).hear(Duration::ZERO, Load::default());
@@ -149,13 +149,13 @@
     /// What came of the call: pass it, call again where that is safe and allowed, or answer.
     ///
     /// ```
-    /// # use sorting::{Journey, Move, Order, Outcome, Site};
+    /// # use request_routing::{Journey, Move, Order, Outcome, Site};
     /// # use std::time::Duration;
     /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// use address::Code;
+    /// use result_code::ResultCode;
     /// let mut journey = Journey::new(Order::default(), site);
     /// let next = journey.after(Duration::ZERO, &Default::default(), &Default::default(), Outcome::Lost);
-    /// assert!(matches!(next, Move::Answer { code: Code::Lost, .. }), "never sent again blindly");
+    /// assert!(matches!(next, Move::Answer { code: ResultCode::Lost, .. }), "never sent again blindly");
     /// ```
     pub fn after(&mut self, now: Duration, view: &View, board: &Board, outcome: Outcome) -> Move {
         let called = self.seat.is_some();
@@ -190,20 +190,20 @@
         self.leave_seat();
         let code = match outcome {
             Outcome::Sealed => {
-                self.answer(now, Code::Fine);
+                self.answer(now, ResultCode::Fine);
                 return Move::Pass;
             }
-            Outcome::SealedNotRun | Outcome::ReplacedNotRun => Code::Busy,
-            Outcome::NotHeld => Code::NoHolder,
-            Outcome::Failed => Code::Failed,
-            Outcome::NotConnected => Code::ResendsSpent,
-            Outcome::Lost => Code::Lost,
-            Outcome::Garbage | Outcome::Replaced => Code::Garbage,
-            Outcome::TimedOut => Code::TimedOut,
+            Outcome::SealedNotRun | Outcome::ReplacedNotRun => ResultCode::Busy,
+            Outcome::NotHeld => ResultCode::NoHolder,
+            Outcome::Failed => ResultCode::Failed,
+            Outcome::NotConnected => ResultCode::ResendsSpent,
+            Outcome::Lost => ResultCode::Lost,
+            Outcome::Garbage | Outcome::Replaced => ResultCode::Garbage,
+            Outcome::TimedOut => ResultCode::TimedOut,
         };
         self.doubt = self
             .doubt
-            .or(Some(code).filter(|code| code.kind() == Kind::Unknown));
+            .or(Some(code).filter(|code| code.kind() == Execution::Unknown));
         let said = self.route.as_ref().and_then(|route| route.terms.repeatable);
         let repeatable = said.unwrap_or_else(|| {
             self.service
@@ -215,7 +215,7 @@
             .as_ref()
             .and_then(|route| route.terms.attempts)
             .unwrap_or(MOST_CALLS);
-        let safe = repeatable || code.kind() == Kind::NotRun;
+        let safe = repeatable || code.kind() == Execution::NotRun;
         let proxies = view.proxies.len();
         // Where no connection came up, nothing was sent: going elsewhere is no resend.
         let again = safe
@@ -223,7 +223,7 @@
             && self.calls < MOST_CALLS
             && self.sends < attempts
             && !self.left(now).is_zero()
-            && (code == Code::ResendsSpent
+            && (code == ResultCode::ResendsSpent
                 || self
                     .desk
                     .as_ref()
--- a/crates/sorting/src/choosing.rs
+++ b/crates/request-routing/src/choosing.rs
@@ -4,13 +4,13 @@
 use crate::journey::Journey;
 use crate::notes::{Note, Why};
 use crate::steps::{Move, Stage};
-use address::Code;
-use gazetteer::View;
+use config::Service;
+use name_directory::View;
 use protocol::{Share, Upstream};
+use result_code::ResultCode;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use tariff::Service;
 
 /// Until the others' views have caught up with a change of who sends, all proxies may be sending.
 const SENDERS_SETTLE: Duration = Duration::from_secs(3);
@@ -35,14 +35,14 @@
     /// Chooses an upstream and takes a seat there, or a place in the waitlist.
     pub(crate) fn choose(&mut self, now: Duration, view: &View, board: &Board) -> Move {
         let (Some(service), Some(desk)) = (self.service.clone(), self.desk.clone()) else {
-            return self.answer(now, Code::NoSuchName);
+            return self.answer(now, ResultCode::NoSuchName);
         };
         if self.left(now).is_zero() {
-            return self.answer(now, Code::Expired);
+            return self.answer(now, ResultCode::Expired);
         }
         // The view may have aged, or the route changed, while the request waited.
         if !self.site.may_use(view, now) {
-            return self.answer(now, Code::Stale);
+            return self.answer(now, ResultCode::Stale);
         }
         if view.edition != self.edition {
             self.leave_place();
@@ -50,7 +50,7 @@
         }
         let share = self.share(view, &service);
         if service.keyed && share.is_none() {
-            return self.answer(now, Code::NoHolder);
+            return self.answer(now, ResultCode::NoHolder);
         }
         let wants = share.as_ref().map(|share| share.instance.as_str());
         // Whoever came before goes first.
@@ -92,17 +92,17 @@
             .wait_until
             .get_or_insert(now + self.site.wait_for.min(self.left(now) / 2));
         if now >= until {
-            return self.answer(now, Code::Busy);
+            return self.answer(now, ResultCode::Busy);
         }
         if self.place.is_none() {
-            let key = address::spread(self.order.key.as_deref().unwrap_or(&self.order.try_id));
+            let key = random::stable_hash(self.order.key.as_deref().unwrap_or(&self.order.try_id));
             let place = desk.join(key, wants, self.order.bell.clone());
             self.place = place.map(|ticket| Place {
                 desk: desk.clone(),
                 ticket,
             });
             if self.place.is_none() {
-                return self.answer(now, Code::Busy);
+                return self.answer(now, ResultCode::Busy);
             }
             self.notes.push(Note::Waits {
                 within: until - now,
@@ -183,7 +183,8 @@
             1 + u8::from(region(place) != self.site.locality.region)
         };
         let taken = seat.in_flight.load(Ordering::Acquire);
-        let spread = address::spread_all([self.order.try_id.as_str(), upstream.instance.as_str()]);
+        let spread =
+            random::stable_hash_parts([self.order.try_id.as_str(), upstream.instance.as_str()]);
         if upstream.slots > 0 {
             let far_ms = [0.0, self.site.far_ms.0, self.site.far_ms.1][usize::from(near.min(2))];
             let cost = seat
--- a/crates/sorting/src/comeback.rs
+++ b/crates/request-routing/src/comeback.rs
@@ -1,7 +1,7 @@
 //! When a denied origin is told to come back: from what is known of the cause, and spread, so that a herd that
 //! was denied together does not return together.
 
-use address::Code;
+use result_code::ResultCode;
 use std::time::Duration;
 
 const LEAST: Duration = Duration::from_millis(100);
@@ -11,25 +11,27 @@
 /// lately; `salt` (the try id) spreads the answers over half to one and a half of the span.
 ///
 /// ```
-/// use address::Code;
-/// let span = |pressure, salt| sorting::come_back(Code::Busy, pressure, salt).unwrap().as_millis();
+/// use result_code::ResultCode;
+/// let span = |pressure, salt| request_routing::come_back(ResultCode::Busy, pressure, salt).unwrap().as_millis();
 /// assert!((200..600).contains(&span(0.0, "try-1")), "a full moment passes soon");
 /// assert!(span(4.0, "try-1") >= 1000, "four were denied for each one taken");
 /// assert_ne!(span(1.0, "try-1"), span(1.0, "try-2"));
-/// assert_eq!(sorting::come_back(Code::MissingKey, 0.0, ""), None, "coming back changes nothing");
+/// assert_eq!(request_routing::come_back(ResultCode::MissingKey, 0.0, ""), None, "coming back changes nothing");
 /// ```
-pub fn come_back(code: Code, pressure: f64, salt: &str) -> Option<Duration> {
+pub fn come_back(code: ResultCode, pressure: f64, salt: &str) -> Option<Duration> {
     let base = match code {
         // What was denied must fit in beside what comes anew.
-        Code::Busy => Duration::from_millis(400).mul_f64(1.0 + pressure.clamp(0.0, 10.0)),
-        Code::ResendsSpent => Duration::from_millis(500),
+        ResultCode::Busy => Duration::from_millis(400).mul_f64(1.0 + pressure.clamp(0.0, 10.0)),
+        ResultCode::ResendsSpent => Duration::from_millis(500),
         // Confirmations come twice a second, and four were missed: it may last, but another node may have one.
         // Placement decides anew once the silent are given up, and shares once the old ones have run out.
-        Code::Stale | Code::NoOwner | Code::NoHolder => Duration::from_millis(1000),
+        ResultCode::Stale | ResultCode::NoOwner | ResultCode::NoHolder => {
+            Duration::from_millis(1000)
+        }
         // Elsewhere, at once: ask the directory again.
-        Code::Closing | Code::NotMine => Duration::from_millis(200),
+        ResultCode::Closing | ResultCode::NotMine => Duration::from_millis(200),
         _ => return None,
     };
-    let share = (address::spread(salt) % 1000) as f64 / 1000.0;
+    let share = (random::stable_hash(salt) % 1000) as f64 / 1000.0;
     Some(base.mul_f64(0.5 + share).clamp(LEAST, MOST))
 }
--- a/crates/sorting/src/journey.rs
+++ b/crates/request-routing/src/journey.rs
@@ -7,13 +7,13 @@
 use crate::proxy::Site;
 use crate::request::Order;
 use crate::steps::{Move, Stage};
-use address::{Code, Kind};
-use gazetteer::View;
+use config::{Route, Service};
+use name_directory::View;
 use protocol::{Share, Upstream};
+use result_code::{Execution, ResultCode};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use tariff::{Route, Service};
 
 /// One request under way.
 pub struct Journey {
@@ -41,7 +41,7 @@
     pub(crate) place: Option<Place>,
     pub(crate) wait_until: Option<Duration>,
     /// A send whose outcome nobody knows: from then on it can't be said that nothing ran.
-    pub(crate) doubt: Option<Code>,
+    pub(crate) doubt: Option<ResultCode>,
     pub(crate) notes: Vec<Note>,
 }
 
@@ -49,7 +49,7 @@
     /// A request that was just enrolled.
     ///
     /// ```
-    /// use sorting::{Journey, Order, Site, Stage};
+    /// use request_routing::{Journey, Order, Site, Stage};
     /// use std::time::Duration;
     /// let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// assert_eq!(*Journey::new(Order::default(), site).stage(), Stage::Waiting);
@@ -81,7 +81,7 @@
     /// Where it stands.
     ///
     /// ```
-    /// # use sorting::{Journey, Order, Site, Stage};
+    /// # use request_routing::{Journey, Order, Site, Stage};
     /// # use std::time::Duration;
     /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// let mut journey = Journey::new(Order::default(), site);
@@ -95,7 +95,7 @@
     /// What was decided on the way, for a trace.
     ///
     /// ```
-    /// # use sorting::{Journey, Order, Site};
+    /// # use request_routing::{Journey, Order, Site};
     /// # use std::time::Duration;
     /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// assert!(Journey::new(Order::default(), site).into_notes().is_empty());
@@ -112,13 +112,13 @@
         }
     }
 
-    pub(crate) fn answer(&mut self, now: Duration, code: Code) -> Move {
+    pub(crate) fn answer(&mut self, now: Duration, code: ResultCode) -> Move {
         let code = self
             .doubt
-            .filter(|_| code.kind() == Kind::NotRun)
+            .filter(|_| code.kind() == Execution::NotRun)
             .unwrap_or(code);
         // Only a denial for want of room asks for the pressure: it sums whole windows.
-        let crowded = self.desk.as_ref().filter(|_| code == Code::Busy);
+        let crowded = self.desk.as_ref().filter(|_| code == ResultCode::Busy);
         let pressure = crowded.map(|desk| {
             desk.denied.add(now);
             desk.pressure(now)
@@ -167,7 +167,7 @@
 /// taken, counted or noted of it.
 ///
 /// ```
-/// use sorting::{Board, Order, Site, suppose};
+/// use request_routing::{Board, Order, Site, suppose};
 /// use std::time::Duration;
 /// let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
 /// let board = Board::default();
--- a/crates/sorting/src/load.rs
+++ b/crates/request-routing/src/load.rs
@@ -49,7 +49,7 @@
     /// Takes in what an answer told; `own` is how many of those requests are this proxy's.
     ///
     /// ```
-    /// use sorting::{Gauge, Load};
+    /// use request_routing::{Gauge, Load};
     /// use std::time::Duration;
     /// let gauge = Gauge::default();
     /// gauge.hear(Duration::ZERO, Load { running: 3, waiting: 2, slots: 3 }, 1);
@@ -73,7 +73,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let gauge = sorting::Gauge::default();
+    /// let gauge = request_routing::Gauge::default();
     /// gauge.worked(Duration::from_millis(200), 6.0, 3);
     /// assert_eq!(gauge.work_ms(50.0), 100.0, "half of it went to waiting");
     /// ```
@@ -88,7 +88,7 @@
     /// How long work takes there, in milliseconds; `fallback` where none was seen.
     ///
     /// ```
-    /// assert_eq!(sorting::Gauge::default().work_ms(50.0), 50.0);
+    /// assert_eq!(request_routing::Gauge::default().work_ms(50.0), 50.0);
     /// ```
     pub fn work_ms(&self, fallback: f64) -> f64 {
         self.with(|known| {
@@ -103,7 +103,7 @@
     /// How many requests of others are there by the best guess.
     ///
     /// ```
-    /// assert_eq!(sorting::Gauge::default().others(std::time::Duration::ZERO), 0.0);
+    /// assert_eq!(request_routing::Gauge::default().others(std::time::Duration::ZERO), 0.0);
     /// ```
     pub fn others(&self, now: Duration) -> f64 {
         self.with(|known| {
@@ -118,7 +118,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let gauge = sorting::Gauge::default();
+    /// let gauge = request_routing::Gauge::default();
     /// let cost = |own| gauge.cost_ms(Duration::ZERO, own, 3, 0.0, 100.0);
     /// assert!(cost(0) < cost(1) && cost(3) > Some(100.0));
     /// assert_eq!(cost(9), None);
--- a/crates/sorting/src/notes.rs
+++ b/crates/request-routing/src/notes.rs
@@ -1,11 +1,11 @@
 //! Why a request went where it went: compact while it is noted, text only once somebody asks.
 
-use address::Code;
+use config::Route;
 use protocol::Upstream;
+use result_code::ResultCode;
 use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
-use tariff::Route;
 
 /// Why an upstream was passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,10 +81,10 @@
     },
     Called,
     Again {
-        after: Code,
+        after: ResultCode,
     },
     Answered {
-        code: Code,
+        code: ResultCode,
     },
 }
 
--- a/crates/sorting/src/proxy.rs
+++ b/crates/request-routing/src/proxy.rs
@@ -1,7 +1,7 @@
 //! The proxy that serves requests: its place and the spans it goes by.
 
-use address::Locality;
-use gazetteer::{Owners, View};
+use locality::Locality;
+use name_directory::{Owners, View};
 use std::time::Duration;
 
 /// The proxy that serves it.
@@ -27,7 +27,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let site = sorting::Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// let site = request_routing::Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// assert_eq!(site.locality.region, "n");
     /// ```
     pub fn new(node: &str, locality: Locality, stale_after: Duration, wait_for: Duration) -> Self {
@@ -47,8 +47,8 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let mut site = sorting::Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let view = gazetteer::View { as_of: Some(Duration::ZERO), ..Default::default() };
+    /// let mut site = request_routing::Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// let view = name_directory::View { as_of: Some(Duration::ZERO), ..Default::default() };
     /// assert!(!site.may_use(&view, Duration::from_secs(9)));
     /// site.serves_on = true;
     /// assert!(site.may_use(&view, Duration::from_secs(9)));
--- a/crates/sorting/src/routing.rs
+++ b/crates/request-routing/src/routing.rs
@@ -5,12 +5,12 @@
 use crate::journey::Journey;
 use crate::notes::Note;
 use crate::steps::{Move, Stage};
-use address::Code;
-use gazetteer::{Owners, View, is_home, is_within};
+use config::{Route, Service};
+use name_directory::{Owners, View, is_home, is_within};
+use result_code::ResultCode;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use tariff::{Route, Service};
 
 /// How long a try id is remembered beyond its deadline.
 const TRY_LIFE: Duration = Duration::from_secs(10);
@@ -19,24 +19,24 @@
     /// The first decision: deny, forward by a mark, or call.
     ///
     /// ```
-    /// # use sorting::{Journey, Move, Order, Site};
+    /// # use request_routing::{Journey, Move, Order, Site};
     /// # use std::time::Duration;
     /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// use address::Code;
+    /// use result_code::ResultCode;
     /// let mut journey = Journey::new(Order::default(), site);
     /// let first = journey.start(Duration::ZERO, &Default::default(), &Default::default());
-    /// assert!(matches!(first, Move::Answer { code: Code::Stale, .. }), "a view that was never confirmed");
+    /// assert!(matches!(first, Move::Answer { code: ResultCode::Stale, .. }), "a view that was never confirmed");
     /// ```
     pub fn start(&mut self, now: Duration, view: &View, board: &Board) -> Move {
         if !self.site.may_use(view, now) {
-            return self.answer(now, Code::Stale);
+            return self.answer(now, ResultCode::Stale);
         }
         let name = view.setup.resolve(&self.order.name);
         let route = name.and_then(|name| view.setup.route(name, &self.order.path));
         let service = |route: &Arc<Route>| view.setup.services.get(route.pick(&self.order.try_id));
         let found = route.and_then(|route| service(route).map(|service| (route, service)));
         let Some((route, service)) = found else {
-            return self.answer(now, Code::NoSuchName);
+            return self.answer(now, ResultCode::NoSuchName);
         };
         self.edition = view.edition;
         self.notes.push(Note::Asked {
@@ -46,10 +46,10 @@
         });
         self.route = Some(route.clone());
         if self.order.body_bytes > service.most_bytes {
-            return self.answer(now, Code::TooLarge);
+            return self.answer(now, ResultCode::TooLarge);
         }
         if service.keyed && self.order.key.is_none() {
-            return self.answer(now, Code::MissingKey);
+            return self.answer(now, ResultCode::MissingKey);
         }
         match self.site.owners {
             Owners::ByCaller => self.serve(now, view, board, service),
@@ -71,7 +71,7 @@
         let Some(reservation) =
             reservation.filter(|owned| !view.evacuated.contains(&owned.locality))
         else {
-            return self.answer(now, Code::NoOwner);
+            return self.answer(now, ResultCode::NoOwner);
         };
         self.notes.push(Note::Owner {
             locality: reservation.locality.clone(),
@@ -104,13 +104,13 @@
         let desk = board.desk(&service.name);
         if desk.serving.fetch_add(1, Ordering::AcqRel) >= service.concurrency {
             desk.serving.fetch_sub(1, Ordering::AcqRel);
-            return self.answer(now, Code::Busy);
+            return self.answer(now, ResultCode::Busy);
         }
         self.leave_desk();
         self.desk = Some(desk);
         self.service = Some(service.clone());
         if !self.opened && !board.open_try(&self.order.try_id, now, self.left(now) + TRY_LIFE) {
-            return self.answer(now, Code::Duplicate);
+            return self.answer(now, ResultCode::Duplicate);
         }
         if !self.opened && service.numbered {
             let key = self.order.key.as_deref().and_then(|key| service.place(key));
@@ -126,7 +126,7 @@
     fn forward(&mut self, now: Duration, view: &View, service: &Service, owner: &str) -> Move {
         // A denial by the next proxy would be passed on, and may not be once this one has sent it somewhere.
         if self.order.forwarded || self.doubt.is_some() {
-            return self.answer(now, Code::NotMine);
+            return self.answer(now, ResultCode::NotMine);
         }
         let able = |place: &str| self.is_home(service, place) && !view.evacuated.contains(place);
         let places = view.proxies.iter().map(|proxy| {
@@ -148,7 +148,7 @@
                 (
                     suspect,
                     near,
-                    address::spread_all([self.order.try_id.as_str(), address.as_str()]),
+                    random::stable_hash_parts([self.order.try_id.as_str(), address.as_str()]),
                     address,
                 )
             })
@@ -161,10 +161,10 @@
             .map(|(.., address)| address)
             .collect();
         if proxies.is_empty() {
-            return self.answer(now, Code::NoOwner);
+            return self.answer(now, ResultCode::NoOwner);
         }
         if within.is_zero() {
-            return self.answer(now, Code::Expired);
+            return self.answer(now, ResultCode::Expired);
         }
         self.notes.push(Note::Forwarded {
             to: owner.to_owned(),
--- a/crates/sorting/src/steps.rs
+++ b/crates/request-routing/src/steps.rs
@@ -1,7 +1,7 @@
 //! Where a request stands, what came of its last call, and what to do next.
 
-use address::Code;
 use protocol::{Share, Upstream};
+use result_code::ResultCode;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
         instance: String,
     },
     Answered {
-        code: Code,
+        code: ResultCode,
     },
 }
 
@@ -72,7 +72,7 @@
     Pass,
     /// Answer with a code, and when to come back where that helps.
     Answer {
-        code: Code,
+        code: ResultCode,
         retry_after: Option<Duration>,
     },
 }
--- a/crates/sorting/src/waitlist.rs
+++ b/crates/request-routing/src/waitlist.rs
@@ -16,7 +16,7 @@
     /// A bell that does this when it rings.
     ///
     /// ```
-    /// sorting::Bell::new(|| println!("a seat may be free")).ring();
+    /// request_routing::Bell::new(|| println!("a seat may be free")).ring();
     /// ```
     pub fn new(ring: impl Fn() + Send + Sync + 'static) -> Self {
         Bell(Arc::new(ring))
@@ -25,7 +25,7 @@
     /// Rings.
     ///
     /// ```
-    /// sorting::Bell::default().ring();
+    /// request_routing::Bell::default().ring();
     /// ```
     pub fn ring(&self) {
         (self.0)()
@@ -63,8 +63,8 @@
     /// Takes a place at the end; none where the list, or this key's part of it, is full.
     ///
     /// ```
-    /// let mut list = sorting::Waitlist::default();
-    /// let join = |list: &mut sorting::Waitlist, key| list.join(key, None, sorting::Bell::default());
+    /// let mut list = request_routing::Waitlist::default();
+    /// let join = |list: &mut request_routing::Waitlist, key| list.join(key, None, request_routing::Bell::default());
     /// (0..16).for_each(|_| assert!(join(&mut list, 7).is_some()));
     /// assert_eq!(join(&mut list, 7), None, "one key may not take the whole list");
     /// assert!(join(&mut list, 8).is_some());
@@ -91,8 +91,8 @@
     /// Gives the place up.
     ///
     /// ```
-    /// let mut list = sorting::Waitlist::default();
-    /// let ticket = list.join(1, None, sorting::Bell::default()).unwrap();
+    /// let mut list = request_routing::Waitlist::default();
+    /// let ticket = list.join(1, None, request_routing::Bell::default()).unwrap();
     /// list.leave(ticket);
     /// assert!(list.is_empty());
     /// ```
@@ -103,8 +103,8 @@
     /// The bell of the first who would take a seat at this upstream, or anywhere.
     ///
     /// ```
-    /// let mut list = sorting::Waitlist::default();
-    /// list.join(1, Some("a"), sorting::Bell::default());
+    /// let mut list = request_routing::Waitlist::default();
+    /// list.join(1, Some("a"), request_routing::Bell::default());
     /// assert!(list.first(Some("b")).is_none(), "it wants a seat at a only");
     /// assert!(list.first(Some("a")).is_some());
     /// ```
@@ -122,8 +122,8 @@
     /// True where one who wants the same is there already: who comes now goes behind.
     ///
     /// ```
-    /// let mut list = sorting::Waitlist::default();
-    /// list.join(1, Some("a"), sorting::Bell::default());
+    /// let mut list = request_routing::Waitlist::default();
+    /// list.join(1, Some("a"), request_routing::Bell::default());
     /// assert!(list.has(Some("a")));
     /// assert!(!list.has(Some("b")));
     /// ```
@@ -136,7 +136,7 @@
     /// How many wait.
     ///
     /// ```
-    /// assert_eq!(sorting::Waitlist::default().len(), 0);
+    /// assert_eq!(request_routing::Waitlist::default().len(), 0);
     /// ```
     pub fn len(&self) -> usize {
         self.line.len()
@@ -145,7 +145,7 @@
     /// True where nobody waits.
     ///
     /// ```
-    /// assert!(sorting::Waitlist::default().is_empty());
+    /// assert!(request_routing::Waitlist::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
         self.line.is_empty()
--- a/crates/sorting/src/window.rs
+++ b/crates/request-routing/src/window.rs
@@ -11,7 +11,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// let window = sorting::Window::default();
+/// let window = request_routing::Window::default();
 /// window.add(Duration::from_secs(1));
 /// window.add(Duration::from_secs(9));
 /// assert_eq!(window.sum(Duration::from_secs(10)), 2);
@@ -30,7 +30,7 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// let window = sorting::Window::default();
+    /// let window = request_routing::Window::default();
     /// window.add(Duration::ZERO);
     /// assert_eq!(window.sum(Duration::ZERO), 1);
     /// ```
@@ -51,7 +51,7 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// assert_eq!(sorting::Window::default().sum(Duration::from_secs(1)), 0);
+    /// assert_eq!(request_routing::Window::default().sum(Duration::from_secs(1)), 0);
     /// ```
     pub fn sum(&self, now: Duration) -> u64 {
         let number = Self::number(now);
--- a/crates/sorting/tests/arbitrary.rs
+++ b/crates/request-routing/tests/arbitrary.rs
@@ -1,7 +1,7 @@
 //! Counts kept in buckets and atomics, against the plain way of counting.
 
 use arbtest::arbtest;
-use sorting::{Desk, Window};
+use request_routing::{Desk, Window};
 use std::time::Duration;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
--- a/crates/sorting/tests/unsent.rs
+++ b/crates/request-routing/tests/unsent.rs
@@ -1,8 +1,8 @@
 //! A kept connection that turned out to be closed before a byte of the request went out.
 
-use gazetteer::{Owners, View};
+use name_directory::{Owners, View};
 use protocol::{ClusterState, Upstream, ViewUpdate};
-use sorting::{Board, Journey, Move, Order, Outcome, Site};
+use request_routing::{Board, Journey, Move, Order, Outcome, Site};
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(1);
@@ -123,7 +123,7 @@
     let Move::Answer { code, .. } = next else {
         panic!("{next:?}")
     };
-    assert_eq!(code.kind(), address::Kind::NotRun);
+    assert_eq!(code.kind(), result_code::Execution::NotRun);
 }
 
 #[test]
