--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -2,8 +2,8 @@
 
 mod simulated;
 
-use address::Random;
 use protocol::{Ballot, ClusterState, DurableState};
+use random::Random;
 use simulated::{Loss, Omits, Platter, SimulatedDisk};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
--- a/crates/storage/tests/failures.rs
+++ b/crates/storage/tests/failures.rs
@@ -2,8 +2,8 @@
 
 mod simulated;
 
-use address::Random;
 use protocol::{Departure, DurableState};
+use random::Random;
 use simulated::{Loss, Omits, SimulatedDisk};
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/storage/tests/simulated/mod.rs
+++ b/crates/storage/tests/simulated/mod.rs
@@ -4,7 +4,7 @@
 // Each test file uses a part of it.
 #![allow(dead_code)]
 
-use address::Random;
+use random::Random;
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 use std::path::{Component, Path};
--- a/crates/drill/src/breaches.rs
+++ b/crates/test-harness/src/breaches.rs
@@ -3,7 +3,7 @@
 use crate::facts::{Fact, Seen, Vouched};
 use crate::history::{Order, Reply};
 use crate::rules::{CHECKERS, Terms, judge};
-use address::Code;
+use result_code::ResultCode;
 use std::collections::BTreeSet;
 use std::ops::Range;
 use std::time::Duration;
@@ -179,7 +179,7 @@
     };
     let returned = |ms, edition| {
         let reply = Reply::Decided {
-            code: Code::Fine,
+            code: ResultCode::Fine,
             edition: Some(edition),
         };
         at(
--- a/crates/drill/src/changes.rs
+++ b/crates/test-harness/src/changes.rs
@@ -264,7 +264,7 @@
                 } => self.write(at, Write::Setup(ticket, digest, bytes)),
                 Effect::DropSetup { digest } => self.write(at, Write::Drop(digest)),
                 Effect::Decided { decision, .. } => {
-                    self.accepted += usize::from(decision.code == address::Code::Fine);
+                    self.accepted += usize::from(decision.code == result_code::ResultCode::Fine);
                 }
                 Effect::Adopted | Effect::EpochKept { .. } => {}
             }
--- a/crates/drill/src/explore.rs
+++ b/crates/test-harness/src/explore.rs
@@ -1,6 +1,6 @@
 //! The bounded explorer of the register and the lease, with budgets from the command line.
 
-use explorer::{
+use model_checker::{
     ControlBudget, ControlModel, ControlScenario, LeaseBudget, LeaseModel, Limits, Model,
     RegisterModel, Scenario, Schedule, Trace, control_scenarios, lease_scenarios,
     register_scenarios, replay, search,
--- a/crates/drill/src/facts.rs
+++ b/crates/test-harness/src/facts.rs
@@ -119,7 +119,7 @@
     /// Notes a fact.
     ///
     /// ```
-    /// use drill::facts::{Fact, Record};
+    /// use test_harness::facts::{Fact, Record};
     /// let record = Record::default();
     /// record.note(std::time::Duration::ZERO, Fact::Fault { what: "none".into() });
     /// assert_eq!(record.all().len(), 1);
@@ -134,7 +134,7 @@
     /// All facts, in the order of their moments.
     ///
     /// ```
-    /// assert!(drill::facts::Record::default().all().is_empty());
+    /// assert!(test_harness::facts::Record::default().all().is_empty());
     /// ```
     pub fn all(&self) -> Vec<Seen> {
         let mut all = self
--- a/crates/drill/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -225,11 +225,11 @@
                 let more: Vec<String> = more.iter().map(|flag| (*flag).to_owned()).collect();
                 fleet
                     .postmasters
-                    .push(process("postmaster", &ends[at], &more, Some(data))?);
+                    .push(process("control-plane", &ends[at], &more, Some(data))?);
             } else {
                 fleet
                     .carriers
-                    .push(process("carrier", &ends[at], &[], None)?);
+                    .push(process("data-plane", &ends[at], &[], None)?);
             }
         }
         Ok(fleet)
@@ -260,7 +260,7 @@
 
     /// Runs the operator's tool to its end; what it complained of where it did not do it.
     pub fn clerk(&self, args: &[&str]) -> Result<(), String> {
-        let done = Command::new(self.programs.join("clerk"))
+        let done = Command::new(self.programs.join("mothspindlectl"))
             .args(args)
             .output()
             .map_err(|e| e.to_string())?;
--- a/crates/drill/src/history.rs
+++ b/crates/test-harness/src/history.rs
@@ -6,7 +6,7 @@
 //! knows nothing of the system.
 
 use crate::facts::{Fact, Seen};
-use address::Code;
+use result_code::ResultCode;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
@@ -36,7 +36,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// An order was decided; the edition is missing where the answer may be to a later sending of the same order.
-    Decided { code: Code, edition: Option<u64> },
+    Decided {
+        code: ResultCode,
+        edition: Option<u64>,
+    },
     /// The setup read back; its digest is empty where there was none.
     Read { edition: u64, digest: String },
 }
@@ -55,7 +58,7 @@
     /// True for reads, and for orders that were told that they changed nothing.
     fn never_changes(&self) -> bool {
         match &self.returned {
-            Some((_, Reply::Decided { code, .. })) => *code != Code::Fine,
+            Some((_, Reply::Decided { code, .. })) => *code != ResultCode::Fine,
             Some((_, Reply::Read { .. })) => true,
             None => false,
         }
@@ -81,7 +84,7 @@
 /// Checks a history.
 ///
 /// ```
-/// use drill::history::{Call, Order, Reply, check};
+/// use test_harness::history::{Call, Order, Reply, check};
 /// use std::time::Duration;
 /// let read = |edition, digest: &str| Call {
 ///     name: "read".into(),
@@ -132,7 +135,7 @@
             (
                 order,
                 Some(Reply::Decided {
-                    code: Code::Fine,
+                    code: ResultCode::Fine,
                     edition,
                 }),
             ) => match self.changed(order) {
@@ -210,7 +213,7 @@
     }
 
     /// True where an order that changes nothing is rightly told so with this code.
-    fn refuses(&self, order: &Order, code: Code) -> bool {
+    fn refuses(&self, order: &Order, code: ResultCode) -> bool {
         let Order::Setup {
             number,
             base,
@@ -220,14 +223,14 @@
             return false;
         };
         match code {
-            Code::SetupBehind => {
+            ResultCode::SetupBehind => {
                 base.is_some() && (self.edition.is_none() || *base != self.edition)
             }
-            Code::NumberTaken => {
+            ResultCode::NumberTaken => {
                 let known = number.and_then(|number| self.numbers.get(&number));
                 known.is_some_and(|known| known != digest)
             }
-            Code::Overtaken => {
+            ResultCode::Overtaken => {
                 number.is_some_and(|number| self.number.is_some_and(|held| number < held))
             }
             _ => false,
@@ -457,7 +460,7 @@
 /// The calls of a record. Reads count only where the orders were recorded too.
 ///
 /// ```
-/// assert!(drill::history::calls(&[]).is_empty());
+/// assert!(test_harness::history::calls(&[]).is_empty());
 /// ```
 pub fn calls(seen: &[Seen]) -> Vec<Call> {
     let mut calls: Vec<Call> = Vec::new();
@@ -514,11 +517,11 @@
 fn is_clear(reply: &Reply) -> bool {
     match reply {
         Reply::Decided {
-            code: Code::OrderForgotten,
+            code: ResultCode::OrderForgotten,
             ..
         } => false,
         Reply::Decided {
-            code: Code::Overtaken,
+            code: ResultCode::Overtaken,
             edition: None,
         } => false,
         Reply::Decided { .. } | Reply::Read { .. } => true,
@@ -528,7 +531,7 @@
 /// Calls that were sent again and then told something else, with the moment of the later answer.
 ///
 /// ```
-/// assert!(drill::history::changed_answers(&[]).is_empty());
+/// assert!(test_harness::history::changed_answers(&[]).is_empty());
 /// ```
 pub fn changed_answers(seen: &[Seen]) -> Vec<(Duration, String)> {
     let mut first: BTreeMap<&str, &Reply> = BTreeMap::new();
--- a/crates/drill/src/hollow/calls.rs
+++ b/crates/test-harness/src/hollow/calls.rs
@@ -1,7 +1,7 @@
 //! Orders and departures that come one after the other, and how long each waits for its answer.
 
 use super::fleet::Fleet;
-use controller::{Answer, Ask};
+use control_plane::{Answer, Ask};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
         let token = self.token();
         self.calls.asked += 1;
         self.calls.asked_at.insert(token, self.now);
-        self.step_control(at, kind, controller::Event::Ask { token, ask });
+        self.step_control(at, kind, control_plane::Event::Ask { token, ask });
     }
 
     /// True where the answer was one to such a call.
@@ -84,7 +84,7 @@
         };
         match answer {
             Answer::Verdict {
-                code: address::Code::Fine,
+                code: result_code::ResultCode::Fine,
                 edition,
             } => {
                 self.calls.taken_after.push(self.now - asked_at);
--- a/crates/drill/src/hollow/queue.rs
+++ b/crates/test-harness/src/hollow/queue.rs
@@ -1,7 +1,7 @@
 //! What happens when, in virtual time.
 
 use super::units::Answered;
-use controller::Answer;
+use control_plane::Answer;
 use protocol::{DurableState, Payload, Upstream};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/drill/src/hollow/request.rs
+++ b/crates/test-harness/src/hollow/request.rs
@@ -4,9 +4,9 @@
 use super::count::Stopwatch;
 use super::figures::Figures;
 use super::size::Size;
-use gazetteer::{Proxy, View};
+use name_directory::{Proxy, View};
 use protocol::{ClusterState, Placement, Reservation, Upstream, ViewUpdate};
-use sorting::{Board, Journey, Move, Order, Outcome, Site};
+use request_routing::{Board, Journey, Move, Order, Outcome, Site};
 use std::hint::black_box;
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// Measures the path at a size.
 ///
 /// ```
-/// let figures = drill::hollow::request_path(&drill::hollow::TODAY, 50);
+/// let figures = test_harness::hollow::request_path(&test_harness::hollow::TODAY, 50);
 /// assert_eq!(figures.get("served"), Some(50.0));
 /// ```
 pub fn request_path(size: &Size, requests: usize) -> Figures {
@@ -47,12 +47,12 @@
             &view.proxies[at % view.proxies.len()].locality,
         );
         let watch = Stopwatch::start();
-        let listed = gazetteer::list(
+        let listed = name_directory::list(
             &view,
             &name,
             origin,
             Duration::from_secs(2),
-            (gazetteer::Owners::One, 3),
+            (name_directory::Owners::One, 3),
         );
         assert!(black_box(listed).is_ok(), "{name} has an owner");
         watch.took()
@@ -170,7 +170,7 @@
             let holders: Vec<usize> = (0..size.upstreams)
                 .filter(|at| at % size.services == service)
                 .collect();
-            let given = (0..address::SLOTS)
+            let given = (0..key_space::SLOT_COUNT)
                 .filter(|_| !holders.is_empty())
                 .map(|slot| protocol::Share {
                     from: slot,
--- a/crates/drill/src/hollow/sights.rs
+++ b/crates/test-harness/src/hollow/sights.rs
@@ -3,8 +3,8 @@
 use super::count::Ledger;
 use super::fleet::{Core, Fleet};
 use super::queue::Happening;
-use controller::{Answer, Ask};
-use gazetteer::View;
+use control_plane::{Answer, Ask};
+use name_directory::View;
 use std::time::Duration;
 
 const STALE_AFTER: Duration = Duration::from_secs(2);
@@ -13,7 +13,7 @@
     /// An operator submits a setup with so many further routes, and asks again until it is accepted.
     ///
     /// ```
-    /// use drill::hollow::{Fleet, Load, TODAY};
+    /// use test_harness::hollow::{Fleet, Load, TODAY};
     /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
     /// fleet.submit(0);
     /// assert_eq!(fleet.in_force(1), 0, "nobody has founded the register yet");
@@ -50,7 +50,7 @@
             self.now + Duration::from_secs(3),
             Happening::Submit { bytes, asked },
         );
-        self.step_control(at, "submit", controller::Event::Ask { token, ask });
+        self.step_control(at, "submit", control_plane::Event::Ask { token, ask });
     }
 
     pub(super) fn answered(&mut self, at: usize, token: u64, answer: Answer) {
@@ -70,7 +70,7 @@
 
     pub(super) fn verdict(&mut self, asked: u32, answer: &Answer) {
         if let Answer::Verdict {
-            code: address::Code::Fine,
+            code: result_code::ResultCode::Fine,
             edition,
         } = answer
         {
@@ -141,7 +141,7 @@
     /// How many carriers serve by this edition or a later one.
     ///
     /// ```
-    /// use drill::hollow::{Fleet, Load, TODAY};
+    /// use test_harness::hollow::{Fleet, Load, TODAY};
     /// let fleet = Fleet::new(TODAY, 1, Load::default());
     /// assert_eq!(fleet.in_force(0), 0, "no view is fresh yet");
     /// ```
@@ -154,7 +154,7 @@
     /// How many carriers could serve every name: a fresh view in which each has an owner that is served.
     ///
     /// ```
-    /// use drill::hollow::{Fleet, Load, TODAY};
+    /// use test_harness::hollow::{Fleet, Load, TODAY};
     /// let fleet = Fleet::new(TODAY, 1, Load::default());
     /// assert_eq!(fleet.serving(), 0);
     /// ```
@@ -169,7 +169,7 @@
     /// The counts since the last call.
     ///
     /// ```
-    /// use drill::hollow::{Fleet, Load, TODAY};
+    /// use test_harness::hollow::{Fleet, Load, TODAY};
     /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
     /// assert_eq!(fleet.take_ledger().all().messages, 0, "nothing was said yet");
     /// ```
--- a/crates/drill/src/hollow/units.rs
+++ b/crates/test-harness/src/hollow/units.rs
@@ -4,10 +4,10 @@
 use super::fleet::Fleet;
 use super::queue::Happening;
 use crate::upstreams::given_slots;
-use controller::{Answer, Ask};
+use config::Sheet;
+use control_plane::{Answer, Ask};
 use protocol::{Share, Upstream};
 use std::time::Duration;
-use tariff::Sheet;
 
 const BEAT_EVERY: Duration = Duration::from_millis(500);
 pub(super) const SLOTS_EACH: u32 = 16;
@@ -107,7 +107,7 @@
         self.step_control(
             node,
             "beat",
-            controller::Event::Ask {
+            control_plane::Event::Ask {
                 token,
                 ask: Ask::Beat(told),
             },
@@ -127,7 +127,7 @@
         else {
             return true;
         };
-        let sheet = controller::beat_sheet(*holder, shares.clone(), *span);
+        let sheet = control_plane::beat_sheet(*holder, shares.clone(), *span);
         let (from, to) = (self.nodes[node].zone, self.units[unit].zone);
         let (role, reach) = (self.nodes[node].role, self.reach(from, to));
         self.ledger.sent(
--- a/crates/drill/src/hollow/ways.rs
+++ b/crates/test-harness/src/hollow/ways.rs
@@ -10,7 +10,7 @@
 /// Encoded bytes of each way.
 ///
 /// ```
-/// let figures = drill::hollow::ways(&drill::hollow::TODAY);
+/// let figures = test_harness::hollow::ways(&test_harness::hollow::TODAY);
 /// assert!(figures.get("image.by-need.bytes") < figures.get("image.bytes"));
 /// assert!(figures.get("told-on.hundred.bytes") < figures.get("told-on.one.bytes"));
 /// ```
--- a/crates/drill/src/main.rs
+++ b/crates/test-harness/src/main.rs
@@ -7,8 +7,8 @@
 mod runs;
 mod seeds;
 
-use drill::shapes::Shape;
 use std::time::Duration;
+use test_harness::shapes::Shape;
 
 const HELP: &str = "drill proves mothspindle on this one machine.
 
@@ -52,7 +52,7 @@
 #[tokio::main]
 async fn main() {
     if std::env::args().nth(1).is_some_and(|verb| verb == "hollow") {
-        std::process::exit(drill::hollow::command());
+        std::process::exit(test_harness::hollow::command());
     }
     let code = match read_flags() {
         Ok(None) => {
@@ -60,7 +60,7 @@
             plans::PLANS
                 .iter()
                 .for_each(|(name, what)| println!("  {name:<9} {what}"));
-            let faults: Vec<&str> = drill::sim::fault_names().collect();
+            let faults: Vec<&str> = test_harness::sim::fault_names().collect();
             println!("\nfaults for sim: {}", faults.join(", "));
             0
         }
@@ -73,7 +73,7 @@
             |()| 0,
         ),
         Ok(Some(Wish::Changes(trial))) => {
-            drill::changes::measure(trial);
+            test_harness::changes::measure(trial);
             0
         }
         Ok(Some(Wish::Overload)) => {
@@ -96,7 +96,7 @@
     Explore(explore::Exploration),
     Measure,
     Overload,
-    Changes(drill::changes::Trial),
+    Changes(test_harness::changes::Trial),
 }
 
 fn read_flags() -> Result<Option<Wish>, String> {
@@ -105,11 +105,11 @@
         until: 50,
         plan: None,
         show: None,
-        shape: drill::shapes::ROADWISE,
+        shape: test_harness::shapes::ROADWISE,
     };
     let mut exploration = explore::Exploration::default();
     let mut run = runs::Run {
-        shape: drill::shapes::ROADWISE,
+        shape: test_harness::shapes::ROADWISE,
         load: Duration::from_secs(20),
         per_second: None,
         plan: "quiet".into(),
@@ -118,7 +118,7 @@
     };
     let folder = Some(std::env::temp_dir().join(format!("drill-changes-{}", std::process::id())));
     let gap = Duration::from_millis(120);
-    let mut trial = drill::changes::Trial {
+    let mut trial = test_harness::changes::Trial {
         nodes: 3,
         routes: 400,
         changes: 10_000,
--- a/crates/drill/src/measure.rs
+++ b/crates/test-harness/src/measure.rs
@@ -2,19 +2,19 @@
 
 use crate::runs::submit;
 use bytes::Bytes;
-use drill::facts::Record;
-use drill::fleet::Fleet;
-use drill::origins::Origins;
-use drill::shapes::{KALAM, ROADWISE, Shape};
-use drill::sim::{Plan, World};
-use drill::upstreams::{ANY, Unit};
-use gazetteer::View;
+use config::Sheet;
+use name_directory::View;
 use protocol::{Upstream, ViewUpdate};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tariff::Sheet;
+use test_harness::facts::Record;
+use test_harness::fleet::Fleet;
+use test_harness::origins::Origins;
+use test_harness::shapes::{KALAM, ROADWISE, Shape};
+use test_harness::sim::{Plan, World};
+use test_harness::upstreams::{ANY, Unit};
 use transport::{Caller, Clock};
 
 const ROUNDS: usize = 5;
--- a/crates/drill/src/plans.rs
+++ b/crates/test-harness/src/plans.rs
@@ -2,14 +2,14 @@
 
 use crate::runs::submit;
 use bytes::Bytes;
-use drill::facts::{Fact, Record};
-use drill::fleet::{Fleet, Process};
-use drill::shapes::Shape;
-use drill::upstreams::{ANY, Ill, Unit};
-use drill::wires::{Cut, Wires};
+use config::Sheet;
 use std::sync::Arc;
 use std::time::Duration;
-use tariff::Sheet;
+use test_harness::facts::{Fact, Record};
+use test_harness::fleet::{Fleet, Process};
+use test_harness::shapes::Shape;
+use test_harness::upstreams::{ANY, Ill, Unit};
+use test_harness::wires::{Cut, Wires};
 use transport::{Caller, Clock};
 
 const BACK_WITHIN: Duration = Duration::from_secs(60);
--- a/crates/drill/src/report.rs
+++ b/crates/test-harness/src/report.rs
@@ -10,7 +10,7 @@
 /// each fault.
 ///
 /// ```
-/// drill::report::print("empty", &[], &[], &[]);
+/// test_harness::report::print("empty", &[], &[], &[]);
 /// ```
 pub fn print(title: &str, seen: &[Seen], ended: &[Ended], violations: &[Violation]) {
     println!("== {title}");
--- a/crates/drill/src/scripted/mod.rs
+++ b/crates/test-harness/src/scripted/mod.rs
@@ -86,7 +86,7 @@
     /// Notes one.
     ///
     /// ```
-    /// use drill::scripted::{Fact, Facts};
+    /// use test_harness::scripted::{Fact, Facts};
     /// let facts = Facts::default();
     /// facts.note(Fact::Arrived { try_id: "t".into() });
     /// assert_eq!(facts.all().len(), 1);
@@ -101,7 +101,7 @@
     /// All so far.
     ///
     /// ```
-    /// assert!(drill::scripted::Facts::default().all().is_empty());
+    /// assert!(test_harness::scripted::Facts::default().all().is_empty());
     /// ```
     pub fn all(&self) -> Vec<Fact> {
         self.0
@@ -114,10 +114,10 @@
 /// What an upstream answers to a try: no two answer alike.
 ///
 /// ```
-/// assert_ne!(drill::scripted::work("t-1"), drill::scripted::work("t-2"));
+/// assert_ne!(test_harness::scripted::work("t-1"), test_harness::scripted::work("t-2"));
 /// ```
 pub fn work(try_id: &str) -> String {
-    let lines = 1 + address::spread(try_id) % 900;
+    let lines = 1 + random::stable_hash(try_id) % 900;
     (0..lines)
         .map(|line| format!("line {line} of the work of {try_id}\n"))
         .collect()
--- a/crates/drill/src/sim/connections.rs
+++ b/crates/test-harness/src/sim/connections.rs
@@ -5,7 +5,7 @@
 use super::nodes::NodeEvent;
 use super::path::Reply;
 use super::world::{Action, World};
-use sorting::{Outcome, Stage};
+use request_routing::{Outcome, Stage};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use transport::{AnswerId, Belongs, Came};
--- a/crates/drill/src/sim/disks.rs
+++ b/crates/test-harness/src/sim/disks.rs
@@ -2,7 +2,7 @@
 
 use super::nodes::Core;
 use super::world::{Action, World};
-use controller::Event;
+use control_plane::Event;
 use protocol::Departure;
 use std::time::Duration;
 
--- a/crates/drill/src/sim/faults.rs
+++ b/crates/test-harness/src/sim/faults.rs
@@ -2,7 +2,7 @@
 
 use super::connections::Manners;
 use super::world::LOAD_FROM;
-use address::Random;
+use random::Random;
 use std::time::Duration;
 
 /// A fault. Machines, zones and upstreams are numbers, taken modulo what there is.
@@ -350,7 +350,7 @@
 /// Every kind by name.
 ///
 /// ```
-/// assert!(drill::sim::fault_names().any(|name| name == "late-answers"));
+/// assert!(test_harness::sim::fault_names().any(|name| name == "late-answers"));
 /// ```
 pub fn fault_names() -> impl Iterator<Item = &'static str> + Clone {
     FAULTS.iter().chain(FURTHER).map(|(name, _)| *name)
@@ -374,7 +374,7 @@
     /// Nothing is broken.
     ///
     /// ```
-    /// assert!(drill::sim::Plan::quiet().steps.is_empty());
+    /// assert!(test_harness::sim::Plan::quiet().steps.is_empty());
     /// ```
     pub fn quiet() -> Plan {
         Plan::default()
@@ -383,7 +383,7 @@
     /// One fault by name, from 2 s into the load; two with a `+` between.
     ///
     /// ```
-    /// use drill::sim::Plan;
+    /// use test_harness::sim::Plan;
     /// assert_eq!(Plan::named("cold-herd", 1).unwrap().steps.len(), 1);
     /// assert_eq!(Plan::named("loss+freeze", 1).unwrap().steps.len(), 2);
     /// assert!(Plan::named("rain", 1).is_none());
--- a/crates/drill/src/sim/mod.rs
+++ b/crates/test-harness/src/sim/mod.rs
@@ -24,8 +24,8 @@
 /// Runs one seed under a plan; without one, the seed draws its own.
 ///
 /// ```
-/// use drill::shapes::ROADWISE;
-/// use drill::sim::{Plan, run};
+/// use test_harness::shapes::ROADWISE;
+/// use test_harness::sim::{Plan, run};
 /// let first = run(3, Some(Plan::quiet()), ROADWISE);
 /// assert_eq!(first.violations, vec![]);
 /// assert_eq!(first.digest, run(3, Some(Plan::quiet()), ROADWISE).digest);
--- a/crates/drill/src/sim/net.rs
+++ b/crates/test-harness/src/sim/net.rs
@@ -1,7 +1,7 @@
 //! The virtual network: delays by place, loss, order on links, cuts.
 
-use address::Random;
 use protocol::Payload;
+use random::Random;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/drill/src/sim/order_faults.rs
+++ b/crates/test-harness/src/sim/order_faults.rs
@@ -4,7 +4,7 @@
 use super::operators::{Operators, What};
 use super::world::{Action, World};
 use crate::facts::Fact;
-use controller::Answer;
+use control_plane::Answer;
 use std::time::Duration;
 
 /// How long an order, or its answer, takes.
--- a/crates/drill/src/sim/ranged.rs
+++ b/crates/test-harness/src/sim/ranged.rs
@@ -4,8 +4,9 @@
 use super::units::Unit;
 use super::world::{Action, World};
 use crate::facts::Fact;
-use address::{KEYS, Random};
+use key_space::KEY_COUNT;
 use protocol::Share;
+use random::Random;
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::time::Duration;
@@ -163,9 +164,9 @@
     );
     match part {
         _ if hot => HOT,
-        0..6 => (5000 + at + random.below(BUSY_KEYS)) % u64::from(KEYS),
+        0..6 => (5000 + at + random.below(BUSY_KEYS)) % u64::from(KEY_COUNT),
         6 => HOT,
-        _ => random.below(KEYS.into()),
+        _ => random.below(KEY_COUNT.into()),
     }
 }
 
--- a/crates/drill/src/sim/world.rs
+++ b/crates/test-harness/src/sim/world.rs
@@ -11,13 +11,13 @@
 use crate::origins::Ended;
 use crate::rules::{Violation, judge};
 use crate::shapes::{ROADWISE, Shape};
-use address::Random;
+use config::Sheet;
 use protocol::{Departure, Share};
+use random::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tariff::Sheet;
 
 /// Load starts here, when the site had time to come up.
 pub const LOAD_FROM: Duration = Duration::from_secs(14);
@@ -101,7 +101,7 @@
     },
     OriginTold {
         work: u64,
-        listing: Option<gazetteer::Listing>,
+        listing: Option<name_directory::Listing>,
         asked_at: Duration,
     },
     OriginAnswer {
@@ -118,7 +118,7 @@
     },
     OperatorAnswer {
         submission: usize,
-        answer: controller::Answer,
+        answer: control_plane::Answer,
     },
     Fault {
         at: usize,
--- a/crates/drill/src/upstreams.rs
+++ b/crates/test-harness/src/upstreams.rs
@@ -2,16 +2,16 @@
 
 use crate::facts::{Fact, Record};
 use crate::shapes::{Work, mark_of};
-use address::Random;
 use bytes::Bytes;
+use config::Sheet;
 use http_body_util::Full;
 use hyper::Response;
 use protocol::Share;
+use random::Random;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use tariff::Sheet;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use transport::{Caller, Clock, Enquiry};
@@ -61,8 +61,8 @@
 /// The slots, with their epochs, that the answer to a beat names.
 ///
 /// ```
-/// let sheet = tariff::Sheet::read(r#"{"shares": [{"from": 3, "until": 5, "epoch": 7}]}"#).unwrap();
-/// assert_eq!(drill::upstreams::given_slots(&sheet).into_iter().collect::<Vec<_>>(), [(3, 7), (4, 7)]);
+/// let sheet = config::Sheet::read(r#"{"shares": [{"from": 3, "until": 5, "epoch": 7}]}"#).unwrap();
+/// assert_eq!(test_harness::upstreams::given_slots(&sheet).into_iter().collect::<Vec<_>>(), [(3, 7), (4, 7)]);
 /// ```
 pub fn given_slots(sheet: &Sheet) -> BTreeMap<u32, u64> {
     sheet
@@ -159,7 +159,7 @@
         mut closing: watch::Receiver<bool>,
     ) {
         let caller = Caller::default();
-        let mut random = Random::new(address::spread(&self.instance));
+        let mut random = Random::new(random::stable_hash(&self.instance));
         loop {
             let node = nodes[random.below(nodes.len() as u64) as usize].clone();
             self.pause().await;
@@ -298,7 +298,7 @@
     /// Keyed work runs only under a share that is held at this moment, in the epoch that the proxy names.
     fn may_run(&self, enquiry: &Enquiry) -> bool {
         let now = self.clock.now();
-        let slot = address::slot(enquiry.header("x-key"));
+        let slot = key_space::slot_of_key(enquiry.header("x-key"));
         let epoch = enquiry.header("x-share-epoch").parse::<u64>().ok();
         let held = self
             .held(now)
@@ -350,7 +350,7 @@
         };
         self.busy.fetch_sub(1, Ordering::AcqRel);
         let status = if runs { 200 } else { 503 };
-        let mut random = Random::new(address::spread(&try_id));
+        let mut random = Random::new(random::stable_hash(&try_id));
         let garbled = random.below(1000) < ill.garbles_per_mille;
         match (lost(&ill.mute_to), garbled.then(|| random.below(4))) {
             (true, _) | (_, Some(0)) => std::future::pending().await,
--- a/crates/drill/tests/answers.rs
+++ b/crates/test-harness/tests/answers.rs
@@ -3,10 +3,10 @@
 mod scripts;
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
-use drill::scripted::{
+use scripts::{AMPLE, Client, SHORT, Waves, drawn_try, run, success};
+use test_harness::scripted::{
     Act, Breach, Facts, Manner, Peer, Step, Takes, Told, Try, ask_naively, judge,
 };
-use scripts::{AMPLE, Client, SHORT, Waves, drawn_try, run, success};
 
 const CASES: u64 = 1000;
 const CASES_TO_CATCH: u64 = 60;
--- a/crates/drill/tests/hollow.rs
+++ b/crates/test-harness/tests/hollow.rs
@@ -1,8 +1,10 @@
 //! The hollow harness counts rightly, and a hollow site keeps its promises.
 
-use drill::hollow::{Figures, Fleet, Ledger, Load, Reach, Role, Run, SETTLE, Size, kind, run};
 use protocol::{Envelope, Freshness, Message, Payload, UpdateRequest};
 use std::time::Duration;
+use test_harness::hollow::{
+    Figures, Fleet, Ledger, Load, Reach, Role, Run, SETTLE, Size, kind, run,
+};
 
 const FORTY: Size = Size {
     nodes: 34,
--- a/crates/drill/tests/scripts/mod.rs
+++ b/crates/test-harness/tests/scripts/mod.rs
@@ -2,11 +2,11 @@
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use arbtest::arbtest;
-use drill::scripted::{
+use std::time::Duration;
+use test_harness::scripted::{
     ACTS, Act, Breach, Fact, Facts, Manner, OPENINGS, Opening, Peer, Proxy, Step, Takes, Told, Try,
     judge, work,
 };
-use std::time::Duration;
 
 /// So long the fuzzer waits for an answer that never comes.
 pub const SHORT: Duration = Duration::from_millis(25);
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -140,7 +140,7 @@
     /// let address = socket.local_addr().unwrap().to_string();
     /// let (_open, closing) = tokio::sync::watch::channel(false);
     /// tokio::spawn(transport::serve(socket, closing, |enquiry: transport::Enquiry| async move {
-    ///     transport::answer(address::Code::Fine, "text/plain", enquiry.body)
+    ///     transport::answer(result_code::ResultCode::Fine, "text/plain", enquiry.body)
     /// }));
     /// let within = Duration::from_secs(5);
     /// let said = |body: &'static str| Outbound { method: "POST", path: "/", body: body.into(), ..Default::default() };
--- a/crates/transport/src/desk.rs
+++ b/crates/transport/src/desk.rs
@@ -1,19 +1,19 @@
 //! The HTTP server: bounded in size, time and number of connections.
 
-use address::Code;
 use bytes::Bytes;
+use config::Sheet;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use result_code::ResultCode;
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 use std::future::Future;
 use std::sync::Arc;
 use std::time::Duration;
-use tariff::Sheet;
 use tokio::net::TcpListener;
 use tokio::sync::{Semaphore, watch};
 
@@ -68,10 +68,10 @@
 /// A JSON answer with a code.
 ///
 /// ```
-/// let response = transport::json(address::Code::Fine, &tariff::Sheet::Null);
+/// let response = transport::json(result_code::ResultCode::Fine, &config::Sheet::Null);
 /// assert_eq!(response.status(), 200);
 /// ```
-pub fn json(code: Code, sheet: &Sheet) -> Response<Full<Bytes>> {
+pub fn json(code: ResultCode, sheet: &Sheet) -> Response<Full<Bytes>> {
     answer(code, "application/json", sheet.to_string().into())
 }
 
@@ -79,11 +79,11 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// let response = transport::verdict(address::Code::Busy, Some(Duration::from_millis(900)));
+/// let response = transport::verdict(result_code::ResultCode::Busy, Some(Duration::from_millis(900)));
 /// assert_eq!(response.headers()["retry-after"], "1");
 /// assert_eq!(response.headers()["x-code"], "1201");
 /// ```
-pub fn verdict(code: Code, retry_after: Option<Duration>) -> Response<Full<Bytes>> {
+pub fn verdict(code: ResultCode, retry_after: Option<Duration>) -> Response<Full<Bytes>> {
     let sheet = Sheet::fields([
         ("code", u64::from(code.number()).into()),
         ("text", code.text().into()),
@@ -107,7 +107,7 @@
 /// assert_eq!(response.headers()["location"], "http://127.0.0.1:7001/setup");
 /// ```
 pub fn redirect(location: &str) -> Response<Full<Bytes>> {
-    let mut response = verdict(Code::Elsewhere, None);
+    let mut response = verdict(ResultCode::Elsewhere, None);
     let location = hyper::header::HeaderValue::from_str(location);
     location.into_iter().for_each(|location| {
         response.headers_mut().insert("location", location);
@@ -118,10 +118,10 @@
 /// Bytes as an answer with a code.
 ///
 /// ```
-/// let response = transport::answer(address::Code::Fine, "text/plain", "hello".into());
+/// let response = transport::answer(result_code::ResultCode::Fine, "text/plain", "hello".into());
 /// assert_eq!(response.headers()["content-type"], "text/plain");
 /// ```
-pub fn answer(code: Code, kind: &'static str, body: Bytes) -> Response<Full<Bytes>> {
+pub fn answer(code: ResultCode, kind: &'static str, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = hyper::StatusCode::from_u16(code.status()).unwrap_or_default();
     response.headers_mut().insert(
@@ -142,7 +142,7 @@
 /// let address = socket.local_addr().unwrap().to_string();
 /// let (close, closing) = tokio::sync::watch::channel(false);
 /// let server = tokio::spawn(transport::serve(socket, closing, |enquiry: transport::Enquiry| async move {
-///     transport::answer(address::Code::Fine, "text/plain", enquiry.body)
+///     transport::answer(result_code::ResultCode::Fine, "text/plain", enquiry.body)
 /// }));
 /// let caller = transport::Caller::default();
 /// let reply = caller.call(&address, "POST", "/", &[], "hello".into(), std::time::Duration::from_secs(5), false);
@@ -222,14 +222,14 @@
     let read =
         tokio::time::timeout(BODY_WITHIN, Limited::new(body, MOST_BODY_BYTES).collect()).await;
     let body = match read {
-        Err(_) => return verdict(Code::TooSlow, None),
+        Err(_) => return verdict(ResultCode::TooSlow, None),
         Ok(Err(failure)) => {
             let large = failure.is::<http_body_util::LengthLimitError>();
             return verdict(
                 if large {
-                    Code::TooLarge
+                    ResultCode::TooLarge
                 } else {
-                    Code::Malformed
+                    ResultCode::Malformed
                 },
                 None,
             );
--- a/crates/transport/src/doors.rs
+++ b/crates/transport/src/doors.rs
@@ -1,8 +1,8 @@
 //! Where a daemon is reached, and why it could not start.
 
+use config::Settings;
 use error_stack::{FrameKind, Report, ResultExt};
 use std::fmt;
-use tariff::Settings;
 use tokio::net::{TcpListener, UdpSocket};
 
 /// What kept a process from starting.
@@ -40,7 +40,7 @@
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// use tariff::{Setting, Settings, Shape};
+    /// use config::{Setting, Settings, Shape};
     /// const ADDRESS: fn(&'static str) -> Setting =
     ///     |name| Setting { name, shape: Shape::Address, fallback: Some("127.0.0.1:0"), help: "" };
     /// let table = [ADDRESS("http"), ADDRESS("link")];
@@ -64,7 +64,7 @@
 ///
 /// ```
 /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-/// use tariff::{Setting, Settings, Shape};
+/// use config::{Setting, Settings, Shape};
 /// let table = [Setting { name: "http", shape: Shape::Address, fallback: Some("127.0.0.1:0"), help: "" }];
 /// let settings = Settings::read(&[&table], None, &[]).unwrap();
 /// assert!(transport::listen(&settings, "http").await.is_ok());
@@ -95,7 +95,7 @@
 /// Tells why a daemon ended, where it could not start, and ends the process.
 ///
 /// ```
-/// transport::end("carrier", Ok(()));
+/// transport::end("data-plane", Ok(()));
 /// ```
 pub fn end(name: &str, run: Result<(), Report<NoStart>>) {
     if let Err(report) = run {
--- a/crates/transport/src/reload.rs
+++ b/crates/transport/src/reload.rs
@@ -1,7 +1,7 @@
 //! Settings that are read again while a process runs.
 
 use crate::start::{Program, read_flags, seeds};
-use tariff::{Complaint, Settings};
+use config::{Complaint, Settings};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// Listens for SIGHUP, which says that the settings file has changed.
@@ -18,7 +18,7 @@
 /// ```
 /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
 /// const PROGRAM: transport::Program =
-///     transport::Program { name: "carrier", about: "", tables: &[tariff::TIMES], check: |_| Vec::new() };
+///     transport::Program { name: "data-plane", about: "", tables: &[config::TIMES], check: |_| Vec::new() };
 /// let mut reload = transport::reload_signal(&PROGRAM, &Default::default());
 /// let waiting = tokio::time::timeout(std::time::Duration::from_millis(1), reload.seeds());
 /// assert!(waiting.await.is_err(), "nobody sent one");
--- a/crates/transport/src/start.rs
+++ b/crates/transport/src/start.rs
@@ -1,10 +1,10 @@
 //! Starting a daemon: flags, settings file, logs and the clock.
 
-use address::Random;
+use config::{Complaint, Setting, Settings, Shape, check_times};
 use log::LevelFilter;
+use random::Random;
 use simplelog::{Config, ConfigBuilder, SimpleLogger};
 use std::time::Duration;
-use tariff::{Complaint, Setting, Settings, Shape, check_times};
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Documented exit codes.
@@ -69,7 +69,7 @@
 /// Reads flags and settings, sets up the log; ends the process where it was only asked or told wrongly.
 ///
 /// ```no_run
-/// let program = transport::Program { name: "carrier", about: "The data plane.", tables: &[tariff::TIMES],
+/// let program = transport::Program { name: "data-plane", about: "The data plane.", tables: &[config::TIMES],
 ///     check: |_| Vec::new() };
 /// let settings = transport::begin(&program);
 /// ```
@@ -217,7 +217,7 @@
 /// Where other processes are reached at first: the seeds, each with the port of links where one is set.
 ///
 /// ```
-/// use tariff::{Setting, Settings, Shape};
+/// use config::{Setting, Settings, Shape};
 /// let table = [
 ///     Setting { name: "seeds", shape: Shape::Addresses, fallback: Some("127.0.0.1:1,127.0.0.2:1"), help: "" },
 ///     Setting { name: "seed-port", shape: Shape::Count(0, 65_535), fallback: Some("7"), help: "" },
--- a/crates/enrolment/src/load.rs
+++ b/crates/upstream-registry/src/load.rs
@@ -16,7 +16,7 @@
     /// The counts of equal parts of `keys` keys. More parts than keys are cut off; none, or only zeros, weigh evenly.
     ///
     /// ```
-    /// use enrolment::Load;
+    /// use upstream_registry::Load;
     /// let load = Load::new(100, &[15, 0]);
     /// assert_eq!(load.weight(0, 49), 15.5);
     /// assert_eq!(load.weight(50, 99), 0.5);
@@ -43,7 +43,7 @@
     /// All keys alike.
     ///
     /// ```
-    /// assert_eq!(enrolment::Load::even(65536).weight(0, 32767), 2048.0);
+    /// assert_eq!(upstream_registry::Load::even(65536).weight(0, 32767), 2048.0);
     /// ```
     pub fn even(keys: u32) -> Self {
         Load {
@@ -79,7 +79,7 @@
     /// The weight of the keys from `from` to `to`, both counted.
     ///
     /// ```
-    /// assert_eq!(enrolment::Load::new(4, &[0, 30, 0, 0]).weight(1, 1), 30.5);
+    /// assert_eq!(upstream_registry::Load::new(4, &[0, 30, 0, 0]).weight(1, 1), 30.5);
     /// ```
     pub fn weight(&self, from: u32, to: u32) -> f64 {
         self.below(to.saturating_add(1)) - self.below(from)
@@ -88,7 +88,7 @@
     /// The weight of all keys.
     ///
     /// ```
-    /// assert_eq!(enrolment::Load::new(4, &[0, 30, 0, 0]).whole(), 32.0);
+    /// assert_eq!(upstream_registry::Load::new(4, &[0, 30, 0, 0]).whole(), 32.0);
     /// ```
     pub fn whole(&self) -> f64 {
         self.sums[self.parts() as usize]
--- a/crates/enrolment/src/ranges.rs
+++ b/crates/upstream-registry/src/ranges.rs
@@ -65,7 +65,7 @@
     /// says that nothing was ever given before.
     ///
     /// ```
-    /// use enrolment::{Heartbeat, Load, Ranges, Row, Terms};
+    /// use upstream_registry::{Heartbeat, Load, Ranges, Row, Terms};
     /// use std::time::Duration;
     /// let (second, margin) = (Duration::from_secs(1), Duration::from_millis(50));
     /// let terms = Terms { hold: 3 * second, answer_within: second, margin, settle: 2 * second, late_answers: false };
@@ -106,7 +106,7 @@
     /// bounds, or comes too soon after the start.
     ///
     /// ```
-    /// # use enrolment::{Heartbeat, Load, Ranges, Row, Terms};
+    /// # use upstream_registry::{Heartbeat, Load, Ranges, Row, Terms};
     /// # use std::time::Duration;
     /// # let (second, margin) = (Duration::from_secs(1), Duration::from_millis(50));
     /// # let terms = Terms { hold: 3 * second, answer_within: second, margin, settle: 2 * second, late_answers: false };
@@ -202,7 +202,7 @@
     /// True while what an earlier lease holder gave may not have run out.
     ///
     /// ```
-    /// # use enrolment::{Ranges, Terms};
+    /// # use upstream_registry::{Ranges, Terms};
     /// # use std::time::Duration;
     /// # let (second, margin) = (Duration::from_secs(1), Duration::from_millis(50));
     /// # let terms = Terms { hold: 3 * second, answer_within: second, margin, settle: 2 * second, late_answers: false };
@@ -217,7 +217,7 @@
     /// Everything that is given out, by key; what was asked back is in it until it is let go.
     ///
     /// ```
-    /// # use enrolment::{Ranges, Terms};
+    /// # use upstream_registry::{Ranges, Terms};
     /// # use std::time::Duration;
     /// # let (second, margin) = (Duration::from_secs(1), Duration::from_millis(50));
     /// # let terms = Terms { hold: 3 * second, answer_within: second, margin, settle: 2 * second, late_answers: false };
--- a/crates/enrolment/src/roll.rs
+++ b/crates/upstream-registry/src/roll.rs
@@ -1,7 +1,7 @@
 //! The roll of upstreams. Soft state: every beat tells it again.
 
-use address::spread_all;
 use protocol::{Departure, Upstream};
+use random::stable_hash_parts;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -58,12 +58,12 @@
 /// ```
 /// let warm = protocol::Upstream { instance: "a".into(), warm: true, beat: 3, ..Default::default() };
 /// let cold = protocol::Upstream { warm: false, ..warm.clone() };
-/// assert_eq!(enrolment::mark(&warm), enrolment::mark(&protocol::Upstream { beat: 4, ..warm.clone() }));
-/// assert_ne!(enrolment::mark(&warm), enrolment::mark(&cold));
-/// assert_eq!(enrolment::mark(&warm) >> 32, enrolment::mark(&cold) >> 32);
+/// assert_eq!(upstream_registry::mark(&warm), upstream_registry::mark(&protocol::Upstream { beat: 4, ..warm.clone() }));
+/// assert_ne!(upstream_registry::mark(&warm), upstream_registry::mark(&cold));
+/// assert_eq!(upstream_registry::mark(&warm) >> 32, upstream_registry::mark(&cold) >> 32);
 /// ```
 pub fn mark(upstream: &Upstream) -> u64 {
-    let who = spread_all([upstream.service.as_str(), "/", &upstream.instance]) >> 32;
+    let who = stable_hash_parts([upstream.service.as_str(), "/", &upstream.instance]) >> 32;
     let numbers = format!(
         "/{}/{}/{}",
         upstream.free_slots, upstream.warm, upstream.condition
@@ -71,7 +71,9 @@
     let what = match upstream.condition {
         // How it was before its end no longer matters.
         GONE => 0,
-        _ => spread_all([upstream.address.as_str(), "/", &upstream.locality, &numbers]) >> 32,
+        _ => {
+            stable_hash_parts([upstream.address.as_str(), "/", &upstream.locality, &numbers]) >> 32
+        }
     };
     who << 32 | what
 }
@@ -79,9 +81,9 @@
 /// True for the mark of an upstream that is gone.
 ///
 /// ```
-/// let gone = protocol::Upstream { condition: enrolment::GONE, ..Default::default() };
-/// assert!(enrolment::is_gone_mark(enrolment::mark(&gone)));
-/// assert!(!enrolment::is_gone_mark(enrolment::mark(&protocol::Upstream::default())));
+/// let gone = protocol::Upstream { condition: upstream_registry::GONE, ..Default::default() };
+/// assert!(upstream_registry::is_gone_mark(upstream_registry::mark(&gone)));
+/// assert!(!upstream_registry::is_gone_mark(upstream_registry::mark(&protocol::Upstream::default())));
 /// ```
 pub fn is_gone_mark(mark: u64) -> bool {
     mark & u64::from(u32::MAX) == 0
@@ -91,7 +93,7 @@
     /// Takes in a beat, direct or told on; true where it was news.
     ///
     /// ```
-    /// use enrolment::{GONE, LEAVING, READY, Roll};
+    /// use upstream_registry::{GONE, LEAVING, READY, Roll};
     /// use protocol::Upstream;
     /// use std::time::Duration;
     /// let beat = |instance: &str, beat, condition| Upstream {
@@ -175,11 +177,11 @@
     /// Takes in from a batch that an upstream beat and is still as its mark tells; false where its record is wanted.
     ///
     /// ```
-    /// use enrolment::Roll;
+    /// use upstream_registry::Roll;
     /// use std::time::Duration;
     /// let (ms, mut roll) = (Duration::from_millis, Roll::default());
     /// let told = protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() };
-    /// let mark = enrolment::mark(&told);
+    /// let mark = upstream_registry::mark(&told);
     /// assert!(!roll.keeps_beating(ms(1000), mark, 1, ms(0)), "nobody knows it");
     /// roll.take(ms(1000), told);
     /// assert!(roll.keeps_beating(ms(3000), mark, 2, ms(200)));
@@ -211,7 +213,7 @@
     /// The upstream that a mark stands for, with its ages.
     ///
     /// ```
-    /// assert_eq!(enrolment::Roll::default().marked(std::time::Duration::ZERO, 7), None);
+    /// assert_eq!(upstream_registry::Roll::default().marked(std::time::Duration::ZERO, 7), None);
     /// ```
     pub fn marked(&self, now: Duration, mark: u64) -> Option<Upstream> {
         let entry = self
@@ -244,7 +246,7 @@
     ///
     /// ```
     /// let upstream = protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() };
-    /// assert_eq!(enrolment::Roll::default().one(std::time::Duration::ZERO, &upstream), None);
+    /// assert_eq!(upstream_registry::Roll::default().one(std::time::Duration::ZERO, &upstream), None);
     /// ```
     pub fn one(&self, now: Duration, upstream: &Upstream) -> Option<Upstream> {
         let id = (upstream.service.clone(), upstream.instance.clone());
@@ -301,13 +303,13 @@
     /// Drops the silent, and forgets those long gone.
     ///
     /// ```
-    /// use enrolment::Roll;
+    /// use upstream_registry::Roll;
     /// use std::time::Duration;
     /// let mut roll = Roll::default();
     /// roll.take(Duration::ZERO, protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() });
     /// roll.sweep(Duration::from_secs(4), Duration::from_secs(3));
     /// assert!(roll.all(Duration::from_secs(4)).is_empty());
-    /// assert_eq!(roll.changes(Duration::from_secs(4))[0].condition, enrolment::GONE);
+    /// assert_eq!(roll.changes(Duration::from_secs(4))[0].condition, upstream_registry::GONE);
     /// ```
     pub fn sweep(&mut self, now: Duration, silent_for: Duration) {
         let over = |entry: &Entry| {
@@ -356,7 +358,7 @@
     /// What changed since the last call; a dropped upstream comes as gone.
     ///
     /// ```
-    /// let mut roll = enrolment::Roll::default();
+    /// let mut roll = upstream_registry::Roll::default();
     /// assert!(roll.changes(std::time::Duration::ZERO).is_empty());
     /// ```
     pub fn changes(&mut self, now: Duration) -> Vec<Upstream> {
@@ -372,7 +374,7 @@
     /// Everything known, with ages.
     ///
     /// ```
-    /// assert!(enrolment::Roll::default().all(std::time::Duration::ZERO).is_empty());
+    /// assert!(upstream_registry::Roll::default().all(std::time::Duration::ZERO).is_empty());
     /// ```
     pub fn all(&self, now: Duration) -> Vec<Upstream> {
         self.entries
@@ -385,7 +387,7 @@
     ///
     /// ```
     /// use protocol::Upstream;
-    /// let mut roll = enrolment::Roll::default();
+    /// let mut roll = upstream_registry::Roll::default();
     /// [("a", "1"), ("b", "2"), ("c", "3")].into_iter().for_each(|(service, instance)| {
     ///     let (service, instance, address) = (service.into(), instance.into(), instance.into());
     ///     roll.take(Default::default(), Upstream { service, instance, address, beat: 1, ..Upstream::default() });
@@ -406,7 +408,7 @@
     /// ```
     /// use protocol::Upstream;
     /// use std::time::Duration;
-    /// let (mut roll, second) = (enrolment::Roll::default(), Duration::from_secs(1));
+    /// let (mut roll, second) = (upstream_registry::Roll::default(), Duration::from_secs(1));
     /// let upstream = Upstream { service: "s".into(), instance: "a".into(), beat: 1, ..Upstream::default() };
     /// roll.take(second, upstream);
     /// assert_eq!(roll.heard_within("s", 2 * second, 3 * second).count(), 1);
@@ -430,7 +432,7 @@
     /// Those that will not come back, heard of lately: told again, since they tell themselves no more.
     ///
     /// ```
-    /// assert!(enrolment::Roll::default().farewells(std::time::Duration::ZERO).is_empty());
+    /// assert!(upstream_registry::Roll::default().farewells(std::time::Duration::ZERO).is_empty());
     /// ```
     pub fn farewells(&self, now: Duration) -> Vec<Upstream> {
         let fresh = |entry: &&Entry| {
@@ -447,7 +449,7 @@
     /// one that is not known here. Without a service it is whoever has this instance id, now or later.
     ///
     /// ```
-    /// use enrolment::{GONE, READY, Roll};
+    /// use upstream_registry::{GONE, READY, Roll};
     /// use protocol::{Departure, Upstream};
     /// use std::time::Duration;
     /// let (mut roll, now) = (Roll::default(), Duration::from_secs(9));
@@ -533,9 +535,9 @@
     /// whoever has this instance id.
     ///
     /// ```
-    /// let (mut roll, now) = (enrolment::Roll::default(), std::time::Duration::ZERO);
+    /// let (mut roll, now) = (upstream_registry::Roll::default(), std::time::Duration::ZERO);
     /// roll.depart(now, &protocol::Departure { instance: "a".into(), condition: 1, ..Default::default() });
-    /// assert_eq!(roll.departed().map(|gone| gone.condition).collect::<Vec<_>>(), [enrolment::GONE]);
+    /// assert_eq!(roll.departed().map(|gone| gone.condition).collect::<Vec<_>>(), [upstream_registry::GONE]);
     /// assert_eq!(roll.changes(now).len(), 1);
     /// ```
     pub fn departed(&self) -> impl Iterator<Item = Upstream> {
@@ -557,8 +559,8 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let (mut roll, at) = (enrolment::Roll::default(), Duration::from_secs(9));
-    /// let leaves = protocol::Upstream { beat: 1, condition: enrolment::LEAVING, ..Default::default() };
+    /// let (mut roll, at) = (upstream_registry::Roll::default(), Duration::from_secs(9));
+    /// let leaves = protocol::Upstream { beat: 1, condition: upstream_registry::LEAVING, ..Default::default() };
     /// roll.take(at, leaves);
     /// assert_eq!(roll.departures(at, Duration::from_secs(5)).len(), 1);
     /// assert!(roll.departures(at + Duration::from_secs(5), Duration::from_secs(5)).is_empty());
--- a/crates/enrolment/src/shares.rs
+++ b/crates/upstream-registry/src/shares.rs
@@ -8,7 +8,7 @@
 //! surely run out. But an upstream that has heard of this holder in the answer to an earlier beat sent this
 //! one under its claim, when nobody else gave any more: what it says it holds, it alone holds, and keeps.
 
-use address::SLOTS;
+use key_space::SLOT_COUNT;
 use protocol::{Share, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -39,7 +39,7 @@
     /// A new holder of the duty, at `now`, under its claim's epoch.
     ///
     /// ```
-    /// use enrolment::Shares;
+    /// use upstream_registry::Shares;
     /// use protocol::Upstream;
     /// use std::time::Duration;
     /// let span = Duration::from_secs(3);
@@ -52,7 +52,7 @@
     /// assert_eq!(shares.beat(Duration::from_secs(1), &heard, &ready), Some(vec![held]), "but it keeps what it has");
     /// let now = Duration::from_secs(4);
     /// let given = shares.beat(now, &unit("a", 2), &ready).unwrap();
-    /// assert_eq!(given.iter().map(|share| share.until - share.from).sum::<u32>(), address::SLOTS / 2);
+    /// assert_eq!(given.iter().map(|share| share.until - share.from).sum::<u32>(), key_space::SLOT_COUNT / 2);
     /// ```
     pub fn new(now: Duration, span: Duration, lease_epoch: u64) -> Self {
         Shares {
@@ -69,7 +69,7 @@
     /// No answer to a beat that was overtaken by a later one.
     ///
     /// ```
-    /// use enrolment::Shares;
+    /// use upstream_registry::Shares;
     /// use protocol::{Share, Upstream};
     /// use std::time::Duration;
     /// let (span, now) = (Duration::from_secs(3), Duration::from_secs(4));
@@ -128,7 +128,7 @@
         if !ready.contains(me) {
             return Some(Vec::new());
         }
-        let fair = (SLOTS as usize).div_ceil(ready.len().max(1));
+        let fair = (SLOT_COUNT as usize).div_ceil(ready.len().max(1));
         let mine: Vec<u32> = self
             .slots
             .iter()
@@ -144,7 +144,7 @@
         });
         let room = fair - kept.len();
         let room = if now < self.quiet_until { 0 } else { room };
-        let free: Vec<u32> = (0..SLOTS)
+        let free: Vec<u32> = (0..SLOT_COUNT)
             .filter(|slot| !self.slots.contains_key(slot))
             .take(room)
             .collect();
@@ -168,7 +168,7 @@
     fn adopt(&mut self, now: Duration, upstream: &Upstream) {
         let until = now + self.span + self.span / 6;
         upstream.holds.iter().for_each(|share| {
-            (share.from..share.until.min(SLOTS)).for_each(|slot| {
+            (share.from..share.until.min(SLOT_COUNT)).for_each(|slot| {
                 let owner = upstream.instance.clone();
                 self.slots.entry(slot).or_insert(Slot {
                     owner,
@@ -183,7 +183,7 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// let shares = enrolment::Shares::new(Duration::ZERO, Duration::from_secs(3), 1);
+    /// let shares = upstream_registry::Shares::new(Duration::ZERO, Duration::from_secs(3), 1);
     /// assert!(shares.is_quiet(Duration::from_secs(1)));
     /// assert!(!shares.is_quiet(Duration::from_secs(9)));
     /// ```
@@ -195,7 +195,7 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// assert!(enrolment::Shares::new(Duration::ZERO, Duration::from_secs(3), 1).all(Duration::ZERO).is_empty());
+    /// assert!(upstream_registry::Shares::new(Duration::ZERO, Duration::from_secs(3), 1).all(Duration::ZERO).is_empty());
     /// ```
     pub fn all(&self, now: Duration) -> Vec<Share> {
         self.runs(|_, owned| now < owned.until)
--- a/crates/enrolment/tests/arbitrary.rs
+++ b/crates/upstream-registry/tests/arbitrary.rs
@@ -1,10 +1,10 @@
 //! Whatever becomes of beats and answers, and whoever holds the duty, no slot has two upstreams.
 
 use arbtest::arbtest;
-use enrolment::Shares;
 use protocol::{Share, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
+use upstream_registry::Shares;
 
 const UNITS: usize = 4;
 const MS: fn(u64) -> Duration = Duration::from_millis;
--- a/crates/enrolment/tests/division.rs
+++ b/crates/upstream-registry/tests/division.rs
@@ -1,8 +1,10 @@
 //! How keys are divided: by capacity and load, with few moves, within the bounds.
 
-use enrolment::{Grant, Heartbeat, Load, MOST_RANGES, MOST_ROWS, Ranges, Released, Row, Terms};
 use std::collections::BTreeMap;
 use std::time::Duration;
+use upstream_registry::{
+    Grant, Heartbeat, Load, MOST_RANGES, MOST_ROWS, Ranges, Released, Row, Terms,
+};
 
 const KEYS: u32 = 65536;
 const MS: fn(u64) -> Duration = Duration::from_millis;
--- a/crates/enrolment/tests/ranges.rs
+++ b/crates/upstream-registry/tests/ranges.rs
@@ -3,9 +3,9 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
-use enrolment::{Grant, Heartbeat, Load, Ranges, Released, Row, Terms};
 use std::collections::BTreeMap;
 use std::time::Duration;
+use upstream_registry::{Grant, Heartbeat, Load, Ranges, Released, Row, Terms};
 
 const KEYS: u32 = 64;
 const UNITS: usize = 4;
