--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -4,18 +4,18 @@
 mod rescue;
 mod site;
 
-use config::{Complaint, Setup, Sheet};
+use config::{Configuration, JsonValue, ValidationError};
 use error_stack::Report;
 use result_code::ResultCode;
 use std::time::Duration;
-use transport::{Called, Caller, Reply, exit};
+use transport::{CallError, HttpClient, Reply, exit};
 
 /// Nobody can tell whether it was done: ask again with the same id.
 const UNKNOWN: i32 = 4;
 /// No node could be reached.
 const UNREACHED: i32 = 3;
 /// How often a call is sent on to another node.
-const MOST_REDIRECTS: usize = 2;
+const MAX_REDIRECTS: usize = 2;
 const WITHIN: Duration = Duration::from_secs(10);
 
 /// No page of one node, but of all.
@@ -204,9 +204,9 @@
         }
         ["inherit", file, folder] => return Err(done(rescue::inherit(file, folder))),
         ["check", file] => {
-            let complaints = Setup::read(&read(file)?).err().unwrap_or_default();
-            let fine = complaints.is_empty();
-            let text = complaints
+            let validation_errors = Configuration::read(&read(file)?).err().unwrap_or_default();
+            let fine = validation_errors.is_empty();
+            let text = validation_errors
                 .iter()
                 .map(|complaint| complaint.to_string())
                 .collect::<Vec<_>>()
@@ -286,24 +286,29 @@
 }
 
 /// A setup goes out as it is; remarks and complaints go beside it.
-fn turned(turned: Result<manifest::Turned, Vec<Complaint>>) -> (i32, String) {
+fn turned(turned: Result<manifest::Turned, Vec<ValidationError>>) -> (i32, String) {
     let lines = |all: Vec<String>| all.join("\n");
     match turned {
-        Ok((setup, remarks)) => {
+        Ok((configuration, remarks)) => {
             remarks
                 .iter()
                 .for_each(|remark| eprintln!("clerk: {remark}"));
-            (exit::FINE, setup)
+            (exit::FINE, configuration)
         }
-        Err(complaints) => (
+        Err(validation_errors) => (
             exit::FAILED,
-            lines(complaints.iter().map(Complaint::to_string).collect()),
+            lines(
+                validation_errors
+                    .iter()
+                    .map(ValidationError::to_string)
+                    .collect(),
+            ),
         ),
     }
 }
 
 async fn drive(flags: &Flags, mut call: Call) -> i32 {
-    let caller = Caller::default();
+    let client = HttpClient::default();
     for node in &flags.nodes {
         if call.path == SITE {
             match site::glance(node).await {
@@ -320,22 +325,22 @@
             continue;
         }
         if call.is_new_order
-            && let Some(since) = decided_orders(&caller, node).await
+            && let Some(since) = decided_orders(&client, node).await
         {
             eprintln!("since {since}");
             call.path.push_str(&format!("&since={since}"));
             call.is_new_order = false;
         }
-        match follow(&caller, node, &call).await {
+        match follow(&client, node, &call).await {
             Ok(reply) if call.path.starts_with("/trace?try=") && reply.status == 404 => {
                 return show(
-                    &ask_all_proxies(&caller, node, &call.path)
+                    &ask_all_proxies(&client, node, &call.path)
                         .await
                         .unwrap_or(reply),
                 );
             }
             Ok(reply) => return show(&reply),
-            Err(Called::NotConnected) => eprintln!("clerk: {node} can't be reached"),
+            Err(CallError::NotConnected) => eprintln!("clerk: {node} can't be reached"),
             Err(failure) => {
                 eprintln!(
                     "clerk: {node}: {failure:?}; the outcome is unknown, ask again with the same id"
@@ -348,23 +353,23 @@
 }
 
 /// Calls a node, and where it sends the caller on, the one that it names.
-async fn follow(caller: &Caller, node: &str, call: &Call) -> Result<Reply, Called> {
+async fn follow(client: &HttpClient, node: &str, call: &Call) -> Result<Reply, CallError> {
     let (mut node, mut path) = (node.to_owned(), call.path.clone());
-    for _ in 0..MOST_REDIRECTS {
+    for _ in 0..MAX_REDIRECTS {
         let body = call.body.clone().into();
-        let reply = caller
+        let reply = client
             .call(&node, call.method, &path, &[], body, WITHIN, false)
             .await?;
         let location = reply
             .header("location")
             .strip_prefix("http://")
             .and_then(|at| at.split_once('/'));
-        match location.filter(|_| reply.status == ResultCode::Elsewhere.status()) {
+        match location.filter(|_| reply.status == ResultCode::Redirected.status()) {
             Some((address, target)) => (node, path) = (address.to_owned(), format!("/{target}")),
             None => return Ok(reply),
         }
     }
-    caller
+    client
         .call(
             &node,
             call.method,
@@ -378,8 +383,8 @@
 }
 
 /// How many orders were decided so far, as a node knows it.
-async fn decided_orders(caller: &Caller, node: &str) -> Option<u64> {
-    let status = caller
+async fn decided_orders(client: &HttpClient, node: &str) -> Option<u64> {
+    let status = client
         .call(
             node,
             "GET",
@@ -391,14 +396,14 @@
         )
         .await
         .ok()?;
-    Sheet::read(&String::from_utf8_lossy(&status.body))
+    JsonValue::read(&String::from_utf8_lossy(&status.body))
         .ok()?
         .count("decided")
 }
 
 /// The proxy that served a try is not known: every proxy that membership knows is asked.
-async fn ask_all_proxies(caller: &Caller, node: &str, path: &str) -> Option<Reply> {
-    let status = caller
+async fn ask_all_proxies(client: &HttpClient, node: &str, path: &str) -> Option<Reply> {
+    let status = client
         .call(
             node,
             "GET",
@@ -410,13 +415,13 @@
         )
         .await
         .ok()?;
-    let sheet = Sheet::read(&String::from_utf8_lossy(&status.body)).ok()?;
-    let proxies = sheet
+    let json = JsonValue::read(&String::from_utf8_lossy(&status.body)).ok()?;
+    let proxies = json
         .list("members")
         .iter()
         .filter(|member| member.text("roles").is_some_and(|r| r.contains("proxy")));
     for address in proxies.filter_map(|member| member.text("http")) {
-        let reply = caller
+        let reply = client
             .call(address, "GET", path, &[], Vec::new().into(), WITHIN, false)
             .await;
         if let Some(found) = reply.ok().filter(|reply| reply.status == 200) {
@@ -428,9 +433,9 @@
 
 fn show(reply: &Reply) -> i32 {
     let text = String::from_utf8_lossy(&reply.body);
-    let edition = reply.header("x-edition");
-    if !edition.is_empty() {
-        eprintln!("edition {edition}");
+    let revision = reply.header("x-edition");
+    if !revision.is_empty() {
+        eprintln!("edition {revision}");
     }
     println!("{text}");
     let code = reply
@@ -438,18 +443,18 @@
         .parse()
         .ok()
         .and_then(ResultCode::from_number);
-    Sheet::read(&text)
+    JsonValue::read(&text)
         .ok()
         .iter()
-        .flat_map(|sheet| sheet.list("complaints").to_vec())
+        .flat_map(|json| json.list("complaints").to_vec())
         .for_each(|complaint| {
             let told = complaint.text("path").zip(complaint.text("text"));
             told.into_iter()
                 .for_each(|(path, text)| eprintln!("clerk: {path}: {text}"));
         });
     match code {
-        Some(ResultCode::Fine | ResultCode::Overtaken) => exit::FINE,
-        Some(ResultCode::SetupUnknown) => UNKNOWN,
+        Some(ResultCode::Success | ResultCode::Superseded) => exit::FINE,
+        Some(ResultCode::ChangeOutcomeUnknown) => UNKNOWN,
         _ => exit::FAILED,
     }
 }
--- a/crates/cli/src/manifest.rs
+++ b/crates/cli/src/manifest.rs
@@ -1,7 +1,7 @@
 //! Manifests in the manner of the Gateway API, turned into a setup. What a setup can't express is denied with its
 //! path, never left out in silence.
 
-use config::{Complaint, Fields, Setup, Sheet, complain};
+use config::{Configuration, Fields, JsonValue, ValidationError, add_validation_error};
 use std::collections::{BTreeMap, BTreeSet};
 use yaml_rust2::{Yaml, YamlLoader};
 
@@ -13,45 +13,45 @@
 
 #[derive(Default)]
 struct Desk {
-    complaints: Vec<Complaint>,
+    validation_errors: Vec<ValidationError>,
     remarks: Vec<String>,
     gateways: BTreeSet<String>,
-    routes: Vec<Sheet>,
-    aliases: Vec<Sheet>,
+    routes: Vec<JsonValue>,
+    aliases: Vec<JsonValue>,
     backends: BTreeMap<String, String>,
 }
 
 /// Turns manifests (YAML, several documents) into a setup. The services that routes lead to are described in `services`,
 /// a setup whose routes and aliases don't matter: manifests don't say what may run twice, or where.
-pub fn turn(manifests: &str, services: &str) -> Result<Turned, Vec<Complaint>> {
+pub fn turn(manifests: &str, services: &str) -> Result<Turned, Vec<ValidationError>> {
     let one = |path: &str, text: String| {
-        vec![Complaint {
+        vec![ValidationError {
             path: path.into(),
             text,
         }]
     };
     let documents =
         YamlLoader::load_from_str(manifests).map_err(|failed| one("/", failed.to_string()))?;
-    let described = Sheet::read(services).map_err(|text| one("services", text))?;
+    let described = JsonValue::read(services).map_err(|text| one("services", text))?;
     let mut desk = Desk::default();
-    let sheets: Vec<Sheet> = documents
+    let sheets: Vec<JsonValue> = documents
         .iter()
         .enumerate()
-        .map(|(at, yaml)| desk.sheet(yaml, &format!("/{at}")))
+        .map(|(at, yaml)| desk.json(yaml, &format!("/{at}")))
         .collect();
     // Gateways first, whatever the order: routes name them.
     [true, false].into_iter().for_each(|gateways| {
-        sheets.iter().enumerate().for_each(|(at, sheet)| {
-            let is_gateway = sheet.text("kind") == Some("Gateway");
+        sheets.iter().enumerate().for_each(|(at, json)| {
+            let is_gateway = json.text("kind") == Some("Gateway");
             if is_gateway == gateways {
-                desk.document(sheet, &format!("/{at}"));
+                desk.document(json, &format!("/{at}"));
             }
         });
     });
     let known: BTreeSet<&str> = described
         .list("services")
         .iter()
-        .filter_map(|sheet| sheet.text("name"))
+        .filter_map(|json| json.text("name"))
         .collect();
     let unknown: Vec<(String, String)> = desk
         .backends
@@ -66,57 +66,57 @@
         .collect();
     unknown
         .into_iter()
-        .for_each(|(path, text)| complain(&mut desk.complaints, &path, text));
-    if !desk.complaints.is_empty() {
-        return Err(desk.complaints);
+        .for_each(|(path, text)| add_validation_error(&mut desk.validation_errors, &path, text));
+    if !desk.validation_errors.is_empty() {
+        return Err(desk.validation_errors);
     }
-    let list = |items: &[Sheet]| items.iter().cloned().collect::<Sheet>();
-    let setup = Sheet::fields([
+    let list = |items: &[JsonValue]| items.iter().cloned().collect::<JsonValue>();
+    let configuration = JsonValue::fields([
         ("services", list(described.list("services"))),
         ("routes", list(&desk.routes)),
         ("aliases", list(&desk.aliases)),
     ])
     .to_string();
-    Setup::read(setup.as_bytes())?;
-    Ok((setup, desk.remarks))
+    Configuration::read(configuration.as_bytes())?;
+    Ok((configuration, desk.remarks))
 }
 
 impl Desk {
     /// YAML as a sheet; what JSON has no shape for is complained of.
-    fn sheet(&mut self, yaml: &Yaml, path: &str) -> Sheet {
+    fn json(&mut self, yaml: &Yaml, path: &str) -> JsonValue {
         match yaml {
-            Yaml::Null => Sheet::Null,
-            Yaml::Boolean(truth) => Sheet::Truth(*truth),
-            Yaml::String(text) => Sheet::from(text.as_str()),
-            Yaml::Integer(number) if *number >= 0 => Sheet::Count(*number as u64),
+            Yaml::Null => JsonValue::Null,
+            Yaml::Boolean(truth) => JsonValue::Truth(*truth),
+            Yaml::String(text) => JsonValue::from(text.as_str()),
+            Yaml::Integer(number) if *number >= 0 => JsonValue::Count(*number as u64),
             Yaml::Array(items) => items
                 .iter()
                 .enumerate()
-                .map(|(at, item)| self.sheet(item, &format!("{path}/{at}")))
+                .map(|(at, item)| self.json(item, &format!("{path}/{at}")))
                 .collect(),
-            Yaml::Hash(fields) => Sheet::Fields(
+            Yaml::Hash(fields) => JsonValue::Fields(
                 fields
                     .iter()
                     .map(|(name, value)| {
                         let name = name.as_str().unwrap_or_default().to_owned();
-                        let sheet = self.sheet(value, &format!("{path}/{name}"));
-                        (name, sheet)
+                        let json = self.json(value, &format!("{path}/{name}"));
+                        (name, json)
                     })
                     .collect(),
             ),
             _ => {
-                complain(
-                    &mut self.complaints,
+                add_validation_error(
+                    &mut self.validation_errors,
                     path,
                     "a value that no manifest has here",
                 );
-                Sheet::Null
+                JsonValue::Null
             }
         }
     }
 
-    fn document(&mut self, sheet: &Sheet, path: &str) {
-        let mut fields = Fields::open(sheet, path, &mut self.complaints);
+    fn document(&mut self, json: &JsonValue, path: &str) {
+        let mut fields = Fields::open(json, path, &mut self.validation_errors);
         let (version, kind) = (fields.text("apiVersion"), fields.text("kind"));
         let (metadata, spec) = (
             fields.part("metadata").cloned(),
@@ -124,53 +124,53 @@
         );
         fields.close();
         if version.is_some_and(|version| version != GROUP) {
-            complain(
-                &mut self.complaints,
+            add_validation_error(
+                &mut self.validation_errors,
                 &format!("{path}/apiVersion"),
                 format!("must be {GROUP}"),
             );
         }
         let mut fields = Fields::open(
-            metadata.as_ref().unwrap_or(&Sheet::Null),
+            metadata.as_ref().unwrap_or(&JsonValue::Null),
             &format!("{path}/metadata"),
-            &mut self.complaints,
+            &mut self.validation_errors,
         );
         let name = fields.id("name").unwrap_or_default();
         fields.close();
-        let spec = spec.unwrap_or(Sheet::Null);
+        let spec = spec.unwrap_or(JsonValue::Null);
         match kind.as_deref() {
             Some("Gateway") => self.gateway(&name, &spec, &format!("{path}/spec")),
             Some("HTTPRoute") => self.route(&name, &spec, &format!("{path}/spec")),
             Some(other) => {
                 let text = format!("'{other}' is neither Gateway nor HTTPRoute");
-                complain(&mut self.complaints, &format!("{path}/kind"), text);
+                add_validation_error(&mut self.validation_errors, &format!("{path}/kind"), text);
             }
             None => {}
         }
     }
 
-    fn gateway(&mut self, name: &str, spec: &Sheet, path: &str) {
+    fn gateway(&mut self, name: &str, spec: &JsonValue, path: &str) {
         self.gateways.insert(name.to_owned());
-        let mut fields = Fields::open(spec, path, &mut self.complaints);
+        let mut fields = Fields::open(spec, path, &mut self.validation_errors);
         let class = fields.text("gatewayClassName");
         let listeners = fields.list("listeners");
         fields.close();
         if class.is_some_and(|class| class != CLASS) {
-            complain(
-                &mut self.complaints,
+            add_validation_error(
+                &mut self.validation_errors,
                 &format!("{path}/gatewayClassName"),
                 format!("must be {CLASS}"),
             );
         }
         listeners.iter().enumerate().for_each(|(at, listener)| {
             let path = format!("{path}/listeners/{at}");
-            let mut fields = Fields::open(listener, &path, &mut self.complaints);
+            let mut fields = Fields::open(listener, &path, &mut self.validation_errors);
             fields.id("name");
             let port = fields.count("port", 1..=65_535, None);
             let protocol = fields.text("protocol");
             fields.close();
             if protocol.is_some_and(|protocol| protocol != "HTTP") {
-                complain(&mut self.complaints, &format!("{path}/protocol"), "must be HTTP");
+                add_validation_error(&mut self.validation_errors, &format!("{path}/protocol"), "must be HTTP");
             }
             self.remarks.extend(port.map(|port| {
                 format!("{path}/port: {port} is no part of a setup; carriers listen where their --http says")
@@ -178,8 +178,8 @@
         });
     }
 
-    fn route(&mut self, name: &str, spec: &Sheet, path: &str) {
-        let mut fields = Fields::open(spec, path, &mut self.complaints);
+    fn route(&mut self, name: &str, spec: &JsonValue, path: &str) {
+        let mut fields = Fields::open(spec, path, &mut self.validation_errors);
         let (parents, hosts, rules) = (
             fields.list("parentRefs"),
             fields.list("hostnames"),
@@ -188,12 +188,12 @@
         fields.close();
         parents.iter().enumerate().for_each(|(at, parent)| {
             let path = format!("{path}/parentRefs/{at}");
-            let mut fields = Fields::open(parent, &path, &mut self.complaints);
+            let mut fields = Fields::open(parent, &path, &mut self.validation_errors);
             let gateway = fields.id("name").unwrap_or_default();
             fields.close();
             if !self.gateways.contains(&gateway) {
-                complain(
-                    &mut self.complaints,
+                add_validation_error(
+                    &mut self.validation_errors,
                     &format!("{path}/name"),
                     format!("no Gateway '{gateway}' here"),
                 );
@@ -203,11 +203,11 @@
             .iter()
             .enumerate()
             .filter_map(|(at, host)| match host {
-                Sheet::Text(host) if locality::is_valid_id(host) => Some(host.as_str()),
+                JsonValue::Text(host) if locality::is_valid_id(host) => Some(host.as_str()),
                 _ => {
                     let text = "must be a whole host name; patterns can't be expressed";
-                    complain(
-                        &mut self.complaints,
+                    add_validation_error(
+                        &mut self.validation_errors,
                         &format!("{path}/hostnames/{at}"),
                         text,
                     );
@@ -216,8 +216,8 @@
             })
             .collect();
         let Some((first, others)) = names.split_first() else {
-            return complain(
-                &mut self.complaints,
+            return add_validation_error(
+                &mut self.validation_errors,
                 &format!("{path}/hostnames"),
                 "must name one host at least",
             );
@@ -225,19 +225,23 @@
         let mut count = 0;
         rules.iter().enumerate().for_each(|(at, rule)| {
             let path = format!("{path}/rules/{at}");
-            let mut fields = Fields::open(rule, &path, &mut self.complaints);
+            let mut fields = Fields::open(rule, &path, &mut self.validation_errors);
             let (matches, backends) = (fields.list("matches"), fields.list("backendRefs"));
             fields.close();
             let service = self.backend(backends, &format!("{path}/backendRefs"));
             if matches.is_empty() {
                 let text = "must match one path at least: a route has a path";
-                complain(&mut self.complaints, &format!("{path}/matches"), text);
+                add_validation_error(
+                    &mut self.validation_errors,
+                    &format!("{path}/matches"),
+                    text,
+                );
             }
             matches.iter().enumerate().for_each(|(at, matched)| {
                 let place = self.path(matched, &format!("{path}/matches/{at}"));
                 count += 1;
                 let id = format!("{name}-{count}");
-                self.routes.push(Sheet::fields([
+                self.routes.push(JsonValue::fields([
                     ("id", id.into()),
                     ("name", (*first).into()),
                     ("path", place.into()),
@@ -246,7 +250,7 @@
             });
         });
         let links = others.iter().map(|other| {
-            Sheet::fields([
+            JsonValue::fields([
                 ("alias", (*other).into()),
                 ("to", format!("{name}-1").into()),
             ])
@@ -254,10 +258,10 @@
         self.aliases.extend(links);
     }
 
-    fn backend(&mut self, backends: &[Sheet], path: &str) -> String {
+    fn backend(&mut self, backends: &[JsonValue], path: &str) -> String {
         if backends.len() != 1 {
-            complain(
-                &mut self.complaints,
+            add_validation_error(
+                &mut self.validation_errors,
                 path,
                 "must be one service: traffic is not split by a setup",
             );
@@ -265,9 +269,9 @@
         let first = backends
             .first()
             .cloned()
-            .unwrap_or(Sheet::Fields(Vec::new()));
+            .unwrap_or(JsonValue::Fields(Vec::new()));
         let path = format!("{path}/0");
-        let mut fields = Fields::open(&first, &path, &mut self.complaints);
+        let mut fields = Fields::open(&first, &path, &mut self.validation_errors);
         let service = fields.id("name").unwrap_or_default();
         // Upstreams report their own addresses; a port says nothing here.
         let port = fields.part("port").cloned();
@@ -279,19 +283,19 @@
         service
     }
 
-    fn path(&mut self, matched: &Sheet, path: &str) -> String {
-        let mut fields = Fields::open(matched, path, &mut self.complaints);
-        let place = fields.part("path").cloned().unwrap_or(Sheet::Null);
+    fn path(&mut self, matched: &JsonValue, path: &str) -> String {
+        let mut fields = Fields::open(matched, path, &mut self.validation_errors);
+        let place = fields.part("path").cloned().unwrap_or(JsonValue::Null);
         fields.close();
-        let mut fields = Fields::open(&place, &format!("{path}/path"), &mut self.complaints);
+        let mut fields = Fields::open(&place, &format!("{path}/path"), &mut self.validation_errors);
         let (kind, value) = (
             fields.text("type"),
             fields.text("value").unwrap_or_default(),
         );
         fields.close();
         if kind.is_some_and(|kind| kind != "Exact") {
-            complain(
-                &mut self.complaints,
+            add_validation_error(
+                &mut self.validation_errors,
                 &format!("{path}/path/type"),
                 "must be Exact: a route has one path",
             );
@@ -335,11 +339,15 @@
             "{GATEWAY}{}",
             route("{path: {type: Exact, value: /book}}", "")
         );
-        let (setup, remarks) = turn(&manifests, SERVICES).expect("it can be expressed");
-        let setup = config::Setup::read(setup.as_bytes()).expect("a whole setup");
-        assert_eq!(setup.resolve("booking.example"), Some("book.example"));
+        let (configuration, remarks) = turn(&manifests, SERVICES).expect("it can be expressed");
+        let configuration =
+            config::Configuration::read(configuration.as_bytes()).expect("a whole setup");
+        assert_eq!(
+            configuration.resolve("booking.example"),
+            Some("book.example")
+        );
         assert_eq!(
-            setup
+            configuration
                 .route("book.example", "/book")
                 .map(|route| route.service.as_str()),
             Some("slots")
--- a/crates/cli/src/rescue.rs
+++ b/crates/cli/src/rescue.rs
@@ -54,7 +54,7 @@
     let inspected = Storage::inspect(Path::new(folder));
     let Contents {
         durable,
-        setups,
+        configurations,
         damaged,
     } = inspected.change_context_lazy(|| failure(format!("{folder}: can't be read")))?;
     let findings: Vec<String> = damaged
@@ -65,13 +65,13 @@
         durable.disk != 0,
         failure(format!("{folder}: holds no voter's state {findings:?}"))
     );
-    let setup = setups
+    let configuration = configurations
         .get(&durable.accepted.digest)
         .cloned()
         .unwrap_or_default();
-    let edition = durable.accepted.edition;
+    let revision = durable.accepted.revision;
     let told = format!(
-        "{node}: edition {edition}, a roster of {}{}",
+        "{node}: edition {revision}, a roster of {}{}",
         durable.roster.len(),
         told_damage(&findings)
     );
@@ -80,7 +80,7 @@
         &SurvivorState {
             node: node.to_owned(),
             durable,
-            setup,
+            configuration,
         },
     )?;
     Ok(told)
@@ -105,7 +105,7 @@
     write(file, &settled)?;
     Ok(format!(
         "settled: edition {}",
-        settled.durable.accepted.edition
+        settled.durable.accepted.revision
     ))
 }
 
@@ -126,12 +126,12 @@
     let kept = Some(digest)
         .filter(|digest| !digest.is_empty())
         .map_or(Ok(()), |digest| {
-            storage.keep_setup(digest, &inheritance.setup)
+            storage.store_configuration(digest, &inheritance.configuration)
         })
         .and_then(|()| storage.keep(&inheritance.durable));
     kept.change_context_lazy(|| failure(format!("{folder}: can't be written")))?;
     Ok(format!(
         "{folder} inherits edition {}",
-        inheritance.durable.accepted.edition
+        inheritance.durable.accepted.revision
     ))
 }
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -1,10 +1,10 @@
 //! The whole site at a glance, put together from what every node says of itself.
 
-use config::Sheet;
+use config::JsonValue;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::task::JoinSet;
-use transport::Caller;
+use transport::HttpClient;
 
 const WITHIN: Duration = Duration::from_secs(2);
 
@@ -14,19 +14,19 @@
     locality: String,
     is_voter: bool,
     is_suspect: bool,
-    said: Option<Sheet>,
+    said: Option<JsonValue>,
 }
 
-async fn ask(address: &str, page: &str) -> Option<Sheet> {
-    let caller = Caller::default();
-    let called = caller
+async fn ask(address: &str, page: &str) -> Option<JsonValue> {
+    let client = HttpClient::default();
+    let called = client
         .call(address, "GET", page, &[], Vec::new().into(), WITHIN, false)
         .await;
     let reply = called.ok().filter(|reply| reply.status == 200)?;
-    Sheet::read(&String::from_utf8_lossy(&reply.body)).ok()
+    JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok()
 }
 
-async fn ask_all(members: &[Sheet]) -> Vec<Told> {
+async fn ask_all(members: &[JsonValue]) -> Vec<Told> {
     let mut asking = JoinSet::new();
     members.iter().for_each(|member| {
         let text = |name: &str| member.text(name).unwrap_or_default().to_owned();
@@ -68,7 +68,7 @@
     status.get("voters").map(describe_voters)
 }
 
-fn describe_voters(voters: &Sheet) -> (Vec<String>, Vec<String>) {
+fn describe_voters(voters: &JsonValue) -> (Vec<String>, Vec<String>) {
     let epoch = voters.count("epoch").unwrap_or(0);
     let changing = if epoch % 2 == 1 {
         ", a change is under way"
@@ -87,7 +87,7 @@
             .count("syncedRound")
             .map(|round| format!(", synced round {round}"))
             .unwrap_or_default();
-        let caught_up = member.get("caughtUp") == Some(&Sheet::Truth(true));
+        let caught_up = member.get("caughtUp") == Some(&JsonValue::Truth(true));
         let behind = if caught_up { "" } else { ", behind" };
         lines.push(format!(
             "{role} {node}: heard {silent_ms} ms ago{synced}{behind}"
@@ -100,19 +100,19 @@
 }
 
 fn describe(
-    status: &Sheet,
+    status: &JsonValue,
     told: &[Told],
-    upstreams: Option<&Sheet>,
+    upstreams: Option<&JsonValue>,
 ) -> (Vec<String>, Vec<String>) {
     let (mut lines, mut wrong) = (Vec::new(), Vec::new());
-    let truth = |sheet: &Sheet, name: &str| sheet.get(name) == Some(&Sheet::Truth(true));
-    let edition = status.count("edition").unwrap_or(0);
+    let truth = |json: &JsonValue, name: &str| json.get(name) == Some(&JsonValue::Truth(true));
+    let revision = status.count("edition").unwrap_or(0);
     let age_ms = status
         .count("ageMs")
         .map(|age| format!("{age} ms ago"))
         .unwrap_or("never".into());
     lines.push(format!(
-        "edition {edition}, confirmed by a majority {age_ms}"
+        "edition {revision}, confirmed by a majority {age_ms}"
     ));
     if !truth(status, "current") {
         wrong.push(
@@ -129,7 +129,7 @@
                 .as_ref()
                 .and_then(|said| said.count("edition"))
                 .unwrap_or(0)
-                < edition
+                < revision
         })
         .map(|told| told.node.as_str())
         .collect();
@@ -157,7 +157,7 @@
     }
     told.iter().for_each(|told| {
         let line = told.said.as_ref().map(|said| {
-            let edition = said.count("edition").unwrap_or(0);
+            let revision = said.count("edition").unwrap_or(0);
             let age_ms = said
                 .count("ageMs")
                 .map(|age| format!("{age} ms old"))
@@ -182,7 +182,7 @@
                     told.node
                 ));
             }
-            format!("{standing}, edition {edition}, {age_ms}")
+            format!("{standing}, edition {revision}, {age_ms}")
         });
         if line.is_none() {
             wrong.push(format!("{} does not answer", told.node));
@@ -213,8 +213,8 @@
             }
         });
     let mut services: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
-    let listed = upstreams.map(|sheet| {
-        if let Sheet::List(all) = sheet {
+    let listed = upstreams.map(|json| {
+        if let JsonValue::List(all) = json {
             all.as_slice()
         } else {
             &[]
--- a/crates/config/src/setup.rs
+++ b/crates/config/src/configuration.rs
@@ -1,16 +1,16 @@
 //! The operators' setup: services, routes and aliases.
 
-use crate::check::{Complaint, Fields, complain};
-use crate::sheet::Sheet;
+use crate::check::{Fields, ValidationError, add_validation_error};
+use crate::json_value::JsonValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// The largest setup that is read at all.
-pub const MOST_SETUP_BYTES: usize = 2 * 1024 * 1024;
-const MOST_ITEMS: usize = 20_000;
+pub const MAX_CONFIGURATION_BYTES: usize = 2 * 1024 * 1024;
+const MAX_ITEMS: usize = 20_000;
 /// How many aliases may lead to one another.
-const MOST_LINKS: usize = 8;
+const MAX_LINKS: usize = 8;
 
 /// A kind of work that upstreams do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -141,7 +141,7 @@
 
 /// A whole, checked setup.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Setup {
+pub struct Configuration {
     /// The operator's own number of it, where there is one.
     pub number: Option<u64>,
     pub services: BTreeMap<String, Arc<Service>>,
@@ -151,40 +151,40 @@
     places: BTreeMap<String, BTreeMap<String, String>>,
 }
 
-impl Setup {
+impl Configuration {
     /// Reads and checks a setup; a bad one is denied whole, with every complaint at once.
     ///
     /// ```
-    /// use config::Setup;
-    /// let setup = Setup::read(br#"{
+    /// use config::Configuration;
+    /// let configuration = Configuration::read(br#"{
     ///   "services": [{"name": "slots", "work": "once", "warmUpPerSecond": 5}],
     ///   "routes": [{"id": "r1", "name": "book", "path": "/book", "service": "slots"}],
     ///   "aliases": [{"alias": "book.example", "to": "r1"}]
     /// }"#).unwrap();
-    /// assert_eq!(setup.resolve("book.example"), Some("book"));
-    /// let complaints = Setup::read(br#"{"routes": [{"id": "r1", "name": "a", "path": "b", "service": "c"}]}"#)
+    /// assert_eq!(configuration.resolve("book.example"), Some("book"));
+    /// let validation_errors = Configuration::read(br#"{"routes": [{"id": "r1", "name": "a", "path": "b", "service": "c"}]}"#)
     ///     .unwrap_err();
-    /// assert_eq!(complaints.len(), 2);
+    /// assert_eq!(validation_errors.len(), 2);
     /// ```
-    pub fn read(bytes: &[u8]) -> Result<Setup, Vec<Complaint>> {
+    pub fn read(bytes: &[u8]) -> Result<Configuration, Vec<ValidationError>> {
         let whole = |text: String| {
-            vec![Complaint {
+            vec![ValidationError {
                 path: "/".into(),
                 text,
             }]
         };
-        if bytes.len() > MOST_SETUP_BYTES {
+        if bytes.len() > MAX_CONFIGURATION_BYTES {
             return Err(whole(format!(
-                "{} bytes; at most {MOST_SETUP_BYTES} are read",
+                "{} bytes; at most {MAX_CONFIGURATION_BYTES} are read",
                 bytes.len()
             )));
         }
-        let sheet = std::str::from_utf8(bytes)
+        let json = std::str::from_utf8(bytes)
             .map_err(|_| "this is not UTF-8".to_owned())
-            .and_then(Sheet::read)
+            .and_then(JsonValue::read)
             .map_err(whole)?;
-        let mut complaints = Vec::new();
-        let mut fields = Fields::open(&sheet, "", &mut complaints);
+        let mut validation_errors = Vec::new();
+        let mut fields = Fields::open(&json, "", &mut validation_errors);
         let numbered = fields.part("number").is_some();
         let number = fields
             .count("number", 1..=u64::MAX, Some(1))
@@ -199,41 +199,46 @@
             .into_iter()
             .max()
             .unwrap_or(0);
-        if most > MOST_ITEMS {
-            complain(
-                &mut complaints,
+        if most > MAX_ITEMS {
+            add_validation_error(
+                &mut validation_errors,
                 "/",
-                format!("a list of {most}; at most {MOST_ITEMS}"),
+                format!("a list of {most}; at most {MAX_ITEMS}"),
             );
-            return Err(complaints);
+            return Err(validation_errors);
         }
-        let mut setup = Setup {
+        let mut configuration = Configuration {
             number,
-            ..Setup::default()
+            ..Configuration::default()
         };
         services
             .iter()
             .enumerate()
-            .for_each(|(at, sheet)| setup.add_service(sheet, at, &mut complaints));
+            .for_each(|(at, json)| configuration.add_service(json, at, &mut validation_errors));
         routes
             .iter()
             .enumerate()
-            .for_each(|(at, sheet)| setup.add_route(sheet, at, &mut complaints));
+            .for_each(|(at, json)| configuration.add_route(json, at, &mut validation_errors));
         aliases
             .iter()
             .enumerate()
-            .for_each(|(at, sheet)| setup.add_alias(sheet, at, &mut complaints));
-        setup.check_links(routes, aliases, &mut complaints);
-        if complaints.is_empty() {
-            Ok(setup)
+            .for_each(|(at, json)| configuration.add_alias(json, at, &mut validation_errors));
+        configuration.check_links(routes, aliases, &mut validation_errors);
+        if validation_errors.is_empty() {
+            Ok(configuration)
         } else {
-            Err(complaints)
+            Err(validation_errors)
         }
     }
 
-    fn add_service(&mut self, sheet: &Sheet, at: usize, complaints: &mut Vec<Complaint>) {
+    fn add_service(
+        &mut self,
+        json: &JsonValue,
+        at: usize,
+        validation_errors: &mut Vec<ValidationError>,
+    ) {
         let path = format!("/services/{at}");
-        let mut fields = Fields::open(sheet, &path, complaints);
+        let mut fields = Fields::open(json, &path, validation_errors);
         let name = fields.id("name");
         let work = fields.text("work");
         let keyed = fields.truth("keyed", false);
@@ -245,15 +250,15 @@
         fields.close();
         let home_regions: Vec<String> = regions.iter().filter_map(region).collect();
         if home_regions.len() != regions.len() {
-            complain(
-                complaints,
+            add_validation_error(
+                validation_errors,
                 &format!("{path}/homeRegions"),
                 "must be a list of region ids",
             );
         }
         let repeatable = work
             .as_deref()
-            .and_then(|work| repeatable(work, &path, complaints));
+            .and_then(|work| repeatable(work, &path, validation_errors));
         let service = name
             .zip(repeatable)
             .zip(warm_up_per_second)
@@ -272,8 +277,8 @@
                 concurrency,
             };
             if !self.put_service(service) {
-                complain(
-                    complaints,
+                add_validation_error(
+                    validation_errors,
                     &format!("{path}/name"),
                     format!("service '{known}' comes twice"),
                 );
@@ -284,9 +289,9 @@
     /// Adds a service; false where one of this name is there already.
     ///
     /// ```
-    /// let mut setup = config::Setup::default();
-    /// assert!(setup.put_service(config::Service { name: "s".into(), ..Default::default() }));
-    /// assert!(!setup.put_service(config::Service { name: "s".into(), ..Default::default() }));
+    /// let mut configuration = config::Configuration::default();
+    /// assert!(configuration.put_service(config::Service { name: "s".into(), ..Default::default() }));
+    /// assert!(!configuration.put_service(config::Service { name: "s".into(), ..Default::default() }));
     /// ```
     pub fn put_service(&mut self, service: Service) -> bool {
         self.services
@@ -297,45 +302,55 @@
     /// Adds a route, and complains of what clashes.
     ///
     /// ```
-    /// let (mut setup, mut complaints) = (config::Setup::default(), Vec::new());
+    /// let (mut configuration, mut validation_errors) = (config::Configuration::default(), Vec::new());
     /// let route = config::Route { id: "r".into(), name: "book".into(), path: "/a/".into(), prefix: true,
     ///     ..Default::default() };
-    /// setup.put_route(route, "/routes/0", &mut complaints);
-    /// assert_eq!(setup.route("book", "/a/b/c").map(|route| route.id.as_str()), Some("r"));
-    /// assert!(setup.route("book", "/b").is_none());
+    /// configuration.put_route(route, "/routes/0", &mut validation_errors);
+    /// assert_eq!(configuration.route("book", "/a/b/c").map(|route| route.id.as_str()), Some("r"));
+    /// assert!(configuration.route("book", "/b").is_none());
     /// ```
-    pub fn put_route(&mut self, route: Route, path: &str, complaints: &mut Vec<Complaint>) {
+    pub fn put_route(
+        &mut self,
+        route: Route,
+        path: &str,
+        validation_errors: &mut Vec<ValidationError>,
+    ) {
         if !is_path(&route.path) {
             let text = format!(
                 "'{}' is no path; start it with / and leave out spaces, ? and #",
                 route.path
             );
-            complain(complaints, &format!("{path}/path"), text);
+            add_validation_error(validation_errors, &format!("{path}/path"), text);
         }
         let by_path = self.places.entry(route.name.clone()).or_default();
         if by_path
             .insert(route.path.clone(), route.id.clone())
             .is_some()
         {
-            complain(
-                complaints,
+            add_validation_error(
+                validation_errors,
                 path,
                 format!("name '{}' and path '{}' come twice", route.name, route.path),
             );
         }
         let id = route.id.clone();
         if self.routes.insert(id.clone(), Arc::new(route)).is_some() {
-            complain(
-                complaints,
+            add_validation_error(
+                validation_errors,
                 &format!("{path}/id"),
                 format!("route '{id}' comes twice"),
             );
         }
     }
 
-    fn add_route(&mut self, sheet: &Sheet, at: usize, complaints: &mut Vec<Complaint>) {
+    fn add_route(
+        &mut self,
+        json: &JsonValue,
+        at: usize,
+        validation_errors: &mut Vec<ValidationError>,
+    ) {
         let path = format!("/routes/{at}");
-        let mut fields = Fields::open(sheet, &path, complaints);
+        let mut fields = Fields::open(json, &path, validation_errors);
         let ids = fields.id("id").zip(fields.id("name"));
         let to = fields.text("path");
         let prefix = fields.truth("prefix", false);
@@ -364,15 +379,15 @@
         fields.close();
         let home_regions: Vec<String> = regions.iter().filter_map(region).collect();
         if home_regions.len() != regions.len() {
-            complain(
-                complaints,
+            add_validation_error(
+                validation_errors,
                 &format!("{path}/homeRegions"),
                 "must be a list of region ids",
             );
         }
-        let repeatable = work.and_then(|work| repeatable(&work, &path, complaints));
-        let split = split.iter().enumerate().filter_map(|(part, sheet)| {
-            let mut fields = Fields::open(sheet, &format!("{path}/split/{part}"), complaints);
+        let repeatable = work.and_then(|work| repeatable(&work, &path, validation_errors));
+        let split = split.iter().enumerate().filter_map(|(part, json)| {
+            let mut fields = Fields::open(json, &format!("{path}/split/{part}"), validation_errors);
             let share = fields
                 .id("service")
                 .zip(fields.count("weight", 0..=1_000_000, None));
@@ -381,7 +396,11 @@
         });
         let split: Vec<(String, u64)> = split.collect();
         if !split.is_empty() && split.iter().all(|(_, weight)| *weight == 0) {
-            complain(complaints, &format!("{path}/split"), "the weights sum to 0");
+            add_validation_error(
+                validation_errors,
+                &format!("{path}/split"),
+                "the weights sum to 0",
+            );
         }
         let terms = Terms {
             repeatable,
@@ -404,13 +423,18 @@
                     split,
                     terms: terms.clone(),
                 };
-                self.put_route(route, &path, complaints);
+                self.put_route(route, &path, validation_errors);
             });
     }
 
-    fn add_alias(&mut self, sheet: &Sheet, at: usize, complaints: &mut Vec<Complaint>) {
+    fn add_alias(
+        &mut self,
+        json: &JsonValue,
+        at: usize,
+        validation_errors: &mut Vec<ValidationError>,
+    ) {
         let path = format!("/aliases/{at}");
-        let mut fields = Fields::open(sheet, &path, complaints);
+        let mut fields = Fields::open(json, &path, validation_errors);
         let link = fields.id("alias").zip(fields.id("to"));
         fields.close();
         link.into_iter().for_each(|(alias, to)| {
@@ -425,8 +449,8 @@
                 )
                 .is_some()
             {
-                complain(
-                    complaints,
+                add_validation_error(
+                    validation_errors,
                     &format!("{path}/alias"),
                     format!("alias '{alias}' comes twice"),
                 );
@@ -435,40 +459,45 @@
     }
 
     /// What no single item shows: dangling links, names that clash, loops.
-    fn check_links(&self, routes: &[Sheet], aliases: &[Sheet], complaints: &mut Vec<Complaint>) {
-        routes.iter().enumerate().for_each(|(at, sheet)| {
-            let id = sheet.text("id").unwrap_or_default();
+    fn check_links(
+        &self,
+        routes: &[JsonValue],
+        aliases: &[JsonValue],
+        validation_errors: &mut Vec<ValidationError>,
+    ) {
+        routes.iter().enumerate().for_each(|(at, json)| {
+            let id = json.text("id").unwrap_or_default();
             let services = self
                 .routes
                 .get(id)
                 .map(|route| route.services().collect())
-                .unwrap_or_else(|| Vec::from_iter(sheet.text("service")));
+                .unwrap_or_else(|| Vec::from_iter(json.text("service")));
             services
                 .into_iter()
                 .filter(|name| locality::is_valid_id(name) && !self.services.contains_key(*name))
                 .for_each(|name| {
-                    complain(
-                        complaints,
+                    add_validation_error(
+                        validation_errors,
                         &format!("/routes/{at}/service"),
                         format!("no service '{name}'"),
                     )
                 });
             if self.places.contains_key(id) {
-                complain(
-                    complaints,
+                add_validation_error(
+                    validation_errors,
                     &format!("/routes/{at}/id"),
                     format!("'{id}' is also a route's name"),
                 );
             }
         });
-        aliases.iter().enumerate().for_each(|(at, sheet)| {
-            let alias = sheet.text("alias").unwrap_or_default();
+        aliases.iter().enumerate().for_each(|(at, json)| {
+            let alias = json.text("alias").unwrap_or_default();
             if self.places.contains_key(alias) || self.routes.contains_key(alias) {
                 let text = format!("'{alias}' is also a route's name or id");
-                complain(complaints, &format!("/aliases/{at}/alias"), text);
+                add_validation_error(validation_errors, &format!("/aliases/{at}/alias"), text);
             } else if self.aliases.contains_key(alias) && self.resolve(alias).is_none() {
                 let text = format!("'{alias}' leads to no route (dangling, or a loop)");
-                complain(complaints, &format!("/aliases/{at}/to"), text);
+                add_validation_error(validation_errors, &format!("/aliases/{at}/to"), text);
             }
         });
     }
@@ -476,12 +505,12 @@
     /// The route name behind a name, an id-form name or an alias. Aliases go through the id form.
     ///
     /// ```
-    /// assert_eq!(config::Setup::default().resolve("x"), None);
+    /// assert_eq!(config::Configuration::default().resolve("x"), None);
     /// ```
     pub fn resolve<'a>(&'a self, asked: &'a str) -> Option<&'a str> {
         let link = |name: &&'a str| self.aliases.get(*name).map(|alias| alias.to.as_str());
         let id = std::iter::successors(Some(asked), link)
-            .take(MOST_LINKS + 1)
+            .take(MAX_LINKS + 1)
             .last()?;
         let route = self.routes.get(id).map(|route| route.name.as_str());
         route.or_else(|| self.places.get_key_value(id).map(|(name, _)| name.as_str()))
@@ -490,7 +519,7 @@
     /// The route that serves a path under a name: the very path, or else the longest prefix that begins it.
     ///
     /// ```
-    /// assert!(config::Setup::default().route("book", "/book").is_none());
+    /// assert!(config::Configuration::default().route("book", "/book").is_none());
     /// ```
     pub fn route(&self, name: &str, path: &str) -> Option<&Arc<Route>> {
         let by_path = self.places.get(name)?;
@@ -504,7 +533,7 @@
     /// The services behind one name, once for each of its routes.
     ///
     /// ```
-    /// assert_eq!(config::Setup::default().services_of("book").count(), 0);
+    /// assert_eq!(config::Configuration::default().services_of("book").count(), 0);
     /// ```
     pub fn services_of(&self, name: &str) -> impl Iterator<Item = &Arc<Service>> {
         let services = self.routes_of(name).flat_map(|route| route.services());
@@ -514,7 +543,7 @@
     /// The routes of one name.
     ///
     /// ```
-    /// assert_eq!(config::Setup::default().routes_of("book").count(), 0);
+    /// assert_eq!(config::Configuration::default().routes_of("book").count(), 0);
     /// ```
     pub fn routes_of(&self, name: &str) -> impl Iterator<Item = &Arc<Route>> {
         let ids = self.places.get(name).into_iter().flat_map(BTreeMap::values);
@@ -524,7 +553,7 @@
     /// The services that a name's routes lead to, with its name, for each name.
     ///
     /// ```
-    /// assert!(config::Setup::default().names().is_empty());
+    /// assert!(config::Configuration::default().names().is_empty());
     /// ```
     pub fn names(&self) -> BTreeMap<&str, BTreeSet<&str>> {
         let services = |name: &str| {
@@ -539,21 +568,25 @@
     }
 }
 
-fn repeatable(work: &str, path: &str, complaints: &mut Vec<Complaint>) -> Option<bool> {
+fn repeatable(
+    work: &str,
+    path: &str,
+    validation_errors: &mut Vec<ValidationError>,
+) -> Option<bool> {
     match work {
         "repeatable" => Some(true),
         "once" => Some(false),
         other => {
             let text = format!("'{other}' is neither 'repeatable' nor 'once'");
-            complain(complaints, &format!("{path}/work"), text);
+            add_validation_error(validation_errors, &format!("{path}/work"), text);
             None
         }
     }
 }
 
-fn region(sheet: &Sheet) -> Option<String> {
-    match sheet {
-        Sheet::Text(text) if locality::is_valid_id(text) => Some(text.clone()),
+fn region(json: &JsonValue) -> Option<String> {
+    match json {
+        JsonValue::Text(text) if locality::is_valid_id(text) => Some(text.clone()),
         _ => None,
     }
 }
--- a/crates/config/src/sheet.rs
+++ b/crates/config/src/json_value.rs
@@ -6,38 +6,38 @@
 use std::borrow::Cow;
 use std::fmt;
 
-const MOST_DEPTH: usize = 16;
+const MAX_DEPTH: usize = 16;
 
 /// One JSON value. Objects keep the order and the duplicates of their fields.
 ///
 /// ```
-/// use config::Sheet;
-/// let sheet = Sheet::read(r#"{"a": [1, "two"], "a": null}"#).unwrap();
-/// let Sheet::Fields(fields) = &sheet else { panic!() };
+/// use config::JsonValue;
+/// let json = JsonValue::read(r#"{"a": [1, "two"], "a": null}"#).unwrap();
+/// let JsonValue::Fields(fields) = &json else { panic!() };
 /// assert_eq!(fields.len(), 2);
-/// assert_eq!(sheet.to_string(), r#"{"a":[1,"two"],"a":null}"#);
+/// assert_eq!(json.to_string(), r#"{"a":[1,"two"],"a":null}"#);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
-pub enum Sheet {
+pub enum JsonValue {
     Null,
     Truth(bool),
     Count(u64),
     Number(f64),
     Text(String),
-    List(Vec<Sheet>),
-    Fields(Vec<(String, Sheet)>),
+    List(Vec<JsonValue>),
+    Fields(Vec<(String, JsonValue)>),
 }
 
-impl Sheet {
+impl JsonValue {
     /// Reads JSON; broken or absurdly deep text is denied with a sentence.
     ///
     /// ```
-    /// assert!(config::Sheet::read("{").is_err());
-    /// assert!(config::Sheet::read(&"[".repeat(100_000)).is_err());
+    /// assert!(config::JsonValue::read("{").is_err());
+    /// assert!(config::JsonValue::read(&"[".repeat(100_000)).is_err());
     /// ```
-    pub fn read(text: &str) -> std::result::Result<Sheet, String> {
-        if depth(text) > MOST_DEPTH {
-            return Err(format!("nested deeper than {MOST_DEPTH}"));
+    pub fn read(text: &str) -> std::result::Result<JsonValue, String> {
+        if depth(text) > MAX_DEPTH {
+            return Err(format!("nested deeper than {MAX_DEPTH}"));
         }
         json::from_str(text).map_err(|_| "this is not JSON".to_owned())
     }
@@ -45,16 +45,16 @@
     /// The first field with this name.
     ///
     /// ```
-    /// let sheet = config::Sheet::read(r#"{"a": 1}"#).unwrap();
-    /// assert_eq!(sheet.get("a"), Some(&config::Sheet::Count(1)));
-    /// assert_eq!(sheet.get("b"), None);
+    /// let json = config::JsonValue::read(r#"{"a": 1}"#).unwrap();
+    /// assert_eq!(json.get("a"), Some(&config::JsonValue::Count(1)));
+    /// assert_eq!(json.get("b"), None);
     /// ```
-    pub fn get(&self, name: &str) -> Option<&Sheet> {
+    pub fn get(&self, name: &str) -> Option<&JsonValue> {
         match self {
-            Sheet::Fields(fields) => fields
+            JsonValue::Fields(fields) => fields
                 .iter()
                 .find(|(field, _)| field == name)
-                .map(|(_, sheet)| sheet),
+                .map(|(_, json)| json),
             _ => None,
         }
     }
@@ -62,11 +62,11 @@
     /// The text under a field name, where it is one.
     ///
     /// ```
-    /// assert_eq!(config::Sheet::read(r#"{"a": "b"}"#).unwrap().text("a"), Some("b"));
+    /// assert_eq!(config::JsonValue::read(r#"{"a": "b"}"#).unwrap().text("a"), Some("b"));
     /// ```
     pub fn text(&self, name: &str) -> Option<&str> {
-        self.get(name).and_then(|sheet| match sheet {
-            Sheet::Text(text) => Some(text.as_str()),
+        self.get(name).and_then(|json| match json {
+            JsonValue::Text(text) => Some(text.as_str()),
             _ => None,
         })
     }
@@ -74,11 +74,11 @@
     /// The whole number under a field name, where it is one.
     ///
     /// ```
-    /// assert_eq!(config::Sheet::read(r#"{"a": 7}"#).unwrap().count("a"), Some(7));
+    /// assert_eq!(config::JsonValue::read(r#"{"a": 7}"#).unwrap().count("a"), Some(7));
     /// ```
     pub fn count(&self, name: &str) -> Option<u64> {
-        self.get(name).and_then(|sheet| match sheet {
-            Sheet::Count(count) => Some(*count),
+        self.get(name).and_then(|json| match json {
+            JsonValue::Count(count) => Some(*count),
             _ => None,
         })
     }
@@ -86,12 +86,12 @@
     /// The items under a field name; none where it is no list.
     ///
     /// ```
-    /// assert_eq!(config::Sheet::read(r#"{"a": [1]}"#).unwrap().list("a").len(), 1);
+    /// assert_eq!(config::JsonValue::read(r#"{"a": [1]}"#).unwrap().list("a").len(), 1);
     /// ```
-    pub fn list(&self, name: &str) -> &[Sheet] {
+    pub fn list(&self, name: &str) -> &[JsonValue] {
         self.get(name)
-            .and_then(|sheet| match sheet {
-                Sheet::List(items) => Some(items.as_slice()),
+            .and_then(|json| match json {
+                JsonValue::List(items) => Some(items.as_slice()),
                 _ => None,
             })
             .unwrap_or(&[])
@@ -100,14 +100,14 @@
     /// Builds an object.
     ///
     /// ```
-    /// use config::Sheet;
-    /// assert_eq!(Sheet::fields([("a", 1u64.into())]).to_string(), r#"{"a":1}"#);
+    /// use config::JsonValue;
+    /// assert_eq!(JsonValue::fields([("a", 1u64.into())]).to_string(), r#"{"a":1}"#);
     /// ```
-    pub fn fields<const N: usize>(fields: [(&str, Sheet); N]) -> Sheet {
-        Sheet::Fields(
+    pub fn fields<const N: usize>(fields: [(&str, JsonValue); N]) -> JsonValue {
+        JsonValue::Fields(
             fields
                 .into_iter()
-                .map(|(name, sheet)| (name.to_owned(), sheet))
+                .map(|(name, json)| (name.to_owned(), json))
                 .collect(),
         )
     }
@@ -132,63 +132,63 @@
     most
 }
 
-impl From<&str> for Sheet {
+impl From<&str> for JsonValue {
     fn from(text: &str) -> Self {
-        Sheet::Text(text.to_owned())
+        JsonValue::Text(text.to_owned())
     }
 }
 
-impl From<String> for Sheet {
+impl From<String> for JsonValue {
     fn from(text: String) -> Self {
-        Sheet::Text(text)
+        JsonValue::Text(text)
     }
 }
 
-impl From<u64> for Sheet {
+impl From<u64> for JsonValue {
     fn from(count: u64) -> Self {
-        Sheet::Count(count)
+        JsonValue::Count(count)
     }
 }
 
-impl From<bool> for Sheet {
+impl From<bool> for JsonValue {
     fn from(truth: bool) -> Self {
-        Sheet::Truth(truth)
+        JsonValue::Truth(truth)
     }
 }
 
-impl From<Vec<Sheet>> for Sheet {
-    fn from(items: Vec<Sheet>) -> Self {
-        Sheet::List(items)
+impl From<Vec<JsonValue>> for JsonValue {
+    fn from(items: Vec<JsonValue>) -> Self {
+        JsonValue::List(items)
     }
 }
 
-impl FromIterator<Sheet> for Sheet {
-    fn from_iter<I: IntoIterator<Item = Sheet>>(items: I) -> Self {
-        Sheet::List(items.into_iter().collect())
+impl FromIterator<JsonValue> for JsonValue {
+    fn from_iter<I: IntoIterator<Item = JsonValue>>(items: I) -> Self {
+        JsonValue::List(items.into_iter().collect())
     }
 }
 
-impl fmt::Display for Sheet {
+impl fmt::Display for JsonValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&json::to_string(self))
     }
 }
 
-impl Serialize for Sheet {
+impl Serialize for JsonValue {
     fn begin(&self) -> Fragment<'_> {
         match self {
-            Sheet::Null => Fragment::Null,
-            Sheet::Truth(truth) => Fragment::Bool(*truth),
-            Sheet::Count(count) => Fragment::U64(*count),
-            Sheet::Number(number) => Fragment::F64(*number),
-            Sheet::Text(text) => Fragment::Str(Cow::Borrowed(text)),
-            Sheet::List(items) => Fragment::Seq(Box::new(Items(items.iter()))),
-            Sheet::Fields(fields) => Fragment::Map(Box::new(Entries(fields.iter()))),
+            JsonValue::Null => Fragment::Null,
+            JsonValue::Truth(truth) => Fragment::Bool(*truth),
+            JsonValue::Count(count) => Fragment::U64(*count),
+            JsonValue::Number(number) => Fragment::F64(*number),
+            JsonValue::Text(text) => Fragment::Str(Cow::Borrowed(text)),
+            JsonValue::List(items) => Fragment::Seq(Box::new(Items(items.iter()))),
+            JsonValue::Fields(fields) => Fragment::Map(Box::new(Entries(fields.iter()))),
         }
     }
 }
 
-struct Items<'a>(std::slice::Iter<'a, Sheet>);
+struct Items<'a>(std::slice::Iter<'a, JsonValue>);
 
 impl ser::Seq for Items<'_> {
     fn next(&mut self) -> Option<&dyn Serialize> {
@@ -196,47 +196,47 @@
     }
 }
 
-struct Entries<'a>(std::slice::Iter<'a, (String, Sheet)>);
+struct Entries<'a>(std::slice::Iter<'a, (String, JsonValue)>);
 
 impl ser::Map for Entries<'_> {
     fn next(&mut self) -> Option<(Cow<'_, str>, &dyn Serialize)> {
         self.0
             .next()
-            .map(|(name, sheet)| (Cow::Borrowed(name.as_str()), sheet as &dyn Serialize))
+            .map(|(name, json)| (Cow::Borrowed(name.as_str()), json as &dyn Serialize))
     }
 }
 
 make_place!(Place);
 
-impl Deserialize for Sheet {
+impl Deserialize for JsonValue {
     fn begin(out: &mut Option<Self>) -> &mut dyn Visitor {
         Place::new(out)
     }
 }
 
-impl Visitor for Place<Sheet> {
+impl Visitor for Place<JsonValue> {
     fn null(&mut self) -> Result<()> {
-        self.put(Sheet::Null)
+        self.put(JsonValue::Null)
     }
 
     fn boolean(&mut self, truth: bool) -> Result<()> {
-        self.put(Sheet::Truth(truth))
+        self.put(JsonValue::Truth(truth))
     }
 
     fn string(&mut self, text: &str) -> Result<()> {
-        self.put(Sheet::Text(text.to_owned()))
+        self.put(JsonValue::Text(text.to_owned()))
     }
 
     fn negative(&mut self, number: i64) -> Result<()> {
-        self.put(Sheet::Number(number as f64))
+        self.put(JsonValue::Number(number as f64))
     }
 
     fn nonnegative(&mut self, count: u64) -> Result<()> {
-        self.put(Sheet::Count(count))
+        self.put(JsonValue::Count(count))
     }
 
     fn float(&mut self, number: f64) -> Result<()> {
-        self.put(Sheet::Number(number))
+        self.put(JsonValue::Number(number))
     }
 
     fn seq(&mut self) -> Result<Box<dyn Seq + '_>> {
@@ -257,17 +257,17 @@
     }
 }
 
-impl Place<Sheet> {
-    fn put(&mut self, sheet: Sheet) -> Result<()> {
-        self.out = Some(sheet);
+impl Place<JsonValue> {
+    fn put(&mut self, json: JsonValue) -> Result<()> {
+        self.out = Some(json);
         Ok(())
     }
 }
 
 struct ListBuilder<'a> {
-    out: &'a mut Option<Sheet>,
-    items: Vec<Sheet>,
-    item: Option<Sheet>,
+    out: &'a mut Option<JsonValue>,
+    items: Vec<JsonValue>,
+    item: Option<JsonValue>,
 }
 
 impl Seq for ListBuilder<'_> {
@@ -278,16 +278,16 @@
 
     fn finish(&mut self) -> Result<()> {
         self.items.extend(self.item.take());
-        *self.out = Some(Sheet::List(std::mem::take(&mut self.items)));
+        *self.out = Some(JsonValue::List(std::mem::take(&mut self.items)));
         Ok(())
     }
 }
 
 struct FieldsBuilder<'a> {
-    out: &'a mut Option<Sheet>,
-    fields: Vec<(String, Sheet)>,
+    out: &'a mut Option<JsonValue>,
+    fields: Vec<(String, JsonValue)>,
     name: Option<String>,
-    field: Option<Sheet>,
+    field: Option<JsonValue>,
 }
 
 impl FieldsBuilder<'_> {
@@ -305,7 +305,7 @@
 
     fn finish(&mut self) -> Result<()> {
         self.shift();
-        *self.out = Some(Sheet::Fields(std::mem::take(&mut self.fields)));
+        *self.out = Some(JsonValue::Fields(std::mem::take(&mut self.fields)));
         Ok(())
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
 //! Reading and checking what operators write: setups (services, routes, aliases) and settings.
 
 mod check;
+mod configuration;
+mod json_value;
 mod settings;
-mod setup;
-mod sheet;
 
-pub use check::{Complaint, Fields, complain};
+pub use check::{Fields, ValidationError, add_validation_error};
+pub use configuration::{Alias, Configuration, MAX_CONFIGURATION_BYTES, Route, Service, Terms};
+pub use json_value::JsonValue;
 pub use settings::{Setting, Settings, Shape, TIMES, check_times};
-pub use setup::{Alias, MOST_SETUP_BYTES, Route, Service, Setup, Terms};
-pub use sheet::Sheet;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,7 +1,7 @@
 //! A process's own settings: one table, read from a file and from flags (flags win).
 
-use crate::check::{Complaint, complain};
-use crate::sheet::Sheet;
+use crate::check::{ValidationError, add_validation_error};
+use crate::json_value::JsonValue;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -145,17 +145,17 @@
 /// let flags = vec![("stale-after-ms".to_owned(), "3000".to_owned()),
 ///                  ("address-lifetime-ms".to_owned(), "2500".to_owned())];
 /// let settings = Settings::read(&[TIMES], None, &flags).unwrap();
-/// let complaints = check_times(&settings);
-/// assert_eq!(complaints[0].path, "address-lifetime-ms");
+/// let validation_errors = check_times(&settings);
+/// assert_eq!(validation_errors[0].path, "address-lifetime-ms");
 /// assert!(check_times(&Settings::read(&[TIMES], None, &[]).unwrap()).is_empty());
 /// ```
-pub fn check_times(settings: &Settings) -> Vec<Complaint> {
-    let mut complaints = Vec::new();
+pub fn check_times(settings: &Settings) -> Vec<ValidationError> {
+    let mut validation_errors = Vec::new();
     let ms = |name| settings.span(name).as_millis() as u64;
     let mut must = |held: bool, name: &str, text: &str| {
         if !held {
-            complain(
-                &mut complaints,
+            add_validation_error(
+                &mut validation_errors,
                 name,
                 format!("{}: {text}", settings.get(name)),
             );
@@ -186,7 +186,7 @@
         "suspect-for-ms",
         "must be twice probe-every-ms at least",
     );
-    complaints
+    validation_errors
 }
 
 /// Checked settings, each under its name.
@@ -199,8 +199,8 @@
     /// ```
     /// use config::{Settings, TIMES};
     /// let file = Some(r#"{"probe-every-ms": 100, "colour": "red"}"#);
-    /// let complaints = Settings::read(&[TIMES], file, &[]).unwrap_err();
-    /// assert_eq!(complaints[0].path, "colour");
+    /// let validation_errors = Settings::read(&[TIMES], file, &[]).unwrap_err();
+    /// assert_eq!(validation_errors[0].path, "colour");
     /// let flags = [("probe-every-ms".to_owned(), "250".to_owned())];
     /// let settings = Settings::read(&[TIMES], Some(r#"{"probe-every-ms": 100}"#), &flags).unwrap();
     /// assert_eq!(settings.get("probe-every-ms"), "250");
@@ -209,18 +209,27 @@
         tables: &[&[Setting]],
         file: Option<&str>,
         flags: &[(String, String)],
-    ) -> Result<Settings, Vec<Complaint>> {
-        let mut complaints = Vec::new();
+    ) -> Result<Settings, Vec<ValidationError>> {
+        let mut validation_errors = Vec::new();
         let mut given = BTreeMap::new();
-        file.into_iter().for_each(|text| match Sheet::read(text) {
-            Ok(Sheet::Fields(fields)) => fields.into_iter().for_each(|(name, sheet)| {
-                if given.insert(name.clone(), plain(&sheet)).is_some() {
-                    complain(&mut complaints, &name, "comes twice in the settings file");
-                }
-            }),
-            Ok(_) => complain(&mut complaints, "settings file", "must be one object"),
-            Err(text) => complain(&mut complaints, "settings file", text),
-        });
+        file.into_iter()
+            .for_each(|text| match JsonValue::read(text) {
+                Ok(JsonValue::Fields(fields)) => fields.into_iter().for_each(|(name, json)| {
+                    if given.insert(name.clone(), plain(&json)).is_some() {
+                        add_validation_error(
+                            &mut validation_errors,
+                            &name,
+                            "comes twice in the settings file",
+                        );
+                    }
+                }),
+                Ok(_) => add_validation_error(
+                    &mut validation_errors,
+                    "settings file",
+                    "must be one object",
+                ),
+                Err(text) => add_validation_error(&mut validation_errors, "settings file", text),
+            });
         given.extend(flags.iter().cloned());
         let known = || tables.iter().flat_map(|table| table.iter());
         given
@@ -232,7 +241,7 @@
                     "no such setting (given '{value}'); known: {}",
                     names.join(", ")
                 );
-                complain(&mut complaints, name, text);
+                add_validation_error(&mut validation_errors, name, text);
             });
         let mut settings = BTreeMap::new();
         known().for_each(|setting| {
@@ -241,8 +250,8 @@
                 .map(String::as_str)
                 .or(setting.fallback)
             {
-                None => complain(
-                    &mut complaints,
+                None => add_validation_error(
+                    &mut validation_errors,
                     setting.name,
                     format!("must be given: {}", setting.help),
                 ),
@@ -250,18 +259,18 @@
                     Ok(()) => {
                         settings.insert(setting.name, value.to_owned());
                     }
-                    Err(allowed) => complain(
-                        &mut complaints,
+                    Err(allowed) => add_validation_error(
+                        &mut validation_errors,
                         setting.name,
                         format!("'{value}': {allowed}"),
                     ),
                 },
             }
         });
-        if complaints.is_empty() {
+        if validation_errors.is_empty() {
             Ok(Settings(settings))
         } else {
-            Err(complaints)
+            Err(validation_errors)
         }
     }
 
@@ -309,10 +318,10 @@
     }
 }
 
-fn plain(sheet: &Sheet) -> String {
-    match sheet {
-        Sheet::Text(text) => text.clone(),
-        Sheet::List(items) => items.iter().map(plain).collect::<Vec<_>>().join(","),
+fn plain(json: &JsonValue) -> String {
+    match json {
+        JsonValue::Text(text) => text.clone(),
+        JsonValue::List(items) => items.iter().map(plain).collect::<Vec<_>>().join(","),
         other => other.to_string(),
     }
 }
--- a/crates/config/tests/denials.rs
+++ b/crates/config/tests/denials.rs
@@ -1,11 +1,11 @@
 //! Bad setups are denied whole, with a path in every complaint.
 
 use arbtest::arbtest;
-use config::{MOST_SETUP_BYTES, Setup};
+use config::{Configuration, MAX_CONFIGURATION_BYTES};
 
 const SERVICE: &str = r#"{"name": "s", "work": "once"}"#;
 
-fn setup(services: &str, routes: &str, aliases: &str) -> String {
+fn configuration(services: &str, routes: &str, aliases: &str) -> String {
     format!(r#"{{"services": [{services}], "routes": [{routes}], "aliases": [{aliases}]}}"#)
 }
 
@@ -25,7 +25,8 @@
         .map(|at| alias(&format!("a{at}"), &format!("a{}", at + 1)))
         .collect();
     let two = |second: String| [fine.clone(), second].join(",");
-    let with = |field: &str| setup(&SERVICE.replace('}', &format!(", {field}}}")), &fine, "");
+    let with =
+        |field: &str| configuration(&SERVICE.replace('}', &format!(", {field}}}")), &fine, "");
     let cases: Vec<(&str, String, &str)> = vec![
         ("broken JSON", "{\"services\": [".into(), "/"),
         ("no object", "[]".into(), ""),
@@ -54,83 +55,92 @@
         ),
         (
             "neither once nor repeatable",
-            setup(&SERVICE.replace("once", "thrice"), "", ""),
+            configuration(&SERVICE.replace("once", "thrice"), "", ""),
             "/services/0/work",
         ),
         (
             "service twice",
-            setup(&[SERVICE, SERVICE].join(","), &fine, ""),
+            configuration(&[SERVICE, SERVICE].join(","), &fine, ""),
             "/services/1/name",
         ),
         (
             "dangling service",
-            setup(SERVICE, &route("r", "n", "/p", "moon"), ""),
+            configuration(SERVICE, &route("r", "n", "/p", "moon"), ""),
             "/routes/0/service",
         ),
         (
             "name and path twice",
-            setup(SERVICE, &two(route("q", "n", "/p", "s")), ""),
+            configuration(SERVICE, &two(route("q", "n", "/p", "s")), ""),
             "/routes/1",
         ),
         (
             "id twice",
-            setup(SERVICE, &two(route("r", "n", "/q", "s")), ""),
+            configuration(SERVICE, &two(route("r", "n", "/q", "s")), ""),
             "/routes/1/id",
         ),
         (
             "id like a name",
-            setup(SERVICE, &two(route("n", "m", "/q", "s")), ""),
+            configuration(SERVICE, &two(route("n", "m", "/q", "s")), ""),
             "/routes/1/id",
         ),
         (
             "no path",
-            setup(SERVICE, &route("r", "n", "p?q", "s"), ""),
+            configuration(SERVICE, &route("r", "n", "p?q", "s"), ""),
             "/routes/0/path",
         ),
         (
             "alias to nothing",
-            setup(SERVICE, &fine, &alias("a", "moon")),
+            configuration(SERVICE, &fine, &alias("a", "moon")),
+            "/aliases/0/to",
+        ),
+        (
+            "alias loop",
+            configuration(SERVICE, &fine, &loops),
             "/aliases/0/to",
         ),
-        ("alias loop", setup(SERVICE, &fine, &loops), "/aliases/0/to"),
         (
             "alias chain too long",
-            setup(SERVICE, &fine, &chain.join(",")),
+            configuration(SERVICE, &fine, &chain.join(",")),
             "/aliases/0/to",
         ),
         (
             "alias like a name",
-            setup(SERVICE, &fine, &alias("n", "r")),
+            configuration(SERVICE, &fine, &alias("n", "r")),
             "/aliases/0/alias",
         ),
         (
             "number zero",
-            setup(SERVICE, &fine, "").replacen('{', r#"{"number": 0, "#, 1),
+            configuration(SERVICE, &fine, "").replacen('{', r#"{"number": 0, "#, 1),
             "/number",
         ),
         (
             "number no number",
-            setup(SERVICE, &fine, "").replacen('{', r#"{"number": "7", "#, 1),
+            configuration(SERVICE, &fine, "").replacen('{', r#"{"number": "7", "#, 1),
             "/number",
         ),
-        ("too large", " ".repeat(MOST_SETUP_BYTES + 1), "/"),
+        ("too large", " ".repeat(MAX_CONFIGURATION_BYTES + 1), "/"),
     ];
     cases.into_iter().for_each(|(what, text, path)| {
-        let complaints = Setup::read(text.as_bytes()).expect_err(what);
+        let validation_errors = Configuration::read(text.as_bytes()).expect_err(what);
         assert!(
-            complaints.iter().any(|complaint| complaint.path == path),
-            "{what}: {complaints:?}"
+            validation_errors
+                .iter()
+                .any(|complaint| complaint.path == path),
+            "{what}: {validation_errors:?}"
         );
     });
-    assert!(Setup::read(b"\xff\xfe").is_err());
-    assert!(Setup::read(setup(SERVICE, &fine, &alias("a", "r")).as_bytes()).is_ok());
+    assert!(Configuration::read(b"\xff\xfe").is_err());
+    assert!(
+        Configuration::read(configuration(SERVICE, &fine, &alias("a", "r")).as_bytes()).is_ok()
+    );
 }
 
 #[test]
 fn a_setup_may_have_a_number_of_its_own() {
-    let plain = setup(SERVICE, "", "");
+    let plain = configuration(SERVICE, "", "");
     let numbered = |number: u64| plain.replacen('{', &format!("{{\"number\": {number}, "), 1);
-    let read = |text: &str| Setup::read(text.as_bytes()).map(|setup| setup.number);
+    let read =
+        |text: &str| Configuration::read(text.as_bytes()).map(|configuration| configuration.number);
     assert_eq!(read(&plain), Ok(None));
     [1, 7, u64::MAX]
         .into_iter()
@@ -139,12 +149,12 @@
 
 #[test]
 fn all_complaints_come_at_once() {
-    let text = setup(
+    let text = configuration(
         &SERVICE.replace("once", "thrice"),
         &route("r", "a b", "p", "moon"),
         &alias("a", "b"),
     );
-    let paths: Vec<String> = Setup::read(text.as_bytes())
+    let paths: Vec<String> = Configuration::read(text.as_bytes())
         .unwrap_err()
         .into_iter()
         .map(|c| c.path)
@@ -178,7 +188,7 @@
             while !noise.is_empty() {
                 text += noise.choose(&words)?;
             }
-            let _ = Setup::read(text.as_bytes());
+            let _ = Configuration::read(text.as_bytes());
             Ok(())
         })
         .seed(number << 32 | 24);
--- a/crates/control-plane/src/anonymous_orders.rs
+++ b/crates/control-plane/src/anonymous_orders.rs
@@ -103,18 +103,18 @@
             // Contact was lost meanwhile, and its caller was told to ask elsewhere.
             return;
         }
-        let edition = self.register.state().edition;
+        let revision = self.register.state().revision;
         if self.register.state().evacuated.contains(&locality) != back {
             return self.decided(
                 now,
                 token,
                 Decision {
-                    code: ResultCode::Fine,
-                    edition,
+                    code: ResultCode::Success,
+                    revision,
                 },
             );
         }
-        let (id, seen) = (OrderId::default(), Some(edition));
+        let (id, seen) = (OrderId::default(), Some(revision));
         self.change(
             now,
             token,
@@ -129,13 +129,13 @@
     }
 
     fn deny_anonymous(&mut self, now: Duration, token: u64) {
-        let edition = self.register.state().edition;
+        let revision = self.register.state().revision;
         self.decided(
             now,
             token,
             Decision {
-                code: ResultCode::Stale,
-                edition,
+                code: ResultCode::StaleView,
+                revision,
             },
         );
     }
--- a/crates/control-plane/src/dialect.rs
+++ b/crates/control-plane/src/api_adapter.rs
@@ -1,60 +1,60 @@
-//! What a postmaster speaks with operators and upstreams, as policies: the product's own way is [`Dialect::own`], and
+//! What a postmaster speaks with operators and upstreams, as policies: the product's own way is [`ApiAdapter::own`], and
 //! an adapter to another site's way brings its own.
 
-use crate::node::{Answer, Ask};
+use crate::node::{ControlRequest, ControlResponse};
 use bytes::Bytes;
-use config::{Complaint, Fields, Sheet, complain};
+use config::{Fields, JsonValue, ValidationError, add_validation_error};
 use http_body_util::Full;
 use hyper::Response;
-use name_directory::SetupReader;
-use protocol::{Share, Upstream};
+use name_directory::ConfigurationReader;
+use protocol::{KeyShare, Upstream};
 use quorum_register::OrderId;
 use result_code::ResultCode;
 use std::time::Duration;
-use transport::Enquiry;
+use transport::HttpRequest;
 
 /// Why a question can't be read.
-pub type Unread = (ResultCode, Vec<Complaint>);
+pub type RequestError = (ResultCode, Vec<ValidationError>);
 
-type Asking = dyn Fn(&Enquiry) -> Result<Ask, Unread> + Send + Sync;
+type Asking = dyn Fn(&HttpRequest) -> Result<ControlRequest, RequestError> + Send + Sync;
 
 /// How questions are read and answers written.
-pub struct Dialect {
+pub struct ApiAdapter {
     /// What is asked.
     pub ask: Box<Asking>,
     /// An answer as it is written.
-    pub show: Box<dyn Fn(Answer) -> Response<Full<Bytes>> + Send + Sync>,
+    pub show: Box<dyn Fn(ControlResponse) -> Response<Full<Bytes>> + Send + Sync>,
     /// How configurations are read.
-    pub reader: SetupReader,
+    pub reader: ConfigurationReader,
 }
 
-impl Dialect {
+impl ApiAdapter {
     /// The product's own interface, as docs/interface.md has it.
     ///
     /// ```
-    /// let answer = control_plane::Answer::Verdict { code: result_code::ResultCode::Fine, edition: 3 };
-    /// assert_eq!((control_plane::Dialect::own().show)(answer).status(), 200);
+    /// let answer = control_plane::ControlResponse::Verdict { code: result_code::ResultCode::Success, revision: 3 };
+    /// assert_eq!((control_plane::ApiAdapter::own().show)(answer).status(), 200);
     /// ```
-    pub fn own() -> Dialect {
-        Dialect {
+    pub fn own() -> ApiAdapter {
+        ApiAdapter {
             ask: Box::new(read_ask),
             show: Box::new(show),
-            reader: SetupReader::default(),
+            reader: ConfigurationReader::default(),
         }
     }
 }
 
-fn read_ask(enquiry: &Enquiry) -> Result<Ask, (ResultCode, Vec<Complaint>)> {
-    let mut complaints = Vec::new();
-    let id = read_order_id(enquiry, &mut complaints);
+fn read_ask(enquiry: &HttpRequest) -> Result<ControlRequest, (ResultCode, Vec<ValidationError>)> {
+    let mut validation_errors = Vec::new();
+    let id = read_order_id(enquiry, &mut validation_errors);
     let in_force = enquiry.query("wait") == "force";
     let needs_id = matches!(
         (enquiry.method.as_str(), enquiry.path.as_str()),
         ("PUT", "/setup") | ("POST", "/evacuations")
     );
     if needs_id && !locality::is_valid_id(&id.id) {
-        complain(
-            &mut complaints,
+        add_validation_error(
+            &mut validation_errors,
             "id",
             "a submission needs an id of 1 to 64 of a-z A-Z 0-9 - _ .",
         );
@@ -65,13 +65,13 @@
                 .filter(|base| !base.is_empty())
                 .map(str::parse::<u64>);
             if matches!(base, Some(Err(_))) {
-                complain(
-                    &mut complaints,
+                add_validation_error(
+                    &mut validation_errors,
                     "base",
                     "must be the edition that the setup was made from",
                 );
             }
-            Ask::Submit {
+            ControlRequest::Submit {
                 id,
                 base: base.and_then(Result::ok),
                 bytes: enquiry.body.to_vec(),
@@ -81,10 +81,10 @@
         ("POST", "/evacuations") => {
             let locality = enquiry.query("locality").to_owned();
             if let Err(text) = locality.parse::<locality::Locality>() {
-                complain(&mut complaints, "locality", text);
+                add_validation_error(&mut validation_errors, "locality", text);
             }
             let back = enquiry.query("back") == "true";
-            Ask::Evacuate {
+            ControlRequest::Evacuate {
                 id,
                 locality,
                 back,
@@ -100,37 +100,39 @@
                 .flatten()
                 .any(|node| !locality::is_valid_id(node));
             if wrong || (add.is_none() && remove.is_none()) {
-                complain(
-                    &mut complaints,
+                add_validation_error(
+                    &mut validation_errors,
                     "voters",
                     "name the node to 'add', the one to 'remove', or both",
                 );
             }
-            Ask::ChangeVoters { add, remove }
+            ControlRequest::ChangeVoters { add, remove }
         }
-        ("GET", "/setup") => Ask::ReadSetup,
-        ("GET", "/status") => Ask::Status,
-        ("GET", "/upstreams") => Ask::Upstreams,
-        ("GET", "/reservations") => Ask::Reservations,
-        ("GET", "/marks") => Ask::Marks,
-        ("POST", "/beats") => Ask::Beat(read_beat(&enquiry.body, &mut complaints)),
-        _ => return Err((ResultCode::NoSuchPage, Vec::new())),
+        ("GET", "/setup") => ControlRequest::ReadConfiguration,
+        ("GET", "/status") => ControlRequest::Status,
+        ("GET", "/upstreams") => ControlRequest::Upstreams,
+        ("GET", "/reservations") => ControlRequest::Reservations,
+        ("GET", "/marks") => ControlRequest::Tombstones,
+        ("POST", "/beats") => {
+            ControlRequest::Beat(read_beat(&enquiry.body, &mut validation_errors))
+        }
+        _ => return Err((ResultCode::NoSuchEndpoint, Vec::new())),
     };
-    if complaints.is_empty() {
+    if validation_errors.is_empty() {
         Ok(ask)
     } else {
-        Err((ResultCode::Malformed, complaints))
+        Err((ResultCode::Malformed, validation_errors))
     }
 }
 
 /// The id of an order, and how many orders were decided before it was first sent.
-fn read_order_id(enquiry: &Enquiry, complaints: &mut Vec<Complaint>) -> OrderId {
+fn read_order_id(enquiry: &HttpRequest, validation_errors: &mut Vec<ValidationError>) -> OrderId {
     let since = Some(enquiry.query("since"))
         .filter(|since| !since.is_empty())
         .map(str::parse::<u64>);
     if matches!(since, Some(Err(_))) {
-        complain(
-            complaints,
+        add_validation_error(
+            validation_errors,
             "since",
             "must be the count of decided orders that a status told",
         );
@@ -141,15 +143,15 @@
     }
 }
 
-fn read_beat(body: &[u8], complaints: &mut Vec<Complaint>) -> Upstream {
-    let sheet = std::str::from_utf8(body)
+fn read_beat(body: &[u8], validation_errors: &mut Vec<ValidationError>) -> Upstream {
+    let json = std::str::from_utf8(body)
         .map_err(|_| "this is not UTF-8".to_owned())
-        .and_then(Sheet::read);
-    let sheet = sheet.unwrap_or_else(|text| {
-        complain(complaints, "/", text);
-        Sheet::Null
+        .and_then(JsonValue::read);
+    let json = json.unwrap_or_else(|text| {
+        add_validation_error(validation_errors, "/", text);
+        JsonValue::Null
     });
-    let mut fields = Fields::open(&sheet, "", complaints);
+    let mut fields = Fields::open(&json, "", validation_errors);
     let ids = fields.id("service").zip(fields.id("instance"));
     let place = fields.text("address").zip(fields.text("locality"));
     let numbers = fields
@@ -161,14 +163,14 @@
     let holder = fields.count("holder", 0..=u64::MAX, Some(0)).unwrap_or(0);
     fields.close();
     let holds = holds.iter().enumerate().filter_map(|(at, hold)| {
-        let mut fields = Fields::open(hold, &format!("/holds/{at}"), complaints);
+        let mut fields = Fields::open(hold, &format!("/holds/{at}"), validation_errors);
         let most = u64::from(key_space::SLOT_COUNT);
         let run = fields
             .count("from", 0..=most, None)
             .zip(fields.count("until", 0..=most, None));
         let epoch = fields.count("epoch", 0..=u64::MAX, None);
         fields.close();
-        run.zip(epoch).map(|((from, until), epoch)| Share {
+        run.zip(epoch).map(|((from, until), epoch)| KeyShare {
             from: from as u32,
             until: until as u32,
             epoch,
@@ -182,8 +184,8 @@
         "leaving" => upstream_registry::LEAVING,
         "gone" => upstream_registry::GONE,
         other => {
-            complain(
-                complaints,
+            add_validation_error(
+                validation_errors,
                 "/condition",
                 format!("'{other}' is none of ready, leaving, gone"),
             );
@@ -191,16 +193,16 @@
         }
     };
     let ((service, instance), (address, locality)) = ids.zip(place).unwrap_or_default();
-    if complaints.is_empty() && address.parse::<std::net::SocketAddr>().is_err() {
-        complain(
-            complaints,
+    if validation_errors.is_empty() && address.parse::<std::net::SocketAddr>().is_err() {
+        add_validation_error(
+            validation_errors,
             "/address",
             format!("'{address}' is not an IP number and a port"),
         );
     }
-    if complaints.is_empty() && locality.parse::<locality::Locality>().is_err() {
-        complain(
-            complaints,
+    if validation_errors.is_empty() && locality.parse::<locality::Locality>().is_err() {
+        add_validation_error(
+            validation_errors,
             "/locality",
             format!("'{locality}' is not a locality; write region/zone"),
         );
@@ -226,46 +228,49 @@
     }
 }
 
-fn show(answer: Answer) -> Response<Full<Bytes>> {
+fn show(answer: ControlResponse) -> Response<Full<Bytes>> {
     match answer {
-        Answer::Redirect { to } => transport::redirect(&to),
-        Answer::Sheet(sheet) => transport::json(ResultCode::Fine, &sheet),
-        Answer::Beat {
+        ControlResponse::Redirect { to } => transport::redirect(&to),
+        ControlResponse::JsonValue(json) => transport::json_response(ResultCode::Success, &json),
+        ControlResponse::Beat {
             holder,
             shares,
             span,
-        } => transport::json(ResultCode::Fine, &beat_sheet(holder, shares, span)),
-        Answer::Setup { edition, bytes } => {
+        } => transport::json_response(ResultCode::Success, &beat_sheet(holder, shares, span)),
+        ControlResponse::Configuration { revision, bytes } => {
             let mut response =
-                transport::answer(ResultCode::Fine, "application/json", bytes.into());
-            response.headers_mut().insert("x-edition", edition.into());
+                transport::answer(ResultCode::Success, "application/json", bytes.into());
+            response.headers_mut().insert("x-edition", revision.into());
             response
         }
-        Answer::Verdict { code, edition } => {
-            let sheet = Sheet::fields([
+        ControlResponse::Verdict { code, revision } => {
+            let json = JsonValue::fields([
                 ("code", u64::from(code.number()).into()),
                 ("text", code.text().into()),
-                ("edition", edition.into()),
+                ("edition", revision.into()),
             ]);
-            let mut response = transport::json(code, &sheet);
+            let mut response = transport::json_response(code, &json);
             if code.status() == 503 || code.status() == 429 {
                 response.headers_mut().insert("retry-after", 1.into());
             }
             response
         }
-        Answer::Denied { code, complaints } => {
-            let told = complaints.iter().map(|complaint| {
-                Sheet::fields([
+        ControlResponse::Denied {
+            code,
+            validation_errors,
+        } => {
+            let told = validation_errors.iter().map(|complaint| {
+                JsonValue::fields([
                     ("path", complaint.path.as_str().into()),
                     ("text", complaint.text.as_str().into()),
                 ])
             });
-            let sheet = Sheet::fields([
+            let json = JsonValue::fields([
                 ("code", u64::from(code.number()).into()),
                 ("text", code.text().into()),
                 ("complaints", told.collect()),
             ]);
-            transport::json(code, &sheet)
+            transport::json_response(code, &json)
         }
     }
 }
@@ -273,17 +278,17 @@
 /// The answer to a beat in the product's own way.
 ///
 /// ```
-/// let sheet = control_plane::beat_sheet(3, None, std::time::Duration::ZERO);
-/// assert_eq!(sheet.to_string(), r#"{"code":1000,"holder":3}"#);
+/// let json = control_plane::beat_sheet(3, None, std::time::Duration::ZERO);
+/// assert_eq!(json.to_string(), r#"{"code":1000,"holder":3}"#);
 /// ```
-pub fn beat_sheet(holder: u64, shares: Option<Vec<Share>>, span: Duration) -> Sheet {
+pub fn beat_sheet(holder: u64, shares: Option<Vec<KeyShare>>, span: Duration) -> JsonValue {
     let mut fields = vec![
-        ("code", u64::from(ResultCode::Fine.number()).into()),
+        ("code", u64::from(ResultCode::Success.number()).into()),
         ("holder", holder.into()),
     ];
     shares.into_iter().for_each(|shares| {
-        let run = |share: Share| {
-            Sheet::fields([
+        let run = |share: KeyShare| {
+            JsonValue::fields([
                 ("from", u64::from(share.from).into()),
                 ("until", u64::from(share.until).into()),
                 ("epoch", share.epoch.into()),
@@ -292,10 +297,10 @@
         fields.push(("shares", shares.into_iter().map(run).collect()));
         fields.push(("spanMs", (span.as_millis() as u64).into()));
     });
-    Sheet::Fields(
+    JsonValue::Fields(
         fields
             .into_iter()
-            .map(|(name, sheet)| (name.to_owned(), sheet))
+            .map(|(name, json)| (name.to_owned(), json))
             .collect(),
     )
 }
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -1,6 +1,6 @@
 //! Whether this node is in contact with a majority of the voters, and where callers are sent while it is not.
 
-use crate::node::{Answer, Ask, ControlNode, Effect};
+use crate::node::{ControlNode, ControlRequest, ControlResponse, Effect};
 use protocol::Payload;
 use quorum_register::VoterPhase;
 use result_code::ResultCode;
@@ -38,16 +38,16 @@
     }
 
     /// True where the answer would vouch for something, so that it needs contact with a majority.
-    pub(crate) fn needs_contact(ask: &Ask) -> bool {
-        !matches!(ask, Ask::Status)
+    pub(crate) fn needs_contact(ask: &ControlRequest) -> bool {
+        !matches!(ask, ControlRequest::Status)
     }
 
     /// The answer of a node that may not vouch for anything: nothing was done, and another node may be asked.
     pub(crate) fn refuse(&mut self, now: Duration, token: u64, code: ResultCode) {
-        let edition = self.register.state().edition;
+        let revision = self.register.state().revision;
         let answer = match self.address_in_contact(now) {
-            Some(to) => Answer::Redirect { to },
-            None => Answer::Verdict { code, edition },
+            Some(to) => ControlResponse::Redirect { to },
+            None => ControlResponse::Verdict { code, revision },
         };
         self.answer(token, answer);
     }
@@ -73,7 +73,7 @@
     pub(crate) fn note_holder(&mut self, now: Duration, from: &str, body: &Payload) {
         let holds = match body {
             Payload::LeaseRequest(request) => request.renewal,
-            Payload::Holder(holder) => holder.epoch >= self.held_epoch,
+            Payload::LeaseHolder(holder) => holder.epoch >= self.held_epoch,
             Payload::Placement(placement) => {
                 placement.epoch >= self.held_epoch && from == self.placed_by
             }
@@ -116,16 +116,17 @@
         if self.contact.orders.is_empty() || self.is_in_contact(now) {
             return;
         }
-        let edition = self.register.state().edition;
+        let revision = self.register.state().revision;
         let waiting = std::mem::take(&mut self.contact.orders);
         self.waiting_force
             .retain(|wait| !waiting.contains(&wait.token));
         waiting.into_iter().for_each(|token| {
-            let answer = Answer::Verdict {
-                code: ResultCode::SetupUnknown,
-                edition,
+            let answer = ControlResponse::Verdict {
+                code: ResultCode::ChangeOutcomeUnknown,
+                revision,
             };
-            self.effects.push_back(Effect::Answer { token, answer });
+            self.effects
+                .push_back(Effect::ControlResponse { token, answer });
         });
     }
 }
--- a/crates/control-plane/src/departure_writer.rs
+++ b/crates/control-plane/src/departure_writer.rs
@@ -1,6 +1,6 @@
 //! The thread that writes departures: beside the disk's own, so that no departure waits for the syncs of other writes.
 
-use crate::disk::Pauses;
+use crate::disk::RetryBackoff;
 use log::{error, info};
 use protocol::Departure;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
@@ -30,7 +30,7 @@
     /// ```
     pub fn start(
         log: DepartureLog,
-        pauses: Pauses,
+        pauses: RetryBackoff,
         report: impl Fn(u64) -> bool + Send + 'static,
     ) -> DepartureWriter {
         let (writes, waiting) = channel();
@@ -47,7 +47,7 @@
 
 fn run(
     mut log: DepartureLog,
-    pauses: Pauses,
+    pauses: RetryBackoff,
     waiting: &Receiver<Write>,
     report: impl Fn(u64) -> bool,
 ) {
--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -6,8 +6,8 @@
 
 use crate::node::{BATCH_EVERY, ControlNode, Effect};
 use protocol::{
-    Beats, BeatsAck, Departure, DeparturesRead, DeparturesReadBack, Payload, Read, ReadBack,
-    Upstream,
+    Departure, DeparturesRead, DeparturesReadBack, Heartbeats, HeartbeatsAck, Payload, Read,
+    ReadBack, Upstream,
 };
 use random::stable_hash_parts;
 use result_code::ResultCode;
@@ -20,10 +20,10 @@
 /// How often the nodes that did not answer are told again.
 const TELL_EVERY: Duration = Duration::from_millis(200);
 /// Most departures that wait for their acknowledgement, and most answers that wait for the disk.
-const MOST_WAITING: usize = 4096;
+const MAX_WAITING: usize = 4096;
 /// How long it is remembered that a majority knows, and of how many at most.
 const REMEMBERED: Duration = Duration::from_secs(60);
-const MOST_REMEMBERED: usize = 20_000;
+const MAX_REMEMBERED: usize = 20_000;
 
 /// A departure whose caller waits until a majority knows.
 struct Wait {
@@ -88,8 +88,8 @@
 
     /// Tells every control node of a departure, and the caller once a majority of the voters knows.
     pub(crate) fn tell_departure(&mut self, now: Duration, token: u64, upstream: Upstream) {
-        if self.departures.waiting.len() >= MOST_WAITING {
-            return self.refuse(now, token, ResultCode::Stale);
+        if self.departures.waiting.len() >= MAX_WAITING {
+            return self.refuse(now, token, ResultCode::StaleView);
         }
         let nonce = self.random.next_u64().max(1);
         let wait = Wait {
@@ -106,7 +106,7 @@
 
     /// Writes the departures known here; one write at a time takes all that came meanwhile.
     fn keep_departures(&mut self, now: Duration, then: AfterKept) {
-        if self.departures.to_keep.len() < MOST_WAITING {
+        if self.departures.to_keep.len() < MAX_WAITING {
             self.departures.to_keep.push(then);
         }
         self.begin_keeping(now);
@@ -132,11 +132,11 @@
             .into_iter()
             .for_each(|then| match then {
                 AfterKept::Ack { to, nonce } => {
-                    let body = Payload::BeatsAck(BeatsAck { nonce });
+                    let body = Payload::HeartbeatsAck(HeartbeatsAck { nonce });
                     self.effects.push_back(Effect::Send { to, body });
                 }
                 AfterKept::Own { nonce } => {
-                    self.beats_taken(now, self.me.node.clone(), BeatsAck { nonce })
+                    self.beats_taken(now, self.me.node.clone(), HeartbeatsAck { nonce })
                 }
             });
         self.begin_keeping(now);
@@ -153,7 +153,7 @@
             released: Vec::new(),
             ..wait.upstream.clone()
         };
-        let body = Payload::Beats(Beats {
+        let body = Payload::Heartbeats(Heartbeats {
             upstreams: vec![upstream],
             nonce,
         });
@@ -176,7 +176,7 @@
     }
 
     /// Takes in beats that another control node tells of.
-    pub(crate) fn beats_told(&mut self, now: Duration, from: String, beats: Beats) {
+    pub(crate) fn beats_told(&mut self, now: Duration, from: String, beats: Heartbeats) {
         let dropped = beats
             .upstreams
             .into_iter()
@@ -199,12 +199,12 @@
             .filter(|upstream| upstream.condition != READY)
             .map(departure);
         if !upstream.service.is_empty() {
-            self.roll.take(now, upstream);
+            self.registry.take(now, upstream);
         }
-        departure.is_none_or(|departure| self.roll.depart(now, &departure))
+        departure.is_none_or(|departure| self.registry.depart(now, &departure))
     }
 
-    pub(crate) fn beats_taken(&mut self, now: Duration, from: String, ack: BeatsAck) {
+    pub(crate) fn beats_taken(&mut self, now: Duration, from: String, ack: HeartbeatsAck) {
         if let Some(wait) = self.departures.waiting.get_mut(&ack.nonce) {
             wait.taken_by.insert(from);
             self.settle_departure(now, ack.nonce);
@@ -229,7 +229,7 @@
         else {
             return;
         };
-        if self.departures.known.len() < MOST_REMEMBERED {
+        if self.departures.known.len() < MAX_REMEMBERED {
             let id = (upstream.service.clone(), upstream.instance.clone());
             self.departures.known.insert(id, (upstream.condition, now));
         }
@@ -249,7 +249,7 @@
         late.into_iter().for_each(|nonce| {
             let wait = self.departures.waiting.remove(&nonce);
             wait.into_iter()
-                .for_each(|wait| self.refuse(now, wait.token, ResultCode::Stale));
+                .for_each(|wait| self.refuse(now, wait.token, ResultCode::StaleView));
         });
         let due = self
             .departures
@@ -264,7 +264,7 @@
     /// Departures that a node may lack which held for current until now: whoever lacks an older one has dropped the
     /// upstream as silent since, or heard of it in a batch.
     fn recent_departures(&self, now: Duration) -> Vec<Departure> {
-        self.roll
+        self.registry
             .departures(now, self.times.upstream_silent + BATCH_EVERY * 3)
     }
 
@@ -321,7 +321,7 @@
         let dropped = answer
             .departures
             .iter()
-            .filter(|departure| !self.roll.depart(now, departure))
+            .filter(|departure| !self.registry.depart(now, departure))
             .count();
         if dropped == 0 {
             let body = Payload::ReadBack(answer.read_back);
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -25,12 +25,12 @@
         ticket: u64,
         durable: DurableState,
     },
-    Setup {
+    Configuration {
         ticket: u64,
         digest: String,
         bytes: Vec<u8>,
     },
-    DropSetup {
+    DeleteConfiguration {
         digest: String,
     },
 }
@@ -50,26 +50,26 @@
 
 /// How long the disk rests between two tries.
 #[derive(Clone, Copy, Debug)]
-pub struct Pauses {
+pub struct RetryBackoff {
     pub first: Duration,
     /// Each is twice as long as the one before, up to this.
     pub longest: Duration,
 }
 
-impl Default for Pauses {
+impl Default for RetryBackoff {
     fn default() -> Self {
-        Pauses {
+        RetryBackoff {
             first: Duration::from_millis(50),
             longest: Duration::from_secs(2),
         }
     }
 }
 
-impl Pauses {
+impl RetryBackoff {
     /// The pause after so many failures in a row.
     ///
     /// ```
-    /// let pauses = control_plane::disk::Pauses::default();
+    /// let pauses = control_plane::disk::RetryBackoff::default();
     /// assert_eq!(pauses.after(1).as_millis(), 50);
     /// assert_eq!(pauses.after(3).as_millis(), 200);
     /// assert_eq!(pauses.after(1000), pauses.longest);
@@ -129,18 +129,18 @@
     /// Starts the thread. `report` hears of everything, in order; once it gives false, the thread ends.
     ///
     /// ```
-    /// use control_plane::disk::{Disk, DiskReport, Pauses, Write};
+    /// use control_plane::disk::{Disk, DiskReport, RetryBackoff, Write};
     /// let folder = std::env::temp_dir().join(format!("disk-start-{}", std::process::id()));
     /// let (storage, _) = storage::Storage::open(&folder).unwrap();
     /// let (tell, told) = std::sync::mpsc::channel();
-    /// let disk = Disk::start(storage, Pauses::default(), transport::Clock::default(), move |report| tell.send(report).is_ok());
+    /// let disk = Disk::start(storage, RetryBackoff::default(), transport::Clock::default(), move |report| tell.send(report).is_ok());
     /// disk.write(Write::State { ticket: 7, durable: Default::default() });
     /// assert_eq!(told.recv().unwrap(), DiskReport::Synced { ticket: 7 });
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
     pub fn start(
         storage: Storage,
-        pauses: Pauses,
+        pauses: RetryBackoff,
         clock: Clock,
         report: impl Fn(DiskReport) -> bool + Send + 'static,
     ) -> Disk {
@@ -159,7 +159,7 @@
     /// Hands a write over. It never waits.
     pub fn write(&self, write: Write) {
         let mut queue = self.shared.queue();
-        let removal = matches!(write, Write::DropSetup { .. });
+        let removal = matches!(write, Write::DeleteConfiguration { .. });
         if removal && queue.waiting.len() >= MAX_WAITING_FOR_REMOVALS {
             return;
         }
@@ -179,10 +179,10 @@
     /// What the disk has done since the start.
     ///
     /// ```
-    /// # use control_plane::disk::{Disk, Pauses};
+    /// # use control_plane::disk::{Disk, RetryBackoff};
     /// let folder = std::env::temp_dir().join(format!("disk-counts-{}", std::process::id()));
     /// let (storage, _) = storage::Storage::open(&folder).unwrap();
-    /// let disk = Disk::start(storage, Pauses::default(), transport::Clock::default(), |_| true);
+    /// let disk = Disk::start(storage, RetryBackoff::default(), transport::Clock::default(), |_| true);
     /// assert_eq!(disk.counts().failures.load(std::sync::atomic::Ordering::Relaxed), 0);
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
@@ -197,7 +197,7 @@
 /// ```
 /// use control_plane::disk::{Write, merge};
 /// let state = |ticket| Write::State { ticket, durable: Default::default() };
-/// let removal = Write::DropSetup { digest: "a".into() };
+/// let removal = Write::DeleteConfiguration { digest: "a".into() };
 /// let merged = merge(vec![state(1), state(2), removal.clone(), state(3), state(4)]);
 /// assert_eq!(merged, [state(2), removal, state(4)]);
 /// ```
@@ -208,8 +208,8 @@
         match &write {
             Write::State { .. } if replaced => continue,
             Write::State { .. } => replaced = true,
-            Write::DropSetup { .. } => replaced = false,
-            Write::Setup { .. } => {}
+            Write::DeleteConfiguration { .. } => replaced = false,
+            Write::Configuration { .. } => {}
         }
         kept.push(write);
     }
@@ -220,7 +220,7 @@
 struct Worker<R> {
     shared: Arc<Shared>,
     storage: Storage,
-    pauses: Pauses,
+    pauses: RetryBackoff,
     clock: Clock,
     report: R,
 }
@@ -272,17 +272,17 @@
                 self.retry(|storage| storage.keep(&durable))?;
                 self.tell(DiskReport::Synced { ticket })
             }
-            Write::Setup {
+            Write::Configuration {
                 ticket,
                 digest,
                 bytes,
             } => {
-                self.retry(|storage| storage.keep_setup(&digest, &bytes))?;
+                self.retry(|storage| storage.store_configuration(&digest, &bytes))?;
                 self.tell(DiskReport::Synced { ticket })
             }
-            Write::DropSetup { digest } => {
+            Write::DeleteConfiguration { digest } => {
                 // It takes room and nothing else: the next start finds it and drops it again.
-                let dropped = self.storage.drop_setup(&digest);
+                let dropped = self.storage.delete_configuration(&digest);
                 dropped.unwrap_or_else(|failure| warn!("disk: {failure:#}"));
                 Ok(())
             }
--- a/crates/control-plane/src/gossip.rs
+++ b/crates/control-plane/src/gossip.rs
@@ -1,19 +1,19 @@
 //! What postmasters tell one another of upstreams: news at once and in full, going on in batches of marks.
 
 use crate::node::{BATCH_EVERY, ControlNode, Effect};
-use protocol::{Alive, Beats, Payload, Upstream, UpstreamsReply, UpstreamsRequest};
+use protocol::{HeartbeatDigest, Heartbeats, Payload, Upstream, UpstreamsReply, UpstreamsRequest};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Each beat goes to other regions with so many batches, so that a lost one does no harm.
 const TOLD_TIMES: u32 = 2;
 /// Most records asked for at a time.
-const MOST_WANTED: usize = 256;
+const MAX_WANTED: usize = 256;
 
 impl ControlNode {
     /// Takes in a beat that came here; false where a newer one is known.
     pub(crate) fn record_beat(&mut self, now: Duration, upstream: &Upstream) -> bool {
-        let newer = self.roll.take(now, upstream.clone());
+        let newer = self.registry.take(now, upstream.clone());
         if newer {
             self.heard_here.insert(
                 (upstream.service.clone(), upstream.instance.clone()),
@@ -26,14 +26,14 @@
     /// Takes in a beat that came here; what is news about it goes to all at once.
     pub(crate) fn take_beat(&mut self, now: Duration, upstream: &Upstream) {
         let before = self
-            .roll
+            .registry
             .one(now, upstream)
             .map(|known| upstream_registry::mark(&known));
         if !self.record_beat(now, upstream) {
             return;
         }
         // With its age as it is known here: this beat may have lain in a frozen process.
-        let known = self.roll.one(now, upstream);
+        let known = self.registry.one(now, upstream);
         let news = known.filter(|known| Some(upstream_registry::mark(known)) != before);
         // Which keys it holds is worth telling only while no placement says so.
         let unplaced = self.placement.epoch == 0;
@@ -43,7 +43,7 @@
                 released: Vec::new(),
                 ..known
             }];
-            self.tell_postmasters(Payload::Beats(Beats {
+            self.tell_postmasters(Payload::Heartbeats(Heartbeats {
                 upstreams,
                 nonce: 0,
             }));
@@ -79,7 +79,7 @@
                 .into_iter()
                 .enumerate()
                 .filter(move |(at, _)| !tell_on || *at == turn);
-            let alive = Alive {
+            let alive = HeartbeatDigest {
                 tell_on: tell_on && count > 1,
                 ..if tell_on { &far } else { &near }.clone()
             };
@@ -89,7 +89,7 @@
                 .into_iter();
             chosen.map(move |(_, node)| Effect::Send {
                 to: node.to_owned(),
-                body: Payload::Alive(alive.clone()),
+                body: Payload::HeartbeatDigest(alive.clone()),
             })
         });
         let sends: Vec<Effect> = sends.collect();
@@ -97,7 +97,7 @@
     }
 
     /// Those that beat here within a span and nowhere else since, and those gone lately.
-    fn batch(&self, now: Duration, span: Duration) -> Alive {
+    fn batch(&self, now: Duration, span: Duration) -> HeartbeatDigest {
         let heard = self
             .heard_here
             .iter()
@@ -109,12 +109,12 @@
                 ..Upstream::default()
             };
             // A newer beat went elsewhere, and is told from there.
-            self.roll
+            self.registry
                 .one(now, &id)
                 .filter(|known| known.beat == *beat && known.condition != upstream_registry::GONE)
         });
-        let told: Vec<Upstream> = heard.chain(self.roll.farewells(now)).collect();
-        Alive {
+        let told: Vec<Upstream> = heard.chain(self.registry.farewells(now)).collect();
+        HeartbeatDigest {
             marks: told.iter().map(upstream_registry::mark).collect(),
             beats: told.iter().map(told_beat).collect(),
             ages_ms: told.iter().map(|upstream| upstream.age_ms).collect(),
@@ -124,13 +124,13 @@
 
     /// Takes a batch in, tells on what is new in it where that is wanted, and asks its sender for the records that are
     /// not as they are known here.
-    pub(crate) fn alive_told(&mut self, now: Duration, from: String, alive: Alive) {
-        let (mut wanted, mut new) = (Vec::new(), Alive::default());
+    pub(crate) fn alive_told(&mut self, now: Duration, from: String, alive: HeartbeatDigest) {
+        let (mut wanted, mut new) = (Vec::new(), HeartbeatDigest::default());
         let told = alive.marks.iter().zip(&alive.beats).zip(&alive.ages_ms);
         told.for_each(|((mark, told_beat), age_ms)| {
             let beat = meant_beat(*mark, *told_beat);
             if self
-                .roll
+                .registry
                 .marked(now, *mark)
                 .is_none_or(|known| known.beat < beat)
             {
@@ -139,7 +139,7 @@
                 new.ages_ms.push(*age_ms);
             }
             if !self
-                .roll
+                .registry
                 .keeps_beating(now, *mark, beat, Duration::from_millis(*age_ms))
             {
                 wanted.push(*mark);
@@ -155,12 +155,12 @@
             });
             let sends = near.map(|member| Effect::Send {
                 to: member.node.clone(),
-                body: Payload::Alive(new.clone()),
+                body: Payload::HeartbeatDigest(new.clone()),
             });
             self.effects.extend(sends.collect::<Vec<_>>());
         }
         if !wanted.is_empty() {
-            wanted.truncate(MOST_WANTED);
+            wanted.truncate(MAX_WANTED);
             self.effects.push_back(Effect::Send {
                 to: from,
                 body: Payload::UpstreamsRequest(UpstreamsRequest {
@@ -176,8 +176,8 @@
             let wanted = ask
                 .marks
                 .iter()
-                .take(MOST_WANTED)
-                .filter_map(|mark| self.roll.marked(now, *mark));
+                .take(MAX_WANTED)
+                .filter_map(|mark| self.registry.marked(now, *mark));
             let upstreams = wanted
                 .map(|known| Upstream {
                     holds: Vec::new(),
@@ -187,7 +187,7 @@
                 .collect();
             self.effects.push_back(Effect::Send {
                 to: from,
-                body: Payload::Beats(Beats {
+                body: Payload::Heartbeats(Heartbeats {
                     upstreams,
                     nonce: 0,
                 }),
@@ -195,7 +195,7 @@
         } else if self.is_settled(now) {
             let (placement, placed_by) = (self.placement.clone(), self.placed_by.clone());
             let told = UpstreamsReply {
-                upstreams: self.roll.all(now),
+                upstreams: self.registry.all(now),
                 placement,
                 placed_by,
                 life: ask.life,
--- a/crates/control-plane/src/keys.rs
+++ b/crates/control-plane/src/keys.rs
@@ -1,9 +1,9 @@
 //! Numeric keys: what carriers count of them, and the division that follows it.
 
 use crate::node::{ControlNode, Effect};
-use crate::placement::{DECIDE_EVERY, Duty};
+use crate::placement::{DECIDE_EVERY, PlacementLease};
 use key_space::{KEY_COUNT, LOAD_BUCKET_COUNT};
-use protocol::{KeyLoad, KeyLoads, Payload, ServiceShares, Share, Upstream};
+use protocol::{KeyLoad, KeyLoads, KeyShare, Payload, ServiceKeyShares, Upstream};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// Counts are kept in so many parts of a request.
 const FINE: f64 = 16.0;
 /// Most services whose keys are counted.
-const MOST_SERVICES: usize = 1024;
+const MAX_SERVICES: usize = 1024;
 
 /// Requests by equal parts of the keys, for each service.
 #[derive(Default)]
@@ -28,7 +28,7 @@
 
 impl KeyCounts {
     pub(crate) fn add(&mut self, load: KeyLoad) {
-        if self.0.len() >= MOST_SERVICES && !self.0.contains_key(&load.service) {
+        if self.0.len() >= MAX_SERVICES && !self.0.contains_key(&load.service) {
             return;
         }
         let counts = self.0.entry(load.service).or_default();
@@ -110,23 +110,23 @@
 
     /// Who holds which numeric keys by the upstreams' own state: what is told while no placement is known here, as after
     /// all postmasters started anew. It gives nothing; a request that comes to the wrong one is not run.
-    pub(crate) fn heard_shares(&self, now: Duration) -> Vec<ServiceShares> {
+    pub(crate) fn heard_shares(&self, now: Duration) -> Vec<ServiceKeyShares> {
         let numbered = self
-            .setup
+            .configuration
             .services
             .values()
             .filter(|service| service.keyed && service.numbered);
         let of = |name: &str| {
-            let heard = self.roll.heard_within(name, now, self.times.share_span);
+            let heard = self.registry.heard_within(name, now, self.times.share_span);
             let live = heard.filter(|upstream| upstream.condition != upstream_registry::GONE);
             let rows = live.flat_map(|upstream| {
-                upstream.holds.iter().map(|share| Share {
+                upstream.holds.iter().map(|share| KeyShare {
                     instance: upstream.instance.clone(),
                     ..share.clone()
                 })
             });
             // Where two say that they hold a key, the later grant counts.
-            ServiceShares {
+            ServiceKeyShares {
                 service: name.to_owned(),
                 shares: name_directory::latest_grants(rows.collect()),
             }
@@ -140,7 +140,7 @@
         now: Duration,
         upstream: &Upstream,
         epoch: u64,
-    ) -> Option<Vec<Share>> {
+    ) -> Option<Vec<KeyShare>> {
         let held_at = self.hold_clock.now();
         let terms = Terms {
             hold: self.times.share_span,
@@ -150,14 +150,17 @@
             late_answers: false,
         };
         // Whoever else may be given keys is known well enough for a while; of this one the newest counts.
-        let me = self.roll.one(now, upstream).filter(|me| self.may_hold(me));
+        let me = self
+            .registry
+            .one(now, upstream)
+            .filter(|me| self.may_hold(me));
         let duty = self.duty.as_ref().filter(|duty| duty.epoch == epoch)?;
         let known = duty.inputs.get(&upstream.service);
         let inputs = match known.filter(|known| known.is_good(now, upstream, me.is_some())) {
             Some(known) => known.clone(),
             None => Arc::new(self.division_inputs(now, &upstream.service, &duty.counts)),
         };
-        let Duty {
+        let PlacementLease {
             since,
             founding,
             ranges,
@@ -168,7 +171,7 @@
         let new = || Ranges::new(*since, terms, KEY_COUNT, epoch, *founding);
         let ranges = ranges.entry(upstream.service.clone()).or_insert_with(new);
         let grants = ranges.beat(held_at, &heartbeat(upstream), &inputs.ready, &inputs.load)?;
-        let share = |grant: upstream_registry::Grant| Share {
+        let share = |grant: upstream_registry::Grant| KeyShare {
             from: grant.from,
             until: grant.to + 1,
             epoch: grant.fence,
@@ -186,7 +189,7 @@
     fn division_inputs(&self, now: Duration, service: &str, counts: &KeyCounts) -> DivisionInputs {
         let capacity = |upstream: &Upstream| upstream.slots.max(upstream.free_slots).max(1);
         let all = self
-            .roll
+            .registry
             .of_service(service)
             .filter(|upstream| self.may_hold(upstream));
         let ready = all
@@ -217,12 +220,12 @@
 
 /// What a beat says of numeric keys.
 fn heartbeat(upstream: &Upstream) -> Heartbeat {
-    let row = |share: &Share| Row {
+    let row = |share: &KeyShare| Row {
         from: share.from,
         to: share.until.saturating_sub(1),
         fence: share.epoch,
     };
-    let released = |share: &Share| Released {
+    let released = |share: &KeyShare| Released {
         from: share.from,
         to: share.until.saturating_sub(1),
         handover: share.handover.clone(),
@@ -246,8 +249,8 @@
 }
 
 /// Who holds which keys of a service, as shares to be told on.
-pub(crate) fn held(ranges: &Ranges, now: Duration) -> Vec<Share> {
-    let share = |holding: upstream_registry::Holding| Share {
+pub(crate) fn held(ranges: &Ranges, now: Duration) -> Vec<KeyShare> {
+    let share = |holding: upstream_registry::Holding| KeyShare {
         from: holding.from,
         until: holding.to + 1,
         epoch: holding.fence,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,10 +1,10 @@
 //! The control plane. [`ControlNode`] is the pure core; `shell` turns the world into events and back.
 
 mod anonymous_orders;
+mod api_adapter;
 mod contact;
 pub mod departure_writer;
 mod departures;
-mod dialect;
 pub mod disk;
 mod gossip;
 mod keys;
@@ -15,5 +15,5 @@
 mod updates;
 mod voters;
 
-pub use dialect::{Dialect, Unread, beat_sheet};
-pub use node::{Answer, Ask, ControlNode, Effect, Event, Start, Times};
+pub use api_adapter::{ApiAdapter, RequestError, beat_sheet};
+pub use node::{ControlNode, ControlRequest, ControlResponse, Effect, Event, Start, Times};
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -5,6 +5,6 @@
     let settings = transport::begin(&control_plane::shell::PROGRAM);
     transport::end(
         "control-plane",
-        control_plane::shell::run(settings, control_plane::Dialect::own()).await,
+        control_plane::shell::run(settings, control_plane::ApiAdapter::own()).await,
     );
 }
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -5,16 +5,16 @@
 use crate::contact::Contact;
 use crate::departures::Departures;
 use crate::keys::KeyCounts;
-use crate::placement::Duty;
+use crate::placement::PlacementLease;
 use crate::updates::Reader;
 use crate::voters::VoterChanges;
-use config::{Complaint, Setup, Sheet};
+use config::{Configuration, JsonValue, ValidationError};
 use lease::HoldClock;
 use lease::Lease;
 use membership::Membership;
-use name_directory::{Owners, SetupReader};
+use name_directory::{ConfigurationReader, OwnershipMode};
 use protocol::{
-    Departure, DurableState, Member, Payload, Placement, Share, Upstream, UpstreamsReply,
+    Departure, DurableState, KeyShare, Member, Payload, Placement, Upstream, UpstreamsReply,
     UpstreamsRequest,
 };
 use quorum_register::{Change, OrderId, Register, VoterPhase};
@@ -23,7 +23,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
-use upstream_registry::Roll;
+use upstream_registry::UpstreamRegistry;
 
 /// How often upstreams that go on beating are told on.
 pub(crate) const BATCH_EVERY: Duration = Duration::from_millis(500);
@@ -49,11 +49,11 @@
     pub roster_size: usize,
     pub seed: u64,
     /// How configurations are read.
-    pub reader: SetupReader,
+    pub reader: ConfigurationReader,
     /// Who owns a name.
-    pub owners: Owners,
+    pub owners: OwnershipMode,
     pub durable: DurableState,
-    pub setups: BTreeMap<String, Vec<u8>>,
+    pub configurations: BTreeMap<String, Vec<u8>>,
     /// What an earlier process kept of the departures of its last minute.
     pub departures: Vec<Departure>,
     pub times: Times,
@@ -61,7 +61,7 @@
 
 /// What operators and upstreams ask over HTTP.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum ControlRequest {
     Submit {
         id: OrderId,
         base: Option<u64>,
@@ -79,11 +79,11 @@
         add: Option<String>,
         remove: Option<String>,
     },
-    ReadSetup,
+    ReadConfiguration,
     Status,
     Upstreams,
     Reservations,
-    Marks,
+    Tombstones,
     Beat(Upstream),
     /// An upstream says that it ends now.
     SignOff {
@@ -91,29 +91,29 @@
     },
 }
 
-/// An answer to an [`Ask`].
+/// An answer to an [`ControlRequest`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum ControlResponse {
     Verdict {
         code: ResultCode,
-        edition: u64,
+        revision: u64,
     },
     Denied {
         code: ResultCode,
-        complaints: Vec<Complaint>,
+        validation_errors: Vec<ValidationError>,
     },
-    Setup {
-        edition: u64,
+    Configuration {
+        revision: u64,
         bytes: Vec<u8>,
     },
     /// To a beat: who holds the duty, and all that the upstream holds from now on, for this span. Without shares it
     /// learns nothing new.
     Beat {
         holder: u64,
-        shares: Option<Vec<Share>>,
+        shares: Option<Vec<KeyShare>>,
         span: Duration,
     },
-    Sheet(Sheet),
+    JsonValue(JsonValue),
     /// This node is out of contact with a majority: the one at this address was lately in contact. Nothing was done.
     /// The core names host and port; what is shown is a whole URL.
     Redirect {
@@ -133,9 +133,9 @@
         address: String,
         body: Payload,
     },
-    Ask {
+    ControlRequest {
         token: u64,
-        ask: Ask,
+        ask: ControlRequest,
     },
     Kept {
         ticket: u64,
@@ -169,7 +169,7 @@
         ticket: u64,
         durable: DurableState,
     },
-    KeepSetup {
+    StoreConfiguration {
         ticket: u64,
         digest: String,
         bytes: Vec<u8>,
@@ -181,25 +181,25 @@
         departures: Vec<Departure>,
     },
     /// The file of this setup may go, after all writes before.
-    DropSetup {
+    DeleteConfiguration {
         digest: String,
     },
-    Answer {
+    ControlResponse {
         token: u64,
-        answer: Answer,
+        answer: ControlResponse,
     },
     /// Membership changed: node ids with their link addresses.
     Addresses(Vec<(String, String)>),
     /// Worth a line in the log.
-    Note(String),
+    Log(String),
     /// Worth an operator's look.
-    Alarm(String),
+    LogError(String),
 }
 
 pub(crate) struct InForce {
     pub token: u64,
-    pub answer: Answer,
-    pub edition: u64,
+    pub answer: ControlResponse,
+    pub revision: u64,
     pub until: Duration,
 }
 
@@ -233,20 +233,20 @@
     /// Tells this life of the process from earlier ones of the same name.
     life: u64,
     pub(crate) times: Times,
-    pub(crate) reader: SetupReader,
-    pub(crate) owners: Owners,
+    pub(crate) reader: ConfigurationReader,
+    pub(crate) owners: OwnershipMode,
     pub(crate) random: Random,
     pub(crate) register: Register,
     pub(crate) membership: Membership,
     pub(crate) lease: Lease,
-    pub(crate) roll: Roll,
-    pub(crate) duty: Option<Duty>,
+    pub(crate) registry: UpstreamRegistry,
+    pub(crate) duty: Option<PlacementLease>,
     /// Requests by key that carriers told of, to be told on to the holder of the duty.
     pub(crate) loads: KeyCounts,
     /// The last placement heard of, and who holds the duty.
     pub(crate) placement: Placement,
     pub(crate) placed_by: String,
-    pub(crate) setup: Arc<Setup>,
+    pub(crate) configuration: Arc<Configuration>,
     pub(crate) members: Vec<Member>,
     pub(crate) readers: BTreeMap<String, Reader>,
     /// The edition that each carrier acknowledged, to whichever postmaster.
@@ -285,8 +285,8 @@
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
-    ///     durable: Default::default(), setups: Default::default(), departures: vec![], times };
-    /// assert_eq!(control_plane::ControlNode::new(start).edition(), 0);
+    ///     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
+    /// assert_eq!(control_plane::ControlNode::new(start).revision(), 0);
     /// ```
     pub fn new(start: Start) -> Self {
         let life = random::stable_hash(&format!("life {}", start.seed)).max(1);
@@ -298,21 +298,21 @@
             reader,
             owners,
             durable,
-            setups,
+            configurations,
             departures,
             times,
             ..
         } = start;
-        let mut roll = Roll::default();
+        let mut registry = UpstreamRegistry::default();
         departures.iter().for_each(|departure| {
-            roll.depart(Duration::ZERO, departure);
+            registry.depart(Duration::ZERO, departure);
         });
         let register = Register::new(quorum_register::Start {
             me: me.node.clone(),
             roster_size,
             seed: random.next_u64(),
             durable,
-            setups,
+            configurations,
             times: times.register,
         });
         ControlNode {
@@ -328,12 +328,12 @@
             owners,
             random,
             register,
-            roll,
+            registry,
             duty: None,
             loads: KeyCounts::default(),
             placement: Placement::default(),
             placed_by: String::new(),
-            setup: Arc::default(),
+            configuration: Arc::default(),
             readers: BTreeMap::new(),
             kept: BTreeMap::new(),
             waiting_force: Vec::new(),
@@ -362,11 +362,11 @@
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
-    /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
-    /// assert_eq!(control_plane::ControlNode::new(start).edition(), 0);
+    /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
+    /// assert_eq!(control_plane::ControlNode::new(start).revision(), 0);
     /// ```
-    pub fn edition(&self) -> u64 {
-        self.register.state().edition
+    pub fn revision(&self) -> u64 {
+        self.register.state().revision
     }
 
     /// The one reducer: takes an event in, gives effects out.
@@ -374,12 +374,12 @@
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
-    /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
-    /// use control_plane::{Answer, Ask, Effect, Event, ControlNode};
+    /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
+    /// use control_plane::{ControlResponse, ControlRequest, Effect, Event, ControlNode};
     /// let mut control = ControlNode::new(start);
-    /// let ask = Ask::Submit { id: "a".into(), base: None, bytes: b"{".to_vec(), in_force: false };
-    /// let effects = control.step(Default::default(), Event::Ask { token: 7, ask });
-    /// assert!(matches!(&effects[0], Effect::Answer { token: 7, answer: Answer::Denied { .. } }));
+    /// let ask = ControlRequest::Submit { id: "a".into(), base: None, bytes: b"{".to_vec(), in_force: false };
+    /// let effects = control.step(Default::default(), Event::ControlRequest { token: 7, ask });
+    /// assert!(matches!(&effects[0], Effect::ControlResponse { token: 7, answer: ControlResponse::Denied { .. } }));
     /// ```
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         self.hold_clock.advance(now);
@@ -393,10 +393,10 @@
                     .step(now, membership::Event::Received { address, body });
                 self.run_membership(now, effects);
             }
-            Event::Ask { token, .. } if self.closing => {
-                self.refuse(now, token, ResultCode::Closing)
+            Event::ControlRequest { token, .. } if self.closing => {
+                self.refuse(now, token, ResultCode::ShuttingDown)
             }
-            Event::Ask { token, ask } => self.ask(now, token, ask),
+            Event::ControlRequest { token, ask } => self.ask(now, token, ask),
             Event::Kept { ticket } => {
                 self.run_register(now, quorum_register::Event::Kept { ticket })
             }
@@ -424,7 +424,7 @@
         if now >= self.next_sweep {
             self.next_sweep = now + BATCH_EVERY;
             // What others hear of comes with their next batch.
-            self.roll
+            self.registry
                 .sweep(now, self.times.upstream_silent + BATCH_EVERY);
             if !self.is_settled(now) {
                 let life = self.life;
@@ -447,14 +447,14 @@
 
     /// Until its bytes are here this node can't answer with the state it holds: it asks the others for them.
     fn note_missing_setup(&mut self) {
-        let lacks = self.register.lacks_accepted_setup();
+        let lacks = self.register.lacks_accepted_configuration();
         if lacks != self.lacks_setup {
             self.lacks_setup = lacks;
             self.effects.push_back(match lacks {
-                true => Effect::Alarm(
+                true => Effect::LogError(
                     "the setup of the state on this disk is missing or damaged; the others are asked for it".into(),
                 ),
-                false => Effect::Note("repaired: the setup of the state on this disk is here again".into()),
+                false => Effect::Log("repaired: the setup of the state on this disk is here again".into()),
             });
         }
     }
@@ -471,7 +471,7 @@
                 VoterPhase::Active => "following, without a vote",
                 VoterPhase::Out => "the disk failed: out of rounds",
             };
-            self.effects.push_back(Effect::Note(text.into()));
+            self.effects.push_back(Effect::Log(text.into()));
         }
     }
 
@@ -485,15 +485,15 @@
                     self.run_lease(now, lease::Event::Received { from, body });
                 }
             }
-            Payload::Beats(beats) => self.beats_told(now, from, beats),
-            Payload::BeatsAck(ack) => self.beats_taken(now, from, ack),
+            Payload::Heartbeats(beats) => self.beats_told(now, from, beats),
+            Payload::HeartbeatsAck(ack) => self.beats_taken(now, from, ack),
             Payload::Read(read) => self.read_asked(now, from, read, 0),
             Payload::DeparturesRead(asked) => self.read_asked(now, from, asked.read, asked.digest),
             Payload::DeparturesReadBack(answer) => self.read_answered(now, from, answer),
-            Payload::Alive(alive) => self.alive_told(now, from, alive),
+            Payload::HeartbeatDigest(alive) => self.alive_told(now, from, alive),
             Payload::UpstreamsRequest(ask) => self.roll_asked(now, from, ask),
             Payload::UpstreamsReply(told) => self.roll_told(now, told),
-            Payload::Holder(holder) => self.hear_holder(from, holder.epoch),
+            Payload::LeaseHolder(holder) => self.hear_holder(from, holder.epoch),
             Payload::SharesRequest(ask) => self.shares_asked(now, from, ask),
             Payload::SharesReply(given) => self.shares_given(&from, given),
             Payload::PlacementRequest(_) => self.placement_asked(from),
@@ -502,7 +502,7 @@
             Payload::KeyLoads(told) => self.count_keys(told.loads),
             Payload::UpdateRequest(ask) => self.news_asked(now, from, ask),
             Payload::UpdateAck(kept) => self.news_kept(&from, &kept),
-            Payload::CarrierAck(kept) => self.carrier_kept(kept),
+            Payload::DataPlaneAck(kept) => self.carrier_kept(kept),
             other => {
                 if matches!(other, Payload::ReadBack(_)) {
                     self.note_answered(now, &from);
@@ -544,20 +544,20 @@
             quorum_register::Effect::Keep { ticket, durable } => {
                 self.effects.push_back(Effect::Keep { ticket, durable });
             }
-            quorum_register::Effect::KeepSetup {
+            quorum_register::Effect::StoreConfiguration {
                 ticket,
                 digest,
                 bytes,
             } => {
-                self.effects.push_back(Effect::KeepSetup {
+                self.effects.push_back(Effect::StoreConfiguration {
                     ticket,
                     digest,
                     bytes,
                 });
             }
-            quorum_register::Effect::DropSetup { digest } => {
-                self.effects.push_back(Effect::DropSetup { digest })
-            }
+            quorum_register::Effect::DeleteConfiguration { digest } => self
+                .effects
+                .push_back(Effect::DeleteConfiguration { digest }),
             quorum_register::Effect::Decided { token, decision } => {
                 self.decided(now, token, decision)
             }
@@ -591,14 +591,14 @@
     fn adopted(&mut self) {
         let read = self
             .register
-            .setup()
+            .configuration()
             .map(self.reader.0)
             .and_then(Result::ok);
-        self.setup = read.map(Arc::new).unwrap_or_default();
+        self.configuration = read.map(Arc::new).unwrap_or_default();
         self.next_news = Duration::ZERO;
-        let edition = self.register.state().edition;
+        let revision = self.register.state().revision;
         self.effects
-            .push_back(Effect::Note(format!("edition {edition} is in force")));
+            .push_back(Effect::Log(format!("edition {revision} is in force")));
     }
 
     pub(crate) fn tell_postmasters(&mut self, body: Payload) {
@@ -642,7 +642,7 @@
             return;
         }
         told.upstreams.into_iter().for_each(|upstream| {
-            self.roll.take(now, upstream);
+            self.registry.take(now, upstream);
         });
         self.take_placement(told.placed_by, told.placement);
         self.roll_told = true;
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -2,9 +2,11 @@
 
 use crate::keys::{DivisionInputs, KeyCounts};
 use crate::node::{ControlNode, Effect};
-use config::Setup;
-use name_directory::{Needs, Owners, Placer};
-use protocol::{Holder, Payload, Placement, PlacementRequest, ServiceShares, Share, Upstream};
+use config::Configuration;
+use name_directory::{Needs, OwnershipMode, ZoneAssigner};
+use protocol::{
+    KeyShare, LeaseHolder, Payload, Placement, PlacementRequest, ServiceKeyShares, Upstream,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +18,7 @@
 const TELL_EVERY: Duration = Duration::from_secs(1);
 
 /// The holder's working state, thrown away when the lease ends.
-pub(crate) struct Duty {
+pub(crate) struct PlacementLease {
     pub(crate) epoch: u64,
     /// When the lease began, by the hold clock: nobody else gives anything from then on.
     pub(crate) since: Duration,
@@ -29,9 +31,9 @@
     /// By the same services.
     pub(crate) inputs: BTreeMap<String, Arc<DivisionInputs>>,
     listen_until: Duration,
-    placer: Option<Placer>,
+    assigner: Option<ZoneAssigner>,
     shares: BTreeMap<String, Shares>,
-    told: Vec<ServiceShares>,
+    told: Vec<ServiceKeyShares>,
     next_decide: Duration,
     next_tell: Duration,
 }
@@ -42,7 +44,7 @@
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
-    /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
+    /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert!(!control_plane::ControlNode::new(start).holds_placement(Default::default()));
     /// ```
     pub fn holds_placement(&self, now: Duration) -> bool {
@@ -54,7 +56,7 @@
             let lost = self
                 .duty
                 .take()
-                .map(|duty| Effect::Note(format!("placement: gave up epoch {}", duty.epoch)));
+                .map(|duty| Effect::Log(format!("placement: gave up epoch {}", duty.epoch)));
             self.effects.extend(lost);
             return;
         };
@@ -63,16 +65,16 @@
             let me = self.me.node.clone();
             self.counts.leases_held += 1;
             self.effects
-                .push_back(Effect::Note(format!("placement: held under epoch {epoch}")));
+                .push_back(Effect::Log(format!("placement: held under epoch {epoch}")));
             self.hear_holder(me, epoch);
-            self.tell_postmasters(Payload::Holder(Holder { epoch }));
+            self.tell_postmasters(Payload::LeaseHolder(LeaseHolder { epoch }));
         }
         let founding = self.lease.is_founder(epoch);
         let mut duty = self
             .duty
             .take()
             .filter(|duty| duty.epoch == epoch)
-            .unwrap_or_else(|| Duty {
+            .unwrap_or_else(|| PlacementLease {
                 epoch,
                 since: self.hold_clock.now(),
                 founding,
@@ -80,7 +82,7 @@
                 ranges: BTreeMap::new(),
                 inputs: BTreeMap::new(),
                 listen_until: now + LISTEN,
-                placer: None,
+                assigner: None,
                 shares: BTreeMap::new(),
                 told: Vec::new(),
                 next_decide: now,
@@ -94,35 +96,35 @@
         self.duty = Some(duty);
     }
 
-    fn decide(&mut self, now: Duration, duty: &mut Duty) {
+    fn decide(&mut self, now: Duration, duty: &mut PlacementLease) {
         let (last, times) = (&self.placement, self.times.placement);
-        let mut placer = duty
-            .placer
+        let mut assigner = duty
+            .assigner
             .take()
-            .unwrap_or_else(|| Placer::new(now, duty.epoch, last, times));
+            .unwrap_or_else(|| ZoneAssigner::new(now, duty.epoch, last, times));
         let served = self
             .members
             .iter()
             .filter(|member| member.roles.contains("proxy"));
         let served: BTreeSet<String> = served.map(|member| member.locality.clone()).collect();
-        let upstreams = self.roll.all(now);
+        let upstreams = self.registry.all(now);
         let evacuated = &self.register.state().evacuated;
         // Where each caller's zone has its own owner, no name has one for everybody.
-        let (nothing, all) = (Setup::default(), self.setup.as_ref());
-        let setup = if self.owners == Owners::One {
+        let (nothing, all) = (Configuration::default(), self.configuration.as_ref());
+        let configuration = if self.owners == OwnershipMode::One {
             all
         } else {
             &nothing
         };
         let needs = Needs {
-            setup,
+            configuration,
             evacuated,
             upstreams: &upstreams,
             served: &served,
         };
-        let moved = placer.decide(now, &needs);
+        let moved = assigner.decide(now, &needs);
         let keyed = |name: &String| {
-            self.setup
+            self.configuration
                 .services
                 .get(name)
                 .filter(|service| service.keyed)
@@ -138,10 +140,10 @@
         let changed = moved || shares != duty.told;
         if changed || now >= duty.next_tell {
             duty.next_tell = now + TELL_EVERY;
-            self.tell_placement(now, &mut placer, changed, &shares);
+            self.tell_placement(now, &mut assigner, changed, &shares);
             duty.told = shares;
         }
-        duty.placer = Some(placer);
+        duty.assigner = Some(assigner);
     }
 
     /// What changed since the last, where that is shares alone; else the whole. Where nothing did, its number alone,
@@ -149,16 +151,17 @@
     fn tell_placement(
         &mut self,
         now: Duration,
-        placer: &mut Placer,
+        assigner: &mut ZoneAssigner,
         changed: bool,
-        shares: &[ServiceShares],
+        shares: &[ServiceKeyShares],
     ) {
-        let ageless = self.placement.reservations.is_empty() && self.placement.marks.is_empty();
+        let ageless =
+            self.placement.reservations.is_empty() && self.placement.tombstones.is_empty();
         if changed || !ageless || self.placement.number == 0 {
-            placer.count();
+            assigner.count();
         }
         self.counts.placements_told += 1;
-        let placement = placer.placement(now, shares.to_vec());
+        let placement = assigner.placement(now, shares.to_vec());
         let change = name_directory::change(&self.placement, &placement).filter(|_| ageless);
         self.tell_postmasters(Payload::Placement(
             change.unwrap_or_else(|| placement.clone()),
@@ -169,8 +172,12 @@
 
     /// Who holds which keys, to be told on. Until everything given by an earlier holder has run out, what it told of
     /// last is told on for the slots that nobody claimed here yet: their upstreams hold them, or say that they don't.
-    fn told_shares(&self, now: Duration, duty: &Duty) -> Vec<ServiceShares> {
-        let keyed = self.setup.services.values().filter(|service| service.keyed);
+    fn told_shares(&self, now: Duration, duty: &PlacementLease) -> Vec<ServiceKeyShares> {
+        let keyed = self
+            .configuration
+            .services
+            .values()
+            .filter(|service| service.keyed);
         let heard = if self.placement.epoch == 0 {
             self.heard_shares(now)
         } else {
@@ -193,7 +200,7 @@
             let kept = last
                 .map(|last| name_directory::uncovered(&last.shares, &known))
                 .unwrap_or_default();
-            ServiceShares {
+            ServiceKeyShares {
                 service: name.clone(),
                 shares: kept.into_iter().chain(known).collect(),
             }
@@ -240,14 +247,18 @@
     }
 
     /// Shares for a beat; none where this node does not hold the duty, so that nobody takes it for an answer.
-    pub(crate) fn give_shares(&mut self, now: Duration, upstream: &Upstream) -> Option<Vec<Share>> {
+    pub(crate) fn give_shares(
+        &mut self,
+        now: Duration,
+        upstream: &Upstream,
+    ) -> Option<Vec<KeyShare>> {
         let epoch = self.lease.holds(now)?;
         if upstream.condition == GONE {
             // A sign-off lists nothing and proves nothing: its sender may serve on, so its holds run out by themselves.
             return None;
         }
         if self
-            .setup
+            .configuration
             .services
             .get(&upstream.service)
             .is_some_and(|service| service.numbered)
@@ -256,7 +267,7 @@
         }
         let (span, held_at) = (self.times.share_span, self.hold_clock.now());
         let ready = self
-            .roll
+            .registry
             .of_service(&upstream.service)
             .filter(|other| self.may_hold(other));
         let ready: BTreeSet<String> = ready.map(|other| other.instance.clone()).collect();
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -1,46 +1,48 @@
 //! What operators and upstreams ask.
 
 use crate::departures::signed_off;
-use crate::node::{Answer, Ask, BeatWait, ControlNode, Effect, InForce, ReadWait};
-use config::Sheet;
-use protocol::{Beats, Payload, SharesReply, SharesRequest, Upstream};
+use crate::node::{
+    BeatWait, ControlNode, ControlRequest, ControlResponse, Effect, InForce, ReadWait,
+};
+use config::JsonValue;
+use protocol::{Heartbeats, Payload, SharesReply, SharesRequest, Upstream};
 use quorum_register::{Change, Decision, VoterPhase};
 use result_code::ResultCode;
 use std::time::Duration;
 
-const MOST_BEAT_WAITS: usize = 4096;
-const MOST_READ_WAITS: usize = 256;
+const MAX_BEAT_WAITS: usize = 4096;
+const MAX_READ_WAITS: usize = 256;
 /// A caller waits for a second and goes on to another node.
 const READ_PATIENCE: Duration = Duration::from_millis(900);
 const BEAT_PATIENCE: Duration = Duration::from_millis(700);
 
 impl ControlNode {
-    pub(crate) fn ask(&mut self, now: Duration, token: u64, ask: Ask) {
+    pub(crate) fn ask(&mut self, now: Duration, token: u64, ask: ControlRequest) {
         if Self::needs_contact(&ask) && !self.is_in_contact(now) {
             return self.ask_out_of_contact(now, token, ask);
         }
         match ask {
-            Ask::Submit {
+            ControlRequest::Submit {
                 id,
                 base,
                 bytes,
                 in_force,
             } => match (self.reader.0)(&bytes) {
-                Err(complaints) => self.answer(
+                Err(validation_errors) => self.answer(
                     token,
-                    Answer::Denied {
-                        code: ResultCode::SetupBad,
-                        complaints,
+                    ControlResponse::Denied {
+                        code: ResultCode::InvalidConfiguration,
+                        validation_errors,
                     },
                 ),
-                Ok(setup) => {
-                    let number = setup.number;
+                Ok(configuration) => {
+                    let number = configuration.number;
                     let digest = protocol::digest(&bytes);
                     self.wait_for_force(now, token, in_force);
                     self.change(
                         now,
                         token,
-                        Change::Setup {
+                        Change::Configuration {
                             id,
                             base,
                             number,
@@ -50,7 +52,7 @@
                     );
                 }
             },
-            Ask::Evacuate {
+            ControlRequest::Evacuate {
                 id,
                 locality,
                 back,
@@ -73,9 +75,11 @@
                     );
                 }
             }
-            Ask::ChangeVoters { add, remove } => self.change_voters(now, token, add, remove),
-            Ask::ReadSetup => {
-                if self.read_waits.len() < MOST_READ_WAITS {
+            ControlRequest::ChangeVoters { add, remove } => {
+                self.change_voters(now, token, add, remove)
+            }
+            ControlRequest::ReadConfiguration => {
+                if self.read_waits.len() < MAX_READ_WAITS {
                     self.read_waits.push(ReadWait {
                         token,
                         asked_at: now,
@@ -84,47 +88,47 @@
                 } else {
                     self.answer(
                         token,
-                        Answer::Verdict {
-                            code: ResultCode::SetupCrowded,
-                            edition: 0,
+                        ControlResponse::Verdict {
+                            code: ResultCode::TooManyPendingChanges,
+                            revision: 0,
                         },
                     );
                 }
             }
-            Ask::Status => {
-                let sheet = self.status(now);
-                self.answer(token, Answer::Sheet(sheet));
+            ControlRequest::Status => {
+                let json = self.status(now);
+                self.answer(token, ControlResponse::JsonValue(json));
             }
-            Ask::Upstreams => {
-                let sheet = self.roll.all(now).iter().map(upstream_sheet).collect();
-                self.answer(token, Answer::Sheet(sheet));
+            ControlRequest::Upstreams => {
+                let json = self.registry.all(now).iter().map(upstream_sheet).collect();
+                self.answer(token, ControlResponse::JsonValue(json));
             }
-            Ask::Reservations => {
-                let sheet = self.placement.reservations.iter().map(|owned| {
-                    Sheet::fields([
+            ControlRequest::Reservations => {
+                let json = self.placement.reservations.iter().map(|owned| {
+                    JsonValue::fields([
                         ("name", owned.name.as_str().into()),
                         ("locality", owned.locality.as_str().into()),
                         ("epoch", owned.epoch.into()),
                         ("ageMs", owned.age_ms.into()),
                     ])
                 });
-                let sheet = sheet.collect();
-                self.answer(token, Answer::Sheet(sheet));
+                let json = json.collect();
+                self.answer(token, ControlResponse::JsonValue(json));
             }
-            Ask::Marks => {
-                let sheet = self.placement.marks.iter().map(|mark| {
-                    Sheet::fields([
+            ControlRequest::Tombstones => {
+                let json = self.placement.tombstones.iter().map(|mark| {
+                    JsonValue::fields([
                         ("name", mark.name.as_str().into()),
                         ("from", mark.from.as_str().into()),
                         ("to", mark.to.as_str().into()),
                         ("epoch", mark.epoch.into()),
                     ])
                 });
-                let sheet = sheet.collect();
-                self.answer(token, Answer::Sheet(sheet));
+                let json = json.collect();
+                self.answer(token, ControlResponse::JsonValue(json));
             }
-            Ask::Beat(upstream) => self.beat(now, token, upstream),
-            Ask::SignOff { instance } => {
+            ControlRequest::Beat(upstream) => self.beat(now, token, upstream),
+            ControlRequest::SignOff { instance } => {
                 let gone = self.sign_off(now, instance);
                 self.tell_departure(now, token, gone);
             }
@@ -132,35 +136,35 @@
     }
 
     /// What an upstream says of itself is good to know, and to tell whom this node reaches. It is no acknowledgement.
-    fn ask_out_of_contact(&mut self, now: Duration, token: u64, ask: Ask) {
+    fn ask_out_of_contact(&mut self, now: Duration, token: u64, ask: ControlRequest) {
         match ask {
-            Ask::Submit { bytes, .. } => {
+            ControlRequest::Submit { bytes, .. } => {
                 // What is wrong with it is wrong whoever decides.
-                if let Err(complaints) = (self.reader.0)(&bytes) {
+                if let Err(validation_errors) = (self.reader.0)(&bytes) {
                     return self.answer(
                         token,
-                        Answer::Denied {
-                            code: ResultCode::SetupBad,
-                            complaints,
+                        ControlResponse::Denied {
+                            code: ResultCode::InvalidConfiguration,
+                            validation_errors,
                         },
                     );
                 }
             }
-            Ask::Beat(upstream) => self.take_beat(now, &upstream),
-            Ask::SignOff { instance } => {
+            ControlRequest::Beat(upstream) => self.take_beat(now, &upstream),
+            ControlRequest::SignOff { instance } => {
                 let gone = self.sign_off(now, instance);
                 let (upstreams, nonce) = (vec![gone], 0);
-                self.tell_postmasters(Payload::Beats(Beats { upstreams, nonce }));
+                self.tell_postmasters(Payload::Heartbeats(Heartbeats { upstreams, nonce }));
             }
             _ => {}
         }
-        self.refuse(now, token, ResultCode::Stale);
+        self.refuse(now, token, ResultCode::StaleView);
     }
 
     /// Records that an instance is gone, known here or not.
     fn sign_off(&mut self, now: Duration, instance: String) -> Upstream {
         let known = self
-            .roll
+            .registry
             .all(now)
             .into_iter()
             .find(|upstream| upstream.instance == instance);
@@ -177,16 +181,16 @@
             .partition(|wait| self.register.is_confirmed_since(wait.asked_at) || late(wait));
         self.read_waits = waiting;
         done.into_iter().for_each(|wait| {
-            let edition = self.register.state().edition;
+            let revision = self.register.state().revision;
             let confirmed = self.register.is_confirmed_since(wait.asked_at);
-            let answer = match self.register.setup() {
-                _ if !confirmed => return self.refuse(now, wait.token, ResultCode::Stale),
-                None => Answer::Verdict {
-                    code: ResultCode::NoWord,
-                    edition,
+            let answer = match self.register.configuration() {
+                _ if !confirmed => return self.refuse(now, wait.token, ResultCode::StaleView),
+                None => ControlResponse::Verdict {
+                    code: ResultCode::NoConfiguration,
+                    revision,
                 },
-                Some(bytes) => Answer::Setup {
-                    edition,
+                Some(bytes) => ControlResponse::Configuration {
+                    revision,
                     bytes: bytes.to_vec(),
                 },
             };
@@ -194,22 +198,23 @@
         });
     }
 
-    pub(crate) fn answer(&mut self, token: u64, answer: Answer) {
-        self.effects.push_back(Effect::Answer { token, answer });
+    pub(crate) fn answer(&mut self, token: u64, answer: ControlResponse) {
+        self.effects
+            .push_back(Effect::ControlResponse { token, answer });
     }
 
     /// The operator wants to hear only once the change is in force everywhere that still serves.
     fn wait_for_force(&mut self, now: Duration, token: u64, in_force: bool) {
         if in_force {
-            let answer = Answer::Verdict {
-                code: ResultCode::SetupUnknown,
-                edition: 0,
+            let answer = ControlResponse::Verdict {
+                code: ResultCode::ChangeOutcomeUnknown,
+                revision: 0,
             };
             let until = now + self.times.register.patience * 2;
             self.waiting_force.push(InForce {
                 token,
                 answer,
-                edition: u64::MAX,
+                revision: u64::MAX,
                 until,
             });
         }
@@ -219,23 +224,26 @@
         if !self.close_order(token) {
             return;
         }
-        let Decision { code, edition } = decision;
-        let answer = Answer::Verdict { code, edition };
-        if matches!(code, ResultCode::NumberTaken | ResultCode::OrderForgotten) {
+        let Decision { code, revision } = decision;
+        let answer = ControlResponse::Verdict { code, revision };
+        if matches!(
+            code,
+            ResultCode::VersionConflict | ResultCode::ChangeForgotten
+        ) {
             self.effects
-                .push_back(Effect::Note(format!("an order was not taken: {code}")));
+                .push_back(Effect::Log(format!("an order was not taken: {code}")));
         }
         let waiting = self
             .waiting_force
             .iter_mut()
-            .find(|waiting| waiting.token == token && code == ResultCode::Fine);
+            .find(|waiting| waiting.token == token && code == ResultCode::Success);
         match waiting {
             Some(waiting) => {
                 // Every view that was not told has aged out by then.
                 *waiting = InForce {
                     token,
                     answer,
-                    edition,
+                    revision,
                     until: now + self.times.stale_after,
                 };
             }
@@ -249,7 +257,7 @@
     pub(crate) fn tick_waits(&mut self, now: Duration) {
         let (done, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting_force)
             .into_iter()
-            .partition(|waiting| now >= waiting.until || self.all_kept(waiting.edition));
+            .partition(|waiting| now >= waiting.until || self.all_kept(waiting.revision));
         self.waiting_force = waiting;
         done.into_iter()
             .for_each(|done| self.answer(done.token, done.answer));
@@ -270,7 +278,7 @@
     /// upstream finds its keys there. Else nobody gives any at present.
     fn answer_without_holder(&mut self, now: Duration, token: u64) {
         match self.address_in_contact(now) {
-            Some(to) => self.answer(token, Answer::Redirect { to }),
+            Some(to) => self.answer(token, ControlResponse::Redirect { to }),
             None => self.answer_beat(token, 0, None),
         }
     }
@@ -290,11 +298,11 @@
         let may_hold = upstream.condition != upstream_registry::GONE;
         let keyed = may_hold
             && self
-                .setup
+                .configuration
                 .services
                 .get(&upstream.service)
                 .is_some_and(|service| service.keyed);
-        if !keyed || self.placed_by.is_empty() || self.beat_waits.len() >= MOST_BEAT_WAITS {
+        if !keyed || self.placed_by.is_empty() || self.beat_waits.len() >= MAX_BEAT_WAITS {
             return self.answer_beat(token, 0, None);
         }
         if self.placed_by == self.me.node {
@@ -318,7 +326,7 @@
     }
 
     pub(crate) fn shares_asked(&mut self, now: Duration, from: String, ask: SharesRequest) {
-        self.roll.take(now, ask.upstream.clone());
+        self.registry.take(now, ask.upstream.clone());
         let Some(epoch) = self.lease.holds(now) else {
             return;
         };
@@ -354,10 +362,10 @@
     }
 
     /// Without `shares` the upstream learns nothing new, and what it holds runs out by itself.
-    fn answer_beat(&mut self, token: u64, holder: u64, shares: Option<Vec<protocol::Share>>) {
+    fn answer_beat(&mut self, token: u64, holder: u64, shares: Option<Vec<protocol::KeyShare>>) {
         self.answer(
             token,
-            Answer::Beat {
+            ControlResponse::Beat {
                 holder,
                 shares,
                 span: self.times.share_span,
@@ -365,7 +373,7 @@
         );
     }
 
-    fn status(&self, now: Duration) -> Sheet {
+    fn status(&self, now: Duration) -> JsonValue {
         let phase = match self.register.phase() {
             VoterPhase::Blank { .. } => "blank",
             VoterPhase::Bootstrapping { .. } => "founding",
@@ -375,7 +383,7 @@
             VoterPhase::Out => "out",
         };
         let members = self.members.iter().map(|member| {
-            Sheet::fields([
+            JsonValue::fields([
                 ("node", member.node.as_str().into()),
                 ("roles", member.roles.as_str().into()),
                 ("locality", member.locality.as_str().into()),
@@ -392,21 +400,24 @@
             ])
         });
         let readers = self.readers.iter().map(|(node, reader)| {
-            Sheet::fields([
+            JsonValue::fields([
                 ("node", node.as_str().into()),
-                ("edition", reader.edition.into()),
+                ("edition", reader.revision.into()),
             ])
         });
         let state = self.register.state();
-        Sheet::fields([
+        JsonValue::fields([
             ("node", self.me.node.as_str().into()),
             ("standing", phase.into()),
             (
                 "disk",
                 if self.disk_fails { "failing" } else { "works" }.into(),
             ),
-            ("setupMissing", self.register.lacks_accepted_setup().into()),
-            ("edition", state.edition.into()),
+            (
+                "setupMissing",
+                self.register.lacks_accepted_configuration().into(),
+            ),
+            ("edition", state.revision.into()),
             ("digest", state.digest.as_str().into()),
             ("decided", state.decided.into()),
             (
@@ -414,7 +425,7 @@
                 state
                     .evacuated
                     .iter()
-                    .map(|place| Sheet::from(place.as_str()))
+                    .map(|place| JsonValue::from(place.as_str()))
                     .collect(),
             ),
             ("current", self.is_current(now).into()),
@@ -423,14 +434,14 @@
                 self.register
                     .age(now)
                     .map(|age| (age.as_millis() as u64).into())
-                    .unwrap_or(Sheet::Null),
+                    .unwrap_or(JsonValue::Null),
             ),
             (
                 "roster",
                 self.register
                     .voter_set()
                     .members()
-                    .map(|voter| Sheet::from(voter.as_str()))
+                    .map(|voter| JsonValue::from(voter.as_str()))
                     .collect(),
             ),
             ("voters", self.show_voters(now)),
@@ -444,9 +455,9 @@
 }
 
 impl ControlNode {
-    fn show_counts(&self) -> Sheet {
+    fn show_counts(&self) -> JsonValue {
         let (tally, counts) = (self.register.tally(), &self.counts);
-        Sheet::fields([
+        JsonValue::fields([
             ("rounds", tally.rounds.into()),
             ("roundsLost", tally.lost.into()),
             ("writes", tally.writes.into()),
@@ -460,13 +471,13 @@
     }
 }
 
-fn upstream_sheet(upstream: &Upstream) -> Sheet {
+fn upstream_sheet(upstream: &Upstream) -> JsonValue {
     let condition = match upstream.condition {
         upstream_registry::READY => "ready",
         upstream_registry::LEAVING => "leaving",
         _ => "gone",
     };
-    Sheet::fields([
+    JsonValue::fields([
         ("service", upstream.service.as_str().into()),
         ("instance", upstream.instance.as_str().into()),
         ("address", upstream.address.as_str().into()),
--- a/crates/control-plane/src/shell.rs
+++ b/crates/control-plane/src/shell.rs
@@ -1,15 +1,15 @@
 //! The thin shell: sockets, timers and the disk thread turn the world into events and carry out effects.
 
+use crate::api_adapter::ApiAdapter;
 use crate::departure_writer::DepartureWriter;
-use crate::dialect::Dialect;
-use crate::disk::{Disk, DiskCounts, DiskReport, Pauses, Write};
-use crate::node::{Answer, Ask, ControlNode, Effect, Event, Start, Times};
+use crate::disk::{Disk, DiskCounts, DiskReport, RetryBackoff, Write};
+use crate::node::{ControlNode, ControlRequest, ControlResponse, Effect, Event, Start, Times};
 use bytes::Bytes;
-use config::{Setting, Settings, Shape, Sheet};
+use config::{JsonValue, Setting, Settings, Shape};
 use error_stack::{Report, ResultExt};
 use http_body_util::Full;
 use hyper::Response;
-use name_directory::Owners;
+use name_directory::OwnershipMode;
 use protocol::{Envelope, Member, Message};
 use result_code::ResultCode;
 use std::collections::HashMap;
@@ -17,13 +17,13 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
-use storage::{Contents, Storage, Trouble};
+use storage::{Contents, FailureKind, Storage};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot, watch};
-use transport::{Clock, Doors, Enquiry, Links, NoStart, Program};
+use transport::{Clock, HttpRequest, Links, Listeners, Program, StartError};
 
 const TICK: Duration = Duration::from_millis(20);
-const MOST_EVENTS: usize = 4096;
+const MAX_EVENTS: usize = 4096;
 /// How long a closing process stays to let its last messages out.
 const LAST_WORDS: Duration = Duration::from_millis(300);
 const ASK_WITHIN: Duration = Duration::from_secs(8);
@@ -137,13 +137,13 @@
         share_span: settings.span("share-span-ms"),
         upstream_silent: settings.span("upstream-silent-ms"),
         stale_after: settings.span("stale-after-ms"),
-        longest_step: lease::LONGEST_STEP,
+        longest_step: lease::MAX_STEP,
     }
 }
 
 /// What the HTTP side shares with the core's task.
 struct Shared {
-    events: mpsc::Sender<(Event, Option<oneshot::Sender<Answer>>)>,
+    events: mpsc::Sender<(Event, Option<oneshot::Sender<ControlResponse>>)>,
     /// A majority confirmed lately, and the node is not closing.
     ready: AtomicBool,
     closing: AtomicBool,
@@ -153,17 +153,17 @@
     disk: Arc<DiskCounts>,
     /// Files found damaged at the start.
     damaged: u64,
-    dialect: Dialect,
+    api_adapter: ApiAdapter,
 }
 
 /// Runs a postmaster until it is told to close. An error is why it could not start.
 ///
 /// ```no_run
 /// # async fn run(settings: config::Settings) {
-/// control_plane::shell::run(settings, control_plane::Dialect::own()).await.unwrap();
+/// control_plane::shell::run(settings, control_plane::ApiAdapter::own()).await.unwrap();
 /// # }
 /// ```
-pub async fn run(settings: Settings, dialect: Dialect) -> Result<(), Report<NoStart>> {
+pub async fn run(settings: Settings, api_adapter: ApiAdapter) -> Result<(), Report<StartError>> {
     let clock = Clock::default();
     let mut reload = transport::reload_signal(&PROGRAM, &settings);
     // Ahead of the sockets: whoever calls meanwhile is refused at once, and tries another node.
@@ -174,7 +174,7 @@
         .damaged
         .iter()
         .for_each(|what| log::warn!("disk: damaged, counts as missing: {what}"));
-    let Doors { http, link, probe } = Doors::open(&settings).await?;
+    let Listeners { http, link, probe } = Listeners::open(&settings).await?;
     let probe = Arc::new(probe);
     let told = Some(settings.get("told"))
         .filter(|told| !told.is_empty())
@@ -200,23 +200,31 @@
             size => size as usize,
         },
         seed: transport::chance(),
-        reader: dialect.reader,
+        reader: api_adapter.reader,
         owners: if settings.get("owners") == "one" {
-            Owners::One
+            OwnershipMode::One
         } else {
-            Owners::ByCaller
+            OwnershipMode::ByCaller
         },
         durable: contents.durable,
-        setups: contents.setups,
+        configurations: contents.configurations,
         departures,
         times: times(&settings),
     });
-    let (events, mut inbox) = mpsc::channel(MOST_EVENTS);
-    let (arrivals, mut arrived) = mpsc::channel(MOST_EVENTS);
+    let (events, mut inbox) = mpsc::channel(MAX_EVENTS);
+    let (arrivals, mut arrived) = mpsc::channel(MAX_EVENTS);
     let links = Links::open(node, Some(link), arrivals);
-    let disk = Disk::start(storage, Pauses::default(), clock, report_to(events.clone()));
-    let departure_log =
-        DepartureWriter::start(departure_log, Pauses::default(), kept_to(events.clone()));
+    let disk = Disk::start(
+        storage,
+        RetryBackoff::default(),
+        clock,
+        report_to(events.clone()),
+    );
+    let departure_log = DepartureWriter::start(
+        departure_log,
+        RetryBackoff::default(),
+        kept_to(events.clone()),
+    );
     let (close, closing) = watch::channel(false);
     let shared = Arc::new(Shared {
         events: events.clone(),
@@ -227,13 +235,13 @@
         parcels: AtomicU64::new(0),
         disk: disk.counts(),
         damaged: contents.damaged.len() as u64,
-        dialect,
+        api_adapter,
     });
     let handler = shared.clone();
     let server = tokio::spawn(transport::serve(http, closing, move |enquiry| {
         serve(handler.clone(), enquiry)
     }));
-    let mut answers: HashMap<u64, oneshot::Sender<Answer>> = HashMap::new();
+    let mut answers: HashMap<u64, oneshot::Sender<ControlResponse>> = HashMap::new();
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut stop = std::pin::pin!(transport::stop_signal());
@@ -244,7 +252,7 @@
         let event = tokio::select! {
             _ = tick.tick() => Event::Tick,
             Some((event, answer)) = inbox.recv() => {
-                if let (Event::Ask { token, .. }, Some(answer)) = (&event, answer) {
+                if let (Event::ControlRequest { token, .. }, Some(answer)) = (&event, answer) {
                     answers.insert(*token, answer);
                 }
                 event
@@ -303,15 +311,15 @@
         links: &Links,
         probe: &UdpSocket,
         (disk, departure_log): (&Disk, &DepartureWriter),
-        answers: &mut HashMap<u64, oneshot::Sender<Answer>>,
+        answers: &mut HashMap<u64, oneshot::Sender<ControlResponse>>,
     ) {
         effects.into_iter().for_each(|effect| match effect {
             Effect::Keep { ticket, durable } => disk.write(Write::State { ticket, durable }),
-            Effect::KeepSetup {
+            Effect::StoreConfiguration {
                 ticket,
                 digest,
                 bytes,
-            } => disk.write(Write::Setup {
+            } => disk.write(Write::Configuration {
                 ticket,
                 digest,
                 bytes,
@@ -319,8 +327,10 @@
             Effect::KeepDepartures { ticket, departures } => {
                 departure_log.write(ticket, departures)
             }
-            Effect::DropSetup { digest } => disk.write(Write::DropSetup { digest }),
-            Effect::Answer { token, answer } => {
+            Effect::DeleteConfiguration { digest } => {
+                disk.write(Write::DeleteConfiguration { digest })
+            }
+            Effect::ControlResponse { token, answer } => {
                 answers
                     .remove(&token)
                     .into_iter()
@@ -338,8 +348,8 @@
                 log::debug!("rounds: {} members", book.len());
                 links.learn(book);
             }
-            Effect::Note(text) => log::info!("office: {text}"),
-            Effect::Alarm(text) => log::error!("office: {text}"),
+            Effect::Log(text) => log::info!("office: {text}"),
+            Effect::LogError(text) => log::error!("office: {text}"),
             _ => {}
         }
     }
@@ -347,7 +357,7 @@
 
 /// Tells the core what the disk reports.
 fn report_to(
-    events: mpsc::Sender<(Event, Option<oneshot::Sender<Answer>>)>,
+    events: mpsc::Sender<(Event, Option<oneshot::Sender<ControlResponse>>)>,
 ) -> impl Fn(DiskReport) -> bool {
     move |report| {
         let event = match report {
@@ -361,7 +371,9 @@
 }
 
 /// Tells the core which departures are kept.
-fn kept_to(events: mpsc::Sender<(Event, Option<oneshot::Sender<Answer>>)>) -> impl Fn(u64) -> bool {
+fn kept_to(
+    events: mpsc::Sender<(Event, Option<oneshot::Sender<ControlResponse>>)>,
+) -> impl Fn(u64) -> bool {
     move |ticket| {
         events
             .blocking_send((Event::DeparturesKept { ticket }, None))
@@ -371,16 +383,16 @@
 
 /// Opens the data folder. While the disk is full or failing it is tried again; what only an operator can mend ends the
 /// start. None where the process is told to end first.
-async fn open_storage(folder: &str) -> Result<Option<(Storage, Contents)>, Report<NoStart>> {
-    let unopened = || NoStart::new(format!("data: {folder} can't be used"));
+async fn open_storage(folder: &str) -> Result<Option<(Storage, Contents)>, Report<StartError>> {
+    let unopened = || StartError::new(format!("data: {folder} can't be used"));
     let mut stop = std::pin::pin!(transport::stop_signal());
-    let (path, pauses) = (PathBuf::from(folder), Pauses::default());
+    let (path, pauses) = (PathBuf::from(folder), RetryBackoff::default());
     for failures in 1.. {
         let path = path.clone();
         let opened = tokio::task::spawn_blocking(move || Storage::open(&path)).await;
         let failure = match opened.change_context_lazy(unopened)? {
             Ok(opened) => return Ok(Some(opened)),
-            Err(failure) if failure.current_context().trouble() != Trouble::Failing => {
+            Err(failure) if failure.current_context().trouble() != FailureKind::Failing => {
                 return Err(failure.change_context(unopened()));
             }
             Err(failure) => failure,
@@ -398,20 +410,22 @@
     Ok(None)
 }
 
-async fn serve(shared: Arc<Shared>, enquiry: Enquiry) -> Response<Full<Bytes>> {
+async fn serve(shared: Arc<Shared>, enquiry: HttpRequest) -> Response<Full<Bytes>> {
     shared.asked.fetch_add(1, Ordering::Relaxed);
     match (enquiry.method.as_str(), enquiry.path.as_str()) {
-        ("GET", "/live") => transport::verdict(ResultCode::Fine, None),
+        ("GET", "/live") => transport::result_response(ResultCode::Success, None),
         ("GET", "/ready") if shared.closing.load(Ordering::Relaxed) => {
-            transport::verdict(ResultCode::Closing, None)
+            transport::result_response(ResultCode::ShuttingDown, None)
         }
         ("GET", "/ready") if shared.ready.load(Ordering::Relaxed) => {
-            transport::verdict(ResultCode::Fine, None)
+            transport::result_response(ResultCode::Success, None)
+        }
+        ("GET", "/ready") => {
+            transport::result_response(ResultCode::StaleView, Some(Duration::from_secs(1)))
         }
-        ("GET", "/ready") => transport::verdict(ResultCode::Stale, Some(Duration::from_secs(1))),
         ("GET", "/counters") => {
-            let count = |counter: &AtomicU64| Sheet::from(counter.load(Ordering::Relaxed));
-            let sheet = Sheet::fields([
+            let count = |counter: &AtomicU64| JsonValue::from(counter.load(Ordering::Relaxed));
+            let json = JsonValue::fields([
                 ("asked", count(&shared.asked)),
                 ("parcels", count(&shared.parcels)),
                 ("diskWrites", count(&shared.disk.writes)),
@@ -425,37 +439,40 @@
                 ),
                 ("diskDamaged", shared.damaged.into()),
             ]);
-            transport::json(ResultCode::Fine, &sheet)
+            transport::json_response(ResultCode::Success, &json)
         }
-        _ => match (shared.dialect.ask)(&enquiry) {
+        _ => match (shared.api_adapter.ask)(&enquiry) {
             Ok(ask) => put(&shared, ask, &enquiry.target).await,
-            Err((code, complaints)) => (shared.dialect.show)(Answer::Denied { code, complaints }),
+            Err((code, validation_errors)) => (shared.api_adapter.show)(ControlResponse::Denied {
+                code,
+                validation_errors,
+            }),
         },
     }
 }
 
-async fn put(shared: &Shared, ask: Ask, target: &str) -> Response<Full<Bytes>> {
+async fn put(shared: &Shared, ask: ControlRequest, target: &str) -> Response<Full<Bytes>> {
     let token = shared.tokens.fetch_add(1, Ordering::Relaxed);
     let (answer, answered) = oneshot::channel();
-    let event = (Event::Ask { token, ask }, Some(answer));
+    let event = (Event::ControlRequest { token, ask }, Some(answer));
     if shared.events.try_send(event).is_err() {
-        return (shared.dialect.show)(Answer::Verdict {
-            code: ResultCode::SetupCrowded,
-            edition: 0,
+        return (shared.api_adapter.show)(ControlResponse::Verdict {
+            code: ResultCode::TooManyPendingChanges,
+            revision: 0,
         });
     }
     let answered = tokio::time::timeout(ASK_WITHIN, answered)
         .await
         .ok()
         .and_then(Result::ok);
-    let answer = match answered.unwrap_or(Answer::Verdict {
-        code: ResultCode::SetupUnknown,
-        edition: 0,
+    let answer = match answered.unwrap_or(ControlResponse::Verdict {
+        code: ResultCode::ChangeOutcomeUnknown,
+        revision: 0,
     }) {
-        Answer::Redirect { to } => Answer::Redirect {
+        ControlResponse::Redirect { to } => ControlResponse::Redirect {
             to: format!("http://{to}{target}"),
         },
         other => other,
     };
-    (shared.dialect.show)(answer)
+    (shared.api_adapter.show)(answer)
 }
--- a/crates/control-plane/src/updates.rs
+++ b/crates/control-plane/src/updates.rs
@@ -2,14 +2,14 @@
 
 use crate::node::{ControlNode, Effect};
 use protocol::{
-    CarrierAck, ClusterState, Freshness, Payload, Placement, UpdateAck, UpdateRequest, Upstream,
+    ClusterState, DataPlaneAck, Freshness, Payload, Placement, UpdateAck, UpdateRequest, Upstream,
     ViewUpdate,
 };
 use std::sync::Arc;
 use std::time::Duration;
 
 const NEWS_EVERY: Duration = Duration::from_millis(100);
-const MOST_READERS: usize = 4096;
+const MAX_READERS: usize = 4096;
 /// A carrier that did not ask for so long has gone elsewhere.
 const READER_PATIENCE: Duration = Duration::from_secs(5);
 
@@ -23,7 +23,7 @@
     /// False while its snapshot leaves the upstreams it knows as they are: this node does not know them all yet.
     whole: bool,
     /// The edition in force there, as acknowledged.
-    pub(crate) edition: u64,
+    pub(crate) revision: u64,
 }
 
 /// The changes to the new placement, worked out once for all readers that were told the same one.
@@ -60,7 +60,7 @@
         });
         // Acknowledgements run behind by what is on the way; a real gap shows at the carrier, which then
         // asks with stream 0.
-        if !known && self.readers.len() < MOST_READERS {
+        if !known && self.readers.len() < MAX_READERS {
             self.send_snapshot(now, &from, ask.nonce);
         }
         let age_ms = self.confirmation_age_ms(now).unwrap_or(u64::MAX);
@@ -71,7 +71,7 @@
                 age_ms,
                 stream: reader.stream,
                 number: reader.number,
-                edition: self.register.state().edition,
+                revision: self.register.state().revision,
             };
             self.effects.push_back(Effect::Send {
                 to: from,
@@ -89,17 +89,17 @@
         self.counts.images += 1;
         let stream = self.random.next_u64().max(1);
         let state = carrier_state(self.register.state());
-        let (placement, edition, whole) =
+        let (placement, revision, whole) =
             (Arc::new(self.bare_placement(now)), 0, self.is_settled(now));
         // What it keeps of before must not hold those that departed meanwhile.
-        let departed = self.roll.departed().filter(|_| !whole);
+        let departed = self.registry.departed().filter(|_| !whole);
         let snapshot = ViewUpdate {
             stream,
             number: 0,
-            setup: self.register.squeezed_setup(),
+            configuration: self.register.compressed_configuration(),
             state: Some(state.clone()),
             upstreams: self
-                .roll
+                .registry
                 .all(now)
                 .into_iter()
                 .chain(departed)
@@ -117,7 +117,7 @@
             state,
             placement,
             whole,
-            edition,
+            revision,
         };
         self.readers.insert(to.to_owned(), reader);
         self.effects.push_back(Effect::Send {
@@ -136,14 +136,14 @@
     }
 
     fn tell_news(&mut self, now: Duration) {
-        let changed: Vec<Upstream> = self.roll.changes(now).into_iter().map(plain).collect();
+        let changed: Vec<Upstream> = self.registry.changes(now).into_iter().map(plain).collect();
         let current = &self.register.state().digest;
         let wanted = self
             .readers
             .values()
             .any(|reader| reader.state.digest != *current);
-        let squeezed = if wanted {
-            self.register.squeezed_setup()
+        let compressed = if wanted {
+            self.register.compressed_configuration()
         } else {
             None
         };
@@ -157,12 +157,12 @@
             let new_word = Some(&state).filter(|state| **state != reader.state);
             let new_setup = new_word
                 .filter(|state| state.digest != reader.state.digest)
-                .and(squeezed.as_ref());
+                .and(compressed.as_ref());
             let news = ViewUpdate {
                 stream: reader.stream,
                 number: reader.number + 1,
                 state: new_word.cloned(),
-                setup: new_setup.cloned(),
+                configuration: new_setup.cloned(),
                 upstreams: changed.clone(),
                 placement: changes.since(&reader.placement),
                 keeps_upstreams: false,
@@ -194,7 +194,7 @@
         bare.reservations
             .iter_mut()
             .for_each(|reservation| reservation.age_ms = 0);
-        bare.marks.iter_mut().for_each(|mark| mark.age_ms = 0);
+        bare.tombstones.iter_mut().for_each(|mark| mark.age_ms = 0);
         bare
     }
 
@@ -204,34 +204,34 @@
             .get_mut(from)
             .filter(|reader| reader.stream == kept.stream);
         let newer = reader
-            .filter(|reader| reader.edition < kept.edition)
+            .filter(|reader| reader.revision < kept.revision)
             .map(|reader| {
-                reader.edition = kept.edition;
-                CarrierAck {
+                reader.revision = kept.revision;
+                DataPlaneAck {
                     node: from.to_owned(),
-                    edition: kept.edition,
+                    revision: kept.revision,
                 }
             });
         newer.into_iter().for_each(|kept| {
-            self.tell_postmasters(Payload::CarrierAck(kept.clone()));
+            self.tell_postmasters(Payload::DataPlaneAck(kept.clone()));
             self.carrier_kept(kept);
         });
     }
 
-    pub(crate) fn carrier_kept(&mut self, kept: CarrierAck) {
+    pub(crate) fn carrier_kept(&mut self, kept: DataPlaneAck) {
         let known = self.members.iter().any(|member| member.node == kept.node);
-        let edition = kept.edition;
+        let revision = kept.revision;
         Some(kept.node)
             .filter(|_| known)
             .into_iter()
             .for_each(|node| {
                 let last = self.kept.entry(node).or_insert(0);
-                *last = edition.max(*last);
+                *last = revision.max(*last);
             });
     }
 
     /// True where every carrier that membership knows has acknowledged this edition to some postmaster.
-    pub(crate) fn all_kept(&self, edition: u64) -> bool {
+    pub(crate) fn all_kept(&self, revision: u64) -> bool {
         let mut carriers = self
             .members
             .iter()
@@ -239,7 +239,7 @@
         carriers.all(|member| {
             self.kept
                 .get(&member.node)
-                .is_some_and(|kept| *kept >= edition)
+                .is_some_and(|kept| *kept >= revision)
         })
     }
 }
@@ -247,14 +247,14 @@
 /// What carriers need of the state: what is remembered of orders stays with the voters.
 fn carrier_state(state: &ClusterState) -> ClusterState {
     let ClusterState {
-        edition,
+        revision,
         digest,
         evacuated,
         number,
         ..
     } = state;
     ClusterState {
-        edition: *edition,
+        revision: *revision,
         digest: digest.clone(),
         evacuated: evacuated.clone(),
         number: *number,
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -5,8 +5,8 @@
 //! of voters stays: a voter loses its vote only to a node that takes its place. So a zone or region that is lost takes no
 //! votes along, and the nodes that are left never decide that they are enough.
 
-use crate::node::{Answer, ControlNode, Effect};
-use config::Sheet;
+use crate::node::{ControlNode, ControlResponse, Effect};
+use config::JsonValue;
 use membership::ALIVE;
 use protocol::majority;
 use protocol::{Payload, VoterLeaving};
@@ -94,7 +94,7 @@
             .filter(|voter| *voter != gone)
             .collect();
         voters.push(successor.clone());
-        self.effects.push_back(Effect::Note(format!(
+        self.effects.push_back(Effect::Log(format!(
             "voters: {successor} takes the place of {gone}"
         )));
         self.propose(now, Change::BeginVoters { epoch, voters });
@@ -108,9 +108,9 @@
         add: Option<String>,
         remove: Option<String>,
     ) {
-        let edition = self.edition();
+        let revision = self.revision();
         match self.voters_after(now, add, remove) {
-            Err(code) => self.answer(token, Answer::Verdict { code, edition }),
+            Err(code) => self.answer(token, ControlResponse::Verdict { code, revision }),
             Ok(voters) => {
                 let epoch = self.register.state().voter_set.epoch;
                 self.change(now, token, Change::BeginVoters { epoch, voters }, None);
@@ -125,10 +125,10 @@
         remove: Option<String>,
     ) -> Result<Vec<String>, ResultCode> {
         if !self.is_current(now) {
-            return Err(ResultCode::Stale);
+            return Err(ResultCode::StaleView);
         }
         if !self.may_begin_change(now) {
-            return Err(ResultCode::VotersBusy);
+            return Err(ResultCode::VoterChangePending);
         }
         let voters = &self.register.state().voter_set.voters;
         let unknown = remove.as_ref().is_some_and(|node| !voters.contains(node));
@@ -136,7 +136,7 @@
             .as_ref()
             .is_some_and(|node| !self.candidates(now).contains(node) || !self.has_caught_up(node));
         if unknown || unfit {
-            return Err(ResultCode::VoterUnfit);
+            return Err(ResultCode::UnsuitableVoter);
         }
         let kept = voters
             .iter()
@@ -148,7 +148,7 @@
             .filter(|voter| self.has_caught_up(voter))
             .count();
         if after.is_empty() || caught_up < majority(after.len()) {
-            Err(ResultCode::VoterUnfit)
+            Err(ResultCode::UnsuitableVoter)
         } else {
             Ok(after)
         }
@@ -266,7 +266,7 @@
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
-    /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
+    /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// let mut control = control_plane::ControlNode::new(start);
     /// assert!(!control.may_end());
     /// control.step(Default::default(), control_plane::Event::Close);
@@ -281,7 +281,7 @@
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
-    /// #     durable: Default::default(), setups: Default::default(), departures: vec![], times };
+    /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert!(control_plane::ControlNode::new(start).voters().is_empty());
     /// ```
     pub fn voters(&self) -> Vec<String> {
@@ -289,7 +289,7 @@
     }
 
     /// The voters and the control nodes beside them, for the status page.
-    pub(crate) fn show_voters(&self, now: Duration) -> Sheet {
+    pub(crate) fn show_voters(&self, now: Duration) -> JsonValue {
         let voter_set = self.register.voter_set();
         let role = |node: &str| match (
             voter_set.voters.iter().any(|voter| voter == node),
@@ -323,18 +323,18 @@
             } else {
                 self.register.synced_round(node)
             };
-            Sheet::fields([
+            JsonValue::fields([
                 ("node", node.as_str().into()),
                 ("role", role(node).into()),
                 ("silentMs", silent_ms.into()),
                 (
                     "syncedRound",
-                    synced.map(Sheet::from).unwrap_or(Sheet::Null),
+                    synced.map(JsonValue::from).unwrap_or(JsonValue::Null),
                 ),
                 ("caughtUp", self.has_caught_up(node).into()),
             ])
         });
-        Sheet::fields([
+        JsonValue::fields([
             ("epoch", voter_set.epoch.into()),
             ("members", rows.collect()),
         ])
--- a/crates/control-plane/tests/anonymous_orders.rs
+++ b/crates/control-plane/tests/anonymous_orders.rs
@@ -2,23 +2,23 @@
 
 mod site;
 
-use control_plane::{Answer, Ask, Event};
+use control_plane::{ControlRequest, ControlResponse, Event};
 use result_code::ResultCode;
 use site::{Site, site};
 use std::time::Duration;
 
 /// The code of the answer to an order to evacuate, after a moment.
 fn evacuated(site: &mut Site, back: bool) -> Option<ResultCode> {
-    let ask = Ask::Evacuate {
+    let ask = ControlRequest::Evacuate {
         id: Default::default(),
         locality: "north/n1".into(),
         back,
         in_force: false,
     };
-    site.step(Event::Ask { token: 1, ask });
+    site.step(Event::ControlRequest { token: 1, ask });
     site.run(Duration::from_millis(100));
     site.answers.pop().and_then(|answer| match answer {
-        Answer::Verdict { code, .. } => Some(code),
+        ControlResponse::Verdict { code, .. } => Some(code),
         _ => None,
     })
 }
@@ -26,25 +26,25 @@
 #[test]
 fn an_evacuation_without_an_id_is_begun_and_ended() {
     let mut site = site();
-    let before = site.control.edition();
-    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Fine));
-    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Fine));
-    assert_eq!(evacuated(&mut site, true), Some(ResultCode::Fine));
-    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Fine));
-    assert_eq!(site.control.edition(), before + 3);
+    let before = site.control.revision();
+    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Success));
+    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Success));
+    assert_eq!(evacuated(&mut site, true), Some(ResultCode::Success));
+    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Success));
+    assert_eq!(site.control.revision(), before + 3);
 }
 
 #[test]
 fn a_node_that_stood_still_takes_none_for_a_moment() {
     let mut site = site();
-    let before = site.control.edition();
+    let before = site.control.revision();
     site.now += Duration::from_secs(3);
     assert_eq!(
         evacuated(&mut site, false),
-        Some(ResultCode::Stale),
+        Some(ResultCode::StaleView),
         "it may be three seconds old"
     );
-    assert_eq!(site.control.edition(), before);
+    assert_eq!(site.control.revision(), before);
     site.run(Duration::from_millis(500));
-    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Fine));
+    assert_eq!(evacuated(&mut site, false), Some(ResultCode::Success));
 }
