--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -1,11 +1,11 @@
 //! What a control node answers while it is cut off from the others: nothing is confirmed, handed out or acknowledged
 //! without contact with a majority since the question came, and the caller hears so at once.
 
-use control_plane::{Answer, Ask, ControlNode, Effect, Event, Start};
+use control_plane::{ControlNode, ControlRequest, ControlResponse, Effect, Event, Start};
 use name_directory::View;
 use protocol::{
-    ClusterState, Departure, DurableState, Heard, Member, Payload, Probe, UpdateRequest, Upstream,
-    ViewUpdate, VoterSet,
+    ClusterState, Departure, DurableState, Member, Payload, Probe, ProbeReply, UpdateRequest,
+    Upstream, ViewUpdate, VoterSet,
 };
 use quorum_register::OrderId;
 use result_code::ResultCode;
@@ -31,7 +31,7 @@
     /// Messages that get lost, beside the cuts.
     loses: fn(usize, usize, &Payload) -> bool,
     queue: VecDeque<(u64, usize, Event)>,
-    answers: BTreeMap<u64, (u64, Answer)>,
+    answers: BTreeMap<u64, (u64, ControlResponse)>,
     next_token: u64,
     /// When each node was started: its clock begins there.
     started: [u64; NODES.len()],
@@ -101,21 +101,21 @@
                 body: Payload::Probe(probe),
             } => {
                 // Everybody is there, whatever is cut: membership is no matter of these tests.
-                let heard = Heard {
+                let heard = ProbeReply {
                     nonce: probe.nonce,
                     node: address.clone(),
-                    ..Heard::default()
+                    ..ProbeReply::default()
                 };
                 self.queue.push_back((
                     self.now + DELAY,
                     at,
                     Event::Datagram {
                         address,
-                        body: Payload::Heard(heard),
+                        body: Payload::ProbeReply(heard),
                     },
                 ));
             }
-            Effect::Keep { ticket, .. } | Effect::KeepSetup { ticket, .. } => {
+            Effect::Keep { ticket, .. } | Effect::StoreConfiguration { ticket, .. } => {
                 self.queue
                     .push_back((self.now + 1, at, Event::Kept { ticket }));
             }
@@ -124,7 +124,7 @@
                 self.queue
                     .push_back((self.now + 1, at, Event::DeparturesKept { ticket }));
             }
-            Effect::Answer { token, answer } => {
+            Effect::ControlResponse { token, answer } => {
                 self.answers.insert(token, (self.now, answer));
             }
             _ => {}
@@ -166,22 +166,22 @@
     }
 
     /// Asks a node; the token of the answer to come.
-    fn ask(&mut self, at: usize, ask: Ask) -> u64 {
+    fn ask(&mut self, at: usize, ask: ControlRequest) -> u64 {
         self.next_token += 1;
         let token = self.next_token;
-        self.step(at, Event::Ask { token, ask });
+        self.step(at, Event::ControlRequest { token, ask });
         token
     }
 
     /// What a caller hears within its patience.
-    fn answer(&mut self, at: usize, ask: Ask) -> Option<Answer> {
+    fn answer(&mut self, at: usize, ask: ControlRequest) -> Option<ControlResponse> {
         let token = self.ask(at, ask);
         self.run_for(SILENCE);
         self.answers.remove(&token).map(|(_, answer)| answer)
     }
 
     /// What a caller hears at once: before another node could have been asked.
-    fn answer_at_once(&mut self, at: usize, ask: Ask) -> Option<Answer> {
+    fn answer_at_once(&mut self, at: usize, ask: ControlRequest) -> Option<ControlResponse> {
         let token = self.ask(at, ask);
         self.run_for(TICK);
         self.answers.remove(&token).map(|(_, answer)| answer)
@@ -264,10 +264,12 @@
 
     /// What a node knows of an instance.
     fn condition(&mut self, at: usize, instance: &str) -> Option<String> {
-        let Some(Answer::Sheet(sheet)) = self.answer_at_once(at, Ask::Upstreams) else {
+        let Some(ControlResponse::JsonValue(json)) =
+            self.answer_at_once(at, ControlRequest::Upstreams)
+        else {
             return None;
         };
-        let config::Sheet::List(rows) = sheet else {
+        let config::JsonValue::List(rows) = json else {
             return None;
         };
         let row = rows
@@ -310,7 +312,7 @@
             accepted,
             ..DurableState::default()
         },
-        setups: Default::default(),
+        configurations: Default::default(),
         departures,
         times: control_plane::shell::times(&settings),
     })
@@ -329,8 +331,8 @@
     }
 }
 
-fn evacuate(id: &str) -> Ask {
-    Ask::Evacuate {
+fn evacuate(id: &str) -> ControlRequest {
+    ControlRequest::Evacuate {
         id: OrderId::from(id),
         locality: "north/a".into(),
         back: false,
@@ -338,31 +340,33 @@
     }
 }
 
-fn acknowledged(answer: &Option<Answer>) -> bool {
-    let fine = ResultCode::Fine;
-    matches!(answer, Some(Answer::Beat { .. } | Answer::Setup { .. }))
-        || matches!(answer, Some(Answer::Verdict { code, .. }) if *code == fine || *code == ResultCode::NoWord)
+fn acknowledged(answer: &Option<ControlResponse>) -> bool {
+    let fine = ResultCode::Success;
+    matches!(
+        answer,
+        Some(ControlResponse::Beat { .. } | ControlResponse::Configuration { .. })
+    ) || matches!(answer, Some(ControlResponse::Verdict { code, .. }) if *code == fine || *code == ResultCode::NoConfiguration)
 }
 
 /// Every question whose answer confirms, acknowledges or hands out something.
-fn questions(turn: u64) -> Vec<Ask> {
+fn questions(turn: u64) -> Vec<ControlRequest> {
     vec![
-        Ask::ReadSetup,
+        ControlRequest::ReadConfiguration,
         evacuate(&format!("order-{turn}")),
-        Ask::Beat(beat(turn + 2, upstream_registry::READY)),
-        Ask::Beat(Upstream {
+        ControlRequest::Beat(beat(turn + 2, upstream_registry::READY)),
+        ControlRequest::Beat(Upstream {
             instance: "leaver".into(),
             ..beat(turn + 2, upstream_registry::LEAVING)
         }),
-        Ask::SignOff {
+        ControlRequest::SignOff {
             instance: "u".into(),
         },
-        Ask::SignOff {
+        ControlRequest::SignOff {
             instance: "nobody-knows-it".into(),
         },
-        Ask::Upstreams,
-        Ask::Reservations,
-        Ask::Marks,
+        ControlRequest::Upstreams,
+        ControlRequest::Reservations,
+        ControlRequest::Tombstones,
     ]
 }
 
@@ -374,7 +378,7 @@
         let told = format!("{ask:?}");
         let answer = site.answer(at, ask);
         assert!(
-            acknowledged(&answer) || matches!(answer, Some(Answer::Sheet(_))),
+            acknowledged(&answer) || matches!(answer, Some(ControlResponse::JsonValue(_))),
             "{told}: {answer:?}"
         );
     });
@@ -387,7 +391,7 @@
         .for_each(|(hears, speaks)| {
             [true, false].into_iter().for_each(|holder| {
                 let mut site = Site::settled();
-                site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
+                site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
                 let at = if holder {
                     site.holder()
                 } else {
@@ -401,8 +405,8 @@
                     assert!(
                         matches!(
                             answer,
-                            Some(Answer::Verdict {
-                                code: ResultCode::Stale,
+                            Some(ControlResponse::Verdict {
+                                code: ResultCode::StaleView,
                                 ..
                             })
                         ),
@@ -425,7 +429,7 @@
         let answer = site.answer_at_once(at, ask);
         let to = format!("{}:80", NODES[holder]);
         assert!(
-            matches!(&answer, Some(Answer::Redirect { to: told }) if *told == to),
+            matches!(&answer, Some(ControlResponse::Redirect { to: told }) if *told == to),
             "{told}: {answer:?}"
         );
     });
@@ -437,17 +441,17 @@
         .into_iter()
         .for_each(|(hears, speaks)| {
             let mut site = Site::settled();
-            site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
+            site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
             let at = site.bystander();
             site.cut_off(at, hears, speaks);
             let asks = [
-                Ask::ReadSetup,
+                ControlRequest::ReadConfiguration,
                 evacuate("order"),
-                Ask::Beat(beat(2, upstream_registry::LEAVING)),
-                Ask::SignOff {
+                ControlRequest::Beat(beat(2, upstream_registry::LEAVING)),
+                ControlRequest::SignOff {
                     instance: "u".into(),
                 },
-                Ask::SignOff {
+                ControlRequest::SignOff {
                     instance: "nobody-knows-it".into(),
                 },
             ];
@@ -483,8 +487,8 @@
     assert!(
         matches!(
             answer,
-            Answer::Verdict {
-                code: ResultCode::SetupUnknown,
+            ControlResponse::Verdict {
+                code: ResultCode::ChangeOutcomeUnknown,
                 ..
             }
         ),
@@ -545,11 +549,11 @@
                         site.run_for(TICK);
                     }
                     match site.answers.remove(&token).map(|(_, answer)| answer) {
-                        Some(Answer::Verdict {
-                            code: ResultCode::Fine,
+                        Some(ControlResponse::Verdict {
+                            code: ResultCode::Success,
                             ..
                         }) => break site.now - asked_at,
-                        Some(Answer::Redirect { to }) if hops < 2 => {
+                        Some(ControlResponse::Redirect { to }) if hops < 2 => {
                             hops += 1;
                             at = NODES
                                 .iter()
@@ -574,25 +578,26 @@
 #[test]
 fn an_acknowledged_leaving_is_known_to_every_node_that_is_current() {
     let mut site = Site::settled();
-    site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
+    site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
     let other = |at: usize| (at + 1) % NODES.len();
     // What is said of upstreams between two nodes gets lost, both ways; confirmations don't.
     site.loses = |from, to, body| {
         let told = matches!(
             body,
-            Payload::Beats(_) | Payload::Alive(_) | Payload::UpstreamsRequest(_)
+            Payload::Heartbeats(_) | Payload::HeartbeatDigest(_) | Payload::UpstreamsRequest(_)
         );
         told && (from.min(to), from.max(to)) != (1, 2) && (from == 3 || to == 3)
     };
     let at = other(0);
-    assert!(acknowledged(
-        &site.answer(at, Ask::Beat(beat(2, upstream_registry::LEAVING)))
-    ));
+    assert!(acknowledged(&site.answer(
+        at,
+        ControlRequest::Beat(beat(2, upstream_registry::LEAVING))
+    )));
     site.run_for(600);
     assert_eq!(site.condition(3, "u").as_deref(), Some("leaving"));
     assert!(acknowledged(&site.answer(
         at,
-        Ask::SignOff {
+        ControlRequest::SignOff {
             instance: "u".into()
         }
     )));
@@ -609,10 +614,16 @@
     site.cut_off(at, false, false);
     site.cuts.remove(&(at, reached));
     site.cuts.remove(&(reached, at));
-    let answer = site.answer(at, Ask::Beat(beat(2, upstream_registry::LEAVING)));
+    let answer = site.answer(
+        at,
+        ControlRequest::Beat(beat(2, upstream_registry::LEAVING)),
+    );
     assert!(answer.is_some() && !acknowledged(&answer), "{answer:?}");
     // It told whom it could, and that one gets it acknowledged.
-    let token = site.ask(reached, Ask::Beat(beat(3, upstream_registry::LEAVING)));
+    let token = site.ask(
+        reached,
+        ControlRequest::Beat(beat(3, upstream_registry::LEAVING)),
+    );
     let asked_at = site.now;
     site.run_for(200);
     let (answered_at, answer) = site.answers.remove(&token).expect("an answer");
@@ -628,11 +639,11 @@
     let mut site = Site::settled();
     assert!(acknowledged(&site.answer(
         0,
-        Ask::SignOff {
+        ControlRequest::SignOff {
             instance: "u".into()
         }
     )));
-    site.answer(2, Ask::Beat(beat(9, upstream_registry::READY)));
+    site.answer(2, ControlRequest::Beat(beat(9, upstream_registry::READY)));
     site.run_for(600);
     (0..NODES.len()).for_each(|at| {
         let known = site.condition(at, "u");
@@ -648,12 +659,12 @@
 #[test]
 fn what_a_cut_off_node_was_told_is_known_once_it_is_back() {
     let mut site = Site::settled();
-    site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
+    site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
     let at = site.bystander();
     site.cut_off(at, false, false);
     assert!(!acknowledged(&site.answer(
         at,
-        Ask::SignOff {
+        ControlRequest::SignOff {
             instance: "u".into()
         }
     )));
@@ -668,9 +679,9 @@
 
 /// An upstream leaves or signs off at a node; three of five take it in, and it is acknowledged. Then the network parts
 /// those two that nobody else needs from the rest.
-fn departed_with_three_of_five(departure: Ask) -> Site {
+fn departed_with_three_of_five(departure: ControlRequest) -> Site {
     let mut site = Site::settled();
-    site.answer(0, Ask::Beat(beat(1, upstream_registry::READY)));
+    site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
     site.run_for(600);
     site.split(&[3, 4]);
     let token = site.ask(0, departure);
@@ -683,13 +694,13 @@
 }
 
 /// The ways to depart: with beats that go on, without any, and at a node that did not know the upstream.
-fn departures() -> [Ask; 3] {
-    let unknown = Ask::SignOff {
+fn departures() -> [ControlRequest; 3] {
+    let unknown = ControlRequest::SignOff {
         instance: "unknown".into(),
     };
     [
-        Ask::Beat(beat(2, upstream_registry::LEAVING)),
-        Ask::SignOff {
+        ControlRequest::Beat(beat(2, upstream_registry::LEAVING)),
+        ControlRequest::SignOff {
             instance: "u".into(),
         },
         unknown,
@@ -697,9 +708,9 @@
 }
 
 /// What the carrier knows of the upstream of [`departures`].
-fn known_to_the_carrier(departure: &Ask) -> Upstream {
+fn known_to_the_carrier(departure: &ControlRequest) -> Upstream {
     match departure {
-        Ask::SignOff { instance } => Upstream {
+        ControlRequest::SignOff { instance } => Upstream {
             instance: instance.clone(),
             ..beat(1, upstream_registry::READY)
         },
@@ -709,7 +720,11 @@
 
 /// Nodes that vouch to a carrier for a departed upstream, in the two seconds in which its earlier view may still count
 /// and the seconds after, and how long it takes until all of the majority vouch.
-fn vouched_for_after(restarted: &[usize], departure: Ask, forgets: bool) -> (Vec<String>, u64) {
+fn vouched_for_after(
+    restarted: &[usize],
+    departure: ControlRequest,
+    forgets: bool,
+) -> (Vec<String>, u64) {
     let known = known_to_the_carrier(&departure);
     let mut site = departed_with_three_of_five(departure);
     site.forgets_departures = forgets;
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -3,7 +3,7 @@
 #[path = "../../storage/tests/simulated/mod.rs"]
 mod simulated;
 
-use control_plane::disk::{Disk, DiskReport, Pauses, Write, merge};
+use control_plane::disk::{Disk, DiskReport, RetryBackoff, Write, merge};
 use protocol::DurableState;
 use quorum_register::{Change, Effect, Event, Register, Start, Times, VoterPhase};
 use random::Random;
@@ -18,7 +18,7 @@
 
 const FOLDER: &str = "/data";
 const SOON: Duration = Duration::from_secs(20);
-const PAUSES: Pauses = Pauses {
+const PAUSES: RetryBackoff = RetryBackoff {
     first: Duration::from_millis(1),
     longest: Duration::from_millis(4),
 };
@@ -38,7 +38,7 @@
     }
 }
 
-fn setup(number: u64) -> (String, Vec<u8>) {
+fn configuration(number: u64) -> (String, Vec<u8>) {
     let bytes = format!("setup {number}").into_bytes();
     (protocol::digest(&bytes), bytes)
 }
@@ -90,8 +90,8 @@
             "{name}"
         );
         break_it(&files);
-        let (digest, bytes) = setup(2);
-        disk.write(Write::Setup {
+        let (digest, bytes) = configuration(2);
+        disk.write(Write::Configuration {
             ticket: 2,
             digest: digest.clone(),
             bytes,
@@ -119,7 +119,7 @@
                 other => panic!("{name}: {other:?}"),
             }
             let found = after_power_loss(&files);
-            assert!(found.setups.contains_key(&digest), "{name}");
+            assert!(found.configurations.contains_key(&digest), "{name}");
             assert!(
                 synced.last() < Some(&3) || found.durable == state(4),
                 "{name}: {synced:?}"
@@ -186,9 +186,9 @@
     let stall = Stall::of(&files);
     disk.write(write(1));
     stall.wait_until_reached();
-    let (digest, bytes) = setup(0);
+    let (digest, bytes) = configuration(0);
     (2..=400).for_each(|number| match number {
-        300 => disk.write(Write::Setup {
+        300 => disk.write(Write::Configuration {
             ticket: 300,
             digest: digest.clone(),
             bytes: bytes.clone(),
@@ -225,8 +225,8 @@
     disk.write(write(1));
     stall.wait_until_reached();
     (0..400).for_each(|number| {
-        disk.write(Write::DropSetup {
-            digest: setup(number).0,
+        disk.write(Write::DeleteConfiguration {
+            digest: configuration(number).0,
         })
     });
     (2..100).for_each(|number| disk.write(write(number)));
@@ -266,13 +266,13 @@
 impl OneVoter {
     fn new(seed: u64) -> OneVoter {
         let times = Times::default();
-        let (durable, setups) = Default::default();
+        let (durable, configurations) = Default::default();
         let start = Start {
             me: "pm".into(),
             roster_size: 1,
             seed,
             durable,
-            setups,
+            configurations,
             times,
         };
         let register = Register::new(start);
@@ -299,18 +299,20 @@
                 Effect::Keep { ticket, durable } => {
                     self.waiting.push_back(Write::State { ticket, durable })
                 }
-                Effect::KeepSetup {
+                Effect::StoreConfiguration {
                     ticket,
                     digest,
                     bytes,
                 } => {
-                    self.waiting.push_back(Write::Setup {
+                    self.waiting.push_back(Write::Configuration {
                         ticket,
                         digest,
                         bytes,
                     });
                 }
-                Effect::DropSetup { digest } => self.waiting.push_back(Write::DropSetup { digest }),
+                Effect::DeleteConfiguration { digest } => self
+                    .waiting
+                    .push_back(Write::DeleteConfiguration { digest }),
                 _ => {}
             }
         }
@@ -321,19 +323,19 @@
     fn report(&mut self, count: usize) {
         for _ in 0..count {
             match self.waiting.pop_front() {
-                Some(Write::State { ticket, .. } | Write::Setup { ticket, .. }) => {
+                Some(Write::State { ticket, .. } | Write::Configuration { ticket, .. }) => {
                     self.step(Event::Kept { ticket })
                 }
-                Some(Write::DropSetup { .. }) => {}
+                Some(Write::DeleteConfiguration { .. }) => {}
                 None => return,
             }
         }
     }
 
     fn submit(&mut self, number: u64) {
-        let (digest, bytes) = setup(number);
+        let (digest, bytes) = configuration(number);
         self.token += 1;
-        let change = Change::Setup {
+        let change = Change::Configuration {
             id: format!("{number}").into(),
             base: None,
             number: None,
@@ -370,7 +372,7 @@
 #[derive(Default)]
 struct Held {
     state: DurableState,
-    setups: BTreeSet<String>,
+    configurations: BTreeSet<String>,
 }
 
 /// Plays a storm against batches of random length, and looks at the disk after every single write.
@@ -388,17 +390,17 @@
                     held.state = durable;
                     Some(ticket)
                 }
-                Write::Setup { ticket, digest, .. } => {
-                    held.setups.insert(digest);
+                Write::Configuration { ticket, digest, .. } => {
+                    held.configurations.insert(digest);
                     Some(ticket)
                 }
-                Write::DropSetup { digest } => {
-                    held.setups.remove(&digest);
+                Write::DeleteConfiguration { digest } => {
+                    held.configurations.remove(&digest);
                     None
                 }
             };
             let digest = &held.state.accepted.digest;
-            if !digest.is_empty() && !held.setups.contains(digest) {
+            if !digest.is_empty() && !held.configurations.contains(digest) {
                 return Err(format!(
                     "the state on the disk names {digest}, which is not there"
                 ));
--- a/crates/control-plane/tests/gossip.rs
+++ b/crates/control-plane/tests/gossip.rs
@@ -1,8 +1,9 @@
 //! What postmasters tell one another of upstreams, and how lost news is made good.
 
-use control_plane::{Ask, ControlNode, Effect, Event, Start};
+use control_plane::{ControlNode, ControlRequest, Effect, Event, Start};
 use protocol::{
-    Alive, Heard, Member, Message, Payload, Probe, Upstream, UpstreamsReply, UpstreamsRequest,
+    HeartbeatDigest, Member, Message, Payload, Probe, ProbeReply, Upstream, UpstreamsReply,
+    UpstreamsRequest,
 };
 use std::time::Duration;
 
@@ -42,7 +43,7 @@
         roster_size: 4,
         seed: 1,
         durable: Default::default(),
-        setups: Default::default(),
+        configurations: Default::default(),
         departures: vec![],
         times: control_plane::shell::times(&settings),
     });
@@ -86,7 +87,7 @@
         .filter_map(|effect| match effect {
             Effect::Send {
                 to,
-                body: body @ (Payload::Alive(_) | Payload::Beats(_)),
+                body: body @ (Payload::HeartbeatDigest(_) | Payload::Heartbeats(_)),
             } => Some((to, body)),
             Effect::Send {
                 to,
@@ -96,16 +97,16 @@
                 address,
                 body: Payload::Probe(probe),
             } => {
-                let heard = Heard {
+                let heard = ProbeReply {
                     nonce: probe.nonce,
                     node: address.clone(),
-                    ..Heard::default()
+                    ..ProbeReply::default()
                 };
                 control.step(
                     MS(at),
                     Event::Datagram {
                         address,
-                        body: Payload::Heard(heard),
+                        body: Payload::ProbeReply(heard),
                     },
                 );
                 None
@@ -119,9 +120,9 @@
     said(
         control,
         at,
-        Event::Ask {
+        Event::ControlRequest {
             token: at,
-            ask: Ask::Beat(upstream),
+            ask: ControlRequest::Beat(upstream),
         },
     )
 }
@@ -134,10 +135,10 @@
         .collect()
 }
 
-fn batches(said: &[(String, Payload)]) -> Vec<(&str, &Alive)> {
+fn batches(said: &[(String, Payload)]) -> Vec<(&str, &HeartbeatDigest)> {
     said.iter()
         .filter_map(|(to, body)| {
-            if let Payload::Alive(alive) = body {
+            if let Payload::HeartbeatDigest(alive) = body {
                 Some((to.as_str(), alive))
             } else {
                 None
@@ -176,7 +177,7 @@
     );
     assert!(
         told.iter()
-            .all(|(_, body)| matches!(body, Payload::Alive(_))),
+            .all(|(_, body)| matches!(body, Payload::HeartbeatDigest(_))),
         "nothing in full"
     );
     let told: Vec<String> = beat(&mut a, 2500, unit(3, upstream_registry::GONE))
@@ -212,7 +213,7 @@
         let (near_name, other_name) = if to == "c" { ("c", "d") } else { ("d", "c") };
         let event = Event::Received {
             from: "a".into(),
-            body: Payload::Alive(alive.clone()),
+            body: Payload::HeartbeatDigest(alive.clone()),
         };
         let answers = said(near, at + 600, event);
         let ask = answers
@@ -261,7 +262,7 @@
             body: ask.1,
         };
         let record = said(near, at + 604, event).remove(0).1;
-        let Payload::Beats(beats) = &record else {
+        let Payload::Heartbeats(beats) = &record else {
             panic!("{record:?}")
         };
         assert_eq!(
@@ -279,7 +280,7 @@
         // Known now: the same batch asks for nothing more.
         let event = Event::Received {
             from: "a".into(),
-            body: Payload::Alive(alive.clone()),
+            body: Payload::HeartbeatDigest(alive.clone()),
         };
         assert_eq!(said(other, at + 606, event), vec![]);
     });
@@ -303,16 +304,16 @@
     said(
         &mut a,
         2000,
-        Event::Ask {
+        Event::ControlRequest {
             token: 2000,
-            ask: Ask::SignOff {
+            ask: ControlRequest::SignOff {
                 instance: "u".into(),
             },
         },
     );
     let (to, gone) = batch_to_the_south(&ticked(&mut a, 2000, 2600));
     assert_eq!(gone.beats.len(), 1);
-    let age = |alive: &Alive| Alive {
+    let age = |alive: &HeartbeatDigest| HeartbeatDigest {
         ages_ms: vec![0],
         ..alive.clone()
     };
@@ -329,9 +330,9 @@
     said(
         near,
         2500,
-        Event::Ask {
+        Event::ControlRequest {
             token: 2500,
-            ask: Ask::Beat(unit(9, upstream_registry::READY)),
+            ask: ControlRequest::Beat(unit(9, upstream_registry::READY)),
         },
     );
     let answers = said(
@@ -339,13 +340,13 @@
         2600,
         Event::Received {
             from: "a".into(),
-            body: Payload::Alive(gone.clone()),
+            body: Payload::HeartbeatDigest(gone.clone()),
         },
     );
     assert!(
-        answers
-            .iter()
-            .any(|(_, body)| matches!(body, Payload::Alive(on) if on.beats == gone.beats))
+        answers.iter().any(
+            |(_, body)| matches!(body, Payload::HeartbeatDigest(on) if on.beats == gone.beats)
+        )
     );
     let ask = answers
         .into_iter()
@@ -362,7 +363,7 @@
     )
     .remove(0)
     .1;
-    let Payload::Beats(beats) = &record else {
+    let Payload::Heartbeats(beats) = &record else {
         panic!("{record:?}")
     };
     assert_eq!(
@@ -382,7 +383,7 @@
         2603,
         Event::Received {
             from: "a".into(),
-            body: Payload::Alive(gone),
+            body: Payload::HeartbeatDigest(gone),
         },
     );
     assert_eq!(again, vec![], "known now");
--- a/crates/control-plane/tests/keys.rs
+++ b/crates/control-plane/tests/keys.rs
@@ -1,11 +1,11 @@
 //! Numeric keys at a control node that holds the placement lease: who is given what after jumps, restarts and changes
 //! of the lease. One node founds the whole control plane, so nothing but its own state and disk decides.
 
-use control_plane::{Answer, Ask, ControlNode, Effect, Event, Start};
+use control_plane::{ControlNode, ControlRequest, ControlResponse, Effect, Event, Start};
 use key_space::KEY_COUNT;
 use protocol::{
-    DurableState, Holder, Member, Payload, Share, SharesReply, SharesRequest, UpdateRequest,
-    Upstream, ViewUpdate,
+    DurableState, KeyShare, LeaseHolder, Member, Payload, SharesReply, SharesRequest,
+    UpdateRequest, Upstream, ViewUpdate,
 };
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -22,8 +22,8 @@
     control: ControlNode,
     now: Duration,
     durable: DurableState,
-    setups: BTreeMap<String, Vec<u8>>,
-    answers: Vec<(u64, Answer)>,
+    configurations: BTreeMap<String, Vec<u8>>,
+    answers: Vec<(u64, ControlResponse)>,
     asked: Vec<SharesRequest>,
     /// What carriers were told.
     told: Vec<ViewUpdate>,
@@ -34,7 +34,7 @@
 
 fn control(
     durable: DurableState,
-    setups: BTreeMap<String, Vec<u8>>,
+    configurations: BTreeMap<String, Vec<u8>>,
     seed: u64,
     trusts_jumps: bool,
 ) -> ControlNode {
@@ -64,7 +64,7 @@
         reader,
         owners,
         durable,
-        setups,
+        configurations,
         departures: vec![],
         times,
     })
@@ -74,14 +74,14 @@
     /// Founded, with its setup in force, and holding the placement lease.
     fn new(trusts_jumps: bool) -> Self {
         let control = control(DurableState::default(), BTreeMap::new(), 1, trusts_jumps);
-        let (durable, setups) = Default::default();
+        let (durable, configurations) = Default::default();
         let now = Duration::ZERO;
         let (answers, asked, told) = (vec![], vec![], vec![]);
         let mut site = Site {
             control,
             now,
             durable,
-            setups,
+            configurations,
             answers,
             asked,
             told,
@@ -89,15 +89,15 @@
             trusts_jumps,
         };
         site.until_held();
-        let ask = Ask::Submit {
+        let ask = ControlRequest::Submit {
             id: "x".into(),
             base: None,
             bytes: SETUP.into(),
             in_force: false,
         };
-        site.step(Event::Ask { token: 0, ask });
+        site.step(Event::ControlRequest { token: 0, ask });
         site.wait(2000);
-        assert_eq!(site.control.edition(), 1);
+        assert_eq!(site.control.revision(), 1);
         site
     }
 
@@ -121,18 +121,18 @@
                         self.durable = durable;
                         events.push(Event::Kept { ticket });
                     }
-                    Effect::KeepSetup {
+                    Effect::StoreConfiguration {
                         ticket,
                         digest,
                         bytes,
                     } => {
-                        self.setups.insert(digest, bytes);
+                        self.configurations.insert(digest, bytes);
                         events.push(Event::Kept { ticket });
                     }
                     Effect::KeepDepartures { ticket, .. } => {
                         events.push(Event::DeparturesKept { ticket })
                     }
-                    Effect::Answer { token, answer } => self.answers.push((token, answer)),
+                    Effect::ControlResponse { token, answer } => self.answers.push((token, answer)),
                     Effect::Send {
                         body: Payload::SharesRequest(ask),
                         ..
@@ -158,7 +158,7 @@
     fn restart(&mut self) {
         self.control = control(
             self.durable.clone(),
-            self.setups.clone(),
+            self.configurations.clone(),
             2,
             self.trusts_jumps,
         );
@@ -166,21 +166,21 @@
     }
 
     /// What it answers to a heartbeat.
-    fn beat(&mut self, instance: &str, beat: u64, holds: &[Share]) -> Option<Vec<Share>> {
+    fn beat(&mut self, instance: &str, beat: u64, holds: &[KeyShare]) -> Option<Vec<KeyShare>> {
         self.token += 1;
         let unit = unit(instance, beat, holds);
-        self.step(Event::Ask {
+        self.step(Event::ControlRequest {
             token: self.token,
-            ask: Ask::Beat(unit),
+            ask: ControlRequest::Beat(unit),
         });
         match self.answers.pop() {
-            Some((token, Answer::Beat { shares, .. })) if token == self.token => shares,
+            Some((token, ControlResponse::Beat { shares, .. })) if token == self.token => shares,
             other => panic!("no answer: {other:?}"),
         }
     }
 }
 
-fn unit(instance: &str, beat: u64, holds: &[Share]) -> Upstream {
+fn unit(instance: &str, beat: u64, holds: &[KeyShare]) -> Upstream {
     Upstream {
         service: "account".into(),
         instance: instance.into(),
@@ -193,7 +193,7 @@
     }
 }
 
-fn keys(shares: &Option<Vec<Share>>) -> u32 {
+fn keys(shares: &Option<Vec<KeyShare>>) -> u32 {
     shares
         .iter()
         .flatten()
@@ -290,11 +290,11 @@
     let second = site.beat("v", 1, &[]).expect("all have run out")[0].epoch;
     assert!(second >> 24 > first >> 24, "{first} {second}");
     // A fence that this lease never gave is not believed.
-    let forged = Share {
+    let forged = KeyShare {
         from: 0,
         until: KEY_COUNT,
         epoch: second + 5,
-        ..Share::default()
+        ..KeyShare::default()
     };
     assert_eq!(keys(&site.beat("w", 1, &[forged])), 0);
 }
@@ -305,20 +305,20 @@
     let follower = |site: &mut Site| {
         site.step(Event::Received {
             from: "b".into(),
-            body: Payload::Holder(Holder { epoch: 1000 }),
+            body: Payload::LeaseHolder(LeaseHolder { epoch: 1000 }),
         });
-        site.step(Event::Ask {
+        site.step(Event::ControlRequest {
             token: 70,
-            ask: Ask::Beat(unit("u", 1, &[])),
+            ask: ControlRequest::Beat(unit("u", 1, &[])),
         });
         site.asked.pop().expect("it asks the holder").nonce
     };
     let reply = |nonce| {
-        let shares = vec![Share {
+        let shares = vec![KeyShare {
             until: KEY_COUNT,
             epoch: 1000 << 24,
             instance: "u".into(),
-            ..Share::default()
+            ..KeyShare::default()
         }];
         let reply = SharesReply {
             nonce,
@@ -345,7 +345,7 @@
             &site.answers[..],
             [(
                 70,
-                Answer::Beat {
+                ControlResponse::Beat {
                     shares: Some(_),
                     ..
                 }
@@ -367,15 +367,15 @@
         KEY_COUNT,
         "the founder gives at once"
     );
-    site.step(Event::Ask {
+    site.step(Event::ControlRequest {
         token: 99,
-        ask: Ask::SignOff {
+        ask: ControlRequest::SignOff {
             instance: "u".into(),
         },
     });
     let (token, answer) = site.answers.pop().expect("the sign-off is answered");
     assert!(
-        token == 99 && matches!(answer, Answer::Beat { .. }),
+        token == 99 && matches!(answer, ControlResponse::Beat { .. }),
         "{answer:?}"
     );
     site.wait(waited_ms);
@@ -406,13 +406,13 @@
     let width = KEY_COUNT / (UPSTREAMS * ROWS);
     (0..UPSTREAMS).for_each(|upstream| {
         let from = |row| (row * UPSTREAMS + upstream) * width;
-        let row = |row| Share {
+        let row = |row| KeyShare {
             from: from(row),
             until: from(row) + width,
             epoch: 1 << 24,
-            ..Share::default()
+            ..KeyShare::default()
         };
-        let holds: Vec<Share> = (0..ROWS).map(row).collect();
+        let holds: Vec<KeyShare> = (0..ROWS).map(row).collect();
         site.beat(&format!("u-{upstream}"), 1, &holds);
     });
     let begun_at = Instant::now();
--- a/crates/control-plane/tests/limits.rs
+++ b/crates/control-plane/tests/limits.rs
@@ -2,5 +2,8 @@
 
 #[test]
 fn the_largest_setup_that_is_read_can_travel() {
-    assert_eq!(protocol::MOST_SETUP_BYTES, config::MOST_SETUP_BYTES);
+    assert_eq!(
+        protocol::MAX_CONFIGURATION_BYTES,
+        config::MAX_CONFIGURATION_BYTES
+    );
 }
--- a/crates/control-plane/tests/repair.rs
+++ b/crates/control-plane/tests/repair.rs
@@ -1,22 +1,24 @@
 //! A node whose disk lacks what its state names says so, and takes it from the others.
 
-use config::Sheet;
-use control_plane::{Answer, Ask, ControlNode, Effect, Event, Start};
-use protocol::{ClusterState, DurableState, Member, Payload, SetupAsk, SetupBytes, VoterSet};
+use config::JsonValue;
+use control_plane::{ControlNode, ControlRequest, ControlResponse, Effect, Event, Start};
+use protocol::{
+    ClusterState, ConfigurationBytes, ConfigurationRequest, DurableState, Member, Payload, VoterSet,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 const SETUP: &[u8] = br#"{"services": {}, "routes": []}"#;
 
 /// A voter whose state names a setup, with or without its bytes.
-fn start(setups: BTreeMap<String, Vec<u8>>) -> ControlNode {
+fn start(configurations: BTreeMap<String, Vec<u8>>) -> ControlNode {
     let roster: Vec<String> = ["pm-1", "pm-2", "pm-3"].map(String::from).to_vec();
     let voter_set = VoterSet {
         voters: roster.clone(),
         ..Default::default()
     };
     let accepted = ClusterState {
-        edition: 3,
+        revision: 3,
         digest: protocol::digest(SETUP),
         voter_set,
         ..Default::default()
@@ -42,7 +44,7 @@
         reader: Default::default(),
         owners: Default::default(),
         durable,
-        setups,
+        configurations,
         departures: vec![],
         times: control_plane::shell::times(&settings),
     })
@@ -51,33 +53,33 @@
 fn alarms(effects: &[Effect]) -> usize {
     effects
         .iter()
-        .filter(|effect| matches!(effect, Effect::Alarm(_)))
+        .filter(|effect| matches!(effect, Effect::LogError(_)))
         .count()
 }
 
 fn repairs(effects: &[Effect]) -> usize {
     effects
         .iter()
-        .filter(|effect| matches!(effect, Effect::Note(text) if text.starts_with("repaired")))
+        .filter(|effect| matches!(effect, Effect::Log(text) if text.starts_with("repaired")))
         .count()
 }
 
-fn status(control: &mut ControlNode, now: Duration) -> Sheet {
+fn status(control: &mut ControlNode, now: Duration) -> JsonValue {
     let effects = control.step(
         now,
-        Event::Ask {
+        Event::ControlRequest {
             token: 1,
-            ask: Ask::Status,
+            ask: ControlRequest::Status,
         },
     );
-    let sheet = effects.into_iter().find_map(|effect| match effect {
-        Effect::Answer {
-            answer: Answer::Sheet(sheet),
+    let json = effects.into_iter().find_map(|effect| match effect {
+        Effect::ControlResponse {
+            answer: ControlResponse::JsonValue(json),
             ..
-        } => Some(sheet),
+        } => Some(json),
         _ => None,
     });
-    sheet.unwrap()
+    json.unwrap()
 }
 
 #[test]
@@ -88,10 +90,10 @@
     assert_eq!(alarms(&effects), 1);
     assert_eq!(
         status(&mut control, ms(2)).get("setupMissing"),
-        Some(&Sheet::Truth(true))
+        Some(&JsonValue::Truth(true))
     );
     let digest = protocol::digest(SETUP);
-    let asks = |effect: &&Effect| matches!(effect, Effect::Send { body: Payload::SetupAsk(SetupAsk { digest: asked }), .. } if *asked == digest);
+    let asks = |effect: &&Effect| matches!(effect, Effect::Send { body: Payload::ConfigurationRequest(ConfigurationRequest { digest: asked }), .. } if *asked == digest);
     assert_eq!(
         effects.iter().filter(asks).count(),
         2,
@@ -100,9 +102,9 @@
     let again = control.step(ms(900), Event::Tick);
     assert_eq!(alarms(&again), 0, "once is enough");
     assert_eq!(again.iter().filter(asks).count(), 2, "until one has them");
-    let body = Payload::SetupBytes(SetupBytes {
+    let body = Payload::ConfigurationBytes(ConfigurationBytes {
         digest: digest.clone(),
-        squeezed: protocol::squeeze(SETUP),
+        compressed: protocol::compress(SETUP),
     });
     let effects = control.step(
         ms(950),
@@ -114,13 +116,13 @@
     assert!(
         effects
             .iter()
-            .any(|effect| matches!(effect, Effect::KeepSetup { .. }))
+            .any(|effect| matches!(effect, Effect::StoreConfiguration { .. }))
     );
     let effects = control.step(ms(1000), Event::Tick);
     assert_eq!(repairs(&effects), 1);
     assert_eq!(
         status(&mut control, ms(1001)).get("setupMissing"),
-        Some(&Sheet::Truth(false))
+        Some(&JsonValue::Truth(false))
     );
 }
 
@@ -131,7 +133,7 @@
     assert_eq!(alarms(&effects), 0);
     assert_eq!(
         status(&mut control, Duration::from_millis(2)).get("setupMissing"),
-        Some(&Sheet::Truth(false))
+        Some(&JsonValue::Truth(false))
     );
 }
 
--- a/crates/control-plane/tests/site/mod.rs
+++ b/crates/control-plane/tests/site/mod.rs
@@ -1,7 +1,7 @@
 //! A site of one voter, for tests.
 #![allow(dead_code, reason = "not every test uses all of it")]
 
-use control_plane::{Answer, Ask, ControlNode, Effect, Event, Start};
+use control_plane::{ControlNode, ControlRequest, ControlResponse, Effect, Event, Start};
 use protocol::{Member, Payload, UpdateRequest, ViewUpdate};
 use result_code::ResultCode;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 pub struct Site {
     pub control: ControlNode,
     pub now: Duration,
-    pub answers: Vec<Answer>,
+    pub answers: Vec<ControlResponse>,
     pub updates: Vec<ViewUpdate>,
 }
 
@@ -36,7 +36,7 @@
             roster_size: 1,
             seed: 1,
             durable: Default::default(),
-            setups: Default::default(),
+            configurations: Default::default(),
             departures: vec![],
             times: control_plane::shell::times(&settings),
         });
@@ -51,11 +51,11 @@
     pub fn step(&mut self, event: Event) {
         let effects = self.control.step(self.now, event);
         effects.into_iter().for_each(|effect| match effect {
-            Effect::Keep { ticket, .. } | Effect::KeepSetup { ticket, .. } => {
+            Effect::Keep { ticket, .. } | Effect::StoreConfiguration { ticket, .. } => {
                 self.step(Event::Kept { ticket })
             }
             Effect::KeepDepartures { ticket, .. } => self.step(Event::DeparturesKept { ticket }),
-            Effect::Answer { answer, .. } => self.answers.push(answer),
+            Effect::ControlResponse { answer, .. } => self.answers.push(answer),
             Effect::Send {
                 body: Payload::ViewUpdate(update),
                 ..
@@ -72,13 +72,13 @@
         }
     }
 
-    pub fn order(&mut self, ask: Ask) {
-        self.step(Event::Ask { token: 1, ask });
+    pub fn order(&mut self, ask: ControlRequest) {
+        self.step(Event::ControlRequest { token: 1, ask });
         self.run(Duration::from_millis(100));
         let fine = matches!(
             self.answers.pop(),
-            Some(Answer::Verdict {
-                code: ResultCode::Fine,
+            Some(ControlResponse::Verdict {
+                code: ResultCode::Success,
                 ..
             })
         );
@@ -87,7 +87,7 @@
 
     pub fn evacuate(&mut self, at: usize, back: bool) {
         let id = format!("evacuation-{at}").into();
-        self.order(Ask::Evacuate {
+        self.order(ControlRequest::Evacuate {
             id,
             locality: "north/n1".into(),
             back,
@@ -109,7 +109,7 @@
 pub fn site() -> Site {
     let mut site = Site::new();
     site.run(Duration::from_secs(10));
-    site.order(Ask::Submit {
+    site.order(ControlRequest::Submit {
         id: "first".into(),
         base: None,
         bytes: SETUP.into(),
--- a/crates/data-plane/src/dialect.rs
+++ b/crates/data-plane/src/api_adapter.rs
@@ -1,21 +1,21 @@
-//! What a carrier speaks with origins and upstreams, as policies: the product's own way is [`Dialect::own`], and an
+//! What a carrier speaks with origins and upstreams, as policies: the product's own way is [`ApiAdapter::own`], and an
 //! adapter to another site's way brings its own.
 
 use bytes::Bytes;
-use config::Sheet;
+use config::JsonValue;
 use http_body_util::Full;
 use hyper::{HeaderMap, Response};
 use locality::Locality;
-use name_directory::{Listing, SetupReader};
-use protocol::Share;
-use request_routing::{Load, Order, Outcome};
+use name_directory::{ConfigurationReader, LookupAnswer};
+use protocol::KeyShare;
+use request_routing::{CallOutcome, Load, RequestInfo};
 use result_code::ResultCode;
 use std::time::Duration;
-use transport::{Called, Enquiry, Reply};
+use transport::{CallError, HttpRequest, Reply};
 
 /// Where a question came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum ListenerKind {
     Front,
     Directory,
     Readiness,
@@ -23,11 +23,11 @@
 
 /// What a question is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Page {
+pub enum Endpoint {
     /// A request to a service.
     Request,
     /// Where a name lives, for an origin in this place.
-    Listing {
+    LookupAnswer {
         name: String,
         origin: Option<Locality>,
     },
@@ -53,23 +53,23 @@
     pub node: &'a str,
     /// The upstream that is meant; none where it goes to the next proxy.
     pub instance: Option<&'a str>,
-    pub share: Option<&'a Share>,
+    pub share: Option<&'a KeyShare>,
     /// How much time it has.
     pub within: Duration,
 }
 
-type Paging = dyn Fn(Door, &Enquiry) -> Page + Send + Sync;
-type Ordering = dyn Fn(&Enquiry) -> Result<Order, ResultCode> + Send + Sync;
-type Aiming = dyn Fn(&Enquiry, &Order) -> String + Send + Sync;
-type Heading = dyn Fn(&Enquiry, &Order, Call) -> HeaderMap + Send + Sync;
-type Judging = dyn Fn(&Result<Reply, Called>, &str, Option<&str>) -> Outcome + Send + Sync;
+type Paging = dyn Fn(ListenerKind, &HttpRequest) -> Endpoint + Send + Sync;
+type Ordering = dyn Fn(&HttpRequest) -> Result<RequestInfo, ResultCode> + Send + Sync;
+type Aiming = dyn Fn(&HttpRequest, &RequestInfo) -> String + Send + Sync;
+type Heading = dyn Fn(&HttpRequest, &RequestInfo, Call) -> HeaderMap + Send + Sync;
+type Judging = dyn Fn(&Result<Reply, CallError>, &str, Option<&str>) -> CallOutcome + Send + Sync;
 type Weighing = dyn Fn(&Reply) -> Option<Load> + Send + Sync;
 type Passing = dyn Fn(&Reply) -> Response<Full<Bytes>> + Send + Sync;
 type Denying = dyn Fn(ResultCode, Option<Duration>, &str) -> Response<Full<Bytes>> + Send + Sync;
-type Telling = dyn Fn(Listing) -> Response<Full<Bytes>> + Send + Sync;
+type Telling = dyn Fn(LookupAnswer) -> Response<Full<Bytes>> + Send + Sync;
 
 /// How questions are read and answers written.
-pub struct Dialect {
+pub struct ApiAdapter {
     /// What a question is for.
     pub page: Box<Paging>,
     /// A request as its headers tell it; the time of its arrival and the bell are filled in by the proxy.
@@ -91,20 +91,20 @@
     /// Where a name lives.
     pub listing: Box<Telling>,
     /// How configurations are read.
-    pub reader: SetupReader,
+    pub reader: ConfigurationReader,
     /// How many addresses a directory answer names at most.
     pub most_addresses: usize,
 }
 
-impl Dialect {
+impl ApiAdapter {
     /// The product's own interface, as docs/interface.md has it.
     ///
     /// ```
     /// let reply = transport::Reply { status: 200, headers: Default::default(), body: Default::default() };
-    /// assert_eq!((data_plane::Dialect::own().load)(&reply), None);
+    /// assert_eq!((data_plane::ApiAdapter::own().load)(&reply), None);
     /// ```
-    pub fn own() -> Dialect {
-        Dialect {
+    pub fn own() -> ApiAdapter {
+        ApiAdapter {
             page: Box::new(|_, enquiry| own_page(enquiry)),
             order: Box::new(crate::serve::own_order),
             target: Box::new(|_, order| order.path.clone()),
@@ -114,7 +114,7 @@
             load: Box::new(|_| None),
             pass: Box::new(crate::serve::own_pass),
             deny: Box::new(|code, retry_after, try_id| {
-                let mut response = transport::verdict(code, retry_after);
+                let mut response = transport::result_response(code, retry_after);
                 if let (true, Ok(value)) = (!try_id.is_empty(), try_id.parse()) {
                     response.headers_mut().insert("x-try-id", value);
                 }
@@ -124,47 +124,47 @@
                 let proxies = listing
                     .proxies
                     .iter()
-                    .map(|address| Sheet::from(address.as_str()))
+                    .map(|address| JsonValue::from(address.as_str()))
                     .collect();
-                let sheet = Sheet::fields([
-                    ("code", u64::from(ResultCode::Fine.number()).into()),
+                let json = JsonValue::fields([
+                    ("code", u64::from(ResultCode::Success.number()).into()),
                     ("name", listing.name.into()),
                     ("locality", listing.locality.into()),
                     ("epoch", listing.epoch.into()),
                     ("proxies", proxies),
                     ("lifetimeMs", (listing.lifetime.as_millis() as u64).into()),
                 ]);
-                transport::json(ResultCode::Fine, &sheet)
+                transport::json_response(ResultCode::Success, &json)
             }),
-            reader: SetupReader::default(),
+            reader: ConfigurationReader::default(),
             most_addresses: 3,
         }
     }
 }
 
-fn own_page(enquiry: &Enquiry) -> Page {
+fn own_page(enquiry: &HttpRequest) -> Endpoint {
     match (enquiry.method.as_str(), enquiry.path.as_str()) {
-        (_, path) if path.starts_with("/r/") => Page::Request,
+        (_, path) if path.starts_with("/r/") => Endpoint::Request,
         ("GET", "/directory") => {
             let origin = format!("{}/{}", enquiry.query("region"), enquiry.query("zone"))
                 .parse()
                 .ok();
-            Page::Listing {
+            Endpoint::LookupAnswer {
                 name: enquiry.query("name").to_owned(),
                 origin,
             }
         }
-        ("GET", "/live") => Page::Live,
-        ("GET", "/ready") => Page::Ready,
-        ("GET", "/counters") => Page::Counters,
-        ("GET", "/node") => Page::Node,
-        ("GET", "/trace") if enquiry.query("name").is_empty() => Page::Trace {
+        ("GET", "/live") => Endpoint::Live,
+        ("GET", "/ready") => Endpoint::Ready,
+        ("GET", "/counters") => Endpoint::Counters,
+        ("GET", "/node") => Endpoint::Node,
+        ("GET", "/trace") if enquiry.query("name").is_empty() => Endpoint::Trace {
             try_id: enquiry.query("try").to_owned(),
         },
-        ("GET", "/trace") => Page::Supposed,
+        ("GET", "/trace") => Endpoint::Supposed,
         ("GET", "/setup" | "/status" | "/upstreams" | "/reservations" | "/marks")
         | ("PUT", "/setup")
-        | ("POST", "/evacuations" | "/beats") => Page::Relay,
-        _ => Page::Unknown,
+        | ("POST", "/evacuations" | "/beats") => Endpoint::Relay,
+        _ => Endpoint::Unknown,
     }
 }
--- a/crates/data-plane/src/core.rs
+++ b/crates/data-plane/src/core.rs
@@ -3,7 +3,7 @@
 use crate::pending_loads::PendingLoads;
 use locality::Locality;
 use membership::Membership;
-use name_directory::{Proxy, SetupReader, View};
+use name_directory::{ConfigurationReader, Proxy, View};
 use protocol::{Freshness, KeyLoad, Member, Payload, UpdateAck, UpdateRequest, ViewUpdate};
 use random::Random;
 use std::sync::Arc;
@@ -45,7 +45,7 @@
     pub seeds: Vec<String>,
     pub seed: u64,
     /// How configurations are read.
-    pub reader: SetupReader,
+    pub reader: ConfigurationReader,
     pub times: Times,
 }
 
@@ -84,7 +84,7 @@
     Publish,
     /// It closes, or denies from now on.
     Phase(Phase),
-    Note(String),
+    Log(String),
 }
 
 /// A postmaster whose confirmation is older than this may be cut off from the others.
@@ -93,7 +93,7 @@
 const BETWEEN: Duration = Duration::from_millis(100);
 
 /// Most questions whose images are waited for.
-const MOST_ASKS: usize = 64;
+const MAX_ASKS: usize = 64;
 
 /// Whom the carrier follows.
 enum Following {
@@ -111,7 +111,7 @@
 }
 
 /// The core of one carrier.
-pub struct Carrier {
+pub struct DataNode {
     me: Member,
     times: Times,
     random: Random,
@@ -157,13 +157,13 @@
     Refused,
 }
 
-impl Carrier {
+impl DataNode {
     /// A carrier that knows nothing yet.
     ///
     /// ```
     /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
-    /// assert_eq!(data_plane::Carrier::new(start).view().edition, 0);
+    /// assert_eq!(data_plane::DataNode::new(start).view().revision, 0);
     /// ```
     pub fn new(start: Start) -> Self {
         let Start {
@@ -175,7 +175,7 @@
         } = start;
         let mut random = Random::new(seed);
         let membership = Membership::new(me.clone(), seeds, times.membership, random.next_u64());
-        let mut carrier = Carrier {
+        let mut carrier = DataNode {
             me,
             times,
             random,
@@ -210,7 +210,7 @@
     /// ```
     /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
-    /// assert_eq!(data_plane::Carrier::new(start).view().as_of, None);
+    /// assert_eq!(data_plane::DataNode::new(start).view().as_of, None);
     /// ```
     pub fn view(&self) -> &View {
         &self.view
@@ -223,7 +223,7 @@
     /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
     /// use data_plane::{Event, Phase};
     /// use std::time::Duration;
-    /// let mut carrier = data_plane::Carrier::new(start);
+    /// let mut carrier = data_plane::DataNode::new(start);
     /// carrier.step(Duration::ZERO, Event::Close);
     /// carrier.step(Duration::from_secs(1), Event::Tick);
     /// assert!(matches!(carrier.phase(), Phase::Closing { .. }), "origins may still have its address");
@@ -245,7 +245,7 @@
     /// ```
     /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
-    /// assert!(data_plane::Carrier::new(start).postmasters().is_empty());
+    /// assert!(data_plane::DataNode::new(start).postmasters().is_empty());
     /// ```
     pub fn postmasters(&self) -> Vec<String> {
         let first = self.source().map(str::to_owned);
@@ -262,7 +262,7 @@
     /// ```
     /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
     /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
-    /// let mut carrier = data_plane::Carrier::new(start);
+    /// let mut carrier = data_plane::DataNode::new(start);
     /// assert!(carrier.step(Default::default(), data_plane::Event::Tick).is_empty(), "nobody to ask");
     /// ```
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
@@ -470,7 +470,7 @@
             source: source.clone(),
             following: self.followings,
         });
-        let excess = self.asks.len().saturating_sub(MOST_ASKS);
+        let excess = self.asks.len().saturating_sub(MAX_ASKS);
         self.asks.drain(..excess);
         let every = self.times.ask_every;
         self.next_ask = now
@@ -521,22 +521,22 @@
                 source: from.clone(),
             });
         }
-        let before = self.view.edition;
-        let squeezed = news.setup.as_deref();
-        let setup = squeezed.map(protocol::unsqueeze);
-        if setup == Some(None) {
+        let before = self.view.revision;
+        let compressed = news.configuration.as_deref();
+        let configuration = compressed.map(protocol::decompress);
+        if configuration == Some(None) {
             self.effects
-                .push(Effect::Note("news denied: a damaged setup".into()));
+                .push(Effect::Log("news denied: a damaged setup".into()));
             return self.want_image(now);
         }
         let news = ViewUpdate {
-            setup: setup.flatten(),
+            configuration: configuration.flatten(),
             ..news
         };
-        if let Err(complaints) = self.view.take(news, image) {
-            let notes = complaints
+        if let Err(validation_errors) = self.view.take(news, image) {
+            let notes = validation_errors
                 .iter()
-                .map(|complaint| Effect::Note(format!("news denied: {complaint}")));
+                .map(|complaint| Effect::Log(format!("news denied: {complaint}")));
             self.effects.extend(notes);
             return self.want_image(now);
         }
@@ -544,15 +544,15 @@
         self.view.as_of = as_of;
         self.view.settle_senders(now);
         (self.stream, self.number) = (stream, number);
-        let edition = self.view.edition;
-        if edition != before {
+        let revision = self.view.revision;
+        if revision != before {
             self.effects
-                .push(Effect::Note(format!("edition {edition} is in force")));
+                .push(Effect::Log(format!("edition {revision} is in force")));
         }
         let kept = UpdateAck {
             stream,
             number,
-            edition,
+            revision,
         };
         self.effects.push(Effect::Send {
             to: from,
@@ -620,7 +620,7 @@
         self.heard = true;
         self.follow(Following::Content { source: from });
         let whole = (fresh.stream, fresh.number) == (self.stream, self.number)
-            && self.view.edition >= fresh.edition;
+            && self.view.revision >= fresh.revision;
         let doubted = Duration::from_millis(fresh.age_ms) > DOUBTED;
         // Each of the others is tried once; where all are as old, the carrier stays where it is.
         let leaves = doubted && self.misses + 1 < self.postmasters.len();
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,8 +1,8 @@
-//! The data plane. [`Carrier`] is the pure core that follows the news; `shell` serves requests from the
+//! The data plane. [`DataNode`] is the pure core that follows the news; `shell` serves requests from the
 //! view it publishes.
 
+mod api_adapter;
 mod core;
-mod dialect;
 mod node;
 mod pending_loads;
 mod relay;
@@ -10,8 +10,8 @@
 pub mod shell;
 mod traces;
 
-pub use core::{Carrier, Effect, Event, Phase, Start, Times};
-pub use dialect::{Call, Dialect, Door, Page};
+pub use api_adapter::{ApiAdapter, Call, Endpoint, ListenerKind};
+pub use core::{DataNode, Effect, Event, Phase, Start, Times};
 pub use node::{Node, NodeTerms};
 pub use serve::{judge, service_headers};
 pub use traces::Traces;
--- a/crates/data-plane/src/node.rs
+++ b/crates/data-plane/src/node.rs
@@ -1,22 +1,22 @@
 //! What the requests of a carrier share: the published view, counters, and the pages it serves itself.
 
-use crate::dialect::{Dialect, Door, Page};
+use crate::api_adapter::{ApiAdapter, Endpoint, ListenerKind};
 use crate::traces::Traces;
 use arc_swap::ArcSwap;
 use bytes::Bytes;
-use config::Sheet;
+use config::JsonValue;
 use dashmap::DashMap;
 use http_body_util::Full;
 use hyper::Response;
 use locality::Locality;
 use name_directory::View;
 use protocol::KeyLoad;
-use request_routing::{Board, Note, Order, Site};
+use request_routing::{ProxyContext, ProxyStats, RequestInfo, TraceEvent};
 use result_code::ResultCode;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
-use transport::{Caller, Clock, Enquiry, Pool};
+use transport::{Clock, HttpClient, HttpRequest, Pool};
 
 #[derive(Default)]
 pub(crate) struct Counters {
@@ -38,16 +38,16 @@
 
 /// What requests share. Control publishes views to it; requests only read them.
 pub struct Node {
-    pub(crate) site: Site,
+    pub(crate) site: ProxyContext,
     pub(crate) clock: Clock,
     pub(crate) view: ArcSwap<View>,
     pub(crate) postmasters: ArcSwap<Vec<String>>,
-    pub(crate) board: Board,
-    pub(crate) caller: Caller,
+    pub(crate) board: ProxyStats,
+    pub(crate) client: HttpClient,
     /// Connections to upstreams that wait for their next request.
     pub(crate) pool: Pool,
     pub(crate) keeps_connections: bool,
-    pub(crate) dialect: Dialect,
+    pub(crate) api_adapter: ApiAdapter,
     pub(crate) traces: Traces,
     pub(crate) counters: Counters,
     roles: String,
@@ -62,20 +62,20 @@
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
     /// # use std::{sync::Arc, time::Duration};
-    /// use data_plane::{Dialect, Door, Node, NodeTerms};
-    /// let site = request_routing::Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// use data_plane::{ApiAdapter, ListenerKind, Node, NodeTerms};
+    /// let site = request_routing::ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// let terms = NodeTerms {
     ///     clock: transport::Clock::default(),
     ///     keeps_connections: true,
     ///     roles: "proxy".into(),
     ///     lifetime: Duration::from_secs(2),
     /// };
-    /// let node = Arc::new(Node::new(site, Dialect::own(), terms));
-    /// let enquiry = transport::Enquiry { path: "/ready".into(), ..Default::default() };
-    /// assert_eq!(node.serve(Door::Front, enquiry).await.status(), 503, "it has no view yet");
+    /// let node = Arc::new(Node::new(site, ApiAdapter::own(), terms));
+    /// let enquiry = transport::HttpRequest { path: "/ready".into(), ..Default::default() };
+    /// assert_eq!(node.serve(ListenerKind::Front, enquiry).await.status(), 503, "it has no view yet");
     /// # });
     /// ```
-    pub fn new(site: Site, dialect: Dialect, terms: NodeTerms) -> Node {
+    pub fn new(site: ProxyContext, api_adapter: ApiAdapter, terms: NodeTerms) -> Node {
         let NodeTerms {
             clock,
             keeps_connections,
@@ -87,11 +87,11 @@
             clock,
             view: ArcSwap::default(),
             postmasters: ArcSwap::default(),
-            board: Board::default(),
-            caller: Caller::default(),
+            board: ProxyStats::default(),
+            client: HttpClient::default(),
             pool: Pool::default(),
             keeps_connections,
-            dialect,
+            api_adapter,
             traces: Traces::default(),
             counters: Counters::default(),
             roles,
@@ -132,23 +132,29 @@
     }
 
     /// Answers what came in at one of its doors.
-    pub async fn serve(self: Arc<Self>, door: Door, enquiry: Enquiry) -> Response<Full<Bytes>> {
+    pub async fn serve(
+        self: Arc<Self>,
+        door: ListenerKind,
+        enquiry: HttpRequest,
+    ) -> Response<Full<Bytes>> {
         let retry = Some(Duration::from_secs(1));
         let serves = |role: &str| self.roles.contains(role);
-        match (self.dialect.page)(door, &enquiry) {
-            Page::Request if serves("proxy") => self.carry(enquiry).await,
-            Page::Listing { name, origin } if serves("directory") => self.list(&name, origin),
-            Page::Live => transport::verdict(ResultCode::Fine, None),
-            Page::Ready => {
+        match (self.api_adapter.page)(door, &enquiry) {
+            Endpoint::Request if serves("proxy") => self.carry(enquiry).await,
+            Endpoint::LookupAnswer { name, origin } if serves("directory") => {
+                self.list(&name, origin)
+            }
+            Endpoint::Live => transport::result_response(ResultCode::Success, None),
+            Endpoint::Ready => {
                 let code = self.ready();
-                transport::verdict(code, retry.filter(|_| code != ResultCode::Fine))
+                transport::result_response(code, retry.filter(|_| code != ResultCode::Success))
             }
-            Page::Counters => self.show_counters(),
-            Page::Node => self.show_node(),
-            Page::Trace { try_id } => self.show_trace(&try_id),
-            Page::Supposed => self.show_supposed(&enquiry),
-            Page::Relay => self.relay(enquiry).await,
-            _ => transport::verdict(ResultCode::NoSuchPage, None),
+            Endpoint::Counters => self.show_counters(),
+            Endpoint::Node => self.show_node(),
+            Endpoint::Trace { try_id } => self.show_trace(&try_id),
+            Endpoint::Supposed => self.show_supposed(&enquiry),
+            Endpoint::Relay => self.relay(enquiry).await,
+            _ => transport::result_response(ResultCode::NoSuchEndpoint, None),
         }
     }
 
@@ -163,9 +169,9 @@
     fn ready(&self) -> ResultCode {
         let fresh = self.site.may_use(&self.view.load(), self.clock.now());
         match (self.closing.load(Ordering::Acquire), fresh) {
-            (true, _) => ResultCode::Closing,
-            (false, false) => ResultCode::Stale,
-            (false, true) => ResultCode::Fine,
+            (true, _) => ResultCode::ShuttingDown,
+            (false, false) => ResultCode::StaleView,
+            (false, true) => ResultCode::Success,
         }
     }
 
@@ -181,21 +187,27 @@
                 name,
                 &origin,
                 self.lifetime,
-                (self.site.owners, self.dialect.most_addresses),
+                (self.site.owners, self.api_adapter.most_addresses),
             )
         } else {
-            Err(ResultCode::Stale)
+            Err(ResultCode::StaleView)
         };
         let salt = || format!("{name}{origin}");
         listed.map_or_else(
-            |code| self.deny(code, request_routing::come_back(code, 0.0, &salt()), ""),
-            |listing| (self.dialect.listing)(listing),
+            |code| {
+                self.deny(
+                    code,
+                    request_routing::retry_after_for(code, 0.0, &salt()),
+                    "",
+                )
+            },
+            |listing| (self.api_adapter.listing)(listing),
         )
     }
 
     fn show_counters(&self) -> Response<Full<Bytes>> {
-        let count = |counter: &AtomicU64| Sheet::from(counter.load(Ordering::Relaxed));
-        let mut codes: Vec<(String, Sheet)> = self
+        let count = |counter: &AtomicU64| JsonValue::from(counter.load(Ordering::Relaxed));
+        let mut codes: Vec<(String, JsonValue)> = self
             .counters
             .codes
             .iter()
@@ -204,7 +216,7 @@
         codes.sort_by(|a, b| a.0.cmp(&b.0));
         let now = self.clock.now();
         let services = self.board.tallies(now).into_iter().map(|tally| {
-            Sheet::fields([
+            JsonValue::fields([
                 ("service", tally.service.into()),
                 ("serving", tally.serving.into()),
                 ("waiting", tally.waiting.into()),
@@ -218,22 +230,22 @@
             .load()
             .as_of
             .map(|as_of| (now.saturating_sub(as_of).as_millis() as u64).into());
-        let sheet = Sheet::fields([
+        let json = JsonValue::fields([
             ("listings", count(&self.counters.listings)),
             ("forwarded", count(&self.counters.forwarded)),
-            ("viewAgeMs", age_ms.unwrap_or(Sheet::Null)),
+            ("viewAgeMs", age_ms.unwrap_or(JsonValue::Null)),
             ("services", services.collect()),
             (
                 "setAside",
                 self.board
                     .ejected(now)
                     .into_iter()
-                    .map(Sheet::from)
+                    .map(JsonValue::from)
                     .collect(),
             ),
-            ("codes", Sheet::Fields(codes)),
+            ("codes", JsonValue::Fields(codes)),
         ]);
-        transport::json(ResultCode::Fine, &sheet)
+        transport::json_response(ResultCode::Success, &json)
     }
 
     fn show_node(&self) -> Response<Full<Bytes>> {
@@ -245,22 +257,22 @@
         let proxies = view
             .proxies
             .iter()
-            .map(|proxy| Sheet::from(proxy.node.as_str()));
-        let sheet = Sheet::fields([
+            .map(|proxy| JsonValue::from(proxy.node.as_str()));
+        let json = JsonValue::fields([
             ("node", self.site.node.as_str().into()),
             ("locality", self.site.locality.to_string().into()),
             ("roles", self.roles.as_str().into()),
-            ("edition", view.edition.into()),
-            ("ageMs", age_ms.unwrap_or(Sheet::Null)),
-            ("ready", (self.ready() == ResultCode::Fine).into()),
+            ("edition", view.revision.into()),
+            ("ageMs", age_ms.unwrap_or(JsonValue::Null)),
+            ("ready", (self.ready() == ResultCode::Success).into()),
             ("proxies", proxies.collect()),
         ]);
-        transport::json(ResultCode::Fine, &sheet)
+        transport::json_response(ResultCode::Success, &json)
     }
 
     /// What would be decided for such a request at this moment. Nothing is sent, and nothing is counted.
-    fn show_supposed(&self, enquiry: &Enquiry) -> Response<Full<Bytes>> {
-        let order = Order {
+    fn show_supposed(&self, enquiry: &HttpRequest) -> Response<Full<Bytes>> {
+        let order = RequestInfo {
             try_id: "supposed".into(),
             name: enquiry.query("name").into(),
             path: enquiry.query("path").into(),
@@ -269,32 +281,35 @@
                 .map(str::to_owned),
             arrived_at: self.clock.now(),
             remaining: Duration::from_secs(1),
-            ..Order::default()
+            ..RequestInfo::default()
         };
-        let notes = request_routing::suppose(
+        let notes = request_routing::explain(
             order,
             &self.site,
             self.clock.now(),
             &self.view.load(),
             &self.board,
         );
-        self.show_notes("supposed", notes.iter().map(Note::to_string).collect())
+        self.show_notes(
+            "supposed",
+            notes.iter().map(TraceEvent::to_string).collect(),
+        )
     }
 
     fn show_notes(&self, try_id: &str, notes: Vec<String>) -> Response<Full<Bytes>> {
-        let sheet = Sheet::fields([
-            ("code", u64::from(ResultCode::Fine.number()).into()),
+        let json = JsonValue::fields([
+            ("code", u64::from(ResultCode::Success.number()).into()),
             ("node", self.site.node.as_str().into()),
             ("tryId", try_id.into()),
-            ("notes", notes.into_iter().map(Sheet::from).collect()),
+            ("notes", notes.into_iter().map(JsonValue::from).collect()),
         ]);
-        transport::json(ResultCode::Fine, &sheet)
+        transport::json_response(ResultCode::Success, &json)
     }
 
     fn show_trace(&self, try_id: &str) -> Response<Full<Bytes>> {
         let notes = self.traces.find(try_id);
         notes.map_or_else(
-            || transport::verdict(ResultCode::NoSuchTrace, None),
+            || transport::result_response(ResultCode::NoSuchTrace, None),
             |notes| self.show_notes(try_id, notes),
         )
     }
--- a/crates/data-plane/src/pending_loads.rs
+++ b/crates/data-plane/src/pending_loads.rs
@@ -5,7 +5,7 @@
 
 /// Counts come each second. Where nobody was asked for longer than this, the oldest are dropped: they would count for
 /// little, and whoever hears of all at once would take them for new.
-const MOST_PENDING: usize = 6;
+const MAX_PENDING: usize = 6;
 
 /// The last counts, oldest first, until they are told.
 #[derive(Default)]
@@ -14,7 +14,7 @@
 impl PendingLoads {
     pub(crate) fn add(&mut self, counted: Vec<KeyLoad>) {
         self.0.push_back(counted);
-        if self.0.len() > MOST_PENDING {
+        if self.0.len() > MAX_PENDING {
             self.0.pop_front();
         }
     }
--- a/crates/data-plane/src/relay.rs
+++ b/crates/data-plane/src/relay.rs
@@ -6,13 +6,13 @@
 use hyper::Response;
 use result_code::ResultCode;
 use std::time::Duration;
-use transport::{Called, Enquiry};
+use transport::{CallError, HttpRequest};
 
 const RELAY_WITHIN: Duration = Duration::from_secs(9);
 
 impl Node {
     /// Tries the postmasters in turn while surely none took it; otherwise the outcome is unknown.
-    pub(crate) async fn relay(&self, enquiry: Enquiry) -> Response<Full<Bytes>> {
+    pub(crate) async fn relay(&self, enquiry: HttpRequest) -> Response<Full<Bytes>> {
         let query: Vec<String> = enquiry
             .query
             .iter()
@@ -24,7 +24,7 @@
         for address in postmasters.iter() {
             let body = enquiry.body.clone();
             let called = self
-                .caller
+                .client
                 .call(
                     address,
                     enquiry.method.as_str(),
@@ -42,7 +42,7 @@
                         .parse()
                         .ok()
                         .and_then(ResultCode::from_number)
-                        .unwrap_or(ResultCode::Garbage);
+                        .unwrap_or(ResultCode::InvalidResponse);
                     let mut response =
                         transport::answer(code, "application/json", reply.body.clone());
                     ["x-edition", "retry-after"].into_iter().for_each(|name| {
@@ -54,19 +54,21 @@
                     // A postmaster that is cut off, blank or closing surely did nothing: ask another.
                     if !matches!(
                         code,
-                        ResultCode::Stale | ResultCode::Closing | ResultCode::Elsewhere
+                        ResultCode::StaleView | ResultCode::ShuttingDown | ResultCode::Redirected
                     ) {
                         return response;
                     }
                     last = Some(response);
                 }
-                Err(Called::NotConnected) => {}
+                Err(CallError::NotConnected) => {}
                 Err(_) if read => {}
-                Err(_) => return transport::verdict(ResultCode::SetupUnknown, None),
+                Err(_) => {
+                    return transport::result_response(ResultCode::ChangeOutcomeUnknown, None);
+                }
             }
         }
         last.unwrap_or_else(|| {
-            transport::verdict(ResultCode::NoPostmaster, Some(Duration::from_secs(1)))
+            transport::result_response(ResultCode::NoControlNode, Some(Duration::from_secs(1)))
         })
     }
 }
--- a/crates/data-plane/src/serve.rs
+++ b/crates/data-plane/src/serve.rs
@@ -1,20 +1,20 @@
 //! One request through a proxy: enrol, resolve, choose, send, check, answer.
 
-use crate::dialect::Call;
+use crate::api_adapter::Call;
 use crate::node::Node;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{HeaderMap, Response};
-use request_routing::{Bell, Journey, Move, Order, Outcome};
+use request_routing::{CallOutcome, NextStep, RequestInfo, RequestState, WakeUp};
 use result_code::ResultCode;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::sync::Notify;
-use transport::{AnswerId, Called, Connection, Enquiry, Outbound, Reply};
+use transport::{CallError, Connection, HttpRequest, Outbound, Reply, ResponseId};
 
 /// No origin waits longer than this.
-const MOST_REMAINING_MS: u64 = 60_000;
+const MAX_REMAINING_MS: u64 = 60_000;
 
 /// Headers that a verdict carries from the upstream to the origin.
 ///
@@ -37,8 +37,8 @@
 /// says that the upstream did not and will not run it.
 ///
 /// ```
-/// use request_routing::Outcome;
-/// use transport::{Called, Reply};
+/// use request_routing::CallOutcome;
+/// use transport::{CallError, Reply};
 /// let seal = protocol::seal("t", "a", 200, b"fine");
 /// let reply = |seal: &str, body: &'static str| {
 ///     let mut headers = hyper::HeaderMap::new();
@@ -47,18 +47,22 @@
 ///     headers.insert("x-seal", seal.parse().unwrap());
 ///     Ok(Reply { status: 200, headers, body: body.into() })
 /// };
-/// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "t", Some("a")), Outcome::Sealed);
-/// assert_eq!(data_plane::judge(&reply(&seal, "fin"), "t", Some("a")), Outcome::Garbage);
-/// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "t", Some("b")), Outcome::Replaced, "another instance's own");
-/// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "u", Some("a")), Outcome::Garbage);
-/// assert_eq!(data_plane::judge(&Err(Called::Lost), "t", Some("a")), Outcome::Lost);
+/// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "t", Some("a")), CallOutcome::Sealed);
+/// assert_eq!(data_plane::judge(&reply(&seal, "fin"), "t", Some("a")), CallOutcome::Garbage);
+/// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "t", Some("b")), CallOutcome::Replaced, "another instance's own");
+/// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "u", Some("a")), CallOutcome::Garbage);
+/// assert_eq!(data_plane::judge(&Err(CallError::Lost), "t", Some("a")), CallOutcome::Lost);
 /// ```
-pub fn judge(called: &Result<Reply, Called>, try_id: &str, instance: Option<&str>) -> Outcome {
+pub fn judge(
+    called: &Result<Reply, CallError>,
+    try_id: &str,
+    instance: Option<&str>,
+) -> CallOutcome {
     match called {
-        Err(Called::NotConnected) => Outcome::NotConnected,
-        Err(Called::Lost) => Outcome::Lost,
-        Err(Called::TimedOut) => Outcome::TimedOut,
-        Err(Called::Garbage) => Outcome::Garbage,
+        Err(CallError::NotConnected) => CallOutcome::NotConnected,
+        Err(CallError::Lost) => CallOutcome::Lost,
+        Err(CallError::TimedOut) => CallOutcome::TimedOut,
+        Err(CallError::Garbage) => CallOutcome::Garbage,
         Ok(reply) => {
             let answered = reply.header("x-instance");
             let whole = reply.header("x-try-id") == try_id
@@ -66,17 +70,17 @@
                     == protocol::seal(try_id, answered, reply.status, &reply.body);
             let mine = instance.is_none_or(|instance| instance == answered);
             match (whole, mine, reply.status) {
-                (false, ..) => Outcome::Garbage,
-                (true, false, _) => Outcome::Replaced,
-                (true, true, 503) => Outcome::SealedNotRun,
-                (true, true, _) => Outcome::Sealed,
+                (false, ..) => CallOutcome::Garbage,
+                (true, false, _) => CallOutcome::Replaced,
+                (true, true, 503) => CallOutcome::SealedNotRun,
+                (true, true, _) => CallOutcome::Sealed,
             }
         }
     }
 }
 
 /// A request in the product's own way.
-pub(crate) fn own_order(enquiry: &Enquiry) -> Result<Order, ResultCode> {
+pub(crate) fn own_order(enquiry: &HttpRequest) -> Result<RequestInfo, ResultCode> {
     let (name, path) = enquiry
         .path
         .strip_prefix("/r/")
@@ -84,14 +88,14 @@
         .ok_or(ResultCode::NoSuchName)?;
     let try_id = Some(enquiry.header("x-try-id"))
         .filter(|try_id| locality::is_valid_id(try_id))
-        .ok_or(ResultCode::MissingTry)?;
+        .ok_or(ResultCode::MissingAttemptId)?;
     let remaining = enquiry
         .header("x-remaining-ms")
         .parse::<u64>()
         .ok()
-        .filter(|remaining| (1..=MOST_REMAINING_MS).contains(remaining))
-        .ok_or(ResultCode::MissingRemaining)?;
-    Ok(Order {
+        .filter(|remaining| (1..=MAX_REMAINING_MS).contains(remaining))
+        .ok_or(ResultCode::MissingDeadline)?;
+    Ok(RequestInfo {
         try_id: try_id.to_owned(),
         name: name.to_owned(),
         path: path.to_owned(),
@@ -100,12 +104,12 @@
             .map(str::to_owned),
         remaining: Duration::from_millis(remaining),
         forwarded: !enquiry.header("x-forwarded-hop").is_empty(),
-        ..Order::default()
+        ..RequestInfo::default()
     })
 }
 
 /// Headers of a call in the product's own way.
-pub(crate) fn own_headers(_: &Enquiry, order: &Order, call: Call) -> HeaderMap {
+pub(crate) fn own_headers(_: &HttpRequest, order: &RequestInfo, call: Call) -> HeaderMap {
     let remaining = (call.within.as_millis() as u64).to_string();
     let epoch = call.share.map(|share| share.epoch.to_string());
     let mut headers = vec![
@@ -124,7 +128,7 @@
     let mut response = Response::new(Full::new(reply.body.clone()));
     *response.status_mut() = hyper::StatusCode::from_u16(reply.status).unwrap_or_default();
     let headers = response.headers_mut();
-    headers.insert("x-code", ResultCode::Fine.number().into());
+    headers.insert("x-code", ResultCode::Success.number().into());
     service_headers().into_iter().for_each(|name| {
         let value = reply.headers.get(name).cloned();
         value.into_iter().for_each(|value| {
@@ -136,30 +140,30 @@
 
 impl Node {
     /// Serves a request.
-    pub(crate) async fn carry(&self, enquiry: Enquiry) -> Response<Full<Bytes>> {
+    pub(crate) async fn carry(&self, enquiry: HttpRequest) -> Response<Full<Bytes>> {
         let called = Arc::new(Notify::new());
         let ring = called.clone();
-        let order = match self.enrol(&enquiry, Bell::new(move || ring.notify_one())) {
+        let order = match self.enrol(&enquiry, WakeUp::new(move || ring.notify_one())) {
             Ok(order) => order,
             Err((code, try_id)) => {
                 self.count(code);
                 return self.deny(
                     code,
-                    request_routing::come_back(code, 0.0, &try_id),
+                    request_routing::retry_after_for(code, 0.0, &try_id),
                     &try_id,
                 );
             }
         };
         let try_id = order.try_id.clone();
-        let mut journey = Journey::new(order.clone(), self.site.clone());
+        let mut journey = RequestState::new(order.clone(), self.site.clone());
         let mut next = journey.start(self.clock.now(), &self.view.load(), &self.board);
         let (mut connection, mut reply) = (None, None);
         let mut may_reuse = self.keeps_connections;
         let response = loop {
             let outcome = match next {
-                Move::Connect { upstream, within } => {
+                NextStep::Connect { upstream, within } => {
                     match self.connect(&upstream.address, within, may_reuse).await {
-                        Err(failed) => (self.dialect.judge)(&Err(failed), &try_id, None),
+                        Err(failed) => (self.api_adapter.judge)(&Err(failed), &try_id, None),
                         Ok(open) => {
                             connection = Some((open, upstream.instance.clone()));
                             next =
@@ -168,11 +172,11 @@
                         }
                     }
                 }
-                Move::Send { share, within } => {
+                NextStep::Send { share, within } => {
                     let Some((open, instance)) = connection.take() else {
-                        break self.deny(ResultCode::Lost, None, &try_id);
+                        break self.deny(ResultCode::ResponseLost, None, &try_id);
                     };
-                    let target = (self.dialect.target)(&enquiry, &order);
+                    let target = (self.api_adapter.target)(&enquiry, &order);
                     let call = Call {
                         node: &self.site.node,
                         instance: Some(&instance),
@@ -181,33 +185,33 @@
                     };
                     let was_used = open.is_used();
                     let (called, again) = self.send(&enquiry, &order, open, &target, call).await;
-                    if was_used && matches!(called, Err(Called::NotConnected)) {
+                    if was_used && matches!(called, Err(CallError::NotConnected)) {
                         // It was closed between the look at it and the write: the upstream may be well.
                         may_reuse = false;
                         next = journey.unsent(self.clock.now());
                         continue;
                     }
-                    let outcome = (self.dialect.judge)(&called, &try_id, Some(&instance));
-                    if outcome != Outcome::Garbage {
+                    let outcome = (self.api_adapter.judge)(&called, &try_id, Some(&instance));
+                    if outcome != CallOutcome::Garbage {
                         again
                             .into_iter()
                             .for_each(|connection| self.pool.keep(connection));
                         let load = called
                             .as_ref()
                             .ok()
-                            .and_then(|reply| (self.dialect.load)(reply));
+                            .and_then(|reply| (self.api_adapter.load)(reply));
                         load.into_iter()
                             .for_each(|load| journey.hear(self.clock.now(), load));
                     }
                     reply = called.ok();
                     outcome
                 }
-                Move::Wait { within } => {
+                NextStep::Wait { within } => {
                     let _ = tokio::time::timeout(within, called.notified()).await;
                     next = journey.called(self.clock.now(), &self.view.load(), &self.board);
                     continue;
                 }
-                Move::Forward { proxies, within } => {
+                NextStep::Forward { proxies, within } => {
                     let called = self.forward(&enquiry, &order, &proxies, within).await;
                     let last = called
                         .as_ref()
@@ -217,23 +221,24 @@
                     if last.is_some() {
                         self.counters.forwarded.fetch_add(1, Ordering::Relaxed);
                     }
-                    let judged = (self.dialect.judge)(&called, &try_id, None);
-                    let outcome = last.as_ref().map(|_| Outcome::Sealed).unwrap_or(judged);
+                    let judged = (self.api_adapter.judge)(&called, &try_id, None);
+                    let outcome = last.as_ref().map(|_| CallOutcome::Sealed).unwrap_or(judged);
                     reply = last;
                     outcome
                 }
-                Move::Answer { code, retry_after } => {
+                NextStep::Answer { code, retry_after } => {
                     self.count(code);
                     break self.deny(code, retry_after, &try_id);
                 }
-                Move::Pass => {
-                    let passed = reply.as_ref().map(|reply| (self.dialect.pass)(reply));
+                NextStep::Pass => {
+                    let passed = reply.as_ref().map(|reply| (self.api_adapter.pass)(reply));
                     self.count(if passed.is_some() {
-                        ResultCode::Fine
+                        ResultCode::Success
                     } else {
-                        ResultCode::Lost
+                        ResultCode::ResponseLost
                     });
-                    break passed.unwrap_or_else(|| self.deny(ResultCode::Lost, None, &try_id));
+                    break passed
+                        .unwrap_or_else(|| self.deny(ResultCode::ResponseLost, None, &try_id));
                 }
             };
             next = journey.after(self.clock.now(), &self.view.load(), &self.board, outcome);
@@ -248,7 +253,7 @@
         retry_after: Option<Duration>,
         try_id: &str,
     ) -> Response<Full<Bytes>> {
-        (self.dialect.deny)(code, retry_after, try_id)
+        (self.api_adapter.deny)(code, retry_after, try_id)
     }
 
     /// An idle connection where one is wanted and known to be quiet, else a new one.
@@ -257,7 +262,7 @@
         address: &str,
         within: Duration,
         may_reuse: bool,
-    ) -> Result<Connection, Called> {
+    ) -> Result<Connection, CallError> {
         let kept = if may_reuse {
             self.pool.take(address).await
         } else {
@@ -276,19 +281,23 @@
             .parse()
             .ok()
             .and_then(ResultCode::from_number);
-        let denied =
-            reply.header("x-seal").is_empty() && code.is_some_and(|code| code != ResultCode::Fine);
-        let sealed = judge(&Ok(reply.clone()), try_id, None) != Outcome::Garbage;
+        let denied = reply.header("x-seal").is_empty()
+            && code.is_some_and(|code| code != ResultCode::Success);
+        let sealed = judge(&Ok(reply.clone()), try_id, None) != CallOutcome::Garbage;
         reply.header("x-try-id") == try_id && (denied || sealed)
     }
 
-    fn enrol(&self, enquiry: &Enquiry, bell: Bell) -> Result<Order, (ResultCode, String)> {
-        let order = (self.dialect.order)(enquiry)
+    fn enrol(
+        &self,
+        enquiry: &HttpRequest,
+        bell: WakeUp,
+    ) -> Result<RequestInfo, (ResultCode, String)> {
+        let order = (self.api_adapter.order)(enquiry)
             .map_err(|code| (code, enquiry.header("x-try-id").to_owned()))?;
         if self.is_closing() {
-            return Err((ResultCode::Closing, order.try_id));
+            return Err((ResultCode::ShuttingDown, order.try_id));
         }
-        Ok(Order {
+        Ok(RequestInfo {
             arrived_at: self.clock.now(),
             body_bytes: enquiry.body.len() as u64,
             bell,
@@ -298,19 +307,19 @@
 
     async fn send(
         &self,
-        enquiry: &Enquiry,
-        order: &Order,
+        enquiry: &HttpRequest,
+        order: &RequestInfo,
         connection: Connection,
         target: &str,
         call: Call<'_>,
-    ) -> (Result<Reply, Called>, Option<Connection>) {
+    ) -> (Result<Reply, CallError>, Option<Connection>) {
         let outbound = Outbound {
             method: enquiry.method.as_str(),
             path: target,
-            headers: (self.dialect.headers)(enquiry, order, call),
+            headers: (self.api_adapter.headers)(enquiry, order, call),
             body: enquiry.body.clone(),
-            id: Some(AnswerId {
-                header: self.dialect.answer_id,
+            id: Some(ResponseId {
+                header: self.api_adapter.answer_id,
                 value: &order.try_id,
             }),
         };
@@ -322,11 +331,11 @@
     /// One hop to the locality that owns the name. The next proxy is tried only where none can have been reached.
     async fn forward(
         &self,
-        enquiry: &Enquiry,
-        order: &Order,
+        enquiry: &HttpRequest,
+        order: &RequestInfo,
         proxies: &[String],
         within: Duration,
-    ) -> Result<Reply, Called> {
+    ) -> Result<Reply, CallError> {
         for proxy in proxies {
             let Ok(connection) = Connection::open(proxy, within).await else {
                 continue;
@@ -342,10 +351,10 @@
                 .await
                 .0
             {
-                Err(Called::NotConnected) => continue,
+                Err(CallError::NotConnected) => continue,
                 called => return called,
             }
         }
-        Err(Called::NotConnected)
+        Err(CallError::NotConnected)
     }
 }
--- a/crates/data-plane/src/shell.rs
+++ b/crates/data-plane/src/shell.rs
@@ -1,21 +1,21 @@
 //! The thin shell of a carrier: sockets and timers around its core and its node.
 
-use crate::core::{Carrier, Effect, Event, Phase, Start, Times};
-use crate::dialect::{Dialect, Door};
+use crate::api_adapter::{ApiAdapter, ListenerKind};
+use crate::core::{DataNode, Effect, Event, Phase, Start, Times};
 use crate::node::{Node, NodeTerms};
 use config::{Setting, Settings, Shape};
 use error_stack::{Report, ResultExt};
 use locality::Locality;
-use name_directory::Owners;
+use name_directory::OwnershipMode;
 use protocol::{Envelope, Member, Message};
-use request_routing::Site;
+use request_routing::ProxyContext;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
-use transport::{Clock, Doors, Links, NoStart, Program};
+use transport::{Clock, Links, Listeners, Program, StartError};
 
 const TICK: Duration = Duration::from_millis(20);
-const MOST_ARRIVALS: usize = 1024;
+const MAX_ARRIVALS: usize = 1024;
 /// A closing process ends by then, whatever is still under way.
 const CLOSE_BY: Duration = Duration::from_millis(5500);
 
@@ -158,15 +158,15 @@
 ///
 /// ```no_run
 /// # async fn run(settings: config::Settings) {
-/// data_plane::shell::run(settings, data_plane::Dialect::own()).await.unwrap();
+/// data_plane::shell::run(settings, data_plane::ApiAdapter::own()).await.unwrap();
 /// # }
 /// ```
-pub async fn run(settings: Settings, dialect: Dialect) -> Result<(), Report<NoStart>> {
+pub async fn run(settings: Settings, api_adapter: ApiAdapter) -> Result<(), Report<StartError>> {
     let clock = Clock::default();
     let mut reload = transport::reload_signal(&PROGRAM, &settings);
-    let Doors { http, link, probe } = Doors::open(&settings).await?;
+    let Listeners { http, link, probe } = Listeners::open(&settings).await?;
     let locality = settings.get("locality").parse::<Locality>();
-    let locality = locality.change_context_lazy(|| NoStart::new("locality"))?;
+    let locality = locality.change_context_lazy(|| StartError::new("locality"))?;
     let told = Some(settings.get("told"))
         .filter(|told| !told.is_empty())
         .unwrap_or(settings.get("link"))
@@ -186,27 +186,27 @@
         me.roles
     );
     let lifetime = settings.span("address-lifetime-ms");
-    let mut site = Site::new(
+    let mut site = ProxyContext::new(
         &me.node,
         locality,
         settings.span("stale-after-ms"),
         settings.span("wait-ms"),
     );
     site.owners = if settings.get("owners") == "one" {
-        Owners::One
+        OwnershipMode::One
     } else {
-        Owners::ByCaller
+        OwnershipMode::ByCaller
     };
     site.serves_on = settings.get("out-of-touch") == "serve";
     site.far_ms = (
         settings.count("far-zone-ms") as f64,
         settings.count("far-region-ms") as f64,
     );
-    let reader = dialect.reader;
+    let reader = api_adapter.reader;
     let keeps_connections = settings.get("keep-connections") == "yes";
     let node = Node::new(
         site,
-        dialect,
+        api_adapter,
         NodeTerms {
             clock,
             keeps_connections,
@@ -215,9 +215,9 @@
         },
     );
     let node = Arc::new(node);
-    let (arrivals, mut arrived) = mpsc::channel(MOST_ARRIVALS);
+    let (arrivals, mut arrived) = mpsc::channel(MAX_ARRIVALS);
     let links = Links::open(me.node.clone(), Some(link), arrivals);
-    let mut carrier = Carrier::new(Start {
+    let mut carrier = DataNode::new(Start {
         me,
         seeds: transport::seeds(&settings),
         seed: transport::chance(),
@@ -226,10 +226,10 @@
     });
     let (close, closing) = watch::channel(false);
     let doors = [
-        ("directory", Door::Directory),
-        ("readiness", Door::Readiness),
+        ("directory", ListenerKind::Directory),
+        ("readiness", ListenerKind::Readiness),
     ];
-    let mut sockets = vec![(Door::Front, http)];
+    let mut sockets = vec![(ListenerKind::Front, http)];
     for (name, door) in doors
         .into_iter()
         .filter(|(name, _)| !settings.get(name).is_empty())
@@ -284,7 +284,7 @@
                 );
                 node.close(phase == Phase::Denying);
             }
-            Effect::Note(text) => log::info!("news: {text}"),
+            Effect::Log(text) => log::info!("news: {text}"),
         });
         if now >= next_sweep {
             next_sweep = now + Duration::from_secs(1);
--- a/crates/data-plane/src/traces.rs
+++ b/crates/data-plane/src/traces.rs
@@ -1,15 +1,15 @@
 //! Why requests went where they went: a bounded memory of the latest.
 
 use dashmap::DashMap;
-use request_routing::Note;
+use request_routing::TraceEvent;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-const MOST_TRACES: u64 = 4096;
+const MAX_TRACES: u64 = 4096;
 
 /// The latest requests' notes, by try id.
 #[derive(Default)]
 pub struct Traces {
-    notes: DashMap<String, (u64, Vec<Note>)>,
+    notes: DashMap<String, (u64, Vec<TraceEvent>)>,
     /// Which try took which place; a newer one takes the oldest's.
     places: DashMap<u64, String>,
     next: AtomicU64,
@@ -24,12 +24,12 @@
     /// assert!(traces.find("t0").is_none());
     /// assert!(traces.find("t4999").is_some());
     /// ```
-    pub fn keep(&self, try_id: String, notes: Vec<Note>) {
+    pub fn keep(&self, try_id: String, notes: Vec<TraceEvent>) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let oldest = self.places.insert(number % MOST_TRACES, try_id.clone());
+        let oldest = self.places.insert(number % MAX_TRACES, try_id.clone());
         oldest.into_iter().for_each(|oldest| {
             self.notes
-                .remove_if(&oldest, |_, (kept, _)| *kept + MOST_TRACES <= number);
+                .remove_if(&oldest, |_, (kept, _)| *kept + MAX_TRACES <= number);
         });
         self.notes.insert(try_id, (number, notes));
     }
@@ -38,12 +38,12 @@
     ///
     /// ```
     /// let traces = data_plane::Traces::default();
-    /// traces.keep("t".into(), vec![request_routing::Note::Called]);
+    /// traces.keep("t".into(), vec![request_routing::TraceEvent::CallError]);
     /// assert_eq!(traces.find("t").unwrap(), ["called: a seat may be free"]);
     /// ```
     pub fn find(&self, try_id: &str) -> Option<Vec<String>> {
         self.notes
             .get(try_id)
-            .map(|kept| kept.1.iter().map(Note::to_string).collect())
+            .map(|kept| kept.1.iter().map(TraceEvent::to_string).collect())
     }
 }
--- a/crates/data-plane/tests/following.rs
+++ b/crates/data-plane/tests/following.rs
@@ -1,8 +1,8 @@
 //! Which postmaster a carrier follows, and when it leaves it.
 
-use data_plane::{Carrier, Effect, Event, Start};
+use data_plane::{DataNode, Effect, Event, Start};
 use protocol::{
-    ClusterState, Freshness, Heard, KeyLoad, Member, Payload, Probe, UpdateRequest, Upstream,
+    ClusterState, Freshness, KeyLoad, Member, Payload, Probe, ProbeReply, UpdateRequest, Upstream,
     ViewUpdate,
 };
 use std::time::Duration;
@@ -23,10 +23,10 @@
 }
 
 /// A carrier in north/n1 that knows three postmasters.
-fn carrier() -> Carrier {
+fn carrier() -> DataNode {
     let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
     let me = member("c", "north/n1", "proxy,directory");
-    let mut carrier = Carrier::new(Start {
+    let mut carrier = DataNode::new(Start {
         me,
         seeds: vec![],
         seed: 1,
@@ -54,7 +54,7 @@
 }
 
 /// Steps to a moment, at which all answer its probes; gives whom it asked.
-fn asked(carrier: &mut Carrier, at: u64) -> Option<(String, UpdateRequest)> {
+fn asked(carrier: &mut DataNode, at: u64) -> Option<(String, UpdateRequest)> {
     let effects = carrier.step(MS(at), Event::Tick);
     effects.iter().for_each(|effect| {
         if let Effect::Datagram {
@@ -62,16 +62,16 @@
             body: Payload::Probe(probe),
         } = effect
         {
-            let heard = Heard {
+            let heard = ProbeReply {
                 nonce: probe.nonce,
                 node: address.clone(),
-                ..Heard::default()
+                ..ProbeReply::default()
             };
             carrier.step(
                 MS(at),
                 Event::Datagram {
                     address: address.clone(),
-                    body: Payload::Heard(heard),
+                    body: Payload::ProbeReply(heard),
                 },
             );
         }
@@ -86,7 +86,7 @@
 }
 
 /// A postmaster answers with an image and the age of its confirmation.
-fn answer(carrier: &mut Carrier, at: u64, asked: &(String, UpdateRequest), age_ms: u64) {
+fn answer(carrier: &mut DataNode, at: u64, asked: &(String, UpdateRequest), age_ms: u64) {
     let (from, ask) = asked.clone();
     let image = ViewUpdate {
         age_ms: Some(age_ms),
@@ -109,7 +109,7 @@
         age_ms,
         stream: 7,
         number: 0,
-        edition: 0,
+        revision: 0,
     };
     carrier.step(
         MS(at),
@@ -121,7 +121,7 @@
 }
 
 /// Ticks every 50 ms until it asks.
-fn next(carrier: &mut Carrier, from: u64) -> (u64, (String, UpdateRequest)) {
+fn next(carrier: &mut DataNode, from: u64) -> (u64, (String, UpdateRequest)) {
     (from..from + 5000)
         .step_by(50)
         .find_map(|at| asked(carrier, at).map(|asked| (at, asked)))
@@ -186,7 +186,7 @@
     }
 }
 
-fn told(carrier: &mut Carrier, at: u64, from: &str, news: ViewUpdate) -> Vec<String> {
+fn told(carrier: &mut DataNode, at: u64, from: &str, news: ViewUpdate) -> Vec<String> {
     carrier.step(
         MS(at),
         Event::Received {
@@ -283,7 +283,7 @@
 }
 
 /// A carrier that is fresh by what its zone's postmaster told, which answers no more; gives when it asks the next one.
-fn left_by_its_zone() -> (Carrier, u64, (String, UpdateRequest)) {
+fn left_by_its_zone() -> (DataNode, u64, (String, UpdateRequest)) {
     let mut carrier = carrier();
     let (at, zone) = next(&mut carrier, 3000);
     answer(&mut carrier, at + 10, &zone, 40);
@@ -304,7 +304,7 @@
 
 /// An image that shows an upstream, and the freshness that follows it.
 fn answer_with_upstream(
-    carrier: &mut Carrier,
+    carrier: &mut DataNode,
     at: u64,
     asked: &(String, UpdateRequest),
     age_ms: u64,
@@ -334,7 +334,7 @@
         age_ms,
         stream: 9,
         number: 0,
-        edition: 0,
+        revision: 0,
     };
     carrier.step(
         MS(at),
--- a/crates/lease/src/hold_clock.rs
+++ b/crates/lease/src/hold_clock.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 
 /// Steps come every few milliseconds: a longer one counts for so much.
-pub const LONGEST_STEP: Duration = Duration::from_millis(100);
+pub const MAX_STEP: Duration = Duration::from_millis(100);
 
 /// Time that counts no step for more than a bound. A process that stands still, and a clock that jumps ahead, look
 /// alike from inside; either way this clock falls behind, and what was given out is waited out for too long, not for
 /// too short. So jumps that are each too small to be noticed don't add up within one grant.
 ///
 /// ```
-/// use lease::{HoldClock, LONGEST_STEP};
+/// use lease::{HoldClock, MAX_STEP};
 /// use std::time::Duration;
-/// let mut clock = HoldClock::new(LONGEST_STEP);
+/// let mut clock = HoldClock::new(MAX_STEP);
 /// clock.advance(Duration::from_secs(5));
 /// clock.advance(Duration::from_secs(9));
-/// assert_eq!(clock.now(), LONGEST_STEP);
+/// assert_eq!(clock.now(), MAX_STEP);
 /// ```
 #[derive(Clone, Hash)]
 pub struct HoldClock {
@@ -28,7 +28,7 @@
     /// A clock at zero.
     ///
     /// ```
-    /// assert!(lease::HoldClock::new(lease::LONGEST_STEP).now().is_zero());
+    /// assert!(lease::HoldClock::new(lease::MAX_STEP).now().is_zero());
     /// ```
     pub fn new(longest_step: Duration) -> Self {
         HoldClock {
@@ -42,7 +42,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let mut clock = lease::HoldClock::new(lease::LONGEST_STEP);
+    /// let mut clock = lease::HoldClock::new(lease::MAX_STEP);
     /// [0, 20, 40].map(|at| clock.advance(Duration::from_millis(at)));
     /// assert_eq!(clock.now(), Duration::from_millis(40));
     /// ```
@@ -54,7 +54,7 @@
     /// What was counted so far.
     ///
     /// ```
-    /// assert!(lease::HoldClock::new(lease::LONGEST_STEP).now().is_zero());
+    /// assert!(lease::HoldClock::new(lease::MAX_STEP).now().is_zero());
     /// ```
     pub fn now(&self) -> Duration {
         self.counted
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -7,7 +7,7 @@
 
 mod hold_clock;
 
-pub use hold_clock::{HoldClock, LONGEST_STEP};
+pub use hold_clock::{HoldClock, MAX_STEP};
 
 use protocol::{LeaseRelease, LeaseReply, LeaseRequest, Payload, VoterSet};
 use random::Random;
@@ -33,13 +33,13 @@
     /// ```
     /// # use std::time::Duration;
     /// let times = lease::Times::new(Duration::from_secs(3), Duration::from_millis(500));
-    /// assert_eq!(times.longest_step, lease::LONGEST_STEP);
+    /// assert_eq!(times.longest_step, lease::MAX_STEP);
     /// ```
     pub fn new(span: Duration, margin: Duration) -> Times {
         Times {
             span,
             margin,
-            longest_step: LONGEST_STEP,
+            longest_step: MAX_STEP,
         }
     }
 
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -2,18 +2,18 @@
 
 use crate::members::{folded, mark, supersedes, unfolded};
 use crate::{ALIVE, Effect, GONE, Known, Membership};
-use protocol::{Heard, Member, Payload};
+use protocol::{Member, Payload, ProbeReply};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// How many members travel on one message.
-const MOST_TOLD: usize = 12;
+const MAX_TOLD: usize = 12;
 /// How many messages of members answer one set of marks.
-const MOST_LACKED: usize = 4 * MOST_TOLD;
+const MAX_LACKED: usize = 4 * MAX_TOLD;
 /// How many marks travel on one message.
-pub(crate) const MOST_MARKS: usize = 128;
+pub(crate) const MAX_MARKS: usize = 128;
 /// Most members kept at all.
-const MOST_MEMBERS: usize = 4096;
+const MAX_MEMBERS: usize = 4096;
 
 impl Membership {
     /// A digest of all that count as there.
@@ -41,7 +41,7 @@
         self.there()
             .filter(|(member, _)| within(member))
             .map(|(_, mark)| mark)
-            .take(2 * MOST_MARKS)
+            .take(2 * MAX_MARKS)
             .collect()
     }
 
@@ -70,7 +70,7 @@
             .filter(|known| known.told < often)
             .collect();
         news.sort_by_key(|known| known.told);
-        news.into_iter().take(MOST_TOLD).for_each(|known| {
+        news.into_iter().take(MAX_TOLD).for_each(|known| {
             known.told += 1;
             if !members
                 .iter()
@@ -82,10 +82,10 @@
         members
     }
 
-    pub(crate) fn said(&self) -> Heard {
-        Heard {
+    pub(crate) fn said(&self) -> ProbeReply {
+        ProbeReply {
             node: self.me.node.clone(),
-            ..Heard::default()
+            ..ProbeReply::default()
         }
     }
 
@@ -107,27 +107,27 @@
             .there()
             .filter(|(member, mark)| within(member) && !theirs.contains(mark));
         let lacked: Vec<Member> = lacked
-            .take(MOST_LACKED)
+            .take(MAX_LACKED)
             .map(|(member, _)| folded(member))
             .collect();
         let mut told = with(stale, lacked);
         let mine = self.marks(part, parts.max(1));
         let lacks = nonce != 0 && parts > 0 && theirs.iter().any(|mark| !mine.contains(mark));
-        let mut first = lacks.then(|| Heard {
+        let mut first = lacks.then(|| ProbeReply {
             part,
             parts,
             marks: mine,
             ..self.said()
         });
         while first.is_some() || !told.is_empty() {
-            let rest = told.split_off(told.len().min(MOST_TOLD));
-            let body = Heard {
+            let rest = told.split_off(told.len().min(MAX_TOLD));
+            let body = ProbeReply {
                 members: told,
                 ..first.take().unwrap_or_else(|| self.said())
             };
             self.effects.push(Effect::Send {
                 address: address.to_owned(),
-                body: Payload::Heard(body),
+                body: Payload::ProbeReply(body),
             });
             told = rest;
         }
@@ -161,7 +161,7 @@
             .known
             .get(&member.node)
             .map(|known| supersedes(&member, &known.member));
-        let fresh = newer.unwrap_or(member.condition < GONE && self.known.len() < MOST_MEMBERS);
+        let fresh = newer.unwrap_or(member.condition < GONE && self.known.len() < MAX_MEMBERS);
         if fresh && locality::is_valid_id(&member.node) {
             self.mind_region(&member);
             let mark = mark(&member);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,15 +11,15 @@
 
 pub use members::{ALIVE, GONE, LEFT, SUSPECT, supersedes};
 
-use dissemination::{MOST_MARKS, with};
+use dissemination::{MAX_MARKS, with};
 use members::unfolded;
-use protocol::{Heard, Member, Payload, Probe, ProbeFor};
+use protocol::{IndirectProbe, Member, Payload, Probe, ProbeReply};
 use random::Random;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Most second opinions being fetched for others at a time.
-const MOST_FAVOURS: usize = 64;
+const MAX_FAVOURS: usize = 64;
 
 /// Membership's time values.
 #[derive(Clone, Copy, Debug)]
@@ -246,23 +246,23 @@
             }) => {
                 let stale = self.learn_all(now, members);
                 let told = self.tell(Some(&node));
-                let mut answer = Heard {
+                let mut answer = ProbeReply {
                     nonce,
                     members: with(told, stale),
                     ..self.said()
                 };
                 if table != self.table() {
-                    answer.parts = (self.known.len() as u64 + 1).div_ceil(MOST_MARKS as u64);
+                    answer.parts = (self.known.len() as u64 + 1).div_ceil(MAX_MARKS as u64);
                     self.part = (self.part + 1) % answer.parts;
                     answer.part = self.part;
                     answer.marks = self.marks(answer.part, answer.parts);
                 }
                 self.effects.push(Effect::Send {
                     address: address.to_owned(),
-                    body: Payload::Heard(answer),
+                    body: Payload::ProbeReply(answer),
                 });
             }
-            Payload::ProbeFor(ProbeFor {
+            Payload::IndirectProbe(IndirectProbe {
                 nonce,
                 target,
                 members,
@@ -273,11 +273,11 @@
                     .get(&target)
                     .map(|known| known.member.probe_address.clone());
                 known
-                    .filter(|_| self.favours.len() < MOST_FAVOURS * 2)
+                    .filter(|_| self.favours.len() < MAX_FAVOURS * 2)
                     .into_iter()
                     .for_each(|to| {
                         let mine = self.nonce();
-                        let excess = (self.favours.len() + 1).saturating_sub(MOST_FAVOURS);
+                        let excess = (self.favours.len() + 1).saturating_sub(MAX_FAVOURS);
                         self.favours.drain(..excess);
                         let favour = Favour {
                             nonce: mine,
@@ -289,7 +289,7 @@
                         self.send_probe(to, mine, Some(&target));
                     });
             }
-            Payload::Heard(heard) => {
+            Payload::ProbeReply(heard) => {
                 let stale = self.learn_all(now, heard.members);
                 self.settle(
                     address,
--- a/crates/membership/src/probing.rs
+++ b/crates/membership/src/probing.rs
@@ -2,7 +2,7 @@
 
 use crate::members::{distance, folded};
 use crate::{ALIVE, Effect, GONE, Known, Membership, Probing, SUSPECT};
-use protocol::{Heard, Member, Payload, Probe, ProbeFor};
+use protocol::{IndirectProbe, Member, Payload, Probe, ProbeReply};
 use std::time::Duration;
 
 /// How many third parties are asked for a second opinion.
@@ -11,7 +11,7 @@
 const TURNS: [usize; 4] = [2, 0, 1, 0];
 /// How many more probes go to another region for each of its nodes that falls silent, and at most.
 const MINDED: u64 = 2;
-const MOST_MINDED: u64 = 4;
+const MAX_MINDED: u64 = 4;
 /// How long a node counts as just started, how often it then asks others, and how many at a time.
 const YOUNG: Duration = Duration::from_millis(1500);
 const INTRODUCE_EVERY: Duration = Duration::from_millis(120);
@@ -44,7 +44,7 @@
             }
             others.into_iter().for_each(|address| {
                 let members = self.tell(Some(&node));
-                let body = Payload::ProbeFor(ProbeFor {
+                let body = Payload::IndirectProbe(IndirectProbe {
                     nonce,
                     target: node.clone(),
                     members,
@@ -242,10 +242,10 @@
             .map(|at| self.favours.swap_remove(at))
             .into_iter()
             .for_each(|favour| {
-                let body = Payload::Heard(Heard {
+                let body = Payload::ProbeReply(ProbeReply {
                     nonce: favour.theirs,
                     node: favour.node,
-                    ..Heard::default()
+                    ..ProbeReply::default()
                 });
                 self.effects.push(Effect::Send {
                     address: favour.address,
@@ -273,7 +273,7 @@
         });
         self.turn[2].retain(|node| !others.contains(node));
         self.turn[2].extend(others);
-        self.far_next = (self.far_next + MINDED).min(MOST_MINDED);
+        self.far_next = (self.far_next + MINDED).min(MAX_MINDED);
     }
 
     /// 32 bits suffice for the few answers that are waited for.
--- a/crates/model-checker/src/control_model.rs
+++ b/crates/model-checker/src/control_model.rs
@@ -346,7 +346,7 @@
             roster_size: self.scenario.voters,
             seed,
             durable: disk.durable.clone(),
-            setups: disk.setups.clone(),
+            configurations: disk.configurations.clone(),
             times: quorum_register::Times {
                 confirm_every: NEVER,
                 ..Default::default()
@@ -464,14 +464,14 @@
             quorum_register::Effect::Keep { ticket, durable } => {
                 write(world, at, ticket, Content::State(durable))
             }
-            quorum_register::Effect::KeepSetup {
+            quorum_register::Effect::StoreConfiguration {
                 ticket,
                 digest,
                 bytes,
             } => {
-                write(world, at, ticket, Content::Setup { digest, bytes });
+                write(world, at, ticket, Content::Configuration { digest, bytes });
             }
-            quorum_register::Effect::DropSetup { digest } => {
+            quorum_register::Effect::DeleteConfiguration { digest } => {
                 write(world, at, 0, Content::DroppedSetup { digest })
             }
             quorum_register::Effect::EpochKept { token } => {
--- a/crates/model-checker/src/disk.rs
+++ b/crates/model-checker/src/disk.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Hash)]
 pub(crate) enum Content {
     State(DurableState),
-    Setup {
+    Configuration {
         digest: String,
         bytes: Vec<u8>,
     },
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default, Hash)]
 pub(crate) struct Disk {
     pub durable: DurableState,
-    pub setups: BTreeMap<String, Vec<u8>>,
+    pub configurations: BTreeMap<String, Vec<u8>>,
 }
 
 impl Disk {
@@ -35,11 +35,11 @@
     pub fn apply(&mut self, content: &Content) {
         match content {
             Content::State(durable) => self.durable = durable.clone(),
-            Content::Setup { digest, bytes } => {
-                self.setups.insert(digest.clone(), bytes.clone());
+            Content::Configuration { digest, bytes } => {
+                self.configurations.insert(digest.clone(), bytes.clone());
             }
             Content::DroppedSetup { digest } => {
-                self.setups.remove(digest);
+                self.configurations.remove(digest);
             }
         }
     }
--- a/crates/model-checker/src/register_history.rs
+++ b/crates/model-checker/src/register_history.rs
@@ -15,7 +15,7 @@
     }
 
     fn holds_bytes_of(&self, state: &ClusterState) -> bool {
-        state.digest.is_empty() || self.setups.contains_key(&state.digest)
+        state.digest.is_empty() || self.configurations.contains_key(&state.digest)
     }
 }
 
@@ -67,12 +67,12 @@
 
 /// True where `later` comes from `earlier` by deciding orders.
 fn derives(earlier: &ClusterState, later: &ClusterState) -> bool {
-    match earlier.edition == later.edition {
+    match earlier.revision == later.revision {
         true => {
             earlier.digest == later.digest && later.submissions.starts_with(&earlier.submissions)
         }
         false => {
-            earlier.edition < later.edition && later.submissions.starts_with(&earlier.submissions)
+            earlier.revision < later.revision && later.submissions.starts_with(&earlier.submissions)
         }
     }
 }
@@ -95,7 +95,7 @@
 impl History {
     /// The explored part begins here: what was chosen before is kept, and later editions are counted from it.
     pub fn begin(&mut self) {
-        self.base_edition = self.newest_chosen().map_or(0, |state| state.edition);
+        self.base_edition = self.newest_chosen().map_or(0, |state| state.revision);
         self.confirmed = self.base_edition;
         self.reads.clear();
         let newest = self.chosen.keys().next_back().cloned().unwrap_or_default();
@@ -168,12 +168,12 @@
             );
         }
         let lost = self.told.iter().find(|(order, decision)| {
-            decision.edition <= state.edition && !orders[**order].is_in(state)
+            decision.revision <= state.revision && !orders[**order].is_in(state)
         });
         if let Some((order, decision)) = lost {
             let detail = format!(
                 "order {} was told {decision:?} and is not in edition {}",
-                order, state.edition
+                order, state.revision
             );
             return broken(Invariant::AcceptedIsKept, detail);
         }
@@ -182,7 +182,7 @@
             .iter()
             .map(|done| done.id.as_str())
             .collect();
-        let executed = state.edition.saturating_sub(self.base_edition) as usize;
+        let executed = state.revision.saturating_sub(self.base_edition) as usize;
         if self.base_edition > 0 && (ids.len() < state.submissions.len() || executed > orders.len())
         {
             let detail = format!(
@@ -199,7 +199,7 @@
         if !is_on_quorum(&state.voter_set, disks, |disk| disk.holds_bytes_of(state)) {
             let detail = format!(
                 "edition {} was chosen, and too few disks hold its bytes",
-                state.edition
+                state.revision
             );
             return broken(Invariant::BytesAreHeld, detail);
         }
@@ -214,7 +214,7 @@
         orders: &[OrderFacts],
         disks: &[&Disk],
     ) -> Result<(), Violation> {
-        if decision.code != ResultCode::Fine {
+        if decision.code != ResultCode::Success {
             return Ok(());
         }
         if let Some(before) = self
@@ -227,7 +227,7 @@
                 format!("order {order} was told {before:?}, then {decision:?}"),
             );
         }
-        self.confirmed = self.confirmed.max(decision.edition);
+        self.confirmed = self.confirmed.max(decision.revision);
         let facts = &orders[order];
         let rival = self.told.keys().find(|other| {
             let other = &orders[**other];
@@ -257,10 +257,10 @@
 
     /// A node takes a state for the one in force.
     pub fn adopted(&self, node: usize, state: &ClusterState) -> Result<(), Violation> {
-        if state.edition > 0 && !self.chosen.values().any(|chosen| chosen == state) {
+        if state.revision > 0 && !self.chosen.values().any(|chosen| chosen == state) {
             let detail = format!(
                 "node {node} has edition {} in force, which was never chosen",
-                state.edition
+                state.revision
             );
             return broken(Invariant::OneHistory, detail);
         }
@@ -295,7 +295,7 @@
     pub fn answer_reads(
         &mut self,
         node: usize,
-        edition: u64,
+        revision: u64,
         is_confirmed_since: impl Fn(Duration) -> bool,
     ) -> Result<(), Violation> {
         let answered = |read: &PendingRead| read.node == node && is_confirmed_since(read.asked_at);
@@ -303,15 +303,15 @@
             .into_iter()
             .partition(answered);
         self.reads = waiting;
-        if let Some(read) = done.iter().find(|read| edition < read.floor) {
+        if let Some(read) = done.iter().find(|read| revision < read.floor) {
             let detail = format!(
-                "node {node} read edition {edition}, {} was confirmed before",
+                "node {node} read edition {revision}, {} was confirmed before",
                 read.floor
             );
             return broken(Invariant::ReadsAreCurrent, detail);
         }
         if !done.is_empty() {
-            self.confirmed = self.confirmed.max(edition);
+            self.confirmed = self.confirmed.max(revision);
         }
         Ok(())
     }
--- a/crates/model-checker/src/register_model/mod.rs
+++ b/crates/model-checker/src/register_model/mod.rs
@@ -136,7 +136,7 @@
             roster_size: self.scenario.voters,
             seed: fingerprint_of(&(at, lives)),
             durable: disk.durable.clone(),
-            setups: disk.setups.clone(),
+            configurations: disk.configurations.clone(),
             times: self.scenario.times(),
         });
         register.step(now, Event::Peers((0..peers).map(node_name).collect()));
@@ -160,7 +160,7 @@
     fn undisturbed_start(&self) -> RegisterWorld {
         let mut world = self.initial.clone();
         self.run_undisturbed(&mut world);
-        let Order { change, bytes, .. } = Order::setup(FIRST_ORDER, None, &[]);
+        let Order { change, bytes, .. } = Order::configuration(FIRST_ORDER, None, &[]);
         self.step(
             &mut world,
             0,
--- a/crates/model-checker/src/register_model/order.rs
+++ b/crates/model-checker/src/register_model/order.rs
@@ -16,11 +16,11 @@
     /// A new configuration with an id, made from this edition where one is named.
     ///
     /// ```
-    /// assert_eq!(model_checker::Order::setup("a", Some(1), &[0]).at, [0]);
+    /// assert_eq!(model_checker::Order::configuration("a", Some(1), &[0]).at, [0]);
     /// ```
-    pub fn setup(id: &str, base: Option<u64>, at: &[usize]) -> Self {
+    pub fn configuration(id: &str, base: Option<u64>, at: &[usize]) -> Self {
         let bytes = id.as_bytes().to_vec();
-        let change = Change::Setup {
+        let change = Change::Configuration {
             id: id.into(),
             base,
             number: None,
@@ -40,7 +40,7 @@
     /// ```
     pub fn numbered(id: &str, number: u64, at: &[usize]) -> Self {
         let bytes = id.as_bytes().to_vec();
-        let change = Change::Setup {
+        let change = Change::Configuration {
             id: id.into(),
             base: None,
             number: Some(number),
@@ -74,7 +74,7 @@
 
     pub(super) fn facts(&self) -> OrderFacts {
         match &self.change {
-            Change::Setup {
+            Change::Configuration {
                 digest,
                 number,
                 base,
--- a/crates/model-checker/src/register_model/play.rs
+++ b/crates/model-checker/src/register_model/play.rs
@@ -155,7 +155,7 @@
                             durable.promised, durable.accepted_at
                         )
                     }
-                    Some(Content::Setup { digest, .. }) => format!("setup {digest}"),
+                    Some(Content::Configuration { digest, .. }) => format!("setup {digest}"),
                     Some(Content::DroppedSetup { digest }) => format!("drop setup {digest}"),
                     None => "nothing".into(),
                 };
--- a/crates/model-checker/src/register_model/steps.rs
+++ b/crates/model-checker/src/register_model/steps.rs
@@ -29,14 +29,14 @@
             Effect::Keep { ticket, durable } => {
                 self.write(world, at, ticket, Content::State(durable))
             }
-            Effect::KeepSetup {
+            Effect::StoreConfiguration {
                 ticket,
                 digest,
                 bytes,
             } => {
-                self.write(world, at, ticket, Content::Setup { digest, bytes });
+                self.write(world, at, ticket, Content::Configuration { digest, bytes });
             }
-            Effect::DropSetup { digest } => {
+            Effect::DeleteConfiguration { digest } => {
                 let content = Content::DroppedSetup { digest };
                 Arc::make_mut(&mut world.nodes[at])
                     .writes
@@ -199,11 +199,11 @@
         } = self.scenario.orders[order].clone();
         if self.defect == RegisterDefect::ResendsAsNew
             && world.asked[order] > 0
-            && let Change::Setup { id, .. } | Change::Evacuate { id, .. } = &mut change
+            && let Change::Configuration { id, .. } | Change::Evacuate { id, .. } = &mut change
         {
             id.id.push_str("-again");
         }
-        if let (RegisterDefect::LosesNumbers, Change::Setup { number, .. }) =
+        if let (RegisterDefect::LosesNumbers, Change::Configuration { number, .. }) =
             (self.defect, &mut change)
         {
             *number = None;
@@ -238,10 +238,10 @@
         }
         let node = world.nodes[at].clone();
         let register = &node.register;
-        let edition = register.state().edition;
+        let revision = register.state().revision;
         let local = self.defect == RegisterDefect::ReadsLocally;
         let confirmed = |asked_at| local || register.is_confirmed_since(asked_at);
-        world.record(|history, _| history.answer_reads(at, edition, confirmed));
+        world.record(|history, _| history.answer_reads(at, revision, confirmed));
     }
 
     pub(super) fn may_wipe(&self, world: &RegisterWorld, at: usize) -> bool {
--- a/crates/model-checker/src/register_model/world.rs
+++ b/crates/model-checker/src/register_model/world.rs
@@ -79,8 +79,8 @@
         if defect == RegisterDefect::DiskForgetsSynced {
             self.disk_before = Some(Box::new(self.disk.clone()));
         }
-        let dropped =
-            defect == RegisterDefect::DropsBytes && matches!(content, Content::Setup { .. });
+        let dropped = defect == RegisterDefect::DropsBytes
+            && matches!(content, Content::Configuration { .. });
         if !dropped {
             self.disk.apply(content);
         }
--- a/crates/model-checker/src/scenarios.rs
+++ b/crates/model-checker/src/scenarios.rs
@@ -48,11 +48,14 @@
         rounds,
         ..none
     };
-    let with_bytes = vec![Order::setup("a", None, &[0]), Order::setup("b", None, &[1])];
+    let with_bytes = vec![
+        Order::configuration("a", None, &[0]),
+        Order::configuration("b", None, &[1]),
+    ];
     let one_number = vec![Order::numbered("a", 7, &[0]), Order::numbered("b", 7, &[1])];
     let one_base = vec![
-        Order::setup("a", Some(1), &[0]),
-        Order::setup("b", Some(1), &[1]),
+        Order::configuration("a", Some(1), &[0]),
+        Order::configuration("b", Some(1), &[1]),
     ];
     let replica = |scenario| Scenario {
         replicas: 1,
--- a/crates/model-checker/tests/register.rs
+++ b/crates/model-checker/tests/register.rs
@@ -115,7 +115,7 @@
 
 #[test]
 fn orders_sent_again_as_new_ones_are_found_out() {
-    let orders = vec![Order::setup("a", None, &[0, 1])];
+    let orders = vec![Order::configuration("a", None, &[0, 1])];
     assert_eq!(
         broken_by(
             RegisterDefect::ResendsAsNew,
--- a/crates/model-checker/tests/walks.rs
+++ b/crates/model-checker/tests/walks.rs
@@ -53,14 +53,14 @@
 fn scenario(voters: usize, schedule: Schedule) -> Scenario {
     let everywhere: Vec<usize> = (0..voters).collect();
     let order = |at: usize| match at % 3 {
-        0 => Order::setup(&format!("setup-{at}"), None, &everywhere),
+        0 => Order::configuration(&format!("setup-{at}"), None, &everywhere),
         1 => Order::evacuation(
             &format!("away-{at}"),
             &format!("north/n{at}"),
             false,
             &everywhere,
         ),
-        _ => Order::setup(&format!("based-{at}"), Some(at as u64), &everywhere),
+        _ => Order::configuration(&format!("based-{at}"), Some(at as u64), &everywhere),
     };
     let budget = RegisterBudget {
         asks: 30,
--- a/crates/name-directory/src/answer.rs
+++ b/crates/name-directory/src/answer.rs
@@ -8,7 +8,7 @@
 
 /// Where a name lives, for an origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listing {
+pub struct LookupAnswer {
     pub name: String,
     pub locality: String,
     pub epoch: u64,
@@ -18,7 +18,7 @@
 
 /// Who owns a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Owners {
+pub enum OwnershipMode {
     /// One locality for everybody; the placement duty decides which.
     #[default]
     One,
@@ -31,10 +31,10 @@
 ///
 /// ```
 /// use result_code::ResultCode;
-/// use name_directory::Owners;
+/// use name_directory::OwnershipMode;
 /// use std::time::Duration;
 /// let view = name_directory::View::default();
-/// let asked = name_directory::list(&view, "book", &"north/n1".parse().unwrap(), Duration::from_secs(2), (Owners::One, 3));
+/// let asked = name_directory::list(&view, "book", &"north/n1".parse().unwrap(), Duration::from_secs(2), (OwnershipMode::One, 3));
 /// assert_eq!(asked, Err(ResultCode::NoSuchName));
 /// ```
 pub fn list(
@@ -42,11 +42,14 @@
     asked: &str,
     origin: &Locality,
     lifetime: Duration,
-    (owners, most): (Owners, usize),
-) -> Result<Listing, ResultCode> {
-    let name = view.setup.resolve(asked).ok_or(ResultCode::NoSuchName)?;
+    (owners, most): (OwnershipMode, usize),
+) -> Result<LookupAnswer, ResultCode> {
+    let name = view
+        .configuration
+        .resolve(asked)
+        .ok_or(ResultCode::NoSuchName)?;
     let (owner, epoch) = match owners {
-        Owners::One => {
+        OwnershipMode::One => {
             let owned = view.reservations.get(name);
             let owned = owned
                 .filter(|owned| !view.evacuated.contains(&owned.locality))
@@ -56,9 +59,9 @@
                 owned.epoch,
             )
         }
-        Owners::ByCaller => (
+        OwnershipMode::ByCaller => (
             owner_for(view, name, origin).ok_or(ResultCode::NoOwner)?,
-            view.edition,
+            view.revision,
         ),
     };
     let mut proxies: Vec<_> = able(view, name)
@@ -88,7 +91,7 @@
         .take(most)
         .map(|(.., proxy)| proxy.address.clone())
         .collect();
-    Ok(Listing {
+    Ok(LookupAnswer {
         name: name.to_owned(),
         locality: owner.to_string(),
         epoch,
@@ -99,9 +102,9 @@
 
 /// The proxies that may carry a name's work: not evacuated, and at home for all of its services.
 fn able<'a>(view: &'a View, name: &'a str) -> impl Iterator<Item = &'a Proxy> {
-    let services: Vec<_> = view.setup.services_of(name).collect();
+    let services: Vec<_> = view.configuration.services_of(name).collect();
     let regions: Vec<_> = view
-        .setup
+        .configuration
         .routes_of(name)
         .map(|route| &route.terms.home_regions)
         .collect();
--- a/crates/name-directory/src/lib.rs
+++ b/crates/name-directory/src/lib.rs
@@ -5,7 +5,7 @@
 mod placement;
 mod view;
 
-pub use answer::{Listing, Owners, list};
+pub use answer::{LookupAnswer, OwnershipMode, list};
 pub use patch::{change, latest_grants, patch, patched, take_change, uncovered};
-pub use placement::{Needs, Placer, Times};
-pub use view::{Proxy, Senders, SetupReader, Upstreams, View, is_home, is_within};
+pub use placement::{Needs, Times, ZoneAssigner};
+pub use view::{ConfigurationReader, Proxy, Senders, Upstreams, View, is_home, is_within};
--- a/crates/name-directory/src/patch.rs
+++ b/crates/name-directory/src/patch.rs
@@ -1,19 +1,19 @@
 //! What changed in who holds which keys, so that a change need not be told whole.
 
-use protocol::{Placement, ServiceShares, Share};
+use protocol::{KeyShare, Placement, ServiceKeyShares};
 use std::collections::BTreeMap;
 
 /// The parts of some shares that none of the others covers.
 ///
 /// ```
-/// use protocol::Share;
-/// let share = |from, until| Share { from, until, instance: "a".into(), ..Default::default() };
+/// use protocol::KeyShare;
+/// let share = |from, until| KeyShare { from, until, instance: "a".into(), ..Default::default() };
 /// let left = name_directory::uncovered(&[share(0, 10)], &[share(2, 4)]);
 /// assert_eq!(left, [share(0, 2), share(4, 10)]);
 /// ```
-pub fn uncovered(shares: &[Share], by: &[Share]) -> Vec<Share> {
+pub fn uncovered(shares: &[KeyShare], by: &[KeyShare]) -> Vec<KeyShare> {
     let covered = union(by);
-    let gaps = |share: &Share| {
+    let gaps = |share: &KeyShare| {
         // The first run that ends beyond the start of this share; those before it cover nothing of it.
         let first = covered.partition_point(|(_, until)| *until <= share.from);
         let runs = covered[first..]
@@ -27,7 +27,7 @@
         parts.push((end, share.until));
         parts
     };
-    let part = |share: &Share, (from, until): (u32, u32)| Share {
+    let part = |share: &KeyShare, (from, until): (u32, u32)| KeyShare {
         from,
         until,
         ..share.clone()
@@ -45,15 +45,15 @@
 /// epoch counts, and of those alike the first.
 ///
 /// ```
-/// use protocol::Share;
-/// let share = |from, until, epoch| Share { from, until, epoch, ..Share::default() };
+/// use protocol::KeyShare;
+/// let share = |from, until, epoch| KeyShare { from, until, epoch, ..KeyShare::default() };
 /// let held = name_directory::latest_grants(vec![share(0, 10, 1), share(4, 6, 2)]);
 /// assert_eq!(held, [share(0, 4, 1), share(4, 6, 2), share(6, 10, 1)]);
 /// ```
-pub fn latest_grants(mut rows: Vec<Share>) -> Vec<Share> {
+pub fn latest_grants(mut rows: Vec<KeyShare>) -> Vec<KeyShare> {
     rows.sort_by_key(|share| std::cmp::Reverse(share.epoch));
     let mut covered = Covered::default();
-    let part = |share: &Share, (from, until): (u32, u32)| Share {
+    let part = |share: &KeyShare, (from, until): (u32, u32)| KeyShare {
         from,
         until,
         ..share.clone()
@@ -64,7 +64,7 @@
             .into_iter()
             .map(move |gap| (share, gap))
     });
-    let mut shares: Vec<Share> = parts.map(|(share, gap)| part(share, gap)).collect();
+    let mut shares: Vec<KeyShare> = parts.map(|(share, gap)| part(share, gap)).collect();
     shares.sort_by_key(|share| share.from);
     shares
 }
@@ -110,7 +110,7 @@
 }
 
 /// The keys that some of the shares cover, as runs in order that don't touch.
-fn union(shares: &[Share]) -> Vec<(u32, u32)> {
+fn union(shares: &[KeyShare]) -> Vec<(u32, u32)> {
     let mut runs: Vec<(u32, u32)> = shares
         .iter()
         .filter(|share| share.from < share.until)
@@ -130,19 +130,19 @@
 /// What makes one service's shares the new ones: new rows, and rows without an instance where nobody holds any more.
 ///
 /// ```
-/// use protocol::Share;
-/// let share = |from, until, who: &str| Share { from, until, instance: who.into(), ..Default::default() };
+/// use protocol::KeyShare;
+/// let share = |from, until, who: &str| KeyShare { from, until, instance: who.into(), ..Default::default() };
 /// let (old, new) = ([share(0, 9, "a")], [share(0, 4, "a"), share(6, 9, "b")]);
 /// let patch = name_directory::patch(&old, &new);
 /// assert_eq!(name_directory::patched(&old, &patch), new);
 /// ```
-pub fn patch(old: &[Share], new: &[Share]) -> Vec<Share> {
-    let mut known: BTreeMap<u32, Vec<&Share>> = BTreeMap::new();
+pub fn patch(old: &[KeyShare], new: &[KeyShare]) -> Vec<KeyShare> {
+    let mut known: BTreeMap<u32, Vec<&KeyShare>> = BTreeMap::new();
     old.iter()
         .for_each(|row| known.entry(row.from).or_default().push(row));
-    let is_known = |row: &Share| known.get(&row.from).is_some_and(|rows| rows.contains(&row));
+    let is_known = |row: &KeyShare| known.get(&row.from).is_some_and(|rows| rows.contains(&row));
     let rows = new.iter().filter(|row| !is_known(row)).cloned();
-    let nobody = |row: Share| Share {
+    let nobody = |row: KeyShare| KeyShare {
         epoch: 0,
         instance: String::new(),
         handover: String::new(),
@@ -157,10 +157,10 @@
 /// ```
 /// assert!(name_directory::patched(&[], &[]).is_empty());
 /// ```
-pub fn patched(old: &[Share], patch: &[Share]) -> Vec<Share> {
+pub fn patched(old: &[KeyShare], patch: &[KeyShare]) -> Vec<KeyShare> {
     let kept = uncovered(old, patch);
     let rows = patch.iter().filter(|row| !row.instance.is_empty()).cloned();
-    let mut shares: Vec<Share> = kept.into_iter().chain(rows).collect();
+    let mut shares: Vec<KeyShare> = kept.into_iter().chain(rows).collect();
     shares.sort_by_key(|share| share.from);
     shares
 }
@@ -175,7 +175,10 @@
 /// assert!(name_directory::change(&old, &Placement { epoch: 4, ..new }).is_none());
 /// ```
 pub fn change(old: &Placement, new: &Placement) -> Option<Placement> {
-    if old.epoch != new.epoch || old.reservations != new.reservations || old.marks != new.marks {
+    if old.epoch != new.epoch
+        || old.reservations != new.reservations
+        || old.tombstones != new.tombstones
+    {
         return None;
     }
     let of = |placement: &Placement, service: &str| {
@@ -193,7 +196,7 @@
         .collect();
     services.sort_unstable();
     services.dedup();
-    let shares = services.into_iter().map(|service| ServiceShares {
+    let shares = services.into_iter().map(|service| ServiceKeyShares {
         service: service.to_owned(),
         shares: patch(&of(old, service), &of(new, service)),
     });
@@ -214,17 +217,17 @@
 ///
 /// ```
 /// let mut shares = vec![];
-/// name_directory::take_change(&mut shares, &[protocol::ServiceShares { service: "s".into(), shares: vec![] }]);
+/// name_directory::take_change(&mut shares, &[protocol::ServiceKeyShares { service: "s".into(), shares: vec![] }]);
 /// assert_eq!(shares.len(), 1);
 /// ```
-pub fn take_change(shares: &mut Vec<ServiceShares>, changes: &[ServiceShares]) {
+pub fn take_change(shares: &mut Vec<ServiceKeyShares>, changes: &[ServiceKeyShares]) {
     changes.iter().for_each(|change| {
         match shares
             .iter_mut()
             .find(|known| known.service == change.service)
         {
             Some(known) => known.shares = patched(&known.shares, &change.shares),
-            None => shares.push(ServiceShares {
+            None => shares.push(ServiceKeyShares {
                 service: change.service.clone(),
                 shares: patched(&[], &change.shares),
             }),
--- a/crates/name-directory/src/placement.rs
+++ b/crates/name-directory/src/placement.rs
@@ -1,8 +1,8 @@
 //! The placement duty: which locality owns each name, derived from beats, evacuations and editions.
 
 use crate::view::is_home;
-use config::Setup;
-use protocol::{Mark, Placement, Reservation, ServiceShares, Upstream};
+use config::Configuration;
+use protocol::{Placement, Reservation, ServiceKeyShares, Tombstone, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 
 /// What placement decides from.
 pub struct Needs<'a> {
-    pub setup: &'a Setup,
+    pub configuration: &'a Configuration,
     pub evacuated: &'a [String],
     pub upstreams: &'a [Upstream],
     /// Localities where a proxy is alive.
@@ -35,7 +35,7 @@
 }
 
 /// The holder's working state.
-pub struct Placer {
+pub struct ZoneAssigner {
     lease_epoch: u64,
     number: u64,
     epoch: u64,
@@ -45,14 +45,14 @@
     left: BTreeMap<(String, String), Left>,
 }
 
-impl Placer {
+impl ZoneAssigner {
     /// Takes the duty over under a claim, from the last placement heard of.
     ///
     /// ```
     /// use std::time::Duration;
     /// let times = name_directory::Times { least_stay: Duration::from_secs(4), mark_lifetime: Duration::from_secs(60) };
-    /// let placer = name_directory::Placer::new(Duration::ZERO, 3, &Default::default(), times);
-    /// assert!(placer.placement(Duration::ZERO, vec![]).reservations.is_empty());
+    /// let assigner = name_directory::ZoneAssigner::new(Duration::ZERO, 3, &Default::default(), times);
+    /// assert!(assigner.placement(Duration::ZERO, vec![]).reservations.is_empty());
     /// ```
     pub fn new(now: Duration, lease_epoch: u64, last: &Placement, times: Times) -> Self {
         let at = |age_ms: u64| now.saturating_sub(Duration::from_millis(age_ms));
@@ -72,8 +72,8 @@
                 },
             )
         });
-        let left = last.marks.iter().map(|known| {
-            let Mark {
+        let left = last.tombstones.iter().map(|known| {
+            let Tombstone {
                 name,
                 from,
                 to,
@@ -90,7 +90,7 @@
             )
         });
         let (owned, left): (BTreeMap<_, _>, BTreeMap<_, _>) = (owned.collect(), left.collect());
-        Placer {
+        ZoneAssigner {
             lease_epoch,
             number: 0,
             epoch: lease_epoch << 32,
@@ -103,31 +103,31 @@
     /// Decides anew; true where something moved.
     ///
     /// ```
-    /// use name_directory::{Needs, Placer, Times};
+    /// use name_directory::{Needs, ZoneAssigner, Times};
     /// use protocol::Upstream;
     /// use std::time::Duration;
     /// let times = Times { least_stay: Duration::from_secs(4), mark_lifetime: Duration::from_secs(60) };
-    /// let setup = config::Setup::read(br#"{"services": [{"name": "s", "work": "once", "homeRegions": ["n"]}],
+    /// let configuration = config::Configuration::read(br#"{"services": [{"name": "s", "work": "once", "homeRegions": ["n"]}],
     ///     "routes": [{"id": "r", "name": "book", "path": "/", "service": "s"}]}"#).unwrap();
     /// let unit = |name: &str, place: &str| Upstream { service: "s".into(), instance: name.into(),
     ///     locality: place.into(), free_slots: 4, warm: true, ..Default::default() };
     /// let upstreams = [unit("a", "n/1"), unit("b", "n/1"), unit("c", "n/2"), unit("d", "s/1"), unit("e", "s/1"),
     ///     unit("f", "s/1")];
     /// let served = ["n/1".to_owned(), "n/2".to_owned(), "s/1".to_owned()].into_iter().collect();
-    /// let mut placer = Placer::new(Duration::ZERO, 1, &Default::default(), times);
-    /// let needs = |evacuated| Needs { setup: &setup, evacuated, upstreams: &upstreams, served: &served };
-    /// assert!(placer.decide(Duration::ZERO, &needs(&[])));
-    /// assert_eq!(placer.placement(Duration::ZERO, vec![]).reservations[0].locality, "n/1");
+    /// let mut assigner = ZoneAssigner::new(Duration::ZERO, 1, &Default::default(), times);
+    /// let needs = |evacuated| Needs { configuration: &configuration, evacuated, upstreams: &upstreams, served: &served };
+    /// assert!(assigner.decide(Duration::ZERO, &needs(&[])));
+    /// assert_eq!(assigner.placement(Duration::ZERO, vec![]).reservations[0].locality, "n/1");
     /// let (one, both) = (["n/1".to_owned()], ["n/1".to_owned(), "n/2".to_owned()]);
-    /// placer.decide(Duration::ZERO, &needs(&one));
-    /// let after = placer.placement(Duration::ZERO, vec![]);
+    /// assigner.decide(Duration::ZERO, &needs(&one));
+    /// let after = assigner.placement(Duration::ZERO, vec![]);
     /// assert_eq!(after.reservations[0].locality, "n/2");
-    /// assert_eq!((after.marks[0].from.as_str(), after.marks[0].to.as_str()), ("n/1", "n/2"));
-    /// placer.decide(Duration::ZERO, &needs(&both));
-    /// assert!(placer.placement(Duration::ZERO, vec![]).reservations.is_empty(), "never outside the home regions");
+    /// assert_eq!((after.tombstones[0].from.as_str(), after.tombstones[0].to.as_str()), ("n/1", "n/2"));
+    /// assigner.decide(Duration::ZERO, &needs(&both));
+    /// assert!(assigner.placement(Duration::ZERO, vec![]).reservations.is_empty(), "never outside the home regions");
     /// ```
     pub fn decide(&mut self, now: Duration, needs: &Needs) -> bool {
-        let names = needs.setup.names();
+        let names = needs.configuration.names();
         let before = self.owned.len() + self.left.len();
         self.owned
             .retain(|name, _| names.contains_key(name.as_str()));
@@ -167,7 +167,7 @@
     ) -> BTreeMap<String, u64> {
         let homes = services
             .iter()
-            .filter_map(|service| needs.setup.services.get(*service));
+            .filter_map(|service| needs.configuration.services.get(*service));
         let homes: Vec<_> = homes.collect();
         let all = capacity
             .iter()
@@ -249,11 +249,11 @@
     /// ```
     /// # use std::time::Duration;
     /// # let times = name_directory::Times { least_stay: Duration::ZERO, mark_lifetime: Duration::ZERO };
-    /// let mut placer = name_directory::Placer::new(Duration::ZERO, 3, &Default::default(), times);
-    /// placer.count();
-    /// assert_eq!(placer.placement(Duration::ZERO, vec![]).number, 1);
+    /// let mut assigner = name_directory::ZoneAssigner::new(Duration::ZERO, 3, &Default::default(), times);
+    /// assigner.count();
+    /// assert_eq!(assigner.placement(Duration::ZERO, vec![]).number, 1);
     /// ```
-    pub fn placement(&self, now: Duration, shares: Vec<ServiceShares>) -> Placement {
+    pub fn placement(&self, now: Duration, shares: Vec<ServiceKeyShares>) -> Placement {
         let age = |since: Duration| now.saturating_sub(since).as_millis() as u64;
         let reservations = self.owned.iter().map(|(name, owned)| Reservation {
             name: name.clone(),
@@ -261,7 +261,7 @@
             epoch: owned.epoch,
             age_ms: age(owned.since),
         });
-        let marks = self.left.iter().map(|((name, from), left)| Mark {
+        let tombstones = self.left.iter().map(|((name, from), left)| Tombstone {
             name: name.clone(),
             from: from.clone(),
             to: left.to.clone(),
@@ -272,7 +272,7 @@
             epoch: self.lease_epoch,
             number: self.number,
             reservations: reservations.collect(),
-            marks: marks.collect(),
+            tombstones: tombstones.collect(),
             shares,
             ..Placement::default()
         }
@@ -283,10 +283,10 @@
     /// ```
     /// # use std::time::Duration;
     /// # let times = name_directory::Times { least_stay: Duration::ZERO, mark_lifetime: Duration::ZERO };
-    /// let mut placer = name_directory::Placer::new(Duration::ZERO, 3, &Default::default(), times);
-    /// assert_eq!(placer.placement(Duration::ZERO, vec![]).number, 0);
-    /// placer.count();
-    /// assert_eq!(placer.placement(Duration::ZERO, vec![]).number, 1);
+    /// let mut assigner = name_directory::ZoneAssigner::new(Duration::ZERO, 3, &Default::default(), times);
+    /// assert_eq!(assigner.placement(Duration::ZERO, vec![]).number, 0);
+    /// assigner.count();
+    /// assert_eq!(assigner.placement(Duration::ZERO, vec![]).number, 1);
     /// ```
     pub fn count(&mut self) {
         self.number += 1;
--- a/crates/name-directory/src/view.rs
+++ b/crates/name-directory/src/view.rs
@@ -1,8 +1,8 @@
 //! What a data node knows, as one immutable value.
 
-use config::{Complaint, Service, Setup};
+use config::{Configuration, Service, ValidationError};
 use locality::Locality;
-use protocol::{Mark, Placement, Reservation, Share, Upstream, ViewUpdate};
+use protocol::{KeyShare, Placement, Reservation, Tombstone, Upstream, ViewUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -46,11 +46,11 @@
 
 /// How a configuration's bytes are read and checked.
 #[derive(Clone, Copy)]
-pub struct SetupReader(pub fn(&[u8]) -> Result<Setup, Vec<Complaint>>);
+pub struct ConfigurationReader(pub fn(&[u8]) -> Result<Configuration, Vec<ValidationError>>);
 
-impl Default for SetupReader {
+impl Default for ConfigurationReader {
     fn default() -> Self {
-        SetupReader(Setup::read)
+        ConfigurationReader(Configuration::read)
     }
 }
 
@@ -58,18 +58,18 @@
 #[derive(Clone, Default)]
 pub struct View {
     /// How configurations are read here.
-    pub reader: SetupReader,
-    pub edition: u64,
+    pub reader: ConfigurationReader,
+    pub revision: u64,
     pub digest: String,
-    pub setup: Arc<Setup>,
+    pub configuration: Arc<Configuration>,
     pub evacuated: BTreeSet<String>,
     /// By service, then by instance; only those that are not gone.
     pub upstreams: Arc<BTreeMap<String, Upstreams>>,
     pub reservations: Arc<BTreeMap<String, Reservation>>,
     /// By name and the locality left.
-    pub marks: Arc<BTreeMap<(String, String), Mark>>,
+    pub tombstones: Arc<BTreeMap<(String, String), Tombstone>>,
     /// By service.
-    pub shares: Arc<BTreeMap<String, Vec<Share>>>,
+    pub shares: Arc<BTreeMap<String, Vec<KeyShare>>>,
     pub placement_at: (u64, u64),
     pub proxies: Arc<Vec<Proxy>>,
     /// Which proxies send to a service's upstreams: those where its names are owned.
@@ -104,21 +104,21 @@
     /// view.take(ViewUpdate { upstreams: vec![Upstream { condition: 2, ..ready }], ..Default::default() }, false).unwrap();
     /// assert!(view.upstreams["s"].is_empty());
     /// ```
-    pub fn take(&mut self, news: ViewUpdate, image: bool) -> Result<(), Vec<Complaint>> {
-        let setup = news
-            .setup
+    pub fn take(&mut self, news: ViewUpdate, image: bool) -> Result<(), Vec<ValidationError>> {
+        let configuration = news
+            .configuration
             .map(|bytes| (self.reader.0)(&bytes).map(Arc::new))
             .transpose()?;
         if image && !news.keeps_upstreams {
             self.upstreams = Arc::default();
         }
         // An older edition never follows a newer one.
-        let state = news.state.filter(|state| state.edition >= self.edition);
+        let state = news.state.filter(|state| state.revision >= self.revision);
         if let Some(state) = state {
-            self.edition = state.edition;
+            self.revision = state.revision;
             self.digest = state.digest;
             self.evacuated = state.evacuated.into_iter().collect();
-            self.setup = setup.unwrap_or_else(|| self.setup.clone());
+            self.configuration = configuration.unwrap_or_else(|| self.configuration.clone());
         }
         if !news.upstreams.is_empty() {
             let known = Arc::make_mut(&mut self.upstreams);
@@ -166,11 +166,11 @@
             .into_iter()
             .map(|r| (r.name.clone(), r));
         self.reservations = Arc::new(reservations.collect());
-        let marks = placement
-            .marks
+        let tombstones = placement
+            .tombstones
             .into_iter()
             .map(|m| ((m.name.clone(), m.from.clone()), m));
-        self.marks = Arc::new(marks.collect());
+        self.tombstones = Arc::new(tombstones.collect());
         self.shares = Arc::new(
             placement
                 .shares
@@ -189,7 +189,7 @@
     /// assert_eq!(view.senders.since, Duration::ZERO, "nothing changed");
     /// ```
     pub fn settle_senders(&mut self, now: Duration) {
-        let owners = self.setup.routes.values().flat_map(|route| {
+        let owners = self.configuration.routes.values().flat_map(|route| {
             let owned = self.reservations.get(&route.name);
             owned.into_iter().flat_map(|owned| {
                 route
--- a/crates/name-directory/tests/patches.rs
+++ b/crates/name-directory/tests/patches.rs
@@ -3,22 +3,22 @@
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
 use name_directory::{latest_grants, patch, patched, uncovered};
-use protocol::Share;
+use protocol::KeyShare;
 use std::time::{Duration, Instant};
 
 /// Rows in order that don't overlap.
-fn rows(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<Share>> {
+fn rows(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<KeyShare>> {
     let (mut at, mut rows) = (0u32, Vec::new());
     while at < 60 && noise.ratio(9u8, 10u8)? {
         let from = at + noise.int_in_range(0..=4u32)?;
         let until = from + noise.int_in_range(1..=9u32)?;
         let instance = ["a", "b", "c"][noise.int_in_range(0..=2usize)?].to_owned();
-        rows.push(Share {
+        rows.push(KeyShare {
             from,
             until,
             epoch: noise.int_in_range(1..=3u64)?,
             instance,
-            ..Share::default()
+            ..KeyShare::default()
         });
         at = until;
     }
@@ -39,14 +39,14 @@
 }
 
 /// What is left of each row when the others are cut out of it one by one.
-fn cut_one_by_one(shares: &[Share], by: &[Share]) -> Vec<Share> {
-    let cut = |shares: Vec<Share>, by: &Share| {
+fn cut_one_by_one(shares: &[KeyShare], by: &[KeyShare]) -> Vec<KeyShare> {
+    let cut = |shares: Vec<KeyShare>, by: &KeyShare| {
         let parts = shares.into_iter().flat_map(|share| {
-            let before = Share {
+            let before = KeyShare {
                 until: share.until.min(by.from),
                 ..share.clone()
             };
-            let after = Share {
+            let after = KeyShare {
                 from: share.from.max(by.until),
                 ..share
             };
@@ -60,17 +60,17 @@
 }
 
 /// Rows in any order, some of which overlap.
-fn mixed(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<Share>> {
+fn mixed(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<KeyShare>> {
     let count = noise.int_in_range(0..=9usize)?;
     (0..count)
         .map(|_| {
             let from = noise.int_in_range(0..=30u32)?;
             let until = from + noise.int_in_range(1..=12u32)?;
-            Ok(Share {
+            Ok(KeyShare {
                 from,
                 until,
                 epoch: noise.int_in_range(1..=3u64)?,
-                ..Share::default()
+                ..KeyShare::default()
             })
         })
         .collect()
@@ -96,14 +96,14 @@
 /// quarter of a core's whole time, and leases ran out meanwhile.
 #[test]
 fn a_change_of_many_rows_takes_little_time() {
-    let row = |at: u32, instance: &str| Share {
+    let row = |at: u32, instance: &str| KeyShare {
         from: at * 8,
         until: at * 8 + 8,
         epoch: 3,
         instance: instance.into(),
-        ..Share::default()
+        ..KeyShare::default()
     };
-    let (old, new): (Vec<Share>, Vec<Share>) = (0..8192)
+    let (old, new): (Vec<KeyShare>, Vec<KeyShare>) = (0..8192)
         .map(|at| (row(at, "one"), row(at, "another")))
         .unzip();
     let begun_at = Instant::now();
@@ -116,12 +116,14 @@
 }
 
 /// Each row cut by all of higher epochs, one after the other.
-fn latest_one_by_one(mut rows: Vec<Share>) -> Vec<Share> {
+fn latest_one_by_one(mut rows: Vec<KeyShare>) -> Vec<KeyShare> {
     rows.sort_by_key(|share| std::cmp::Reverse(share.epoch));
-    let mut shares = rows.iter().fold(Vec::new(), |mut known: Vec<Share>, row| {
-        known.extend(cut_one_by_one(std::slice::from_ref(row), &known));
-        known
-    });
+    let mut shares = rows
+        .iter()
+        .fold(Vec::new(), |mut known: Vec<KeyShare>, row| {
+            known.extend(cut_one_by_one(std::slice::from_ref(row), &known));
+            known
+        });
     shares.sort_by_key(|share| share.from);
     shares
 }
@@ -146,13 +148,13 @@
 /// it took its whole processor, and no lease could be won meanwhile.
 #[test]
 fn the_latest_of_many_grants_take_little_time() {
-    let row = |at: u32| Share {
+    let row = |at: u32| KeyShare {
         from: at * 5 % 8192 * 8,
         until: at * 5 % 8192 * 8 + 8,
         epoch: 3,
-        ..Share::default()
+        ..KeyShare::default()
     };
-    let rows: Vec<Share> = (0..8192).map(row).collect();
+    let rows: Vec<KeyShare> = (0..8192).map(row).collect();
     let begun_at = Instant::now();
     assert_eq!(latest_grants(rows).len(), 8192);
     assert!(
--- a/crates/protocol/src/delta.rs
+++ b/crates/protocol/src/delta.rs
@@ -18,8 +18,8 @@
     /// the receiver is further on.
     ///
     /// ```
-    /// use protocol::{ClusterState, StateDelta, Submission};
-    /// let orders = |ids: &[&str]| ids.iter().map(|id| Submission { id: id.to_string(), ..Default::default() }).collect();
+    /// use protocol::{ClusterState, StateDelta, DecidedChange};
+    /// let orders = |ids: &[&str]| ids.iter().map(|id| DecidedChange { id: id.to_string(), ..Default::default() }).collect();
     /// let earlier = ClusterState { decided: 2, submissions: orders(&["a", "b"]), ..Default::default() };
     /// let later = ClusterState { decided: 3, submissions: orders(&["b", "c"]), ..Default::default() };
     /// let delta = StateDelta::since(&later, earlier.decided).unwrap();
@@ -73,7 +73,7 @@
 
 fn without_submissions(state: &ClusterState) -> ClusterState {
     let ClusterState {
-        edition,
+        revision,
         digest,
         evacuated,
         submissions: _,
@@ -84,7 +84,7 @@
         voter_set,
     } = state;
     ClusterState {
-        edition: *edition,
+        revision: *revision,
         digest: digest.clone(),
         evacuated: evacuated.clone(),
         submissions: Vec::new(),
--- a/crates/protocol/src/kinds.rs
+++ b/crates/protocol/src/kinds.rs
@@ -9,7 +9,7 @@
 /// ```
 pub fn kind(body: &Payload) -> &'static str {
     match body {
-        Payload::Probe(_) | Payload::ProbeFor(_) | Payload::Heard(_) => "membership",
+        Payload::Probe(_) | Payload::IndirectProbe(_) | Payload::ProbeReply(_) => "membership",
         Payload::Read(_)
         | Payload::ReadBack(_)
         | Payload::DeparturesRead(_)
@@ -17,19 +17,19 @@
         Payload::LeaseRequest(_)
         | Payload::LeaseReply(_)
         | Payload::LeaseRelease(_)
-        | Payload::Holder(_) => "claims",
-        Payload::Beats(_) | Payload::BeatsAck(_) => "beats",
-        Payload::Alive(_) => "alive",
+        | Payload::LeaseHolder(_) => "claims",
+        Payload::Heartbeats(_) | Payload::HeartbeatsAck(_) => "beats",
+        Payload::HeartbeatDigest(_) => "alive",
         Payload::KeyLoads(_) => "keyLoads",
         Payload::SharesRequest(_) | Payload::SharesReply(_) => "shares",
         Payload::Placement(_) | Payload::PlacementRequest(_) => "placement",
         Payload::UpdateRequest(_) => "newsAsk",
-        Payload::Freshness(_) | Payload::UpdateAck(_) | Payload::CarrierAck(_) => "newsKept",
+        Payload::Freshness(_) | Payload::UpdateAck(_) | Payload::DataPlaneAck(_) => "newsKept",
         Payload::ViewUpdate(news) if news.number == 0 => "newsImage",
         Payload::ViewUpdate(_) => "newsChange",
         Payload::UpstreamsRequest(_) => "rollAsk",
         Payload::UpstreamsReply(_) => "rollTold",
-        Payload::SetupBytes(_) | Payload::SetupAsk(_) => "setups",
+        Payload::ConfigurationBytes(_) | Payload::ConfigurationRequest(_) => "setups",
         Payload::Prepare(_)
         | Payload::Promise(_)
         | Payload::Accept(_)
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,17 +1,17 @@
 //! What mothspindle's processes say to each other, how it is framed, and the seal on verdicts.
 
+mod compress;
 mod delta;
 mod frames;
 mod kinds;
 mod messages;
-mod squeeze;
 mod voters;
 
+pub use compress::{MAX_CONFIGURATION_BYTES, compress, decompress};
 pub use frames::Frames;
 pub use kinds::kind;
 pub use messages::*;
 pub use prost::Message;
-pub use squeeze::{MOST_SETUP_BYTES, squeeze, unsqueeze};
 pub use voters::{VoterSet, majority};
 
 use sha2::{Digest, Sha256};
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -33,9 +33,9 @@
     #[prost(message, tag = "8")]
     Chosen(Chosen),
     #[prost(message, tag = "9")]
-    SetupBytes(SetupBytes),
+    ConfigurationBytes(ConfigurationBytes),
     #[prost(message, tag = "10")]
-    SetupAsk(SetupAsk),
+    ConfigurationRequest(ConfigurationRequest),
     #[prost(message, tag = "11")]
     BootstrapVote(BootstrapVote),
     #[prost(message, tag = "12")]
@@ -43,15 +43,15 @@
     #[prost(message, tag = "13")]
     Probe(Probe),
     #[prost(message, tag = "14")]
-    ProbeFor(ProbeFor),
+    IndirectProbe(IndirectProbe),
     #[prost(message, tag = "15")]
-    Heard(Heard),
+    ProbeReply(ProbeReply),
     #[prost(message, tag = "16")]
     LeaseRequest(LeaseRequest),
     #[prost(message, tag = "17")]
     LeaseReply(LeaseReply),
     #[prost(message, tag = "18")]
-    Beats(Beats),
+    Heartbeats(Heartbeats),
     #[prost(message, tag = "19")]
     SharesRequest(SharesRequest),
     #[prost(message, tag = "20")]
@@ -73,19 +73,19 @@
     #[prost(message, tag = "28")]
     UpstreamsReply(UpstreamsReply),
     #[prost(message, tag = "29")]
-    Holder(Holder),
+    LeaseHolder(LeaseHolder),
     #[prost(message, tag = "30")]
-    CarrierAck(CarrierAck),
+    DataPlaneAck(DataPlaneAck),
     #[prost(message, tag = "40")]
     KeyLoads(KeyLoads),
     #[prost(message, tag = "31")]
-    Alive(Alive),
+    HeartbeatDigest(HeartbeatDigest),
     #[prost(message, tag = "41")]
     PlacementRequest(PlacementRequest),
     #[prost(message, tag = "32")]
     VoterLeaving(VoterLeaving),
     #[prost(message, tag = "50")]
-    BeatsAck(BeatsAck),
+    HeartbeatsAck(HeartbeatsAck),
     #[prost(message, tag = "51")]
     DeparturesRead(DeparturesRead),
     #[prost(message, tag = "52")]
@@ -119,7 +119,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ClusterState {
     #[prost(uint64, tag = "1")]
-    pub edition: u64,
+    pub revision: u64,
     /// The digest of the setup's bytes; empty before the first.
     #[prost(string, tag = "2")]
     pub digest: String,
@@ -128,7 +128,7 @@
     pub evacuated: Vec<String>,
     /// The latest submissions with their verdicts, oldest first.
     #[prost(message, repeated, tag = "4")]
-    pub submissions: Vec<Submission>,
+    pub submissions: Vec<DecidedChange>,
     /// The operator's own number of the setup; 0 where there is none.
     #[prost(uint64, tag = "5")]
     pub number: u64,
@@ -137,7 +137,7 @@
     pub decided: u64,
     /// The latest setups with an operator's own number that came into force, oldest first.
     #[prost(message, repeated, tag = "7")]
-    pub numbers: Vec<NumberedSetup>,
+    pub numbers: Vec<VersionedConfiguration>,
     /// When each locality was last evacuated or taken back, the latest last.
     #[prost(message, repeated, tag = "8")]
     pub locality_changes: Vec<LocalityChange>,
@@ -152,12 +152,12 @@
     #[prost(string, tag = "1")]
     pub locality: String,
     #[prost(uint64, tag = "2")]
-    pub edition: u64,
+    pub revision: u64,
 }
 
 /// A setup that came into force under an operator's own number.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct NumberedSetup {
+pub struct VersionedConfiguration {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// A short digest of the setup's own.
@@ -167,7 +167,7 @@
 
 /// A submission that was decided.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Submission {
+pub struct DecidedChange {
     #[prost(string, tag = "1")]
     pub id: String,
     /// What was asked for, by a short digest, so that an id cannot be used for two things.
@@ -175,7 +175,7 @@
     pub asked: String,
     /// The edition it made, or the present one where it was denied.
     #[prost(uint64, tag = "3")]
-    pub edition: u64,
+    pub revision: u64,
     #[prost(uint32, tag = "4")]
     pub code: u32,
 }
@@ -341,16 +341,16 @@
 }
 
 #[derive(Clone, PartialEq, Hash, Message)]
-pub struct SetupBytes {
+pub struct ConfigurationBytes {
     #[prost(string, tag = "1")]
     pub digest: String,
     /// Squeezed; the digest is that of the setup itself.
     #[prost(bytes = "vec", tag = "2")]
-    pub squeezed: Vec<u8>,
+    pub compressed: Vec<u8>,
 }
 
 #[derive(Clone, PartialEq, Hash, Message)]
-pub struct SetupAsk {
+pub struct ConfigurationRequest {
     #[prost(string, tag = "1")]
     pub digest: String,
 }
@@ -380,7 +380,7 @@
     pub durable: DurableState,
     /// The bytes of the accepted setup, where the disk has them.
     #[prost(bytes = "vec", tag = "3")]
-    pub setup: Vec<u8>,
+    pub configuration: Vec<u8>,
 }
 
 #[derive(Clone, PartialEq, Hash, Message)]
@@ -437,7 +437,7 @@
 
 /// Asks a third party for its opinion of `target`.
 #[derive(Clone, PartialEq, Hash, Message)]
-pub struct ProbeFor {
+pub struct IndirectProbe {
     #[prost(uint64, tag = "1")]
     pub nonce: u64,
     #[prost(string, tag = "2")]
@@ -447,12 +447,12 @@
 }
 
 #[derive(Clone, PartialEq, Hash, Message)]
-pub struct Heard {
+pub struct ProbeReply {
     #[prost(uint64, tag = "1")]
     pub nonce: u64,
     #[prost(message, repeated, tag = "2")]
     pub members: Vec<Member>,
-    /// Who was heard: the sender, or the target of a `ProbeFor`.
+    /// Who was heard: the sender, or the target of a `IndirectProbe`.
     #[prost(string, tag = "3")]
     pub node: String,
     /// Where the two tables of members differ: the digests of the sender's records of one part of it.
@@ -532,7 +532,7 @@
     pub age_ms: u64,
     /// Key shares the upstream says it holds.
     #[prost(message, repeated, tag = "10")]
-    pub holds: Vec<Share>,
+    pub holds: Vec<KeyShare>,
     /// How long ago the sender first heard of it: of two registrations of one address the younger counts.
     #[prost(uint64, tag = "11")]
     pub born_ms: u64,
@@ -544,12 +544,12 @@
     pub slots: u32,
     /// What it let go since its last acknowledged beat, with tokens for the next holders.
     #[prost(message, repeated, tag = "14")]
-    pub released: Vec<Share>,
+    pub released: Vec<KeyShare>,
 }
 
 /// A range of key slots (`from` up to, not including, `until`) held under `epoch`.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Message)]
-pub struct Share {
+pub struct KeyShare {
     #[prost(uint32, tag = "1")]
     pub from: u32,
     #[prost(uint32, tag = "2")]
@@ -564,17 +564,17 @@
 }
 
 #[derive(Clone, PartialEq, Hash, Message)]
-pub struct Beats {
+pub struct Heartbeats {
     #[prost(message, repeated, tag = "1")]
     pub upstreams: Vec<Upstream>,
-    /// Where not 0, the receiver answers with [`BeatsAck`] once it has taken them in.
+    /// Where not 0, the receiver answers with [`HeartbeatsAck`] once it has taken them in.
     #[prost(fixed64, tag = "2")]
     pub nonce: u64,
 }
 
 /// The beats sent with this nonce were taken in.
 #[derive(Clone, PartialEq, Hash, Message)]
-pub struct BeatsAck {
+pub struct HeartbeatsAck {
     #[prost(fixed64, tag = "1")]
     pub nonce: u64,
 }
@@ -628,7 +628,7 @@
 
 /// Upstreams that beat at the sender of late, in short: one place of each list for each.
 #[derive(Clone, PartialEq, Hash, Message)]
-pub struct Alive {
+pub struct HeartbeatDigest {
     #[prost(fixed64, repeated, tag = "1")]
     pub marks: Vec<u64>,
     #[prost(uint64, repeated, tag = "2")]
@@ -666,7 +666,7 @@
 
 /// Who holds the placement duty from now on.
 #[derive(Clone, PartialEq, Hash, Message)]
-pub struct Holder {
+pub struct LeaseHolder {
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
 }
@@ -684,7 +684,7 @@
     #[prost(uint64, tag = "1")]
     pub nonce: u64,
     #[prost(message, repeated, tag = "2")]
-    pub shares: Vec<Share>,
+    pub shares: Vec<KeyShare>,
     #[prost(uint64, tag = "3")]
     pub span_ms: u64,
     #[prost(uint64, tag = "4")]
@@ -707,7 +707,7 @@
 
 /// Left where a name used to live: it lives at `to` now.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Mark {
+pub struct Tombstone {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, tag = "2")]
@@ -731,9 +731,9 @@
     #[prost(message, repeated, tag = "3")]
     pub reservations: Vec<Reservation>,
     #[prost(message, repeated, tag = "4")]
-    pub marks: Vec<Mark>,
+    pub tombstones: Vec<Tombstone>,
     #[prost(message, repeated, tag = "5")]
-    pub shares: Vec<ServiceShares>,
+    pub shares: Vec<ServiceKeyShares>,
     /// True where it holds changes of shares alone: rows, and rows without an instance where nobody holds any more.
     #[prost(bool, tag = "6")]
     pub partial: bool,
@@ -743,11 +743,11 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct ServiceShares {
+pub struct ServiceKeyShares {
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(message, repeated, tag = "2")]
-    pub shares: Vec<Share>,
+    pub shares: Vec<KeyShare>,
 }
 
 /// A carrier asks how current it is, naming the last news it kept.
@@ -777,7 +777,7 @@
     #[prost(uint64, tag = "4")]
     pub number: u64,
     #[prost(uint64, tag = "5")]
-    pub edition: u64,
+    pub revision: u64,
 }
 
 /// ViewUpdate to a carrier: an image (number 0 of a new stream), or the change after the last.
@@ -791,7 +791,7 @@
     pub state: Option<ClusterState>,
     /// Squeezed on the way.
     #[prost(bytes = "vec", optional, tag = "4")]
-    pub setup: Option<Vec<u8>>,
+    pub configuration: Option<Vec<u8>>,
     #[prost(message, repeated, tag = "5")]
     pub upstreams: Vec<Upstream>,
     #[prost(message, optional, tag = "6")]
@@ -815,16 +815,16 @@
     pub number: u64,
     /// The edition in force at the carrier.
     #[prost(uint64, tag = "3")]
-    pub edition: u64,
+    pub revision: u64,
 }
 
 /// A postmaster tells the others which edition a carrier acknowledged to it.
 #[derive(Clone, PartialEq, Hash, Message)]
-pub struct CarrierAck {
+pub struct DataPlaneAck {
     #[prost(string, tag = "1")]
     pub node: String,
     #[prost(uint64, tag = "2")]
-    pub edition: u64,
+    pub revision: u64,
 }
 
 /// Requests of one service that came in lately, over equal parts of its keys.
--- a/crates/protocol/tests/deltas.rs
+++ b/crates/protocol/tests/deltas.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
-use protocol::{ClusterState, Message, NumberedSetup, StateDelta, Submission};
+use protocol::{ClusterState, DecidedChange, Message, StateDelta, VersionedConfiguration};
 
 const MAX_REMEMBERED: usize = 16;
 
@@ -14,16 +14,16 @@
     let mut state = state.clone();
     for _ in 0..noise.int_in_range(0..=24)? {
         state.decided += 1;
-        state.edition += u64::from(noise.arbitrary::<bool>()?);
+        state.revision += u64::from(noise.arbitrary::<bool>()?);
         let id = format!("order {}", state.decided);
-        state.submissions.push(Submission {
+        state.submissions.push(DecidedChange {
             id,
-            edition: state.edition,
-            ..Submission::default()
+            revision: state.revision,
+            ..DecidedChange::default()
         });
-        state.numbers.push(NumberedSetup {
+        state.numbers.push(VersionedConfiguration {
             number: state.decided,
-            ..NumberedSetup::default()
+            ..VersionedConfiguration::default()
         });
         state
             .submissions
--- a/crates/protocol/tests/garbage.rs
+++ b/crates/protocol/tests/garbage.rs
@@ -29,18 +29,18 @@
         arbtest(|noise| {
             let bytes = noise.bytes(noise.len())?;
             assert_eq!(
-                protocol::unsqueeze(&protocol::squeeze(bytes)).as_deref(),
+                protocol::decompress(&protocol::compress(bytes)).as_deref(),
                 Some(bytes)
             );
             assert!(
-                protocol::unsqueeze(bytes)
-                    .is_none_or(|out| out.len() <= protocol::MOST_SETUP_BYTES)
+                protocol::decompress(bytes)
+                    .is_none_or(|out| out.len() <= protocol::MAX_CONFIGURATION_BYTES)
             );
             Ok(())
         })
         .seed(number << 32 | 5_000);
     });
-    let bomb = protocol::squeeze(&vec![b' '; 64 * 1024 * 1024]);
+    let bomb = protocol::compress(&vec![b' '; 64 * 1024 * 1024]);
     assert!(bomb.len() < 100_000);
-    assert_eq!(protocol::unsqueeze(&bomb), None);
+    assert_eq!(protocol::decompress(&bomb), None);
 }
--- a/crates/quorum-register/src/bootstrap.rs
+++ b/crates/quorum-register/src/bootstrap.rs
@@ -6,8 +6,8 @@
 use crate::proposer::newest_promise;
 use crate::register::{Effect, Recovery, Register, VoterPhase};
 use protocol::{
-    Ballot, BootstrapVote, Bootstrapped, ClusterState, DurableState, Payload, Prepare, Promise,
-    SetupAsk, VoterSet,
+    Ballot, BootstrapVote, Bootstrapped, ClusterState, ConfigurationRequest, DurableState, Payload,
+    Prepare, Promise, VoterSet,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -91,10 +91,10 @@
     /// What an operator left on this disk for the founding.
     fn inherits(&self) -> String {
         let state = &self.durable.accepted;
-        if state.edition == 0 {
+        if state.revision == 0 {
             String::new()
         } else {
-            format!("{} {}", state.edition, state.digest)
+            format!("{} {}", state.revision, state.digest)
         }
     }
 
@@ -311,7 +311,10 @@
         let holders: Vec<String> = holders.map(|(voter, _)| voter.clone()).collect();
         let chosen = self.random.below(holders.len() as u64) as usize;
         if let Some(holder) = holders.get(chosen) {
-            self.send(holder, Payload::SetupAsk(SetupAsk { digest }));
+            self.send(
+                holder,
+                Payload::ConfigurationRequest(ConfigurationRequest { digest }),
+            );
         }
     }
 
--- a/crates/quorum-register/src/change.rs
+++ b/crates/quorum-register/src/change.rs
@@ -1,6 +1,6 @@
 //! What operators ask of the state, and how the state changes by it.
 
-use protocol::{ClusterState, LocalityChange, NumberedSetup, Submission};
+use protocol::{ClusterState, DecidedChange, LocalityChange, VersionedConfiguration};
 use result_code::ResultCode;
 
 /// How many decided submissions the state remembers.
@@ -46,7 +46,7 @@
 pub enum Change {
     /// Put this setup in force; `base` is the edition it was made from, where that matters.
     /// With the operator's own number, one that is not above the number in force changes nothing.
-    Setup {
+    Configuration {
         id: OrderId,
         base: Option<u64>,
         number: Option<u64>,
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Decision {
     pub code: ResultCode,
-    pub edition: u64,
+    pub revision: u64,
 }
 
 /// Applies a change to the state. Decided ids keep their decision; an id that may have been decided and forgotten
@@ -82,27 +82,27 @@
 /// use result_code::ResultCode;
 /// use quorum_register::{Change, apply};
 /// let mut state = protocol::ClusterState::default();
-/// let change = |id: &str, base| Change::Setup { id: id.into(), base, number: None, digest: "d".into() };
-/// assert_eq!(apply(&mut state, &change("a", Some(0))).edition, 1);
-/// assert_eq!(apply(&mut state, &change("a", Some(0))).edition, 1);
-/// assert_eq!(apply(&mut state, &change("b", Some(0))).code, ResultCode::SetupBehind);
-/// assert_eq!(apply(&mut state, &change("c", None)).edition, 2);
+/// let change = |id: &str, base| Change::Configuration { id: id.into(), base, number: None, digest: "d".into() };
+/// assert_eq!(apply(&mut state, &change("a", Some(0))).revision, 1);
+/// assert_eq!(apply(&mut state, &change("a", Some(0))).revision, 1);
+/// assert_eq!(apply(&mut state, &change("b", Some(0))).code, ResultCode::RevisionConflict);
+/// assert_eq!(apply(&mut state, &change("c", None)).revision, 2);
 /// let numbered = |number, digest: &str| {
-///     Change::Setup { id: "".into(), base: None, number: Some(number), digest: digest.into() }
+///     Change::Configuration { id: "".into(), base: None, number: Some(number), digest: digest.into() }
 /// };
-/// assert_eq!(apply(&mut state, &numbered(7, "e")).edition, 3);
-/// assert_eq!(apply(&mut state, &numbered(7, "f")).code, ResultCode::NumberTaken);
-/// assert_eq!(apply(&mut state, &numbered(5, "e")).code, ResultCode::Overtaken, "the highest holds");
+/// assert_eq!(apply(&mut state, &numbered(7, "e")).revision, 3);
+/// assert_eq!(apply(&mut state, &numbered(7, "f")).code, ResultCode::VersionConflict);
+/// assert_eq!(apply(&mut state, &numbered(5, "e")).code, ResultCode::Superseded, "the highest holds");
 /// let first = apply(&mut protocol::ClusterState::default(), &numbered(0, "e"));
-/// assert_eq!(first.edition, 1, "the first is new, whatever its number");
+/// assert_eq!(first.revision, 1, "the first is new, whatever its number");
 /// ```
 pub fn apply(state: &mut ClusterState, change: &Change) -> Decision {
     let order = match change {
-        Change::Setup { id, .. } | Change::Evacuate { id, .. } => id,
+        Change::Configuration { id, .. } | Change::Evacuate { id, .. } => id,
         Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::Finish => {
             return Decision {
-                code: ResultCode::Fine,
-                edition: state.edition,
+                code: ResultCode::Success,
+                revision: state.revision,
             };
         }
     };
@@ -111,7 +111,7 @@
     if order.id.is_empty() {
         return Decision {
             code: change_state(state, change),
-            edition: state.edition,
+            revision: state.revision,
         };
     }
     if let Some(decided) = state
@@ -123,15 +123,15 @@
     }
     if may_be_forgotten(state, order, change) {
         return Decision {
-            code: ResultCode::OrderForgotten,
-            edition: state.edition,
+            code: ResultCode::ChangeForgotten,
+            revision: state.revision,
         };
     }
     let code = change_state(state, change);
     remember(state, order, change, code);
     Decision {
         code,
-        edition: state.edition,
+        revision: state.revision,
     }
 }
 
@@ -149,7 +149,7 @@
 /// What the change asks for, as it is remembered: an id cannot be used for two things.
 fn asked(change: &Change) -> String {
     match change {
-        Change::Setup { base, digest, .. } => format!("{digest} {base:?}"),
+        Change::Configuration { base, digest, .. } => format!("{digest} {base:?}"),
         Change::Evacuate { locality, back, .. } => format!("{locality} {back}"),
         Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::Finish => {
             String::new()
@@ -164,7 +164,7 @@
         .collect()
 }
 
-fn first_decision(decided: &Submission, change: &Change) -> Decision {
+fn first_decision(decided: &DecidedChange, change: &Change) -> Decision {
     let asked = asked(change);
     // An earlier version kept what was asked for in full.
     let same = decided.asked == short(&asked) || decided.asked == asked;
@@ -173,7 +173,7 @@
         .unwrap_or(ResultCode::IdReused);
     Decision {
         code,
-        edition: decided.edition,
+        revision: decided.revision,
     }
 }
 
@@ -189,32 +189,32 @@
     }
     match change {
         // Done at most once by its number alone.
-        Change::Setup {
+        Change::Configuration {
             number: Some(_),
             base: None,
             ..
         } => false,
         // Had it been decided, the edition would be past its base; and editions of what is forgotten are no higher
         // than the oldest that is remembered.
-        Change::Setup {
+        Change::Configuration {
             base: Some(base), ..
         } => {
             let oldest = state
                 .submissions
                 .first()
-                .map_or(state.edition, |oldest| oldest.edition);
-            *base != state.edition && *base < oldest
+                .map_or(state.revision, |oldest| oldest.revision);
+            *base != state.revision && *base < oldest
         }
         _ => true,
     }
 }
 
 fn remember(state: &mut ClusterState, order: &OrderId, change: &Change, code: ResultCode) {
-    let (id, asked, edition) = (order.id.clone(), short(&asked(change)), state.edition);
-    state.submissions.push(Submission {
+    let (id, asked, revision) = (order.id.clone(), short(&asked(change)), state.revision);
+    state.submissions.push(DecidedChange {
         id,
         asked,
-        edition,
+        revision,
         code: code.number(),
     });
     state.decided += 1;
@@ -223,7 +223,7 @@
 }
 
 fn remember_number(state: &mut ClusterState, number: u64, digest: &str) {
-    state.numbers.push(NumberedSetup {
+    state.numbers.push(VersionedConfiguration {
         number,
         digest: short(digest),
     });
@@ -235,10 +235,10 @@
 fn decided_by_number(state: &ClusterState, number: u64, digest: &str) -> Option<ResultCode> {
     let first = state.digest.is_empty() || state.numbers.is_empty();
     match state.numbers.iter().find(|known| known.number == number) {
-        Some(known) if known.digest == short(digest) => Some(ResultCode::Fine),
-        Some(_) => Some(ResultCode::NumberTaken),
+        Some(known) if known.digest == short(digest) => Some(ResultCode::Success),
+        Some(_) => Some(ResultCode::VersionConflict),
         None if first || number > state.number => None,
-        None => Some(ResultCode::Overtaken),
+        None => Some(ResultCode::Superseded),
     }
 }
 
@@ -246,11 +246,11 @@
 fn decided_since(state: &ClusterState, locality: &str, seen: u64) -> Option<ResultCode> {
     let changes = &state.locality_changes;
     match changes.iter().find(|change| change.locality == locality) {
-        Some(change) if change.edition > seen => Some(ResultCode::Fine),
+        Some(change) if change.revision > seen => Some(ResultCode::Success),
         Some(_) => None,
         // Its change may have been dropped.
-        None if changes.len() >= MAX_LOCALITY_CHANGES && changes[0].edition > seen => {
-            Some(ResultCode::Stale)
+        None if changes.len() >= MAX_LOCALITY_CHANGES && changes[0].revision > seen => {
+            Some(ResultCode::StaleView)
         }
         None => None,
     }
@@ -260,10 +260,10 @@
     state
         .locality_changes
         .retain(|change| change.locality != locality);
-    let (locality, edition) = (locality.to_owned(), state.edition + 1);
+    let (locality, revision) = (locality.to_owned(), state.revision + 1);
     state
         .locality_changes
-        .push(LocalityChange { locality, edition });
+        .push(LocalityChange { locality, revision });
     let excess = state
         .locality_changes
         .len()
@@ -273,10 +273,10 @@
 
 fn change_state(state: &mut ClusterState, change: &Change) -> ResultCode {
     match change {
-        Change::Setup { base, .. } if base.is_some_and(|base| base != state.edition) => {
-            return ResultCode::SetupBehind;
+        Change::Configuration { base, .. } if base.is_some_and(|base| base != state.revision) => {
+            return ResultCode::RevisionConflict;
         }
-        Change::Setup { digest, number, .. } => {
+        Change::Configuration { digest, number, .. } => {
             let decided = number.and_then(|number| decided_by_number(state, number, digest));
             if let Some(code) = decided {
                 return code;
@@ -288,7 +288,7 @@
             }
         }
         Change::Evacuate { locality, back, .. } if state.evacuated.contains(locality) != *back => {
-            return ResultCode::Fine;
+            return ResultCode::Success;
         }
         Change::Evacuate {
             locality,
@@ -308,8 +308,8 @@
         }
         Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::Finish => {}
     }
-    state.edition += 1;
-    ResultCode::Fine
+    state.revision += 1;
+    ResultCode::Success
 }
 
 /// Applies a change of the voter set to a state. The state it starts from must be known to be chosen: so no second change
@@ -322,10 +322,10 @@
 /// let mut state = protocol::ClusterState::default();
 /// state.voter_set.voters = vec!["a".into(), "b".into(), "c".into()];
 /// let begin = Change::BeginVoters { epoch: 0, voters: vec!["a".into(), "b".into(), "d".into()] };
-/// assert_eq!(apply_to_voters(&mut state.clone(), &begin, false), ResultCode::VotersBusy);
-/// assert_eq!(apply_to_voters(&mut state, &begin, true), ResultCode::Fine);
-/// assert_eq!(apply_to_voters(&mut state, &begin, true), ResultCode::VotersBehind);
-/// assert_eq!(apply_to_voters(&mut state, &Change::CompleteVoters { epoch: 1 }, true), ResultCode::Fine);
+/// assert_eq!(apply_to_voters(&mut state.clone(), &begin, false), ResultCode::VoterChangePending);
+/// assert_eq!(apply_to_voters(&mut state, &begin, true), ResultCode::Success);
+/// assert_eq!(apply_to_voters(&mut state, &begin, true), ResultCode::VoterSetChanged);
+/// assert_eq!(apply_to_voters(&mut state, &Change::CompleteVoters { epoch: 1 }, true), ResultCode::Success);
 /// assert!(state.voter_set.contains("d") && !state.voter_set.contains("c"));
 /// ```
 pub fn apply_to_voters(state: &mut ClusterState, change: &Change, is_chosen: bool) -> ResultCode {
@@ -334,15 +334,17 @@
             (*epoch, state.voter_set.begin_change(voters.clone()))
         }
         Change::CompleteVoters { epoch } => (*epoch, state.voter_set.complete_change()),
-        Change::Setup { .. } | Change::Evacuate { .. } | Change::Finish => return ResultCode::Fine,
+        Change::Configuration { .. } | Change::Evacuate { .. } | Change::Finish => {
+            return ResultCode::Success;
+        }
     };
     match after {
-        _ if epoch != state.voter_set.epoch => ResultCode::VotersBehind,
-        None => ResultCode::VotersBehind,
-        Some(_) if !is_chosen => ResultCode::VotersBusy,
+        _ if epoch != state.voter_set.epoch => ResultCode::VoterSetChanged,
+        None => ResultCode::VoterSetChanged,
+        Some(_) if !is_chosen => ResultCode::VoterChangePending,
         Some(after) => {
             state.voter_set = after;
-            ResultCode::Fine
+            ResultCode::Success
         }
     }
 }
--- a/crates/quorum-register/src/setups.rs
+++ b/crates/quorum-register/src/configurations.rs
@@ -1,7 +1,7 @@
 //! Configurations' bytes: taken in, handed out as they travel, and dropped once nothing refers to them.
 
 use crate::register::{Effect, Register, Write};
-use protocol::{Payload, SetupAsk, SetupBytes};
+use protocol::{ConfigurationBytes, ConfigurationRequest, Payload};
 use std::collections::BTreeSet;
 
 /// How many setups are kept beside those that something refers to, and how many bytes of them at most.
@@ -9,20 +9,21 @@
 const MAX_SPARE_BYTES: usize = 8 * 1024 * 1024;
 
 impl Register {
-    pub(crate) fn take_setup(&mut self, setup: SetupBytes) {
-        let wanted = !self.setups.contains_key(&setup.digest) && self.disk_is_free();
-        let bytes = Some(&setup.squeezed)
+    pub(crate) fn receive_configuration(&mut self, configuration: ConfigurationBytes) {
+        let wanted =
+            !self.configurations.contains_key(&configuration.digest) && self.disk_is_free();
+        let bytes = Some(&configuration.compressed)
             .filter(|_| wanted)
-            .and_then(|squeezed| protocol::unsqueeze(squeezed));
-        let right = bytes.filter(|bytes| protocol::digest(bytes) == setup.digest);
+            .and_then(|compressed| protocol::decompress(compressed));
+        let right = bytes.filter(|bytes| protocol::digest(bytes) == configuration.digest);
         right
             .into_iter()
-            .for_each(|bytes| self.keep_setup(setup.digest.clone(), bytes));
+            .for_each(|bytes| self.store_configuration(configuration.digest.clone(), bytes));
     }
 
     /// Takes in a setup's bytes; they count as held once synced.
-    pub(crate) fn keep_setup(&mut self, digest: String, bytes: Vec<u8>) {
-        if !self.setups.contains_key(&digest) && self.disk_is_free() {
+    pub(crate) fn store_configuration(&mut self, digest: String, bytes: Vec<u8>) {
+        if !self.configurations.contains_key(&digest) && self.disk_is_free() {
             self.ticket += 1;
             let ticket = self.ticket;
             self.writes.push_back(Write {
@@ -31,9 +32,9 @@
                 digest: Some(digest.clone()),
                 then: Vec::new(),
             });
-            self.setups.insert(digest.clone(), bytes.clone());
+            self.configurations.insert(digest.clone(), bytes.clone());
             self.arrivals.push_back(digest.clone());
-            self.effects.push(Effect::KeepSetup {
+            self.effects.push(Effect::StoreConfiguration {
                 ticket,
                 digest,
                 bytes,
@@ -42,16 +43,18 @@
     }
 
     /// A setup as it travels; the last one is kept so.
-    pub(crate) fn squeezed(&mut self, digest: &str) -> Option<Vec<u8>> {
+    pub(crate) fn compressed(&mut self, digest: &str) -> Option<Vec<u8>> {
         if self
-            .squeezed
+            .compressed
             .as_ref()
             .is_none_or(|(last, _)| last != digest)
         {
-            let bytes = self.setups.get(digest)?;
-            self.squeezed = Some((digest.to_owned(), protocol::squeeze(bytes)));
+            let bytes = self.configurations.get(digest)?;
+            self.compressed = Some((digest.to_owned(), protocol::compress(bytes)));
         }
-        self.squeezed.as_ref().map(|(_, squeezed)| squeezed.clone())
+        self.compressed
+            .as_ref()
+            .map(|(_, compressed)| compressed.clone())
     }
 
     /// The bytes of the setup in force, as they travel.
@@ -59,22 +62,22 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
-    /// assert_eq!(Register::new(start).squeezed_setup(), None);
+    /// #     configurations: Default::default(), times: Times::default() };
+    /// assert_eq!(Register::new(start).compressed_configuration(), None);
     /// ```
-    pub fn squeezed_setup(&mut self) -> Option<Vec<u8>> {
+    pub fn compressed_configuration(&mut self) -> Option<Vec<u8>> {
         let digest = self.current.state.digest.clone();
-        self.squeezed(&digest)
+        self.compressed(&digest)
     }
 
     /// Drops the earliest setups that nothing refers to, beyond a bound. What a state on this disk names, decided or
     /// synced, and what a round or a waiting change needs stays, whatever its age: a voter accepts a state only while it
     /// holds the bytes, so a chosen state's bytes stay on a majority.
-    pub(crate) fn drop_spare_setups(&mut self) {
+    pub(crate) fn delete_unreferenced_configurations(&mut self) {
         let referenced = self.referenced_setups();
         let spare = |digest: &&String| !referenced.contains(*digest) && self.held.contains(*digest);
         let mut count = self.arrivals.iter().filter(spare).count();
-        let size = |digest: &String| self.setups.get(digest).map_or(0, Vec::len);
+        let size = |digest: &String| self.configurations.get(digest).map_or(0, Vec::len);
         let mut bytes: usize = self.arrivals.iter().filter(spare).map(size).sum();
         let mut dropped = Vec::new();
         for digest in self.arrivals.iter().filter(spare) {
@@ -87,9 +90,9 @@
         }
         self.arrivals.retain(|digest| !dropped.contains(digest));
         for digest in dropped {
-            self.setups.remove(&digest);
+            self.configurations.remove(&digest);
             self.held.remove(&digest);
-            self.effects.push(Effect::DropSetup { digest });
+            self.effects.push(Effect::DeleteConfiguration { digest });
         }
     }
 
@@ -113,31 +116,33 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
-    /// assert!(!Register::new(start).lacks_accepted_setup());
+    /// #     configurations: Default::default(), times: Times::default() };
+    /// assert!(!Register::new(start).lacks_accepted_configuration());
     /// ```
-    pub fn lacks_accepted_setup(&self) -> bool {
+    pub fn lacks_accepted_configuration(&self) -> bool {
         let digest = &self.durable.accepted.digest;
-        !digest.is_empty() && !self.setups.contains_key(digest)
+        !digest.is_empty() && !self.configurations.contains_key(digest)
     }
 
-    pub(crate) fn give_setup(&mut self, from: &str, ask: &SetupAsk) {
-        if let Some(squeezed) = self.squeezed(&ask.digest) {
+    pub(crate) fn send_configuration(&mut self, from: &str, ask: &ConfigurationRequest) {
+        if let Some(compressed) = self.compressed(&ask.digest) {
             self.send(
                 from,
-                Payload::SetupBytes(SetupBytes {
+                Payload::ConfigurationBytes(ConfigurationBytes {
                     digest: ask.digest.clone(),
-                    squeezed,
+                    compressed,
                 }),
             );
         }
     }
 
     /// A damaged or missing file is mended from the others.
-    pub(crate) fn ask_missing_setup(&mut self) {
-        if self.lacks_accepted_setup() {
+    pub(crate) fn request_missing_configuration(&mut self) {
+        if self.lacks_accepted_configuration() {
             let digest = self.durable.accepted.digest.clone();
-            self.send_all(Payload::SetupAsk(SetupAsk { digest }));
+            self.send_all(Payload::ConfigurationRequest(ConfigurationRequest {
+                digest,
+            }));
         }
     }
 }
--- a/crates/quorum-register/src/disaster_recovery.rs
+++ b/crates/quorum-register/src/disaster_recovery.rs
@@ -77,13 +77,13 @@
 /// use protocol::{Ballot, DurableState, SurvivorState, ClusterState};
 /// use quorum_register::{Unsettled, settle};
 /// let roster: Vec<String> = ["a", "b", "c", "d"].map(String::from).to_vec();
-/// let state = ClusterState { edition: 7, digest: protocol::digest(b"{}"), ..ClusterState::default() };
+/// let state = ClusterState { revision: 7, digest: protocol::digest(b"{}"), ..ClusterState::default() };
 /// let accepted_at = Ballot { round: 3, ..Ballot::default() };
 /// let durable = DurableState { disk: 1, roster, accepted: state, accepted_at, ..DurableState::default() };
-/// let one = |node: &str| SurvivorState { node: node.into(), durable: durable.clone(), setup: b"{}".to_vec() };
+/// let one = |node: &str| SurvivorState { node: node.into(), durable: durable.clone(), configuration: b"{}".to_vec() };
 /// let lost: Vec<String> = ["b", "c", "d"].map(String::from).to_vec();
 /// let inheritance = settle(&[one("a")], &lost).unwrap();
-/// assert!(inheritance.durable.accepted.edition > 7, "editions go on rising");
+/// assert!(inheritance.durable.accepted.revision > 7, "editions go on rising");
 /// assert_eq!(settle(&[one("a")], &lost[..2]), Err(Unsettled::MayLive { node: "d".into() }));
 /// assert_eq!(settle(&[one("a"), one("b"), one("c")], &lost[2..]), Err(Unsettled::StillMajority { count: 3, of: 4 }));
 /// ```
@@ -96,11 +96,11 @@
     let voter_set = voters_of(newest.unwrap_or(first));
     all_accounted_for(survivors, lost, &voter_set)?;
     let accepted = newest.unwrap_or(first).durable.accepted.clone();
-    let bytes = survivors.iter().map(|survivor| &survivor.setup);
-    let setup = bytes
+    let bytes = survivors.iter().map(|survivor| &survivor.configuration);
+    let configuration = bytes
         .into_iter()
         .find(|bytes| accepted.digest.is_empty() || protocol::digest(bytes) == accepted.digest);
-    let setup = setup
+    let configuration = configuration
         .ok_or(Unsettled::SetupMissing {
             digest: accepted.digest.clone(),
         })?
@@ -117,7 +117,7 @@
         promised: ballot.clone(),
         accepted_at: ballot,
         accepted: ClusterState {
-            edition: highest(|durable| durable.accepted.edition),
+            revision: highest(|durable| durable.accepted.revision),
             // Those that found together from this are the voters; an earlier set's epoch must not come again.
             voter_set: VoterSet {
                 epoch: (voter_set.epoch + LEAP) & !1,
@@ -131,7 +131,7 @@
     Ok(SurvivorState {
         node: String::new(),
         durable,
-        setup,
+        configuration,
     })
 }
 
