--- a/crates/quorum-register/src/inspect.rs
+++ b/crates/quorum-register/src/inspect.rs
@@ -13,7 +13,7 @@
     /// ```
     /// # use quorum_register::{Event, Register, VoterPhase, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// let mut register = Register::new(start);
     /// register.step(Default::default(), Event::DiskFailed);
     /// assert_eq!(*register.phase(), VoterPhase::Out);
@@ -27,8 +27,8 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
-    /// assert_eq!(Register::new(start).state().edition, 0);
+    /// #     configurations: Default::default(), times: Times::default() };
+    /// assert_eq!(Register::new(start).state().revision, 0);
     /// ```
     pub fn state(&self) -> &ClusterState {
         &self.current.state
@@ -39,11 +39,11 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
-    /// assert_eq!(Register::new(start).setup(), None);
+    /// #     configurations: Default::default(), times: Times::default() };
+    /// assert_eq!(Register::new(start).configuration(), None);
     /// ```
-    pub fn setup(&self) -> Option<&[u8]> {
-        self.setups
+    pub fn configuration(&self) -> Option<&[u8]> {
+        self.configurations
             .get(&self.current.state.digest)
             .map(Vec::as_slice)
     }
@@ -53,7 +53,7 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert_eq!(Register::new(start).age(Default::default()), None);
     /// ```
     pub fn age(&self, now: Duration) -> Option<Duration> {
@@ -65,7 +65,7 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert!(!Register::new(start).is_confirmed_since(Default::default()));
     /// ```
     pub fn is_confirmed_since(&self, asked_at: Duration) -> bool {
@@ -77,7 +77,7 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert_eq!(Register::new(start).tally().rounds, 0);
     /// ```
     pub fn tally(&self) -> Tally {
@@ -89,7 +89,7 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert_eq!(Register::new(start).voter_set().members().count(), 0);
     /// ```
     pub fn voter_set(&self) -> &VoterSet {
@@ -107,7 +107,7 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert!(!Register::new(start).is_voter());
     /// ```
     pub fn is_voter(&self) -> bool {
@@ -120,7 +120,7 @@
     /// # use quorum_register::{Register, Start, Times};
     /// # use std::time::Duration;
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert_eq!(Register::new(start).silent_for(Duration::from_secs(4), "b"), Duration::from_secs(4));
     /// ```
     pub fn silent_for(&self, now: Duration, node: &str) -> Duration {
@@ -133,7 +133,7 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert!(!Register::new(start).is_caught_up("b"));
     /// ```
     pub fn is_caught_up(&self, node: &str) -> bool {
@@ -148,7 +148,7 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert_eq!(Register::new(start).synced_round("b"), None);
     /// ```
     pub fn synced_round(&self, node: &str) -> Option<u64> {
@@ -160,7 +160,7 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert_eq!(Register::new(start).voters_settled_for(Default::default()), None);
     /// ```
     pub fn voters_settled_for(&self, now: Duration) -> Option<Duration> {
@@ -173,7 +173,7 @@
     /// ```
     /// # use quorum_register::{Register, Start, Times};
     /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     setups: Default::default(), times: Times::default() };
+    /// #     configurations: Default::default(), times: Times::default() };
     /// assert_eq!(Register::new(start).lease_epoch(), 0);
     /// ```
     pub fn lease_epoch(&self) -> u64 {
--- a/crates/quorum-register/src/lib.rs
+++ b/crates/quorum-register/src/lib.rs
@@ -5,6 +5,7 @@
 
 mod bootstrap;
 mod change;
+mod configurations;
 mod deltas;
 mod disaster_recovery;
 mod inspect;
@@ -12,7 +13,6 @@
 mod reading;
 mod register;
 mod replicas;
-mod setups;
 mod voter;
 
 pub use change::{Change, Decision, OrderId, apply, apply_to_voters};
--- a/crates/quorum-register/src/proposer.rs
+++ b/crates/quorum-register/src/proposer.rs
@@ -4,8 +4,8 @@
 use crate::deltas::{WHOLE, told_state};
 use crate::register::{Effect, Register, VoterPhase};
 use protocol::{
-    Accept, AcceptDelta, Accepted, Ballot, ClusterState, Payload, Prepare, Promise, SetupAsk,
-    SetupBytes,
+    Accept, AcceptDelta, Accepted, Ballot, ClusterState, ConfigurationBytes, ConfigurationRequest,
+    Payload, Prepare, Promise,
 };
 use result_code::ResultCode;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
 const MAX_PENDING_CHANGES: usize = 64;
 /// A proposer that lost a round waits for a random while, at least and at most so long; the most doubles with each loss
 /// in a row, so that rivals come to different turns.
-const LEAST_BACK_OFF_MS: u64 = 20;
+const MIN_BACK_OFF_MS: u64 = 20;
 const BACK_OFF_MS: u64 = 180;
 const MAX_DOUBLINGS: u32 = 1;
 /// How long after its sending a question goes again to the voters that have not answered it: longer than an answer takes
@@ -46,7 +46,7 @@
 
     pub(crate) fn digest(&self) -> Option<String> {
         match &self.change {
-            Change::Setup { digest, .. } => Some(digest.clone()),
+            Change::Configuration { digest, .. } => Some(digest.clone()),
             _ => None,
         }
     }
@@ -111,20 +111,20 @@
     ) {
         let deny = match self.phase {
             VoterPhase::Active if self.pending.len() < MAX_PENDING_CHANGES => None,
-            VoterPhase::Active => Some(ResultCode::SetupCrowded),
-            _ => Some(ResultCode::Stale),
+            VoterPhase::Active => Some(ResultCode::TooManyPendingChanges),
+            _ => Some(ResultCode::StaleView),
         };
         if let Some(code) = deny {
             let decision = Decision {
                 code,
-                edition: self.current.state.edition,
+                revision: self.current.state.revision,
             };
             self.effects.push(Effect::Decided { token, decision });
             return;
         }
         self.push_change(PendingChange::new(now, Some(token), change));
         if let Some(bytes) = bytes {
-            self.keep_setup(protocol::digest(&bytes), bytes);
+            self.store_configuration(protocol::digest(&bytes), bytes);
         }
         self.tick_round(now);
     }
@@ -209,7 +209,7 @@
 
     fn give_up_on_old(&mut self, now: Duration) {
         let patience = self.times.patience;
-        let edition = self.current.state.edition;
+        let revision = self.current.state.revision;
         let (old, rest): (Vec<PendingChange>, Vec<PendingChange>) = self
             .pending
             .drain(..)
@@ -222,11 +222,11 @@
         self.back_off(now);
         old.into_iter().for_each(|change| {
             let code = if change.tried {
-                ResultCode::SetupUnknown
+                ResultCode::ChangeOutcomeUnknown
             } else {
-                ResultCode::Stale
+                ResultCode::StaleView
             };
-            let decision = Decision { code, edition };
+            let decision = Decision { code, revision };
             self.effects.extend(
                 change
                     .token
@@ -252,8 +252,11 @@
             .filter_map(PendingChange::digest)
             .collect();
         untried.into_iter().for_each(|digest| {
-            if let Some(squeezed) = self.squeezed(&digest) {
-                self.send_all(Payload::SetupBytes(SetupBytes { digest, squeezed }));
+            if let Some(compressed) = self.compressed(&digest) {
+                self.send_all(Payload::ConfigurationBytes(ConfigurationBytes {
+                    digest,
+                    compressed,
+                }));
             }
         });
         let asked = self.replica_nodes().into_iter().collect();
@@ -273,7 +276,7 @@
         self.tally.lost += 1;
         let most_ms = BACK_OFF_MS << self.lost_in_a_row.min(MAX_DOUBLINGS);
         self.lost_in_a_row += 1;
-        let wait_ms = LEAST_BACK_OFF_MS + self.random.below(most_ms);
+        let wait_ms = MIN_BACK_OFF_MS + self.random.below(most_ms);
         self.turn(Round::BackingOff {
             until: now + Duration::from_millis(wait_ms),
         });
@@ -464,13 +467,18 @@
 
     /// A voter came back without the bytes: send them, and ask for its promise again.
     fn resend_setup(&mut self, voter: &str, digest: String, ballot: Ballot) {
-        if let Some(squeezed) = self.squeezed(&digest) {
-            self.send(voter, Payload::SetupBytes(SetupBytes { digest, squeezed }));
+        if let Some(compressed) = self.compressed(&digest) {
+            self.send(
+                voter,
+                Payload::ConfigurationBytes(ConfigurationBytes { digest, compressed }),
+            );
             let since = self.since();
             self.send(voter, Payload::Prepare(Prepare { ballot, since }));
         } else {
             // Taken over from an earlier round, with its bytes on other voters only.
-            self.send_all(Payload::SetupAsk(SetupAsk { digest }));
+            self.send_all(Payload::ConfigurationRequest(ConfigurationRequest {
+                digest,
+            }));
         }
     }
 
@@ -512,12 +520,14 @@
     match change {
         Change::BeginVoters { .. } | Change::CompleteVoters { .. } => {
             let code = apply_to_voters(state, change, *is_chosen);
-            *is_chosen &= code != ResultCode::Fine;
+            *is_chosen &= code != ResultCode::Success;
             Decision {
                 code,
-                edition: state.edition,
+                revision: state.revision,
             }
         }
-        Change::Setup { .. } | Change::Evacuate { .. } | Change::Finish => apply(state, change),
+        Change::Configuration { .. } | Change::Evacuate { .. } | Change::Finish => {
+            apply(state, change)
+        }
     }
 }
--- a/crates/quorum-register/src/register.rs
+++ b/crates/quorum-register/src/register.rs
@@ -4,7 +4,9 @@
 use crate::proposer::{PendingChange, Round};
 use crate::reading::Reading;
 use crate::replicas::Replicas;
-use protocol::{Ballot, ClusterState, DurableState, Payload, Promise, SetupAsk, VoterSet};
+use protocol::{
+    Ballot, ClusterState, ConfigurationRequest, DurableState, Payload, Promise, VoterSet,
+};
 use random::Random;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -44,7 +46,7 @@
     /// What the disk holds; default on a blank disk.
     pub durable: DurableState,
     /// Undamaged setups found on the disk, by digest.
-    pub setups: BTreeMap<String, Vec<u8>>,
+    pub configurations: BTreeMap<String, Vec<u8>>,
     pub times: Times,
 }
 
@@ -94,13 +96,13 @@
         durable: DurableState,
     },
     /// Sync this setup, then tell `Kept`.
-    KeepSetup {
+    StoreConfiguration {
         ticket: u64,
         digest: String,
         bytes: Vec<u8>,
     },
     /// Nothing refers to this setup any more: its file may go, after all writes before.
-    DropSetup {
+    DeleteConfiguration {
         digest: String,
     },
     Decided {
@@ -200,11 +202,11 @@
     pub(crate) durable: DurableState,
     /// What the disk surely holds: questions are answered from it.
     pub(crate) synced: DurableState,
-    pub(crate) setups: BTreeMap<String, Vec<u8>>,
+    pub(crate) configurations: BTreeMap<String, Vec<u8>>,
     /// Digests of the setups, the earliest first.
     pub(crate) arrivals: VecDeque<String>,
     /// The setup that was last sent, by its digest.
-    pub(crate) squeezed: Option<(String, Vec<u8>)>,
+    pub(crate) compressed: Option<(String, Vec<u8>)>,
     pub(crate) held: BTreeSet<String>,
     pub(crate) current: Current,
     pub(crate) seen_round: u64,
@@ -234,7 +236,7 @@
     /// use quorum_register::{Register, VoterPhase, Start, Times};
     /// let register = Register::new(Start {
     ///     me: "pm-1".into(), roster_size: 1, seed: 7, durable: Default::default(),
-    ///     setups: Default::default(), times: Times::default(),
+    ///     configurations: Default::default(), times: Times::default(),
     /// });
     /// assert!(matches!(register.phase(), VoterPhase::Blank { .. }));
     /// ```
@@ -265,10 +267,10 @@
             synced: start.durable.clone(),
             seen_round: start.durable.promised.round,
             durable: start.durable,
-            held: start.setups.keys().cloned().collect(),
-            arrivals: start.setups.keys().cloned().collect(),
-            setups: start.setups,
-            squeezed: None,
+            held: start.configurations.keys().cloned().collect(),
+            arrivals: start.configurations.keys().cloned().collect(),
+            configurations: start.configurations,
+            compressed: None,
             current: Current {
                 ballot: Ballot::default(),
                 state: ClusterState::default(),
@@ -298,7 +300,7 @@
     /// // A roster of one founds itself once its endorsement and its mark are synced.
     /// let mut register = Register::new(Start {
     ///     me: "pm-1".into(), roster_size: 1, seed: 7, durable: Default::default(),
-    ///     setups: Default::default(), times: Times::default(),
+    ///     configurations: Default::default(), times: Times::default(),
     /// });
     /// let mut effects = register.step(Duration::ZERO, Event::Peers(vec!["pm-1".into()]));
     /// for turn in 1..9 {
@@ -348,7 +350,7 @@
         }
         if now >= self.next_tell {
             self.next_tell = now + Duration::from_millis(300);
-            self.ask_missing_setup();
+            self.request_missing_configuration();
         }
     }
 
@@ -364,8 +366,8 @@
             Payload::ReadBack(back) => self.read_back(now, from, back),
             Payload::Chosen(chosen) => self.adopt(chosen.ballot, chosen.state, None),
             Payload::ChosenDelta(chosen) => self.chosen_delta(now, chosen),
-            Payload::SetupBytes(setup) => self.take_setup(setup),
-            Payload::SetupAsk(ask) => self.give_setup(from, &ask),
+            Payload::ConfigurationBytes(configuration) => self.receive_configuration(configuration),
+            Payload::ConfigurationRequest(ask) => self.send_configuration(from, &ask),
             Payload::BootstrapVote(endorse) => self.endorse(from, endorse),
             Payload::Bootstrapped(founded) => self.founded(now, founded.voter_set),
             _ => {}
@@ -449,7 +451,7 @@
         }
         self.settle_founding();
         self.settle_recovery();
-        self.drop_spare_setups();
+        self.delete_unreferenced_configurations();
     }
 
     fn raise_epoch(&mut self, epoch: u64, token: u64) {
@@ -467,12 +469,12 @@
         state: ClusterState,
         confirmed_at: Option<Duration>,
     ) {
-        let complete = state.digest.is_empty() || self.setups.contains_key(&state.digest);
+        let complete = state.digest.is_empty() || self.configurations.contains_key(&state.digest);
         if ballot < self.current.ballot {
             return;
         }
         if !complete {
-            self.send_all(Payload::SetupAsk(SetupAsk {
+            self.send_all(Payload::ConfigurationRequest(ConfigurationRequest {
                 digest: state.digest,
             }));
             return;
--- a/crates/quorum-register/src/voter.rs
+++ b/crates/quorum-register/src/voter.rs
@@ -54,7 +54,8 @@
             return;
         }
         let mine = disk == self.durable.disk && ballot >= self.durable.promised;
-        let wants_bytes = !state.digest.is_empty() && !self.setups.contains_key(&state.digest);
+        let wants_bytes =
+            !state.digest.is_empty() && !self.configurations.contains_key(&state.digest);
         let done = mine && !wants_bytes;
         if done {
             self.durable.promised = ballot.clone();
--- a/crates/quorum-register/tests/arbitrary.rs
+++ b/crates/quorum-register/tests/arbitrary.rs
@@ -23,15 +23,15 @@
             }
             // Whole again: everybody comes to a state that nothing accepted is missing from.
             cluster.settle();
-            let editions: Vec<u64> = cluster
+            let revisions: Vec<u64> = cluster
                 .nodes
                 .iter()
-                .map(|node| node.register.state().edition)
+                .map(|node| node.register.state().revision)
                 .collect();
             let told = cluster.accepted;
             assert!(
-                editions.iter().all(|edition| *edition >= told),
-                "{editions:?}, {told} lost"
+                revisions.iter().all(|revision| *revision >= told),
+                "{revisions:?}, {told} lost"
             );
             accepted += told;
             Ok(())
@@ -105,7 +105,7 @@
             let told = cluster.accepted;
             let phases = cluster.describe();
             assert!(
-                states.iter().all(|state| state.edition >= told),
+                states.iter().all(|state| state.revision >= told),
                 "{phases}, {told} lost"
             );
             assert!(
--- a/crates/quorum-register/tests/changes.rs
+++ b/crates/quorum-register/tests/changes.rs
@@ -1,14 +1,14 @@
 //! What operators are told of their orders: numbers that are taken, and orders that come again.
 
-use protocol::{ClusterState, Submission};
+use protocol::{ClusterState, DecidedChange};
 use quorum_register::{Change, Decision, OrderId, apply};
 use result_code::ResultCode;
 
-const TAKEN: Option<ResultCode> = Some(ResultCode::NumberTaken);
+const TAKEN: Option<ResultCode> = Some(ResultCode::VersionConflict);
 
 fn numbered(id: &str, number: u64, bytes: &str) -> Change {
     let digest = protocol::digest(bytes.as_bytes());
-    Change::Setup {
+    Change::Configuration {
         id: id.into(),
         base: None,
         number: Some(number),
@@ -16,8 +16,8 @@
     }
 }
 
-fn setup(id: &str, base: Option<u64>) -> Change {
-    Change::Setup {
+fn configuration(id: &str, base: Option<u64>) -> Change {
+    Change::Configuration {
         id: id.into(),
         base,
         number: None,
@@ -41,10 +41,10 @@
 /// So many orders of others, each of which changes something.
 fn others(state: &mut ClusterState, count: u64) {
     (0..count).for_each(|at| {
-        let id = format!("other-{}-{at}", state.edition);
+        let id = format!("other-{}-{at}", state.revision);
         assert_eq!(
-            apply(state, &setup(&id, Some(state.edition))).code,
-            ResultCode::Fine
+            apply(state, &configuration(&id, Some(state.revision))).code,
+            ResultCode::Success
         );
     });
 }
@@ -55,15 +55,15 @@
         let mut state = ClusterState::default();
         assert_eq!(
             code(&mut state, &numbered(first, 7, "one")),
-            Some(ResultCode::Fine)
+            Some(ResultCode::Success)
         );
-        let before = (state.edition, state.digest.clone());
+        let before = (state.revision, state.digest.clone());
         assert_eq!(code(&mut state, &numbered(second, 7, "other")), TAKEN);
-        assert_eq!((state.edition, state.digest.clone()), before);
+        assert_eq!((state.revision, state.digest.clone()), before);
         // The first operator asks again, and is told again.
         assert_eq!(
             code(&mut state, &numbered(first, 7, "one")),
-            Some(ResultCode::Fine)
+            Some(ResultCode::Success)
         );
     }
 }
@@ -76,9 +76,9 @@
     assert_eq!(code(&mut state, &numbered("", 7, "other")), TAKEN);
     assert_eq!(
         code(&mut state, &numbered("", 7, "one")),
-        Some(ResultCode::Fine)
+        Some(ResultCode::Success)
     );
-    assert_eq!((state.number, state.edition), (9, 2));
+    assert_eq!((state.number, state.revision), (9, 2));
 }
 
 #[test]
@@ -87,9 +87,9 @@
     apply(&mut state, &numbered("", 9, "two"));
     assert_eq!(
         code(&mut state, &numbered("", 8, "late")),
-        Some(ResultCode::Overtaken)
+        Some(ResultCode::Superseded)
     );
-    assert_eq!((state.number, state.edition), (9, 1));
+    assert_eq!((state.number, state.revision), (9, 1));
 }
 
 /// An order that was decided, and is sent again after so many others.
@@ -97,7 +97,7 @@
     let mut state = ClusterState::default();
     others(&mut state, 3);
     let first = apply(&mut state, &order);
-    assert_eq!(first.code, ResultCode::Fine);
+    assert_eq!(first.code, ResultCode::Success);
     others(&mut state, after);
     let before = state.clone();
     let again = apply(&mut state, &order);
@@ -107,8 +107,8 @@
 #[test]
 fn an_order_sent_again_hundreds_of_changes_later_gets_its_first_answer() {
     let orders = [
-        setup("order", None),
-        setup("order", Some(3)),
+        configuration("order", None),
+        configuration("order", Some(3)),
         numbered("order", 7, "x"),
         evacuation("order", false),
     ];
@@ -122,17 +122,17 @@
 #[test]
 fn an_order_sent_again_after_thousands_is_never_done_anew() {
     let orders = [
-        setup("order", None),
-        setup("order", Some(3)),
+        configuration("order", None),
+        configuration("order", Some(3)),
         numbered("order", 7, "x"),
         evacuation("order", false),
     ];
     orders.into_iter().for_each(|order| {
         let (_, again, before, after) = resent(order.clone(), 3000);
-        let changed = (after.edition, &after.digest, &after.evacuated)
-            != (before.edition, &before.digest, &before.evacuated);
+        let changed = (after.revision, &after.digest, &after.evacuated)
+            != (before.revision, &before.digest, &before.evacuated);
         assert!(!changed, "{order:?} was done twice");
-        let refused = again.code.kind() == result_code::Execution::NotRun;
+        let refused = again.code.kind() == result_code::Execution::NotExecuted;
         assert!(
             !refused,
             "{order:?} was done, and is refused with {:?}",
@@ -174,7 +174,7 @@
     let state = forgetful();
     let new = [
         evacuation_since("new", Some(state.decided)),
-        setup("new", Some(state.edition)),
+        configuration("new", Some(state.revision)),
         numbered("new", 7, "x"),
         numbered("", 7, "x"),
     ];
@@ -182,8 +182,8 @@
         let mut state = state.clone();
         let decision = apply(&mut state, &order);
         assert_eq!(
-            (decision.code, decision.edition),
-            (ResultCode::Fine, 3001),
+            (decision.code, decision.revision),
+            (ResultCode::Success, 3001),
             "{order:?}"
         );
         assert_eq!(apply(&mut state, &order), decision, "{order:?} again");
@@ -198,14 +198,14 @@
         evacuation_since("old", Some(5)),
         // More than were ever decided: it cannot have been told so.
         evacuation_since("old", Some(state.decided + 1)),
-        setup("old", None),
-        setup("old", Some(5)),
+        configuration("old", None),
+        configuration("old", Some(5)),
     ];
     old.into_iter().for_each(|order| {
         let mut after = state.clone();
         assert_eq!(
             code(&mut after, &order),
-            Some(ResultCode::OrderForgotten),
+            Some(ResultCode::ChangeForgotten),
             "{order:?}"
         );
         assert_eq!(after, state, "{order:?}");
@@ -215,10 +215,10 @@
 #[test]
 fn a_base_that_is_behind_is_told_so_while_its_time_is_remembered() {
     let mut state = forgetful();
-    let base = state.edition - 100;
+    let base = state.revision - 100;
     assert_eq!(
-        code(&mut state, &setup("late", Some(base))),
-        Some(ResultCode::SetupBehind)
+        code(&mut state, &configuration("late", Some(base))),
+        Some(ResultCode::RevisionConflict)
     );
 }
 
@@ -230,14 +230,14 @@
         let since = Some(state.decided);
         assert_eq!(
             code(&mut state, &evacuation_since(&format!("e-{at}"), since)),
-            Some(ResultCode::Fine)
+            Some(ResultCode::Success)
         );
     });
-    assert_eq!(state.edition, 1);
+    assert_eq!(state.revision, 1);
     let decided = state.decided;
     assert_eq!(
         code(&mut state, &evacuation_since("one-more", Some(decided))),
-        Some(ResultCode::Fine)
+        Some(ResultCode::Success)
     );
 }
 
@@ -245,15 +245,15 @@
 #[test]
 fn a_state_of_an_earlier_version_keeps_its_decisions() {
     let asked = format!("{} None", protocol::digest(b"s-0"));
-    let submission = |at: u64| Submission {
+    let submission = |at: u64| DecidedChange {
         id: format!("s-{at}"),
         asked: asked.clone(),
-        edition: at + 1,
+        revision: at + 1,
         code: 1000,
     };
     let digest = protocol::digest(b"seven");
     let before = |count: u64| ClusterState {
-        edition: count,
+        revision: count,
         number: 7,
         digest: digest.clone(),
         submissions: (0..count).map(submission).collect(),
@@ -261,25 +261,25 @@
     };
     let mut state = before(3);
     assert_eq!(
-        apply(&mut state, &setup("s-0", None)),
+        apply(&mut state, &configuration("s-0", None)),
         Decision {
-            code: ResultCode::Fine,
-            edition: 1
+            code: ResultCode::Success,
+            revision: 1
         }
     );
     assert_eq!(
         code(&mut state, &numbered("", 7, "seven")),
-        Some(ResultCode::Fine)
+        Some(ResultCode::Success)
     );
     assert_eq!(code(&mut state, &numbered("", 7, "other")), TAKEN);
     assert_eq!(
-        code(&mut state, &setup("new", None)),
-        Some(ResultCode::Fine)
+        code(&mut state, &configuration("new", None)),
+        Some(ResultCode::Success)
     );
     // It may have forgotten some.
     assert_eq!(
-        code(&mut before(256), &setup("new", None)),
-        Some(ResultCode::OrderForgotten)
+        code(&mut before(256), &configuration("new", None)),
+        Some(ResultCode::ChangeForgotten)
     );
 }
 
@@ -316,16 +316,16 @@
 fn a_begin_without_an_id_that_waited_too_long_does_not_evacuate_anew() {
     let mut state = ClusterState::default();
     others(&mut state, 3);
-    let waiting = anonymous_evacuation("north/n1", false, state.edition);
+    let waiting = anonymous_evacuation("north/n1", false, state.revision);
     apply(&mut state, &waiting);
-    let finish = anonymous_evacuation("north/n1", true, state.edition);
+    let finish = anonymous_evacuation("north/n1", true, state.revision);
     apply(&mut state, &finish);
-    let edition = state.edition;
+    let revision = state.revision;
     assert_eq!(
         apply(&mut state, &waiting),
         Decision {
-            code: ResultCode::Fine,
-            edition
+            code: ResultCode::Success,
+            revision
         }
     );
     assert_eq!(state.evacuated, Vec::<String>::new());
@@ -333,20 +333,20 @@
     assert_eq!(
         apply(
             &mut state,
-            &anonymous_evacuation("north/n1", false, edition)
+            &anonymous_evacuation("north/n1", false, revision)
         )
-        .edition,
-        edition + 1
+        .revision,
+        revision + 1
     );
 }
 
 #[test]
 fn other_localities_and_setups_do_not_hold_an_evacuation_up() {
     let mut state = ClusterState::default();
-    let waiting = anonymous_evacuation("north/n1", false, state.edition);
+    let waiting = anonymous_evacuation("north/n1", false, state.revision);
     others(&mut state, 20);
     (0..40).for_each(|at| {
-        let other = anonymous_evacuation(&format!("north/m{at}"), false, state.edition);
+        let other = anonymous_evacuation(&format!("north/m{at}"), false, state.revision);
         apply(&mut state, &other);
     });
     apply(&mut state, &waiting);
@@ -356,10 +356,10 @@
 #[test]
 fn an_evacuation_that_can_not_be_judged_any_more_is_denied() {
     let mut state = ClusterState::default();
-    let waiting = anonymous_evacuation("north/n1", false, state.edition);
+    let waiting = anonymous_evacuation("north/n1", false, state.revision);
     (0..100).for_each(|at| {
-        let other = anonymous_evacuation(&format!("north/m{at}"), false, state.edition);
+        let other = anonymous_evacuation(&format!("north/m{at}"), false, state.revision);
         apply(&mut state, &other);
     });
-    assert_eq!(code(&mut state, &waiting), Some(ResultCode::Stale));
+    assert_eq!(code(&mut state, &waiting), Some(ResultCode::StaleView));
 }
--- a/crates/quorum-register/tests/cluster/mod.rs
+++ b/crates/quorum-register/tests/cluster/mod.rs
@@ -19,7 +19,7 @@
 pub struct Node {
     pub register: Register,
     pub disk: DurableState,
-    setups: BTreeMap<String, Vec<u8>>,
+    configurations: BTreeMap<String, Vec<u8>>,
     writes: VecDeque<Write>,
     born_at: Duration,
     seen: u64,
@@ -49,7 +49,7 @@
     at: usize,
     seed: u64,
     durable: DurableState,
-    setups: BTreeMap<String, Vec<u8>>,
+    configurations: BTreeMap<String, Vec<u8>>,
     now: Duration,
 ) -> Node {
     let start = Start {
@@ -57,14 +57,14 @@
         roster_size: VOTERS,
         seed,
         durable: durable.clone(),
-        setups: setups.clone(),
+        configurations: configurations.clone(),
         times: Times::default(),
     };
     let register = Register::new(start);
     Node {
         register,
         disk: durable,
-        setups,
+        configurations,
         writes: VecDeque::new(),
         born_at: now,
         seen: 0,
@@ -116,7 +116,7 @@
                     .writes
                     .push_back((ticket, Some(durable), None))
             }
-            Effect::KeepSetup {
+            Effect::StoreConfiguration {
                 ticket,
                 digest,
                 bytes,
@@ -125,28 +125,33 @@
                     .writes
                     .push_back((ticket, None, Some((digest, bytes))));
             }
-            Effect::DropSetup { digest } => {
+            Effect::DeleteConfiguration { digest } => {
                 self.nodes[at]
                     .writes
                     .push_back((0, None, Some((digest, Vec::new()))))
             }
-            Effect::Decided { decision, .. } if decision.code == result_code::ResultCode::Fine => {
-                self.accepted = self.accepted.max(decision.edition);
+            Effect::Decided { decision, .. }
+                if decision.code == result_code::ResultCode::Success =>
+            {
+                self.accepted = self.accepted.max(decision.revision);
             }
             _ => {}
         });
         let excess = self.wire.len().saturating_sub(MAX_ON_THE_WAY);
         self.wire.drain(..excess);
         let state = self.nodes[at].register.state();
-        let (edition, digest) = (state.edition, state.digest.clone());
-        let known = self.states.entry(edition).or_insert_with(|| digest.clone());
-        assert_eq!(*known, digest, "edition {edition} is two states");
+        let (revision, digest) = (state.revision, state.digest.clone());
+        let known = self
+            .states
+            .entry(revision)
+            .or_insert_with(|| digest.clone());
+        assert_eq!(*known, digest, "edition {revision} is two states");
         assert!(
-            edition >= self.nodes[at].seen,
-            "{} went back to {edition}",
+            revision >= self.nodes[at].seen,
+            "{} went back to {revision}",
             name(at)
         );
-        self.nodes[at].seen = edition;
+        self.nodes[at].seen = revision;
         let voter_set = self.nodes[at].register.state().voter_set.clone();
         if !voter_set.voters.is_empty() {
             let known = self
@@ -161,19 +166,19 @@
         if self.nodes[at].removed {
             return;
         }
-        let Some((ticket, durable, setup)) = self.nodes[at].writes.pop_front() else {
+        let Some((ticket, durable, configuration)) = self.nodes[at].writes.pop_front() else {
             return;
         };
         let node = &mut self.nodes[at];
         node.disk = durable.unwrap_or_else(|| node.disk.clone());
-        match setup {
-            Some((digest, bytes)) if bytes.is_empty() => drop(node.setups.remove(&digest)),
-            setup => node.setups.extend(setup),
+        match configuration {
+            Some((digest, bytes)) if bytes.is_empty() => drop(node.configurations.remove(&digest)),
+            configuration => node.configurations.extend(configuration),
         }
         // Whatever crash comes next, the state on this disk names only bytes that are on it.
         let digest = &node.disk.accepted.digest;
         assert!(
-            digest.is_empty() || node.setups.contains_key(digest),
+            digest.is_empty() || node.configurations.contains_key(digest),
             "{} lost the bytes of its state",
             name(at)
         );
@@ -218,7 +223,7 @@
                     at,
                     noise.arbitrary()?,
                     node.disk.clone(),
-                    node.setups.clone(),
+                    node.configurations.clone(),
                     self.now,
                 );
             }
@@ -243,7 +248,7 @@
                     format!("s{}", self.submitted),
                     format!("setup {}", self.submitted).into_bytes(),
                 );
-                let change = Change::Setup {
+                let change = Change::Configuration {
                     id: id.into(),
                     base: None,
                     number: None,
@@ -294,9 +299,9 @@
             .filter(|(_, node)| !node.removed);
         let lines = there.map(|(at, node)| {
             let (phase, voters) = (node.register.phase(), node.register.voter_set());
-            let (edition, accepted) = (node.register.state().edition, &node.disk.accepted_at);
+            let (revision, accepted) = (node.register.state().revision, &node.disk.accepted_at);
             format!(
-                "{}: edition {edition}, {phase:?}, {voters:?}, accepted at {accepted:?}",
+                "{}: edition {revision}, {phase:?}, {voters:?}, accepted at {accepted:?}",
                 name(at)
             )
         });
--- a/crates/quorum-register/tests/deltas.rs
+++ b/crates/quorum-register/tests/deltas.rs
@@ -115,7 +115,7 @@
     calm(cluster, 20, way)
 }
 
-fn assert_all_at(cluster: &Cluster, edition: u64) {
+fn assert_all_at(cluster: &Cluster, revision: u64) {
     let states: Vec<_> = cluster
         .nodes
         .iter()
@@ -127,8 +127,8 @@
         cluster.describe()
     );
     assert_eq!(
-        (states[0].edition, states[0].decided),
-        (edition, edition),
+        (states[0].revision, states[0].decided),
+        (revision, revision),
         "{}",
         cluster.describe()
     );
--- a/crates/request-routing/src/waitlist.rs
+++ b/crates/request-routing/src/admission_queue.rs
@@ -5,40 +5,40 @@
 use std::sync::Arc;
 
 /// Most requests that wait for one service at one proxy, and most of them for one key.
-const MOST_WAITING: usize = 128;
-const MOST_OF_A_KEY: usize = 16;
+const MAX_WAITING: usize = 128;
+const MAX_OF_A_KEY: usize = 16;
 
 /// What is done to tell a waiting request that a seat may be free.
 #[derive(Clone)]
-pub struct Bell(Arc<dyn Fn() + Send + Sync>);
+pub struct WakeUp(Arc<dyn Fn() + Send + Sync>);
 
-impl Bell {
+impl WakeUp {
     /// A bell that does this when it rings.
     ///
     /// ```
-    /// request_routing::Bell::new(|| println!("a seat may be free")).ring();
+    /// request_routing::WakeUp::new(|| println!("a seat may be free")).ring();
     /// ```
     pub fn new(ring: impl Fn() + Send + Sync + 'static) -> Self {
-        Bell(Arc::new(ring))
+        WakeUp(Arc::new(ring))
     }
 
     /// Rings.
     ///
     /// ```
-    /// request_routing::Bell::default().ring();
+    /// request_routing::WakeUp::default().ring();
     /// ```
     pub fn ring(&self) {
         (self.0)()
     }
 }
 
-impl Default for Bell {
+impl Default for WakeUp {
     fn default() -> Self {
-        Bell::new(|| {})
+        WakeUp::new(|| {})
     }
 }
 
-impl fmt::Debug for Bell {
+impl fmt::Debug for WakeUp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Bell")
     }
@@ -49,33 +49,33 @@
     key: u64,
     /// Only this upstream will do: it holds the key.
     wants: Option<String>,
-    bell: Bell,
+    bell: WakeUp,
 }
 
 /// Waiting requests in the order they came.
 #[derive(Default)]
-pub struct Waitlist {
+pub struct AdmissionQueue {
     line: VecDeque<Waiting>,
     next: u64,
 }
 
-impl Waitlist {
+impl AdmissionQueue {
     /// Takes a place at the end; none where the list, or this key's part of it, is full.
     ///
     /// ```
-    /// let mut list = request_routing::Waitlist::default();
-    /// let join = |list: &mut request_routing::Waitlist, key| list.join(key, None, request_routing::Bell::default());
+    /// let mut list = request_routing::AdmissionQueue::default();
+    /// let join = |list: &mut request_routing::AdmissionQueue, key| list.join(key, None, request_routing::WakeUp::default());
     /// (0..16).for_each(|_| assert!(join(&mut list, 7).is_some()));
     /// assert_eq!(join(&mut list, 7), None, "one key may not take the whole list");
     /// assert!(join(&mut list, 8).is_some());
     /// ```
-    pub fn join(&mut self, key: u64, wants: Option<&str>, bell: Bell) -> Option<u64> {
+    pub fn join(&mut self, key: u64, wants: Option<&str>, bell: WakeUp) -> Option<u64> {
         let of_key = self
             .line
             .iter()
             .filter(|waiting| waiting.key == key)
             .count();
-        if self.line.len() >= MOST_WAITING || of_key >= MOST_OF_A_KEY {
+        if self.line.len() >= MAX_WAITING || of_key >= MAX_OF_A_KEY {
             return None;
         }
         self.next += 1;
@@ -91,8 +91,8 @@
     /// Gives the place up.
     ///
     /// ```
-    /// let mut list = request_routing::Waitlist::default();
-    /// let ticket = list.join(1, None, request_routing::Bell::default()).unwrap();
+    /// let mut list = request_routing::AdmissionQueue::default();
+    /// let ticket = list.join(1, None, request_routing::WakeUp::default()).unwrap();
     /// list.leave(ticket);
     /// assert!(list.is_empty());
     /// ```
@@ -103,12 +103,12 @@
     /// The bell of the first who would take a seat at this upstream, or anywhere.
     ///
     /// ```
-    /// let mut list = request_routing::Waitlist::default();
-    /// list.join(1, Some("a"), request_routing::Bell::default());
+    /// let mut list = request_routing::AdmissionQueue::default();
+    /// list.join(1, Some("a"), request_routing::WakeUp::default());
     /// assert!(list.first(Some("b")).is_none(), "it wants a seat at a only");
     /// assert!(list.first(Some("a")).is_some());
     /// ```
-    pub fn first(&self, freed: Option<&str>) -> Option<Bell> {
+    pub fn first(&self, freed: Option<&str>) -> Option<WakeUp> {
         let fits = |waiting: &&Waiting| {
             let wants = waiting.wants.as_deref();
             wants.zip(freed).is_none_or(|(wants, freed)| wants == freed)
@@ -122,8 +122,8 @@
     /// True where one who wants the same is there already: who comes now goes behind.
     ///
     /// ```
-    /// let mut list = request_routing::Waitlist::default();
-    /// list.join(1, Some("a"), request_routing::Bell::default());
+    /// let mut list = request_routing::AdmissionQueue::default();
+    /// list.join(1, Some("a"), request_routing::WakeUp::default());
     /// assert!(list.has(Some("a")));
     /// assert!(!list.has(Some("b")));
     /// ```
@@ -136,7 +136,7 @@
     /// How many wait.
     ///
     /// ```
-    /// assert_eq!(request_routing::Waitlist::default().len(), 0);
+    /// assert_eq!(request_routing::AdmissionQueue::default().len(), 0);
     /// ```
     pub fn len(&self) -> usize {
         self.line.len()
@@ -145,7 +145,7 @@
     /// True where nobody waits.
     ///
     /// ```
-    /// assert!(request_routing::Waitlist::default().is_empty());
+    /// assert!(request_routing::AdmissionQueue::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
         self.line.is_empty()
--- a/crates/request-routing/src/calls.rs
+++ b/crates/request-routing/src/calls.rs
@@ -1,33 +1,33 @@
 //! Calls to upstreams: judged again once connected, and what follows from their outcomes.
 
-use crate::board::Board;
-use crate::journey::Journey;
 use crate::load::Load;
-use crate::notes::{Note, Why};
-use crate::steps::{Move, Outcome, Stage};
+use crate::request_state::RequestState;
+use crate::stats::ProxyStats;
+use crate::steps::{CallOutcome, NextStep, RequestStage};
+use crate::trace::{RejectReason, TraceEvent};
 use config::Service;
 use name_directory::View;
-use protocol::{Share, Upstream};
+use protocol::{KeyShare, Upstream};
 use result_code::{Execution, ResultCode};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 /// Most connections tried for one request, those that never came up included.
-const MOST_CALLS: u32 = 4;
+const MAX_CALLS: u32 = 4;
 
-impl Journey {
+impl RequestState {
     /// The bell rang, or the waiting is over: one more look for a seat.
     ///
     /// ```
-    /// # use request_routing::{Journey, Move, Order, Site};
+    /// # use request_routing::{RequestState, NextStep, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
-    /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let mut journey = Journey::new(Order::default(), site);
+    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// let mut journey = RequestState::new(RequestInfo::default(), site);
     /// let next = journey.called(Duration::ZERO, &Default::default(), &Default::default());
-    /// assert!(matches!(next, Move::Answer { .. }), "it waited for nothing");
+    /// assert!(matches!(next, NextStep::Answer { .. }), "it waited for nothing");
     /// ```
-    pub fn called(&mut self, now: Duration, view: &View, board: &Board) -> Move {
-        self.notes.push(Note::Called);
+    pub fn called(&mut self, now: Duration, view: &View, board: &ProxyStats) -> NextStep {
+        self.notes.push(TraceEvent::CallError);
         self.choose(now, view, board)
     }
 
@@ -35,29 +35,29 @@
     /// stood still in between: only what may still go there is written, and else another is chosen.
     ///
     /// ```
-    /// # use request_routing::{Journey, Move, Order, Site};
+    /// # use request_routing::{RequestState, NextStep, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
-    /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let mut journey = Journey::new(Order::default(), site);
+    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// let mut journey = RequestState::new(RequestInfo::default(), site);
     /// let next = journey.connected(Duration::ZERO, &Default::default(), &Default::default());
-    /// assert!(matches!(next, Move::Answer { .. }), "it had chosen nobody");
+    /// assert!(matches!(next, NextStep::Answer { .. }), "it had chosen nobody");
     /// ```
-    pub fn connected(&mut self, now: Duration, view: &View, board: &Board) -> Move {
-        let (Stage::Chosen { upstream, share }, Some(service)) =
+    pub fn connected(&mut self, now: Duration, view: &View, board: &ProxyStats) -> NextStep {
+        let (RequestStage::Chosen { upstream, share }, Some(service)) =
             (self.stage.clone(), self.service.clone())
         else {
-            return self.answer(now, ResultCode::Expired);
+            return self.answer(now, ResultCode::DeadlineExceeded);
         };
         let withdrawn = self.withdrawn(now, view, &service, &upstream, share.as_ref());
         let within = self.left(now);
         if let Some(why) = withdrawn {
-            self.notes.push(Note::Withdrawn { upstream, why });
+            self.notes.push(TraceEvent::Withdrawn { upstream, why });
             self.leave_seat();
-            self.turn(Stage::Waiting);
-            return if self.calls < MOST_CALLS {
+            self.turn(RequestStage::Waiting);
+            return if self.calls < MAX_CALLS {
                 self.choose(now, view, board)
             } else {
-                self.answer(now, ResultCode::Busy)
+                self.answer(now, ResultCode::Overloaded)
             };
         }
         if !self.written {
@@ -69,41 +69,41 @@
             .seat
             .as_ref()
             .map(|(seat, _)| (now, seat.load(now), upstream.slots));
-        self.turn(Stage::Sent {
+        self.turn(RequestStage::Sent {
             instance: upstream.instance.clone(),
         });
         self.sent_to = Some((upstream.clone(), share.clone()));
-        self.notes.push(Note::Sent { upstream });
-        Move::Send { share, within }
+        self.notes.push(TraceEvent::Sent { upstream });
+        NextStep::Send { share, within }
     }
 
     /// The kept connection that it was to be written on had ended, and no byte of it left this process: the same
     /// upstream is called on a new one, and the choice judged again.
     ///
     /// ```
-    /// # use request_routing::{Journey, Move, Order, Site};
+    /// # use request_routing::{RequestState, NextStep, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
-    /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let mut journey = Journey::new(Order::default(), site);
-    /// assert!(matches!(journey.unsent(Duration::ZERO), Move::Answer { .. }), "it was to be written nowhere");
+    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// let mut journey = RequestState::new(RequestInfo::default(), site);
+    /// assert!(matches!(journey.unsent(Duration::ZERO), NextStep::Answer { .. }), "it was to be written nowhere");
     /// ```
-    pub fn unsent(&mut self, now: Duration) -> Move {
+    pub fn unsent(&mut self, now: Duration) -> NextStep {
         let Some((upstream, share)) = self
             .sent_to
             .take()
-            .filter(|_| matches!(self.stage, Stage::Sent { .. }))
+            .filter(|_| matches!(self.stage, RequestStage::Sent { .. }))
         else {
-            return self.answer(now, ResultCode::Expired);
+            return self.answer(now, ResultCode::DeadlineExceeded);
         };
         self.sends -= 1;
-        self.notes.push(Note::Unsent {
+        self.notes.push(TraceEvent::Unsent {
             upstream: upstream.clone(),
         });
-        self.turn(Stage::Chosen {
+        self.turn(RequestStage::Chosen {
             upstream: upstream.clone(),
             share,
         });
-        Move::Connect {
+        NextStep::Connect {
             upstream,
             within: self.left(now),
         }
@@ -116,9 +116,9 @@
         view: &View,
         service: &Service,
         chosen: &Upstream,
-        share: Option<&Share>,
-    ) -> Option<Why> {
-        let stale = !self.site.may_use(view, now) || view.edition != self.edition;
+        share: Option<&KeyShare>,
+    ) -> Option<RejectReason> {
+        let stale = !self.site.may_use(view, now) || view.revision != self.revision;
         let late = stale || self.left(now).is_zero();
         let known = view
             .upstreams
@@ -128,19 +128,19 @@
         let held = self.share(view, service);
         let other = service.keyed && held.as_ref() != share;
         known
-            .map_or(Some(Why::Gone), |known| {
+            .map_or(Some(RejectReason::Gone), |known| {
                 self.barred(view, service, share, known)
             })
-            .or(Some(Why::OtherHolder).filter(|_| other))
+            .or(Some(RejectReason::OtherHolder).filter(|_| other))
     }
 
     /// What the upstream told of its load with its answer; to be told before the outcome.
     ///
     /// ```
-    /// # use request_routing::{Journey, Load, Order, Site};
+    /// # use request_routing::{RequestState, Load, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
-    /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// Journey::new(Order::default(), site).hear(Duration::ZERO, Load::default());
+    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// RequestState::new(RequestInfo::default(), site).hear(Duration::ZERO, Load::default());
     /// ```
     pub fn hear(&self, now: Duration, load: Load) {
         self.seat.iter().for_each(|(seat, _)| seat.hear(now, load));
@@ -149,19 +149,25 @@
     /// What came of the call: pass it, call again where that is safe and allowed, or answer.
     ///
     /// ```
-    /// # use request_routing::{Journey, Move, Order, Outcome, Site};
+    /// # use request_routing::{RequestState, NextStep, RequestInfo, CallOutcome, ProxyContext};
     /// # use std::time::Duration;
-    /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// use result_code::ResultCode;
-    /// let mut journey = Journey::new(Order::default(), site);
-    /// let next = journey.after(Duration::ZERO, &Default::default(), &Default::default(), Outcome::Lost);
-    /// assert!(matches!(next, Move::Answer { code: ResultCode::Lost, .. }), "never sent again blindly");
+    /// let mut journey = RequestState::new(RequestInfo::default(), site);
+    /// let next = journey.after(Duration::ZERO, &Default::default(), &Default::default(), CallOutcome::Lost);
+    /// assert!(matches!(next, NextStep::Answer { code: ResultCode::ResponseLost, .. }), "never sent again blindly");
     /// ```
-    pub fn after(&mut self, now: Duration, view: &View, board: &Board, outcome: Outcome) -> Move {
+    pub fn after(
+        &mut self,
+        now: Duration,
+        view: &View,
+        board: &ProxyStats,
+        outcome: CallOutcome,
+    ) -> NextStep {
         let called = self.seat.is_some();
         let was_sent = self.sent_to.take().is_some();
         // The connection came up and ended before a byte went out.
-        self.sends -= u32::from(was_sent && outcome == Outcome::NotConnected);
+        self.sends -= u32::from(was_sent && outcome == CallOutcome::NotConnected);
         // A holder of keys may also deny because a share just moved.
         let least = u32::from(self.service.as_ref().is_some_and(|service| service.keyed));
         self.seat.iter().for_each(|(seat, _)| {
@@ -169,15 +175,18 @@
                 now,
                 matches!(
                     outcome,
-                    Outcome::Sealed | Outcome::SealedNotRun | Outcome::NotHeld | Outcome::Failed
+                    CallOutcome::Sealed
+                        | CallOutcome::SealedNotRun
+                        | CallOutcome::NotHeld
+                        | CallOutcome::Failed
                 ),
             );
             match outcome {
-                Outcome::SealedNotRun => seat.full(now, least),
-                Outcome::Replaced | Outcome::ReplacedNotRun => {
+                CallOutcome::SealedNotRun => seat.full(now, least),
+                CallOutcome::Replaced | CallOutcome::ReplacedNotRun => {
                     seat.replaced.store(true, Ordering::Release)
                 }
-                Outcome::Sealed => self
+                CallOutcome::Sealed => self
                     .sent_at
                     .iter()
                     .filter(|(.., slots)| *slots > 0)
@@ -189,17 +198,17 @@
         });
         self.leave_seat();
         let code = match outcome {
-            Outcome::Sealed => {
-                self.answer(now, ResultCode::Fine);
-                return Move::Pass;
+            CallOutcome::Sealed => {
+                self.answer(now, ResultCode::Success);
+                return NextStep::Pass;
             }
-            Outcome::SealedNotRun | Outcome::ReplacedNotRun => ResultCode::Busy,
-            Outcome::NotHeld => ResultCode::NoHolder,
-            Outcome::Failed => ResultCode::Failed,
-            Outcome::NotConnected => ResultCode::ResendsSpent,
-            Outcome::Lost => ResultCode::Lost,
-            Outcome::Garbage | Outcome::Replaced => ResultCode::Garbage,
-            Outcome::TimedOut => ResultCode::TimedOut,
+            CallOutcome::SealedNotRun | CallOutcome::ReplacedNotRun => ResultCode::Overloaded,
+            CallOutcome::NotHeld => ResultCode::KeyUnassigned,
+            CallOutcome::Failed => ResultCode::UpstreamFailed,
+            CallOutcome::NotConnected => ResultCode::RetryBudgetExhausted,
+            CallOutcome::Lost => ResultCode::ResponseLost,
+            CallOutcome::Garbage | CallOutcome::Replaced => ResultCode::InvalidResponse,
+            CallOutcome::TimedOut => ResultCode::UpstreamTimeout,
         };
         self.doubt = self
             .doubt
@@ -214,28 +223,28 @@
             .route
             .as_ref()
             .and_then(|route| route.terms.attempts)
-            .unwrap_or(MOST_CALLS);
-        let safe = repeatable || code.kind() == Execution::NotRun;
+            .unwrap_or(MAX_CALLS);
+        let safe = repeatable || code.kind() == Execution::NotExecuted;
         let proxies = view.proxies.len();
         // Where no connection came up, nothing was sent: going elsewhere is no resend.
         let again = safe
             && called
-            && self.calls < MOST_CALLS
+            && self.calls < MAX_CALLS
             && self.sends < attempts
             && !self.left(now).is_zero()
-            && (code == ResultCode::ResendsSpent
+            && (code == ResultCode::RetryBudgetExhausted
                 || self
                     .desk
                     .as_ref()
                     .is_some_and(|desk| desk.take_resend(now, proxies)));
         if again {
-            self.notes.push(Note::Again { after: code });
+            self.notes.push(TraceEvent::Again { after: code });
             return self.choose(now, view, board);
         }
         let answer = self.answer(now, code);
         // What it said of its failure is for the origin.
-        if outcome == Outcome::Failed {
-            Move::Pass
+        if outcome == CallOutcome::Failed {
+            NextStep::Pass
         } else {
             answer
         }
--- a/crates/request-routing/src/choosing.rs
+++ b/crates/request-routing/src/choosing.rs
@@ -1,12 +1,12 @@
 //! Which upstream a request goes to, and what happens where none has a seat.
 
-use crate::board::{Board, Desk, Seat};
-use crate::journey::Journey;
-use crate::notes::{Note, Why};
-use crate::steps::{Move, Stage};
+use crate::request_state::RequestState;
+use crate::stats::{ProxyStats, ServiceStats, UpstreamStats};
+use crate::steps::{NextStep, RequestStage};
+use crate::trace::{RejectReason, TraceEvent};
 use config::Service;
 use name_directory::View;
-use protocol::{Share, Upstream};
+use protocol::{KeyShare, Upstream};
 use result_code::ResultCode;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -27,30 +27,30 @@
 
 /// A place in a waitlist.
 pub(crate) struct Place {
-    pub desk: Arc<Desk>,
+    pub desk: Arc<ServiceStats>,
     pub ticket: u64,
 }
 
-impl Journey {
+impl RequestState {
     /// Chooses an upstream and takes a seat there, or a place in the waitlist.
-    pub(crate) fn choose(&mut self, now: Duration, view: &View, board: &Board) -> Move {
+    pub(crate) fn choose(&mut self, now: Duration, view: &View, board: &ProxyStats) -> NextStep {
         let (Some(service), Some(desk)) = (self.service.clone(), self.desk.clone()) else {
             return self.answer(now, ResultCode::NoSuchName);
         };
         if self.left(now).is_zero() {
-            return self.answer(now, ResultCode::Expired);
+            return self.answer(now, ResultCode::DeadlineExceeded);
         }
         // The view may have aged, or the route changed, while the request waited.
         if !self.site.may_use(view, now) {
-            return self.answer(now, ResultCode::Stale);
+            return self.answer(now, ResultCode::StaleView);
         }
-        if view.edition != self.edition {
+        if view.revision != self.revision {
             self.leave_place();
             return self.start(now, view, board);
         }
         let share = self.share(view, &service);
         if service.keyed && share.is_none() {
-            return self.answer(now, ResultCode::NoHolder);
+            return self.answer(now, ResultCode::KeyUnassigned);
         }
         let wants = share.as_ref().map(|share| share.instance.as_str());
         // Whoever came before goes first.
@@ -66,10 +66,10 @@
             Some(upstream) => {
                 self.calls += 1;
                 self.tried.push(upstream.instance.clone());
-                self.notes.push(Note::Connecting {
+                self.notes.push(TraceEvent::Connecting {
                     upstream: upstream.clone(),
                 });
-                self.turn(Stage::Chosen {
+                self.turn(RequestStage::Chosen {
                     upstream: upstream.clone(),
                     share,
                 });
@@ -78,7 +78,7 @@
                     self.leave_place();
                     desk.ring(None);
                 }
-                Move::Connect {
+                NextStep::Connect {
                     upstream,
                     within: self.left(now),
                 }
@@ -87,12 +87,12 @@
     }
 
     /// A place in the waitlist, for a set span and never for more than half of the time left.
-    fn wait(&mut self, now: Duration, desk: &Arc<Desk>, wants: Option<&str>) -> Move {
+    fn wait(&mut self, now: Duration, desk: &Arc<ServiceStats>, wants: Option<&str>) -> NextStep {
         let until = *self
             .wait_until
             .get_or_insert(now + self.site.wait_for.min(self.left(now) / 2));
         if now >= until {
-            return self.answer(now, ResultCode::Busy);
+            return self.answer(now, ResultCode::Overloaded);
         }
         if self.place.is_none() {
             let key = random::stable_hash(self.order.key.as_deref().unwrap_or(&self.order.try_id));
@@ -102,19 +102,19 @@
                 ticket,
             });
             if self.place.is_none() {
-                return self.answer(now, ResultCode::Busy);
+                return self.answer(now, ResultCode::Overloaded);
             }
-            self.notes.push(Note::Waits {
+            self.notes.push(TraceEvent::Waits {
                 within: until - now,
             });
         }
-        self.turn(Stage::Waiting);
-        Move::Wait {
+        self.turn(RequestStage::Waiting);
+        NextStep::Wait {
             within: until - now,
         }
     }
 
-    pub(crate) fn share(&self, view: &View, service: &Service) -> Option<Share> {
+    pub(crate) fn share(&self, view: &View, service: &Service) -> Option<KeyShare> {
         let slot = self
             .order
             .key
@@ -133,26 +133,28 @@
         &mut self,
         now: Duration,
         view: &View,
-        board: &Board,
+        board: &ProxyStats,
         service: &Service,
-        share: Option<&Share>,
+        share: Option<&KeyShare>,
     ) -> Option<Arc<Upstream>> {
         let all = view
             .upstreams
             .get(&service.name)
             .into_iter()
             .flat_map(|known| known.values());
-        let mut able: Vec<(Rank, Arc<Seat>, &Arc<Upstream>)> = Vec::new();
+        let mut able: Vec<(Rank, Arc<UpstreamStats>, &Arc<Upstream>)> = Vec::new();
         all.for_each(|upstream| {
             let seat = board.seat(&upstream.instance);
-            let tried = Some(Why::Tried).filter(|_| self.tried.contains(&upstream.instance));
-            let replaced = Some(Why::Replaced).filter(|_| seat.replaced.load(Ordering::Acquire));
+            let tried =
+                Some(RejectReason::Tried).filter(|_| self.tried.contains(&upstream.instance));
+            let replaced =
+                Some(RejectReason::Replaced).filter(|_| seat.replaced.load(Ordering::Acquire));
             match self
                 .barred(view, service, share, upstream)
                 .or(tried)
                 .or(replaced)
             {
-                Some(why) => self.notes.push(Note::Passed {
+                Some(why) => self.notes.push(TraceEvent::Passed {
                     upstream: upstream.clone(),
                     why,
                 }),
@@ -162,7 +164,7 @@
         able.sort_by_key(|(rank, ..)| *rank);
         let chosen = able.into_iter().find(|(_, seat, upstream)| {
             let why = self.take_seat(now, view, seat, service, upstream).err();
-            self.notes.extend(why.map(|why| Note::Passed {
+            self.notes.extend(why.map(|why| TraceEvent::Passed {
                 upstream: (*upstream).clone(),
                 why,
             }));
@@ -175,7 +177,7 @@
     }
 
     /// Own locality, own region, other home regions; ejected ones last; the least taken first.
-    fn rank(&self, now: Duration, seat: &Seat, upstream: &Upstream) -> Rank {
+    fn rank(&self, now: Duration, seat: &UpstreamStats, upstream: &Upstream) -> Rank {
         let place = upstream.locality.as_str();
         let near = if place == self.site.here {
             0
@@ -224,18 +226,18 @@
         &self,
         view: &View,
         service: &Service,
-        share: Option<&Share>,
+        share: Option<&KeyShare>,
         upstream: &Upstream,
-    ) -> Option<Why> {
-        let bars: [(Why, &dyn Fn() -> bool); 4] = [
-            (Why::Leaving, &|| upstream.condition != 0),
-            (Why::Evacuated, &|| {
+    ) -> Option<RejectReason> {
+        let bars: [(RejectReason, &dyn Fn() -> bool); 4] = [
+            (RejectReason::Leaving, &|| upstream.condition != 0),
+            (RejectReason::Evacuated, &|| {
                 view.evacuated.contains(&upstream.locality)
             }),
-            (Why::OutsideHomes, &|| {
+            (RejectReason::OutsideHomes, &|| {
                 !self.is_home(service, &upstream.locality)
             }),
-            (Why::OtherHolder, &|| {
+            (RejectReason::OtherHolder, &|| {
                 share.is_some_and(|share| share.instance != upstream.instance)
             }),
         ];
@@ -262,10 +264,10 @@
         &self,
         now: Duration,
         view: &View,
-        seat: &Seat,
+        seat: &UpstreamStats,
         service: &Service,
         upstream: &Upstream,
-    ) -> Result<(), Why> {
+    ) -> Result<(), RejectReason> {
         let (proxies, rank) = self.division(now, view, service);
         if upstream.slots > 0 {
             let own = seat.in_flight.load(Ordering::Acquire);
@@ -274,13 +276,13 @@
                 .cost_ms(now, own, upstream.slots, 0.0, USUAL_WORK_MS)
                 .is_some();
             if !room || !seat.sit(u32::MAX) {
-                return Err(Why::NoSlot);
+                return Err(RejectReason::NoSlot);
             }
             return self.warm_seat(now, seat, service, upstream, (proxies, rank));
         }
         let most = seat.most(now, upstream.beat, upstream.free_slots, (proxies, rank));
         if !seat.sit(most) {
-            return Err(Why::NoSlot);
+            return Err(RejectReason::NoSlot);
         }
         self.warm_seat(now, seat, service, upstream, (proxies, rank))
     }
@@ -289,17 +291,17 @@
     fn warm_seat(
         &self,
         now: Duration,
-        seat: &Seat,
+        seat: &UpstreamStats,
         service: &Service,
         upstream: &Upstream,
         (proxies, rank): (u32, u32),
-    ) -> Result<(), Why> {
+    ) -> Result<(), RejectReason> {
         let warm = upstream.warm
             || seat.warm_up(now, service.warm_up_per_second, proxies.into(), rank.into());
         if !warm {
             seat.rise();
         }
-        warm.then_some(()).ok_or(Why::WarmingUp)
+        warm.then_some(()).ok_or(RejectReason::WarmingUp)
     }
 }
 
--- a/crates/request-routing/src/lib.rs
+++ b/crates/request-routing/src/lib.rs
@@ -1,29 +1,29 @@
 //! Policies on the path of a request: which upstream, when to send again, when to wait, when to deny.
 //!
-//! A request is a [`Journey`]: `Waiting`, `Chosen`, `Sent`, then `Answered`. Only one that was never sent may be
+//! A request is a [`RequestState`]: `Waiting`, `Chosen`, `Sent`, then `Answered`. Only one that was never sent may be
 //! denied.
 
-mod board;
+mod admission_queue;
 mod calls;
 mod choosing;
-mod comeback;
-mod journey;
 mod load;
-mod notes;
-mod proxy;
-mod request;
+mod proxy_context;
+mod request_info;
+mod request_state;
+mod retry_after;
 mod routing;
+mod sliding_window;
+mod stats;
 mod steps;
-mod waitlist;
-mod window;
+mod trace;
 
-pub use board::{Board, Desk, Seat, Tally};
-pub use comeback::come_back;
-pub use journey::{Journey, suppose};
-pub use load::{Gauge, Load};
-pub use notes::{Note, Why};
-pub use proxy::Site;
-pub use request::Order;
-pub use steps::{Move, Outcome, Stage};
-pub use waitlist::{Bell, Waitlist};
-pub use window::Window;
+pub use admission_queue::{AdmissionQueue, WakeUp};
+pub use load::{Load, LoadEstimate};
+pub use proxy_context::ProxyContext;
+pub use request_info::RequestInfo;
+pub use request_state::{RequestState, explain};
+pub use retry_after::retry_after_for;
+pub use sliding_window::SlidingWindow;
+pub use stats::{ProxyStats, ServiceStats, Tally, UpstreamStats};
+pub use steps::{CallOutcome, NextStep, RequestStage};
+pub use trace::{RejectReason, TraceEvent};
--- a/crates/request-routing/src/load.rs
+++ b/crates/request-routing/src/load.rs
@@ -20,7 +20,7 @@
 /// The weight of the newest in what is usual.
 const NEWEST: f64 = 0.15;
 /// Up to how many times its slots an upstream is filled.
-const MOST_FILL: f64 = 3.0;
+const MAX_FILL: f64 = 3.0;
 
 #[derive(Clone, Default)]
 struct Known {
@@ -35,23 +35,23 @@
 
 /// One upstream's load as this proxy knows it.
 #[derive(Default)]
-pub struct Gauge(Mutex<Known>);
+pub struct LoadEstimate(Mutex<Known>);
 
-impl Gauge {
+impl LoadEstimate {
     fn with<T>(&self, change: impl FnOnce(&mut Known) -> T) -> T {
         change(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    pub(crate) fn copy(&self) -> Gauge {
-        Gauge(Mutex::new(self.with(|known| known.clone())))
+    pub(crate) fn copy(&self) -> LoadEstimate {
+        LoadEstimate(Mutex::new(self.with(|known| known.clone())))
     }
 
     /// Takes in what an answer told; `own` is how many of those requests are this proxy's.
     ///
     /// ```
-    /// use request_routing::{Gauge, Load};
+    /// use request_routing::{LoadEstimate, Load};
     /// use std::time::Duration;
-    /// let gauge = Gauge::default();
+    /// let gauge = LoadEstimate::default();
     /// gauge.hear(Duration::ZERO, Load { running: 3, waiting: 2, slots: 3 }, 1);
     /// assert_eq!(gauge.others(Duration::ZERO).round(), 4.0);
     /// ```
@@ -73,7 +73,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let gauge = request_routing::Gauge::default();
+    /// let gauge = request_routing::LoadEstimate::default();
     /// gauge.worked(Duration::from_millis(200), 6.0, 3);
     /// assert_eq!(gauge.work_ms(50.0), 100.0, "half of it went to waiting");
     /// ```
@@ -88,7 +88,7 @@
     /// How long work takes there, in milliseconds; `fallback` where none was seen.
     ///
     /// ```
-    /// assert_eq!(request_routing::Gauge::default().work_ms(50.0), 50.0);
+    /// assert_eq!(request_routing::LoadEstimate::default().work_ms(50.0), 50.0);
     /// ```
     pub fn work_ms(&self, fallback: f64) -> f64 {
         self.with(|known| {
@@ -103,7 +103,7 @@
     /// How many requests of others are there by the best guess.
     ///
     /// ```
-    /// assert_eq!(request_routing::Gauge::default().others(std::time::Duration::ZERO), 0.0);
+    /// assert_eq!(request_routing::LoadEstimate::default().others(std::time::Duration::ZERO), 0.0);
     /// ```
     pub fn others(&self, now: Duration) -> f64 {
         self.with(|known| {
@@ -118,7 +118,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let gauge = request_routing::Gauge::default();
+    /// let gauge = request_routing::LoadEstimate::default();
     /// let cost = |own| gauge.cost_ms(Duration::ZERO, own, 3, 0.0, 100.0);
     /// assert!(cost(0) < cost(1) && cost(3) > Some(100.0));
     /// assert_eq!(cost(9), None);
@@ -136,6 +136,6 @@
         let work_ms = self.work_ms(fallback_ms);
         // Nearly full ones grow slower; beyond that a request waits for those before it.
         let slower = 0.25 * fill.min(1.0).powi(2) + (fill - 1.0).max(0.0);
-        Some(far_ms + work_ms * (1.0 + slower)).filter(|_| fill <= MOST_FILL)
+        Some(far_ms + work_ms * (1.0 + slower)).filter(|_| fill <= MAX_FILL)
     }
 }
--- a/crates/request-routing/src/proxy.rs
+++ b/crates/request-routing/src/proxy_context.rs
@@ -1,12 +1,12 @@
 //! The proxy that serves requests: its place and the spans it goes by.
 
 use locality::Locality;
-use name_directory::{Owners, View};
+use name_directory::{OwnershipMode, View};
 use std::time::Duration;
 
 /// The proxy that serves it.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct ProxyContext {
     pub node: String,
     pub locality: Locality,
     /// The locality as text.
@@ -15,29 +15,29 @@
     /// How long a request may wait for a seat; zero denies at once.
     pub wait_for: Duration,
     /// Who owns a name; a proxy forwards only where one locality owns it for everybody.
-    pub owners: Owners,
+    pub owners: OwnershipMode,
     /// True where a view that no majority confirms any more is served from all the same.
     pub serves_on: bool,
     /// What a request to another zone of the region, and to another region, costs beside work, in milliseconds.
     pub far_ms: (f64, f64),
 }
 
-impl Site {
+impl ProxyContext {
     /// A proxy's place and spans.
     ///
     /// ```
     /// use std::time::Duration;
-    /// let site = request_routing::Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// let site = request_routing::ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// assert_eq!(site.locality.region, "n");
     /// ```
     pub fn new(node: &str, locality: Locality, stale_after: Duration, wait_for: Duration) -> Self {
-        Site {
+        ProxyContext {
             node: node.to_owned(),
             here: locality.to_string(),
             locality,
             stale_after,
             wait_for,
-            owners: Owners::One,
+            owners: OwnershipMode::One,
             serves_on: false,
             far_ms: (20.0, 60.0),
         }
@@ -47,7 +47,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let mut site = request_routing::Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// let mut site = request_routing::ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// let view = name_directory::View { as_of: Some(Duration::ZERO), ..Default::default() };
     /// assert!(!site.may_use(&view, Duration::from_secs(9)));
     /// site.serves_on = true;
--- a/crates/request-routing/src/request.rs
+++ b/crates/request-routing/src/request_info.rs
@@ -1,11 +1,11 @@
 //! A request as it came in.
 
-use crate::waitlist::Bell;
+use crate::admission_queue::WakeUp;
 use std::time::Duration;
 
 /// A request as it came in.
 #[derive(Clone, Debug, Default)]
-pub struct Order {
+pub struct RequestInfo {
     pub try_id: String,
     /// The name asked for: a name, an id-form name or an alias.
     pub name: String,
@@ -18,5 +18,5 @@
     /// True where another proxy forwarded it.
     pub forwarded: bool,
     /// Rung when a seat it waits for may be free.
-    pub bell: Bell,
+    pub bell: WakeUp,
 }
--- a/crates/request-routing/src/journey.rs
+++ b/crates/request-routing/src/request_state.rs
@@ -1,34 +1,34 @@
 //! One request's way: an explicit state and one function for every change of it.
 
-use crate::board::{Board, Desk, Seat};
 use crate::choosing::Place;
-use crate::comeback::come_back;
-use crate::notes::Note;
-use crate::proxy::Site;
-use crate::request::Order;
-use crate::steps::{Move, Stage};
+use crate::proxy_context::ProxyContext;
+use crate::request_info::RequestInfo;
+use crate::retry_after::retry_after_for;
+use crate::stats::{ProxyStats, ServiceStats, UpstreamStats};
+use crate::steps::{NextStep, RequestStage};
+use crate::trace::TraceEvent;
 use config::{Route, Service};
 use name_directory::View;
-use protocol::{Share, Upstream};
+use protocol::{KeyShare, Upstream};
 use result_code::{Execution, ResultCode};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 /// One request under way.
-pub struct Journey {
-    pub(crate) order: Order,
-    pub(crate) site: Site,
-    pub(crate) stage: Stage,
+pub struct RequestState {
+    pub(crate) order: RequestInfo,
+    pub(crate) site: ProxyContext,
+    pub(crate) stage: RequestStage,
     /// The route and the service it is for, as of this edition.
     pub(crate) route: Option<Arc<Route>>,
     pub(crate) service: Option<Arc<Service>>,
-    pub(crate) edition: u64,
+    pub(crate) revision: u64,
     pub(crate) calls: u32,
     /// How many upstreams it was written to.
     pub(crate) sends: u32,
     /// What it was written to last.
-    pub(crate) sent_to: Option<(Arc<Upstream>, Option<Share>)>,
+    pub(crate) sent_to: Option<(Arc<Upstream>, Option<KeyShare>)>,
     /// When it was written last, and to how many requests on how many slots.
     pub(crate) sent_at: Option<(Duration, f64, u32)>,
     /// True once its try id was noted.
@@ -36,32 +36,32 @@
     /// True once it was written to any upstream.
     pub(crate) written: bool,
     pub(crate) tried: Vec<String>,
-    pub(crate) seat: Option<(Arc<Seat>, String)>,
-    pub(crate) desk: Option<Arc<Desk>>,
+    pub(crate) seat: Option<(Arc<UpstreamStats>, String)>,
+    pub(crate) desk: Option<Arc<ServiceStats>>,
     pub(crate) place: Option<Place>,
     pub(crate) wait_until: Option<Duration>,
     /// A send whose outcome nobody knows: from then on it can't be said that nothing ran.
     pub(crate) doubt: Option<ResultCode>,
-    pub(crate) notes: Vec<Note>,
+    pub(crate) notes: Vec<TraceEvent>,
 }
 
-impl Journey {
+impl RequestState {
     /// A request that was just enrolled.
     ///
     /// ```
-    /// use request_routing::{Journey, Order, Site, Stage};
+    /// use request_routing::{RequestState, RequestInfo, ProxyContext, RequestStage};
     /// use std::time::Duration;
-    /// let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// assert_eq!(*Journey::new(Order::default(), site).stage(), Stage::Waiting);
+    /// let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// assert_eq!(*RequestState::new(RequestInfo::default(), site).stage(), RequestStage::Waiting);
     /// ```
-    pub fn new(order: Order, site: Site) -> Self {
-        Journey {
+    pub fn new(order: RequestInfo, site: ProxyContext) -> Self {
+        RequestState {
             order,
             site,
-            stage: Stage::Waiting,
+            stage: RequestStage::Waiting,
             route: None,
             service: None,
-            edition: 0,
+            revision: 0,
             calls: 0,
             sends: 0,
             sent_to: None,
@@ -81,56 +81,59 @@
     /// Where it stands.
     ///
     /// ```
-    /// # use request_routing::{Journey, Order, Site, Stage};
+    /// # use request_routing::{RequestState, RequestInfo, ProxyContext, RequestStage};
     /// # use std::time::Duration;
-    /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let mut journey = Journey::new(Order::default(), site);
+    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// let mut journey = RequestState::new(RequestInfo::default(), site);
     /// journey.start(Duration::ZERO, &Default::default(), &Default::default());
-    /// assert!(matches!(journey.stage(), Stage::Answered { .. }));
+    /// assert!(matches!(journey.stage(), RequestStage::Answered { .. }));
     /// ```
-    pub fn stage(&self) -> &Stage {
+    pub fn stage(&self) -> &RequestStage {
         &self.stage
     }
 
     /// What was decided on the way, for a trace.
     ///
     /// ```
-    /// # use request_routing::{Journey, Order, Site};
+    /// # use request_routing::{RequestState, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
-    /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// assert!(Journey::new(Order::default(), site).into_notes().is_empty());
+    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// assert!(RequestState::new(RequestInfo::default(), site).into_notes().is_empty());
     /// ```
-    pub fn into_notes(mut self) -> Vec<Note> {
+    pub fn into_notes(mut self) -> Vec<TraceEvent> {
         std::mem::take(&mut self.notes)
     }
 
     /// The one place where the stage changes. An answered request stays answered, and after the first send
     /// only an outcome of that send can answer it.
-    pub(crate) fn turn(&mut self, stage: Stage) {
-        if !matches!(self.stage, Stage::Answered { .. }) {
+    pub(crate) fn turn(&mut self, stage: RequestStage) {
+        if !matches!(self.stage, RequestStage::Answered { .. }) {
             self.stage = stage;
         }
     }
 
-    pub(crate) fn answer(&mut self, now: Duration, code: ResultCode) -> Move {
+    pub(crate) fn answer(&mut self, now: Duration, code: ResultCode) -> NextStep {
         let code = self
             .doubt
-            .filter(|_| code.kind() == Execution::NotRun)
+            .filter(|_| code.kind() == Execution::NotExecuted)
             .unwrap_or(code);
         // Only a denial for want of room asks for the pressure: it sums whole windows.
-        let crowded = self.desk.as_ref().filter(|_| code == ResultCode::Busy);
+        let crowded = self
+            .desk
+            .as_ref()
+            .filter(|_| code == ResultCode::Overloaded);
         let pressure = crowded.map(|desk| {
             desk.denied.add(now);
             desk.pressure(now)
         });
         let pressure = pressure.unwrap_or_default();
-        let retry_after = come_back(code, pressure, &self.order.try_id);
+        let retry_after = retry_after_for(code, pressure, &self.order.try_id);
         self.leave_seat();
         self.leave_place();
         self.leave_desk();
-        self.turn(Stage::Answered { code });
-        self.notes.push(Note::Answered { code });
-        Move::Answer { code, retry_after }
+        self.turn(RequestStage::Answered { code });
+        self.notes.push(TraceEvent::Answered { code });
+        NextStep::Answer { code, retry_after }
     }
 
     pub(crate) fn leave_desk(&mut self) {
@@ -167,19 +170,25 @@
 /// taken, counted or noted of it.
 ///
 /// ```
-/// use request_routing::{Board, Order, Site, suppose};
+/// use request_routing::{ProxyStats, RequestInfo, ProxyContext, explain};
 /// use std::time::Duration;
-/// let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-/// let board = Board::default();
-/// let notes = suppose(Order::default(), &site, Duration::ZERO, &Default::default(), &board);
+/// let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+/// let board = ProxyStats::default();
+/// let notes = explain(RequestInfo::default(), &site, Duration::ZERO, &Default::default(), &board);
 /// assert!(notes[0].to_string().starts_with("answered: 1202"));
 /// ```
-pub fn suppose(order: Order, site: &Site, now: Duration, view: &View, board: &Board) -> Vec<Note> {
+pub fn explain(
+    order: RequestInfo,
+    site: &ProxyContext,
+    now: Duration,
+    view: &View,
+    board: &ProxyStats,
+) -> Vec<TraceEvent> {
     // A copy of the counts takes what the real ones would have given.
     let copy = board.copy();
-    let mut journey = Journey::new(
+    let mut journey = RequestState::new(
         order,
-        Site {
+        ProxyContext {
             wait_for: Duration::ZERO,
             ..site.clone()
         },
@@ -189,7 +198,7 @@
 }
 
 /// A request whose origin hung up gives its places back.
-impl Drop for Journey {
+impl Drop for RequestState {
     fn drop(&mut self) {
         self.leave_seat();
         self.leave_place();
--- a/crates/request-routing/src/comeback.rs
+++ b/crates/request-routing/src/retry_after.rs
@@ -12,24 +12,26 @@
 ///
 /// ```
 /// use result_code::ResultCode;
-/// let span = |pressure, salt| request_routing::come_back(ResultCode::Busy, pressure, salt).unwrap().as_millis();
+/// let span = |pressure, salt| request_routing::retry_after_for(ResultCode::Overloaded, pressure, salt).unwrap().as_millis();
 /// assert!((200..600).contains(&span(0.0, "try-1")), "a full moment passes soon");
 /// assert!(span(4.0, "try-1") >= 1000, "four were denied for each one taken");
 /// assert_ne!(span(1.0, "try-1"), span(1.0, "try-2"));
-/// assert_eq!(request_routing::come_back(ResultCode::MissingKey, 0.0, ""), None, "coming back changes nothing");
+/// assert_eq!(request_routing::retry_after_for(ResultCode::MissingKey, 0.0, ""), None, "coming back changes nothing");
 /// ```
-pub fn come_back(code: ResultCode, pressure: f64, salt: &str) -> Option<Duration> {
+pub fn retry_after_for(code: ResultCode, pressure: f64, salt: &str) -> Option<Duration> {
     let base = match code {
         // What was denied must fit in beside what comes anew.
-        ResultCode::Busy => Duration::from_millis(400).mul_f64(1.0 + pressure.clamp(0.0, 10.0)),
-        ResultCode::ResendsSpent => Duration::from_millis(500),
+        ResultCode::Overloaded => {
+            Duration::from_millis(400).mul_f64(1.0 + pressure.clamp(0.0, 10.0))
+        }
+        ResultCode::RetryBudgetExhausted => Duration::from_millis(500),
         // Confirmations come twice a second, and four were missed: it may last, but another node may have one.
         // Placement decides anew once the silent are given up, and shares once the old ones have run out.
-        ResultCode::Stale | ResultCode::NoOwner | ResultCode::NoHolder => {
+        ResultCode::StaleView | ResultCode::NoOwner | ResultCode::KeyUnassigned => {
             Duration::from_millis(1000)
         }
         // Elsewhere, at once: ask the directory again.
-        ResultCode::Closing | ResultCode::NotMine => Duration::from_millis(200),
+        ResultCode::ShuttingDown | ResultCode::Misdirected => Duration::from_millis(200),
         _ => return None,
     };
     let share = (random::stable_hash(salt) % 1000) as f64 / 1000.0;
--- a/crates/request-routing/src/routing.rs
+++ b/crates/request-routing/src/routing.rs
@@ -1,12 +1,12 @@
 //! The first decision on a request: deny it, forward it to the locality that owns its name, or serve it here.
 
-use crate::board::Board;
 use crate::choosing::region;
-use crate::journey::Journey;
-use crate::notes::Note;
-use crate::steps::{Move, Stage};
+use crate::request_state::RequestState;
+use crate::stats::ProxyStats;
+use crate::steps::{NextStep, RequestStage};
+use crate::trace::TraceEvent;
 use config::{Route, Service};
-use name_directory::{Owners, View, is_home, is_within};
+use name_directory::{OwnershipMode, View, is_home, is_within};
 use result_code::ResultCode;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,34 +15,38 @@
 /// How long a try id is remembered beyond its deadline.
 const TRY_LIFE: Duration = Duration::from_secs(10);
 
-impl Journey {
+impl RequestState {
     /// The first decision: deny, forward by a mark, or call.
     ///
     /// ```
-    /// # use request_routing::{Journey, Move, Order, Site};
+    /// # use request_routing::{RequestState, NextStep, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
-    /// # let site = Site::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// use result_code::ResultCode;
-    /// let mut journey = Journey::new(Order::default(), site);
+    /// let mut journey = RequestState::new(RequestInfo::default(), site);
     /// let first = journey.start(Duration::ZERO, &Default::default(), &Default::default());
-    /// assert!(matches!(first, Move::Answer { code: ResultCode::Stale, .. }), "a view that was never confirmed");
+    /// assert!(matches!(first, NextStep::Answer { code: ResultCode::StaleView, .. }), "a view that was never confirmed");
     /// ```
-    pub fn start(&mut self, now: Duration, view: &View, board: &Board) -> Move {
+    pub fn start(&mut self, now: Duration, view: &View, board: &ProxyStats) -> NextStep {
         if !self.site.may_use(view, now) {
-            return self.answer(now, ResultCode::Stale);
+            return self.answer(now, ResultCode::StaleView);
         }
-        let name = view.setup.resolve(&self.order.name);
-        let route = name.and_then(|name| view.setup.route(name, &self.order.path));
-        let service = |route: &Arc<Route>| view.setup.services.get(route.pick(&self.order.try_id));
+        let name = view.configuration.resolve(&self.order.name);
+        let route = name.and_then(|name| view.configuration.route(name, &self.order.path));
+        let service = |route: &Arc<Route>| {
+            view.configuration
+                .services
+                .get(route.pick(&self.order.try_id))
+        };
         let found = route.and_then(|route| service(route).map(|service| (route, service)));
         let Some((route, service)) = found else {
             return self.answer(now, ResultCode::NoSuchName);
         };
-        self.edition = view.edition;
-        self.notes.push(Note::Asked {
+        self.revision = view.revision;
+        self.notes.push(TraceEvent::Asked {
             name: self.order.name.clone(),
             route: route.clone(),
-            edition: view.edition,
+            revision: view.revision,
         });
         self.route = Some(route.clone());
         if self.order.body_bytes > service.most_bytes {
@@ -52,8 +56,8 @@
             return self.answer(now, ResultCode::MissingKey);
         }
         match self.site.owners {
-            Owners::ByCaller => self.serve(now, view, board, service),
-            Owners::One => self.serve_or_forward(now, view, board, route, service),
+            OwnershipMode::ByCaller => self.serve(now, view, board, service),
+            OwnershipMode::One => self.serve_or_forward(now, view, board, route, service),
         }
     }
 
@@ -62,10 +66,10 @@
         &mut self,
         now: Duration,
         view: &View,
-        board: &Board,
+        board: &ProxyStats,
         route: &Route,
         service: &Arc<Service>,
-    ) -> Move {
+    ) -> NextStep {
         let here = self.site.here.clone();
         let reservation = view.reservations.get(&route.name);
         let Some(reservation) =
@@ -73,13 +77,13 @@
         else {
             return self.answer(now, ResultCode::NoOwner);
         };
-        self.notes.push(Note::Owner {
+        self.notes.push(TraceEvent::Owner {
             locality: reservation.locality.clone(),
             epoch: reservation.epoch,
         });
         let home = self.is_home(service, &here) && !view.evacuated.contains(&here);
-        let mark = view.marks.get(&(route.name.clone(), here.clone()));
-        self.notes.extend(mark.map(|mark| Note::Mark {
+        let mark = view.tombstones.get(&(route.name.clone(), here.clone()));
+        self.notes.extend(mark.map(|mark| TraceEvent::Tombstone {
             to: mark.to.clone(),
             epoch: mark.epoch,
         }));
@@ -100,11 +104,17 @@
     }
 
     /// Served by this proxy.
-    fn serve(&mut self, now: Duration, view: &View, board: &Board, service: &Arc<Service>) -> Move {
+    fn serve(
+        &mut self,
+        now: Duration,
+        view: &View,
+        board: &ProxyStats,
+        service: &Arc<Service>,
+    ) -> NextStep {
         let desk = board.desk(&service.name);
         if desk.serving.fetch_add(1, Ordering::AcqRel) >= service.concurrency {
             desk.serving.fetch_sub(1, Ordering::AcqRel);
-            return self.answer(now, ResultCode::Busy);
+            return self.answer(now, ResultCode::Overloaded);
         }
         self.leave_desk();
         self.desk = Some(desk);
@@ -123,10 +133,10 @@
     }
 
     /// This locality does not own the name any more, or may not carry it: one hop to one that does.
-    fn forward(&mut self, now: Duration, view: &View, service: &Service, owner: &str) -> Move {
+    fn forward(&mut self, now: Duration, view: &View, service: &Service, owner: &str) -> NextStep {
         // A denial by the next proxy would be passed on, and may not be once this one has sent it somewhere.
         if self.order.forwarded || self.doubt.is_some() {
-            return self.answer(now, ResultCode::NotMine);
+            return self.answer(now, ResultCode::Misdirected);
         }
         let able = |place: &str| self.is_home(service, place) && !view.evacuated.contains(place);
         let places = view.proxies.iter().map(|proxy| {
@@ -164,14 +174,14 @@
             return self.answer(now, ResultCode::NoOwner);
         }
         if within.is_zero() {
-            return self.answer(now, ResultCode::Expired);
+            return self.answer(now, ResultCode::DeadlineExceeded);
         }
-        self.notes.push(Note::Forwarded {
+        self.notes.push(TraceEvent::Forwarded {
             to: owner.to_owned(),
         });
-        self.turn(Stage::Sent {
+        self.turn(RequestStage::Sent {
             instance: owner.to_owned(),
         });
-        Move::Forward { proxies, within }
+        NextStep::Forward { proxies, within }
     }
 }
--- a/crates/request-routing/src/window.rs
+++ b/crates/request-routing/src/sliding_window.rs
@@ -11,26 +11,26 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// let window = request_routing::Window::default();
+/// let window = request_routing::SlidingWindow::default();
 /// window.add(Duration::from_secs(1));
 /// window.add(Duration::from_secs(9));
 /// assert_eq!(window.sum(Duration::from_secs(10)), 2);
 /// assert_eq!(window.sum(Duration::from_secs(12)), 1);
 /// ```
-pub struct Window([AtomicU64; BUCKETS]);
+pub struct SlidingWindow([AtomicU64; BUCKETS]);
 
-impl Default for Window {
+impl Default for SlidingWindow {
     fn default() -> Self {
-        Window(std::array::from_fn(|_| AtomicU64::new(0)))
+        SlidingWindow(std::array::from_fn(|_| AtomicU64::new(0)))
     }
 }
 
-impl Window {
+impl SlidingWindow {
     /// Counts one event.
     ///
     /// ```
     /// # use std::time::Duration;
-    /// let window = request_routing::Window::default();
+    /// let window = request_routing::SlidingWindow::default();
     /// window.add(Duration::ZERO);
     /// assert_eq!(window.sum(Duration::ZERO), 1);
     /// ```
@@ -51,7 +51,7 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// assert_eq!(request_routing::Window::default().sum(Duration::from_secs(1)), 0);
+    /// assert_eq!(request_routing::SlidingWindow::default().sum(Duration::from_secs(1)), 0);
     /// ```
     pub fn sum(&self, now: Duration) -> u64 {
         let number = Self::number(now);
--- a/crates/request-routing/src/board.rs
+++ b/crates/request-routing/src/stats.rs
@@ -1,8 +1,8 @@
 //! What a proxy counts: seats at upstreams, resends of services, tries under way.
 
-use crate::load::{Gauge, Load};
-use crate::waitlist::{Bell, Waitlist};
-use crate::window::Window;
+use crate::admission_queue::{AdmissionQueue, WakeUp};
+use crate::load::{Load, LoadEstimate};
+use crate::sliding_window::SlidingWindow;
 use dashmap::DashMap;
 use protocol::KeyLoad;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, AtomicUsize, Ordering};
@@ -11,32 +11,32 @@
 
 /// Resends over 10 s: a tenth of first sends, and this many more over all proxies together.
 const RESEND_ALLOWANCE: u64 = 10;
-const MOST_TRIES: usize = 100_000;
-const MOST_EJECTION: Duration = Duration::from_secs(8);
+const MAX_TRIES: usize = 100_000;
+const MAX_EJECTION: Duration = Duration::from_secs(8);
 /// An upstream that sealed that it has no room is believed for so long.
 const FULL_FOR: Duration = Duration::from_millis(100);
 
 /// Counts for one service at this proxy.
 #[derive(Default)]
-pub struct Desk {
-    pub firsts: Window,
-    pub resends: Window,
+pub struct ServiceStats {
+    pub firsts: SlidingWindow,
+    pub resends: SlidingWindow,
     /// Denials for want of room.
-    pub denied: Window,
+    pub denied: SlidingWindow,
     pub serving: AtomicU64,
     /// Requests by equal parts of the keys, where keys are numbers; made with the first.
     keys: OnceLock<Vec<AtomicU32>>,
-    waitlist: Mutex<Waitlist>,
+    waitlist: Mutex<AdmissionQueue>,
     /// How many wait, so that nobody takes the lock to find out that nobody does.
     waiting: AtomicUsize,
 }
 
-impl Desk {
+impl ServiceStats {
     /// Takes a resend if the last 10 s allow it; `proxies` share the allowance.
     ///
     /// ```
     /// use std::time::Duration;
-    /// let (desk, now) = (request_routing::Desk::default(), Duration::from_secs(1));
+    /// let (desk, now) = (request_routing::ServiceStats::default(), Duration::from_secs(1));
     /// assert!(!desk.take_resend(now, 13), "nothing was sent yet");
     /// (0..10).for_each(|_| desk.firsts.add(now));
     /// assert!(desk.take_resend(now, 13));
@@ -55,7 +55,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let (desk, now) = (request_routing::Desk::default(), Duration::from_secs(1));
+    /// let (desk, now) = (request_routing::ServiceStats::default(), Duration::from_secs(1));
     /// (0..10).for_each(|_| desk.firsts.add(now));
     /// (0..20).for_each(|_| desk.denied.add(now));
     /// assert_eq!(desk.pressure(now), 2.0);
@@ -67,7 +67,7 @@
     /// Counts a request for a key.
     ///
     /// ```
-    /// let board = request_routing::Board::default();
+    /// let board = request_routing::ProxyStats::default();
     /// board.desk("s").count_key(65_535);
     /// board.desk("s").count_key(65_534);
     /// let told = board.drain_keys();
@@ -87,7 +87,7 @@
         });
     }
 
-    fn line<T>(&self, change: impl FnOnce(&mut Waitlist) -> T) -> T {
+    fn line<T>(&self, change: impl FnOnce(&mut AdmissionQueue) -> T) -> T {
         let mut waitlist = self.waitlist.lock().unwrap_or_else(PoisonError::into_inner);
         let changed = change(&mut waitlist);
         self.waiting.store(waitlist.len(), Ordering::Release);
@@ -97,20 +97,20 @@
     /// Takes a place in the waitlist; none where it is full.
     ///
     /// ```
-    /// let desk = request_routing::Desk::default();
-    /// let ticket = desk.join(1, None, request_routing::Bell::default()).unwrap();
+    /// let desk = request_routing::ServiceStats::default();
+    /// let ticket = desk.join(1, None, request_routing::WakeUp::default()).unwrap();
     /// assert!(desk.has_waiting(None));
     /// desk.leave(ticket);
     /// assert!(!desk.has_waiting(None));
     /// ```
-    pub fn join(&self, key: u64, wants: Option<&str>, bell: Bell) -> Option<u64> {
+    pub fn join(&self, key: u64, wants: Option<&str>, bell: WakeUp) -> Option<u64> {
         self.line(|line| line.join(key, wants, bell))
     }
 
     /// Gives a place in the waitlist up.
     ///
     /// ```
-    /// request_routing::Desk::default().leave(7);
+    /// request_routing::ServiceStats::default().leave(7);
     /// ```
     pub fn leave(&self, ticket: u64) {
         self.line(|line| line.leave(ticket));
@@ -119,7 +119,7 @@
     /// How many wait.
     ///
     /// ```
-    /// assert_eq!(request_routing::Desk::default().waiting(), 0);
+    /// assert_eq!(request_routing::ServiceStats::default().waiting(), 0);
     /// ```
     pub fn waiting(&self) -> usize {
         self.waiting.load(Ordering::Acquire)
@@ -128,7 +128,7 @@
     /// True where one who wants the same waits already.
     ///
     /// ```
-    /// assert!(!request_routing::Desk::default().has_waiting(None));
+    /// assert!(!request_routing::ServiceStats::default().has_waiting(None));
     /// ```
     pub fn has_waiting(&self, wants: Option<&str>) -> bool {
         self.waiting() > 0 && self.line(|line| line.has(wants))
@@ -137,23 +137,23 @@
     /// Rings for the first who would take a seat at this upstream, or anywhere.
     ///
     /// ```
-    /// request_routing::Desk::default().ring(Some("a"));
+    /// request_routing::ServiceStats::default().ring(Some("a"));
     /// ```
     pub fn ring(&self, freed: Option<&str>) {
         let first = Some(())
             .filter(|()| self.waiting() > 0)
             .and_then(|()| self.line(|line| line.first(freed)));
         // Outside the lock: whoever is called may look at the list.
-        first.iter().for_each(Bell::ring);
+        first.iter().for_each(WakeUp::ring);
     }
 }
 
 /// Counts for one upstream at this proxy.
 #[derive(Default)]
-pub struct Seat {
+pub struct UpstreamStats {
     pub in_flight: AtomicU32,
     /// What is known of its load, where it tells any.
-    pub gauge: Gauge,
+    pub gauge: LoadEstimate,
     /// Another instance answered at its address: it is not there any more, whatever the view says.
     pub replaced: AtomicBool,
     failures: AtomicU32,
@@ -168,14 +168,14 @@
     full_at: AtomicU32,
 }
 
-impl Seat {
+impl UpstreamStats {
     /// How many places may be taken by this proxy, which is number `rank` of `proxies`: its part, rounded up, of all
     /// that the upstream ever told of at once, or what it had when this beat was heard and its part of the room the beat told
     /// of, whichever is more.
     ///
     /// ```
     /// use std::time::Duration;
-    /// let (seat, now) = (request_routing::Seat::default(), Duration::from_secs(1));
+    /// let (seat, now) = (request_routing::UpstreamStats::default(), Duration::from_secs(1));
     /// assert_eq!(seat.most(now, 1, 8, (2, 0)), 4, "half of eight");
     /// (0..4).for_each(|_| assert!(seat.sit(4)));
     /// assert_eq!(seat.most(now, 2, 4, (2, 0)), 6, "the other one sends nothing");
@@ -213,7 +213,7 @@
     /// left to it all the same, where it may have denied for another reason.
     ///
     /// ```
-    /// request_routing::Seat::default().full(std::time::Duration::ZERO, 0);
+    /// request_routing::UpstreamStats::default().full(std::time::Duration::ZERO, 0);
     /// ```
     pub fn full(&self, now: Duration, least: u32) {
         self.full_at.store(
@@ -230,7 +230,7 @@
     /// Requests there by the best guess, this proxy's and others'.
     ///
     /// ```
-    /// let seat = request_routing::Seat::default();
+    /// let seat = request_routing::UpstreamStats::default();
     /// seat.sit(1);
     /// assert_eq!(seat.load(std::time::Duration::ZERO), 1.0);
     /// ```
@@ -241,7 +241,7 @@
     /// Takes in what it told of its load.
     ///
     /// ```
-    /// let seat = request_routing::Seat::default();
+    /// let seat = request_routing::UpstreamStats::default();
     /// seat.hear(std::time::Duration::ZERO, request_routing::Load { running: 2, waiting: 0, slots: 3 });
     /// assert_eq!(seat.load(std::time::Duration::ZERO), 2.0);
     /// ```
@@ -256,7 +256,7 @@
     /// Takes one place if fewer than `most` are taken.
     ///
     /// ```
-    /// let seat = request_routing::Seat::default();
+    /// let seat = request_routing::UpstreamStats::default();
     /// assert!(seat.sit(1));
     /// assert!(!seat.sit(1));
     /// seat.rise();
@@ -269,10 +269,10 @@
             .is_ok()
     }
 
-    fn copy(&self) -> Seat {
+    fn copy(&self) -> UpstreamStats {
         let word = |from: &AtomicU64| AtomicU64::new(from.load(Ordering::Acquire));
         let count = |from: &AtomicU32| AtomicU32::new(from.load(Ordering::Acquire));
-        Seat {
+        UpstreamStats {
             in_flight: count(&self.in_flight),
             gauge: self.gauge.copy(),
             replaced: AtomicBool::new(self.replaced.load(Ordering::Acquire)),
@@ -289,7 +289,7 @@
     /// Gives the place back.
     ///
     /// ```
-    /// let seat = request_routing::Seat::default();
+    /// let seat = request_routing::UpstreamStats::default();
     /// seat.sit(1);
     /// seat.rise();
     /// assert_eq!(seat.in_flight.load(std::sync::atomic::Ordering::Relaxed), 0);
@@ -305,7 +305,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let seat = request_routing::Seat::default();
+    /// let seat = request_routing::UpstreamStats::default();
     /// seat.note(Duration::ZERO, false);
     /// assert!(seat.is_ejected(Duration::from_millis(100)));
     /// assert!(!seat.is_ejected(Duration::from_secs(1)));
@@ -316,7 +316,7 @@
             return;
         }
         let failures = self.failures.fetch_add(1, Ordering::AcqRel).min(6);
-        let span = (Duration::from_millis(250) * 2u32.pow(failures)).min(MOST_EJECTION);
+        let span = (Duration::from_millis(250) * 2u32.pow(failures)).min(MAX_EJECTION);
         self.ejected_until_ms
             .fetch_max((now + span).as_millis() as u64, Ordering::AcqRel);
     }
@@ -324,7 +324,7 @@
     /// True while it is left out.
     ///
     /// ```
-    /// assert!(!request_routing::Seat::default().is_ejected(std::time::Duration::ZERO));
+    /// assert!(!request_routing::UpstreamStats::default().is_ejected(std::time::Duration::ZERO));
     /// ```
     pub fn is_ejected(&self, now: Duration) -> bool {
         (now.as_millis() as u64) < self.ejected_until_ms.load(Ordering::Acquire)
@@ -335,7 +335,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let seat = request_routing::Seat::default();
+    /// let seat = request_routing::UpstreamStats::default();
     /// let now = Duration::from_secs(5);
     /// assert!(!seat.warm_up(now, 2, 4, 1), "the second of four waits its turn");
     /// assert!(seat.warm_up(now + Duration::from_millis(500), 2, 4, 1));
@@ -377,21 +377,21 @@
 
 /// All that one proxy counts.
 #[derive(Default)]
-pub struct Board {
-    desks: DashMap<String, Arc<Desk>>,
-    seats: DashMap<String, Arc<Seat>>,
+pub struct ProxyStats {
+    desks: DashMap<String, Arc<ServiceStats>>,
+    seats: DashMap<String, Arc<UpstreamStats>>,
     tries: DashMap<String, Duration>,
 }
 
-impl Board {
+impl ProxyStats {
     /// The counts of a service.
     ///
     /// ```
-    /// let board = request_routing::Board::default();
+    /// let board = request_routing::ProxyStats::default();
     /// board.desk("s").firsts.add(std::time::Duration::ZERO);
     /// assert_eq!(board.desk("s").firsts.sum(std::time::Duration::ZERO), 1);
     /// ```
-    pub fn desk(&self, service: &str) -> Arc<Desk> {
+    pub fn desk(&self, service: &str) -> Arc<ServiceStats> {
         let known = self.desks.get(service).map(|desk| desk.clone());
         known.unwrap_or_else(|| self.desks.entry(service.to_owned()).or_default().clone())
     }
@@ -399,11 +399,11 @@
     /// The counts of an upstream, by instance.
     ///
     /// ```
-    /// let board = request_routing::Board::default();
+    /// let board = request_routing::ProxyStats::default();
     /// board.seat("a").sit(1);
     /// assert!(!board.seat("a").sit(1));
     /// ```
-    pub fn seat(&self, instance: &str) -> Arc<Seat> {
+    pub fn seat(&self, instance: &str) -> Arc<UpstreamStats> {
         let known = self.seats.get(instance).map(|seat| seat.clone());
         known.unwrap_or_else(|| self.seats.entry(instance.to_owned()).or_default().clone())
     }
@@ -412,14 +412,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let board = request_routing::Board::default();
+    /// let board = request_routing::ProxyStats::default();
     /// assert!(board.open_try("t", Duration::ZERO, Duration::from_secs(1)));
     /// assert!(!board.open_try("t", Duration::ZERO, Duration::from_secs(1)));
     /// board.sweep(Duration::from_secs(2), |_| true);
     /// assert!(board.open_try("t", Duration::from_secs(2), Duration::from_secs(1)));
     /// ```
     pub fn open_try(&self, try_id: &str, now: Duration, life: Duration) -> bool {
-        if self.tries.len() >= MOST_TRIES {
+        if self.tries.len() >= MAX_TRIES {
             return false;
         }
         let until = now + life;
@@ -440,19 +440,19 @@
     /// The same counts, on a board of their own: what is taken there is not taken here.
     ///
     /// ```
-    /// let board = request_routing::Board::default();
+    /// let board = request_routing::ProxyStats::default();
     /// board.copy().seat("a").sit(1);
     /// assert!(board.seat("a").sit(1));
     /// ```
-    pub fn copy(&self) -> Board {
-        let copy = Board::default();
+    pub fn copy(&self) -> ProxyStats {
+        let copy = ProxyStats::default();
         self.desks.iter().for_each(|desk| {
             let serving = AtomicU64::new(desk.serving.load(Ordering::Acquire));
             copy.desks.insert(
                 desk.key().clone(),
-                Arc::new(Desk {
+                Arc::new(ServiceStats {
                     serving,
-                    ..Desk::default()
+                    ..ServiceStats::default()
                 }),
             );
         });
@@ -465,12 +465,12 @@
     /// Every service's counts, in the order of their names.
     ///
     /// ```
-    /// let board = request_routing::Board::default();
+    /// let board = request_routing::ProxyStats::default();
     /// board.desk("s").firsts.add(std::time::Duration::ZERO);
     /// assert_eq!(board.tallies(std::time::Duration::ZERO)[0].firsts, 1);
     /// ```
     pub fn tallies(&self, now: Duration) -> Vec<Tally> {
-        let tally = |service: &str, desk: &Desk| Tally {
+        let tally = |service: &str, desk: &ServiceStats| Tally {
             service: service.to_owned(),
             serving: desk.serving.load(Ordering::Acquire),
             waiting: desk.waiting() as u64,
@@ -490,12 +490,13 @@
     /// Upstreams set aside at this moment.
     ///
     /// ```
-    /// let board = request_routing::Board::default();
+    /// let board = request_routing::ProxyStats::default();
     /// board.seat("a").note(std::time::Duration::ZERO, false);
     /// assert_eq!(board.ejected(std::time::Duration::ZERO), ["a"]);
     /// ```
     pub fn ejected(&self, now: Duration) -> Vec<String> {
-        let out = |seat: &Seat| seat.is_ejected(now) || seat.replaced.load(Ordering::Acquire);
+        let out =
+            |seat: &UpstreamStats| seat.is_ejected(now) || seat.replaced.load(Ordering::Acquire);
         let mut all: Vec<String> = self
             .seats
             .iter()
@@ -509,7 +510,7 @@
     /// Requests by key since the last call, for each service that has any.
     ///
     /// ```
-    /// assert!(request_routing::Board::default().drain_keys().is_empty());
+    /// assert!(request_routing::ProxyStats::default().drain_keys().is_empty());
     /// ```
     pub fn drain_keys(&self) -> Vec<KeyLoad> {
         let drained = self.desks.iter().filter_map(|desk| {
@@ -531,17 +532,17 @@
     /// Rings once for every service: there may be room that nobody here gave back.
     ///
     /// ```
-    /// request_routing::Board::default().ring_all();
+    /// request_routing::ProxyStats::default().ring_all();
     /// ```
     pub fn ring_all(&self) {
-        let desks: Vec<Arc<Desk>> = self.desks.iter().map(|desk| desk.clone()).collect();
+        let desks: Vec<Arc<ServiceStats>> = self.desks.iter().map(|desk| desk.clone()).collect();
         desks.iter().for_each(|desk| desk.ring(None));
     }
 
     /// Forgets tries whose life is over and upstreams that are gone.
     ///
     /// ```
-    /// let board = request_routing::Board::default();
+    /// let board = request_routing::ProxyStats::default();
     /// board.seat("a").note(std::time::Duration::ZERO, false);
     /// board.sweep(std::time::Duration::ZERO, |instance| instance != "a");
     /// assert!(!board.seat("a").is_ejected(std::time::Duration::ZERO));
--- a/crates/request-routing/src/steps.rs
+++ b/crates/request-routing/src/steps.rs
@@ -1,19 +1,19 @@
 //! Where a request stands, what came of its last call, and what to do next.
 
-use protocol::{Share, Upstream};
+use protocol::{KeyShare, Upstream};
 use result_code::ResultCode;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// Where a request stands.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Stage {
+pub enum RequestStage {
     /// Nothing was sent: it may be denied.
     Waiting,
     /// A connection is being opened; still nothing was sent, and another may be chosen.
     Chosen {
         upstream: Arc<Upstream>,
-        share: Option<Share>,
+        share: Option<KeyShare>,
     },
     /// An upstream (or the next proxy) may have it: 'busy' can't be said any more.
     Sent {
@@ -26,7 +26,7 @@
 
 /// What came of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// A whole, sealed verdict.
     Sealed,
     /// The upstream sealed that it did not and will not run it.
@@ -50,15 +50,15 @@
 
 /// What to do next.
 #[derive(Clone, Debug)]
-pub enum Move {
-    /// Open a connection to this upstream and tell [`Journey::connected`]. Nothing is sent yet.
+pub enum NextStep {
+    /// Open a connection to this upstream and tell [`RequestState::connected`]. Nothing is sent yet.
     Connect {
         upstream: Arc<Upstream>,
         within: Duration,
     },
     /// Write the request on the connection that just came up, at once.
     Send {
-        share: Option<Share>,
+        share: Option<KeyShare>,
         within: Duration,
     },
     /// Hand it to one of these proxies, once.
@@ -66,7 +66,7 @@
         proxies: Vec<String>,
         within: Duration,
     },
-    /// No seat is free: tell [`Journey::called`] when the bell rings, or when this span is over.
+    /// No seat is free: tell [`RequestState::called`] when the bell rings, or when this span is over.
     Wait { within: Duration },
     /// Pass the verdict that came.
     Pass,
--- a/crates/request-routing/src/notes.rs
+++ b/crates/request-routing/src/trace.rs
@@ -9,7 +9,7 @@
 
 /// Why an upstream was passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectReason {
     Leaving,
     Evacuated,
     OutsideHomes,
@@ -23,35 +23,35 @@
     Gone,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Why::Leaving => "leaving",
-            Why::Evacuated => "evacuated locality",
-            Why::OutsideHomes => "outside the home regions",
-            Why::OtherHolder => "does not hold the key",
-            Why::Tried => "tried already",
-            Why::Replaced => "another instance answers at its address",
-            Why::NoSlot => "no free slot",
-            Why::WarmingUp => "warming up",
-            Why::Gone => "gone",
+            RejectReason::Leaving => "leaving",
+            RejectReason::Evacuated => "evacuated locality",
+            RejectReason::OutsideHomes => "outside the home regions",
+            RejectReason::OtherHolder => "does not hold the key",
+            RejectReason::Tried => "tried already",
+            RejectReason::Replaced => "another instance answers at its address",
+            RejectReason::NoSlot => "no free slot",
+            RejectReason::WarmingUp => "warming up",
+            RejectReason::Gone => "gone",
         })
     }
 }
 
 /// One decision on a request's way.
 #[derive(Clone, Debug)]
-pub enum Note {
+pub enum TraceEvent {
     Asked {
         name: String,
         route: Arc<Route>,
-        edition: u64,
+        revision: u64,
     },
     Owner {
         locality: String,
         epoch: u64,
     },
-    Mark {
+    Tombstone {
         to: String,
         epoch: u64,
     },
@@ -60,14 +60,14 @@
     },
     Passed {
         upstream: Arc<Upstream>,
-        why: Why,
+        why: RejectReason,
     },
     Connecting {
         upstream: Arc<Upstream>,
     },
     Withdrawn {
         upstream: Arc<Upstream>,
-        why: Why,
+        why: RejectReason,
     },
     Sent {
         upstream: Arc<Upstream>,
@@ -79,7 +79,7 @@
     Waits {
         within: Duration,
     },
-    Called,
+    CallError,
     Again {
         after: ResultCode,
     },
@@ -88,52 +88,56 @@
     },
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for TraceEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Note::Asked {
+            TraceEvent::Asked {
                 name,
                 route,
-                edition,
+                revision,
             } => write!(
                 f,
-                "asked for {name}, which is name {}: route {} of edition {edition}, service {}",
+                "asked for {name}, which is name {}: route {} of edition {revision}, service {}",
                 route.name,
                 route.id,
                 route.services().collect::<Vec<_>>().join(", ")
             ),
-            Note::Owner { locality, epoch } => write!(f, "owner {locality} at epoch {epoch}"),
-            Note::Mark { to, epoch } => write!(f, "mark here: moved to {to} at epoch {epoch}"),
-            Note::Forwarded { to } => write!(f, "forwarded to {to} by the mark"),
-            Note::Passed { upstream, why } => write!(f, "{} passed over: {why}", upstream.instance),
-            Note::Connecting { upstream } => write!(
+            TraceEvent::Owner { locality, epoch } => write!(f, "owner {locality} at epoch {epoch}"),
+            TraceEvent::Tombstone { to, epoch } => {
+                write!(f, "mark here: moved to {to} at epoch {epoch}")
+            }
+            TraceEvent::Forwarded { to } => write!(f, "forwarded to {to} by the mark"),
+            TraceEvent::Passed { upstream, why } => {
+                write!(f, "{} passed over: {why}", upstream.instance)
+            }
+            TraceEvent::Connecting { upstream } => write!(
                 f,
                 "connecting to {} in {}",
                 upstream.instance, upstream.locality
             ),
-            Note::Withdrawn { upstream, why } => {
+            TraceEvent::Withdrawn { upstream, why } => {
                 write!(
                     f,
                     "connected to {}, but nothing was sent: {why}",
                     upstream.instance
                 )
             }
-            Note::Sent { upstream } => {
+            TraceEvent::Sent { upstream } => {
                 write!(f, "sent to {} in {}", upstream.instance, upstream.locality)
             }
-            Note::Unsent { upstream } => {
+            TraceEvent::Unsent { upstream } => {
                 write!(
                     f,
                     "the kept connection to {} was closed, and nothing was sent",
                     upstream.instance
                 )
             }
-            Note::Waits { within } => {
+            TraceEvent::Waits { within } => {
                 write!(f, "waits for a seat, {} ms at most", within.as_millis())
             }
-            Note::Called => f.write_str("called: a seat may be free"),
-            Note::Again { after } => write!(f, "sent again after: {after}"),
-            Note::Answered { code } => write!(f, "answered: {code}"),
+            TraceEvent::CallError => f.write_str("called: a seat may be free"),
+            TraceEvent::Again { after } => write!(f, "sent again after: {after}"),
+            TraceEvent::Answered { code } => write!(f, "answered: {code}"),
         }
     }
 }
--- a/crates/request-routing/tests/arbitrary.rs
+++ b/crates/request-routing/tests/arbitrary.rs
@@ -1,7 +1,7 @@
 //! Counts kept in buckets and atomics, against the plain way of counting.
 
 use arbtest::arbtest;
-use request_routing::{Desk, Window};
+use request_routing::{ServiceStats, SlidingWindow};
 use std::time::Duration;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -10,7 +10,7 @@
 fn a_window_counts_the_last_ten_seconds_to_a_bucket() {
     (1..60u64).for_each(|number| {
         arbtest(|noise| {
-            let (window, mut now, mut all) = (Window::default(), Duration::ZERO, Vec::new());
+            let (window, mut now, mut all) = (SlidingWindow::default(), Duration::ZERO, Vec::new());
             while !noise.is_empty() {
                 now += MS(noise.int_in_range(0..=700)?);
                 window.add(now);
@@ -33,7 +33,7 @@
 fn resends_of_many_proxies_together_stay_within_a_fifth_and_ten() {
     (1..40u64).for_each(|number| {
         arbtest(|noise| {
-            let desks: Vec<Desk> = (0..13).map(|_| Desk::default()).collect();
+            let desks: Vec<ServiceStats> = (0..13).map(|_| ServiceStats::default()).collect();
             let (mut now, mut sends) = (Duration::ZERO, Vec::new());
             while !noise.is_empty() {
                 now += MS(noise.int_in_range(0..=40)?);
--- a/crates/request-routing/tests/unsent.rs
+++ b/crates/request-routing/tests/unsent.rs
@@ -1,14 +1,14 @@
 //! A kept connection that turned out to be closed before a byte of the request went out.
 
-use name_directory::{Owners, View};
+use name_directory::{OwnershipMode, View};
 use protocol::{ClusterState, Upstream, ViewUpdate};
-use request_routing::{Board, Journey, Move, Order, Outcome, Site};
+use request_routing::{CallOutcome, NextStep, ProxyContext, ProxyStats, RequestInfo, RequestState};
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(1);
 
 fn view() -> View {
-    let setup = r#"{"services": [{"name": "slots", "work": "once"}],
+    let configuration = r#"{"services": [{"name": "slots", "work": "once"}],
                     "routes": [{"id": "r1", "name": "book", "path": "/book", "service": "slots"}]}"#;
     let upstream = |instance: &str| Upstream {
         service: "slots".into(),
@@ -21,10 +21,10 @@
     };
     let news = ViewUpdate {
         state: Some(ClusterState {
-            edition: 1,
+            revision: 1,
             ..ClusterState::default()
         }),
-        setup: Some(setup.into()),
+        configuration: Some(configuration.into()),
         upstreams: vec![upstream("a"), upstream("b")],
         ..ViewUpdate::default()
     };
@@ -36,56 +36,56 @@
     view
 }
 
-fn journey() -> Journey {
-    let mut site = Site::new(
+fn journey() -> RequestState {
+    let mut site = ProxyContext::new(
         "p",
         "n/1".parse().unwrap(),
         Duration::from_secs(9),
         Duration::ZERO,
     );
-    site.owners = Owners::ByCaller;
-    let order = Order {
+    site.owners = OwnershipMode::ByCaller;
+    let order = RequestInfo {
         try_id: "t-1".into(),
         name: "book".into(),
         path: "/book".into(),
         arrived_at: NOW,
         remaining: Duration::from_secs(5),
-        ..Order::default()
+        ..RequestInfo::default()
     };
-    Journey::new(order, site)
+    RequestState::new(order, site)
 }
 
-fn chosen(next: &Move) -> String {
+fn chosen(next: &NextStep) -> String {
     match next {
-        Move::Connect { upstream, .. } => upstream.instance.clone(),
+        NextStep::Connect { upstream, .. } => upstream.instance.clone(),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
 fn the_same_upstream_is_called_again_on_a_new_connection() {
-    let (view, board) = (view(), Board::default());
+    let (view, board) = (view(), ProxyStats::default());
     let mut journey = journey();
     let first = journey.start(NOW, &view, &board);
     assert!(matches!(
         journey.connected(NOW, &view, &board),
-        Move::Send { .. }
+        NextStep::Send { .. }
     ));
     let again = journey.unsent(NOW);
     assert_eq!(chosen(&again), chosen(&first));
     assert!(matches!(
         journey.connected(NOW, &view, &board),
-        Move::Send { .. }
+        NextStep::Send { .. }
     ));
     assert!(matches!(
-        journey.after(NOW, &view, &board, Outcome::Sealed),
-        Move::Pass
+        journey.after(NOW, &view, &board, CallOutcome::Sealed),
+        NextStep::Pass
     ));
 }
 
 #[test]
 fn the_choice_is_judged_again() {
-    let (mut view, board) = (view(), Board::default());
+    let (mut view, board) = (view(), ProxyStats::default());
     let mut journey = journey();
     let first = chosen(&journey.start(NOW, &view, &board));
     journey.connected(NOW, &view, &board);
@@ -110,28 +110,28 @@
 
 #[test]
 fn what_was_never_written_is_told_as_not_run() {
-    let (view, board) = (view(), Board::default());
+    let (view, board) = (view(), ProxyStats::default());
     let mut journey = journey();
     let mut next = journey.start(NOW, &view, &board);
-    while let Move::Connect { .. } = next {
+    while let NextStep::Connect { .. } = next {
         assert!(matches!(
             journey.connected(NOW, &view, &board),
-            Move::Send { .. }
+            NextStep::Send { .. }
         ));
-        next = journey.after(NOW, &view, &board, Outcome::NotConnected);
+        next = journey.after(NOW, &view, &board, CallOutcome::NotConnected);
     }
-    let Move::Answer { code, .. } = next else {
+    let NextStep::Answer { code, .. } = next else {
         panic!("{next:?}")
     };
-    assert_eq!(code.kind(), result_code::Execution::NotRun);
+    assert_eq!(code.kind(), result_code::Execution::NotExecuted);
 }
 
 #[test]
 fn a_request_that_was_answered_is_never_sent_again() {
-    let (view, board) = (view(), Board::default());
+    let (view, board) = (view(), ProxyStats::default());
     let mut journey = journey();
     journey.start(NOW, &view, &board);
     journey.connected(NOW, &view, &board);
-    journey.after(NOW, &view, &board, Outcome::Lost);
-    assert!(matches!(journey.unsent(NOW), Move::Answer { .. }));
+    journey.after(NOW, &view, &board, CallOutcome::Lost);
+    assert!(matches!(journey.unsent(NOW), NextStep::Answer { .. }));
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -5,7 +5,7 @@
 
 /// What kind of trouble it is: it decides whether trying again helps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum FailureKind {
     /// Another process has the folder open.
     InUse,
     /// The path or its permissions are wrong: only an operator can mend that.
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct StorageError {
     step: String,
-    trouble: Trouble,
+    trouble: FailureKind,
 }
 
 impl fmt::Display for StorageError {
@@ -30,7 +30,7 @@
 impl std::error::Error for StorageError {}
 
 impl StorageError {
-    pub(crate) fn new(step: impl Into<String>, trouble: Trouble) -> Self {
+    pub(crate) fn new(step: impl Into<String>, trouble: FailureKind) -> Self {
         StorageError {
             step: step.into(),
             trouble,
@@ -41,8 +41,8 @@
     pub(crate) fn from_io(step: impl Into<String>, error: &io::Error) -> Self {
         use io::ErrorKind::{InvalidInput, NotADirectory, PermissionDenied};
         let trouble = match error.kind() {
-            PermissionDenied | NotADirectory | InvalidInput => Trouble::Settings,
-            _ => Trouble::Failing,
+            PermissionDenied | NotADirectory | InvalidInput => FailureKind::Settings,
+            _ => FailureKind::Failing,
         };
         StorageError::new(step, trouble)
     }
@@ -53,10 +53,10 @@
     /// let file = std::env::temp_dir().join(format!("storage-trouble-{}", std::process::id()));
     /// std::fs::write(&file, b"a file, no folder").unwrap();
     /// let refused = storage::Storage::open(&file).err().unwrap();
-    /// assert_eq!(refused.current_context().trouble(), storage::Trouble::Settings);
+    /// assert_eq!(refused.current_context().trouble(), storage::FailureKind::Settings);
     /// std::fs::remove_file(&file).unwrap();
     /// ```
-    pub fn trouble(&self) -> Trouble {
+    pub fn trouble(&self) -> FailureKind {
         self.trouble
     }
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -10,7 +10,7 @@
 mod witness;
 
 pub use departures::DepartureLog;
-pub use error::{StorageError, Trouble};
+pub use error::{FailureKind, StorageError};
 pub use files::{FileSystem, FolderLock, NewFile, RealFiles};
 pub use redb::StorageBackend;
 
@@ -55,7 +55,7 @@
 pub struct Contents {
     pub durable: DurableState,
     /// Undamaged setups by digest.
-    pub setups: BTreeMap<String, Vec<u8>>,
+    pub configurations: BTreeMap<String, Vec<u8>>,
     /// What was found damaged and counts as missing.
     pub damaged: Vec<Damage>,
 }
@@ -88,13 +88,13 @@
     /// let (mut storage, contents) = storage::Storage::open(&folder).unwrap();
     /// assert_eq!(contents.durable.disk, 0);
     /// let digest = protocol::digest(b"{}");
-    /// storage.keep_setup(&digest, b"{}").unwrap();
+    /// storage.store_configuration(&digest, b"{}").unwrap();
     /// storage.keep(&protocol::DurableState { disk: 7, ..Default::default() }).unwrap();
     /// drop(storage);
     /// std::fs::write(folder.join("setups").join(format!("{}.json", protocol::digest(b"x"))), b"rotten").unwrap();
     /// let (_, contents) = storage::Storage::open(&folder).unwrap();
     /// assert_eq!(contents.durable.disk, 7);
-    /// assert_eq!(contents.setups[&digest], b"{}");
+    /// assert_eq!(contents.configurations[&digest], b"{}");
     /// assert_eq!(contents.damaged.len(), 1);
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
@@ -234,7 +234,7 @@
             .files
             .exists(&self.path(DAMAGED_STATE_FILE))
             .map_err(failed("cannot read the data folder"))?;
-        let used = aside || self.sequence > 0 || !contents.setups.is_empty();
+        let used = aside || self.sequence > 0 || !contents.configurations.is_empty();
         Ok(used.then(|| damaged_state("missing, though this folder was used before".into())))
     }
 
@@ -285,11 +285,15 @@
     /// let folder = std::env::temp_dir().join(format!("storage-setup-{}", std::process::id()));
     /// let (mut storage, _) = storage::Storage::open(&folder).unwrap();
     /// let digest = protocol::digest(b"{}");
-    /// storage.keep_setup(&digest, b"{}").unwrap();
+    /// storage.store_configuration(&digest, b"{}").unwrap();
     /// assert_eq!(std::fs::read(folder.join("setups").join(format!("{digest}.json"))).unwrap(), b"{}");
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
-    pub fn keep_setup(&mut self, digest: &str, bytes: &[u8]) -> Result<(), Report<StorageError>> {
+    pub fn store_configuration(
+        &mut self,
+        digest: &str,
+        bytes: &[u8],
+    ) -> Result<(), Report<StorageError>> {
         let context = "cannot write a setup";
         let (aside, name) = (self.path(NEW_SETUP), self.setup_path(digest));
         // Never written over: a half-done rename may have left both names on one file.
@@ -310,14 +314,14 @@
     /// let folder = std::env::temp_dir().join(format!("storage-drop-{}", std::process::id()));
     /// let (mut storage, _) = storage::Storage::open(&folder).unwrap();
     /// let digest = protocol::digest(b"{}");
-    /// storage.keep_setup(&digest, b"{}").unwrap();
-    /// storage.drop_setup(&digest).unwrap();
-    /// storage.drop_setup(&digest).unwrap();
+    /// storage.store_configuration(&digest, b"{}").unwrap();
+    /// storage.delete_configuration(&digest).unwrap();
+    /// storage.delete_configuration(&digest).unwrap();
     /// drop(storage);
-    /// assert!(storage::Storage::open(&folder).unwrap().1.setups.is_empty());
+    /// assert!(storage::Storage::open(&folder).unwrap().1.configurations.is_empty());
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
-    pub fn drop_setup(&mut self, digest: &str) -> Result<(), Report<StorageError>> {
+    pub fn delete_configuration(&mut self, digest: &str) -> Result<(), Report<StorageError>> {
         self.files
             .remove(&self.setup_path(digest))
             .map_err(failed("cannot remove a setup"))
@@ -338,22 +342,24 @@
     tidy: Tidy,
 ) -> Result<(), Report<StorageError>> {
     let context = "cannot read setups";
-    let setups = folder.join(SETUPS);
-    let names = match files.list(&setups) {
+    let configurations = folder.join(SETUPS);
+    let names = match files.list(&configurations) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(()),
         names => names.map_err(failed(context))?,
     };
     if tidy == Tidy::Yes {
         // What is told as held must stay held: an earlier process may have ended between a rename and its sync.
-        files.sync_folder(&setups).map_err(failed(context))?;
+        files
+            .sync_folder(&configurations)
+            .map_err(failed(context))?;
     }
     for name in names {
         let Some(digest) = name.strip_suffix(SETUP_ENDING) else {
             continue;
         };
-        match files.read(&setups.join(&name)) {
+        match files.read(&configurations.join(&name)) {
             Ok(bytes) if protocol::digest(&bytes) == digest => {
-                contents.setups.insert(digest.to_owned(), bytes);
+                contents.configurations.insert(digest.to_owned(), bytes);
             }
             Ok(_) => {
                 contents
@@ -361,7 +367,7 @@
                     .push(damaged_setup(&name, "does not match its digest".into()));
                 if tidy == Tidy::Yes {
                     files
-                        .remove(&setups.join(&name))
+                        .remove(&configurations.join(&name))
                         .map_err(failed("cannot remove a damaged setup"))?;
                 }
             }
@@ -413,7 +419,7 @@
     lock.ok_or_else(|| {
         Report::new(StorageError::new(
             "another process uses this data folder",
-            Trouble::InUse,
+            FailureKind::InUse,
         ))
     })
 }
--- a/crates/storage/src/state_file.rs
+++ b/crates/storage/src/state_file.rs
@@ -1,6 +1,6 @@
 //! The voter's state in a redb file: one table, one value, sealed with a digest.
 
-use crate::error::{StorageError, Trouble};
+use crate::error::{FailureKind, StorageError};
 use crate::files::{AnyBackend, FileSystem};
 use error_stack::{Report, ResultExt};
 use protocol::DurableState;
@@ -77,7 +77,8 @@
     let copied = memory
         .set_len(bytes.len() as u64)
         .and_then(|()| memory.write(0, bytes));
-    copied.change_context_lazy(|| StorageError::new("cannot copy word.redb", Trouble::Failing))?;
+    copied
+        .change_context_lazy(|| StorageError::new("cannot copy word.redb", FailureKind::Failing))?;
     match bytes.is_empty() {
         true => Ok(Opened::Damaged("the file is empty".into())),
         false => open_backend(memory),
@@ -90,7 +91,7 @@
         Err(DatabaseError::DatabaseAlreadyOpen | DatabaseError::LockProtocolMismatch) => {
             return Err(Report::new(StorageError::new(
                 "another process uses this data folder",
-                Trouble::InUse,
+                FailureKind::InUse,
             )));
         }
         Err(error) => match damage(error.into()) {
@@ -106,7 +107,10 @@
 }
 
 fn unreadable(error: redb::Error) -> Report<StorageError> {
-    Report::new(error).change_context(StorageError::new("cannot read word.redb", Trouble::Failing))
+    Report::new(error).change_context(StorageError::new(
+        "cannot read word.redb",
+        FailureKind::Failing,
+    ))
 }
 
 /// Tells a damaged file from a disk that does not work just now: only the former may be given up.
@@ -159,7 +163,7 @@
     state: &DurableState,
     sequence: u64,
 ) -> Result<Database, Report<StorageError>> {
-    let context = || StorageError::new("cannot make word.redb", Trouble::Failing);
+    let context = || StorageError::new("cannot make word.redb", FailureKind::Failing);
     let backend = files.open_database(path, true).map_err(|error| {
         let context = StorageError::from_io("cannot make word.redb", &error);
         Report::new(error).change_context(context)
@@ -177,7 +181,7 @@
     state: &DurableState,
     sequence: u64,
 ) -> Result<(), Report<StorageError>> {
-    let context = || StorageError::new("cannot write word.redb", Trouble::Failing);
+    let context = || StorageError::new("cannot write word.redb", FailureKind::Failing);
     let writing = database.begin_write().change_context_lazy(context)?;
     {
         let mut table = writing.open_table(STATE).change_context_lazy(context)?;
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -20,7 +20,7 @@
     handed: Vec<DurableState>,
     /// Every state from this one on may be found, up to the last handed over.
     reported: usize,
-    setups: BTreeMap<String, Vec<u8>>,
+    configurations: BTreeMap<String, Vec<u8>>,
     reported_setups: BTreeSet<String>,
 }
 
@@ -35,7 +35,7 @@
         .map(|at| format!("voter-{number}-{at}"))
         .collect();
     let accepted = ClusterState {
-        edition: number as u64,
+        revision: number as u64,
         digest: format!("{number:064}"),
         ..Default::default()
     };
@@ -109,11 +109,11 @@
         let lost = ledger
             .reported_setups
             .iter()
-            .find(|digest| !contents.setups.contains_key(*digest));
+            .find(|digest| !contents.configurations.contains_key(*digest));
         if let Some(digest) = lost {
             return Err(format!("setup {digest} was reported and is gone"));
         }
-        ledger.reported_setups = contents.setups.keys().cloned().collect();
+        ledger.reported_setups = contents.configurations.keys().cloned().collect();
         Ok(storage)
     }
 
@@ -125,9 +125,9 @@
             self.ledger
                 .lock()
                 .unwrap()
-                .setups
+                .configurations
                 .insert(digest.clone(), bytes.clone());
-            storage.keep_setup(&digest, &bytes).unwrap();
+            storage.store_configuration(&digest, &bytes).unwrap();
             self.ledger.lock().unwrap().reported_setups.insert(digest);
             for _ in 0..2 {
                 let next = state(random, self.ledger.lock().unwrap().handed.len());
@@ -150,7 +150,7 @@
         };
         earliest
             .into_iter()
-            .for_each(|digest| storage.drop_setup(&digest).unwrap());
+            .for_each(|digest| storage.delete_configuration(&digest).unwrap());
     }
 
     fn moments(&self) -> Vec<Moment> {
--- a/crates/storage/tests/failures.rs
+++ b/crates/storage/tests/failures.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
-use storage::{Contents, Storage, Trouble};
+use storage::{Contents, FailureKind, Storage};
 
 const FOLDER: &str = "/data";
 const STATE_FILE: &str = "/data/word.redb";
@@ -72,13 +72,16 @@
     let (mut storage, _) = open(&disk);
     let (digest, bytes) = (protocol::digest(&[7; 9000]), [7; 9000]);
     disk.set_room(Some(5000));
-    assert!(storage.keep_setup(&digest, &bytes).is_err());
+    assert!(storage.store_configuration(&digest, &bytes).is_err());
     disk.set_room(None);
-    storage.keep_setup(&digest, &bytes).unwrap();
+    storage.store_configuration(&digest, &bytes).unwrap();
     storage.keep(&state(1)).unwrap();
     let found = after_power_loss(&disk, Loss::All, 1);
     assert_eq!(
-        (found.setups.get(&digest).map(Vec::len), found.durable),
+        (
+            found.configurations.get(&digest).map(Vec::len),
+            found.durable
+        ),
         (Some(9000), state(1))
     );
 }
@@ -94,13 +97,13 @@
         disk.set_syncs_fail(true);
         assert!(storage.keep(&state(4)).is_err());
         assert!(storage.keep(&state(4)).is_err());
-        assert!(storage.keep_setup(&digest, bytes).is_err());
+        assert!(storage.store_configuration(&digest, bytes).is_err());
         disk.set_syncs_fail(false);
-        storage.keep_setup(&digest, bytes).unwrap();
+        storage.store_configuration(&digest, bytes).unwrap();
         storage.keep(&state(4)).unwrap();
         let found = after_power_loss(&disk, if seed == 0 { Loss::All } else { Loss::Some }, seed);
         assert_eq!(found.durable, state(4), "seed {seed}: {:?}", found.damaged);
-        assert!(found.setups.contains_key(&digest));
+        assert!(found.configurations.contains_key(&digest));
     }
 }
 
@@ -115,7 +118,7 @@
     let refused = Storage::open_on(Arc::new(disk.clone()), Path::new(FOLDER))
         .err()
         .unwrap();
-    assert_eq!(refused.current_context().trouble(), Trouble::Failing);
+    assert_eq!(refused.current_context().trouble(), FailureKind::Failing);
     disk.set_syncs_fail(false);
     let (_, contents) = open(&disk);
     assert_eq!((contents.durable, contents.damaged.len()), (state(3), 0));
@@ -132,7 +135,9 @@
         .after(&mut Random::new(1), Loss::All, Omits::Nothing);
     disk.set_room(Some(0));
     let refused = Storage::open_on(Arc::new(disk.clone()), Path::new(FOLDER)).err();
-    assert!(refused.is_none_or(|refused| refused.current_context().trouble() == Trouble::Failing));
+    assert!(
+        refused.is_none_or(|refused| refused.current_context().trouble() == FailureKind::Failing)
+    );
     disk.set_room(None);
     assert_eq!(open(&disk).1.durable, state(4));
 }
@@ -196,7 +201,9 @@
     let disk = SimulatedDisk::new(Omits::Nothing);
     let (mut storage, contents) = open(&disk);
     assert!(contents.damaged.is_empty(), "a blank folder is no damage");
-    storage.keep_setup(&protocol::digest(b"{}"), b"{}").unwrap();
+    storage
+        .store_configuration(&protocol::digest(b"{}"), b"{}")
+        .unwrap();
     drop(storage);
     storage::FileSystem::remove(&disk, Path::new(STATE_FILE)).unwrap();
     let (_, contents) = open(&disk);
@@ -214,14 +221,17 @@
     let disk = SimulatedDisk::new(Omits::Nothing);
     let (mut storage, _) = open(&disk);
     let digest = protocol::digest(b"{}");
-    storage.keep_setup(&digest, b"{}").unwrap();
+    storage.store_configuration(&digest, b"{}").unwrap();
     drop(storage);
     disk.rot(
         &Path::new("/data/setups").join(format!("{digest}.json")),
         |bytes| bytes.clear(),
     );
     let (storage, contents) = open(&disk);
-    assert_eq!((contents.setups.len(), contents.damaged.len()), (0, 1));
+    assert_eq!(
+        (contents.configurations.len(), contents.damaged.len()),
+        (0, 1)
+    );
     drop(storage);
     assert_eq!(open(&disk).1.damaged.len(), 0);
 }
@@ -233,22 +243,24 @@
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("inspect-{}", std::process::id()));
     let (mut storage, _) = Storage::open(&folder).unwrap();
     storage.keep(&state(2)).unwrap();
-    storage.keep_setup(&protocol::digest(b"{}"), b"{}").unwrap();
+    storage
+        .store_configuration(&protocol::digest(b"{}"), b"{}")
+        .unwrap();
     drop(storage);
-    let setup = folder
+    let configuration = folder
         .join("setups")
         .join(format!("{}.json", protocol::digest(b"{}")));
     let mut bytes = std::fs::read(folder.join("word.redb")).unwrap();
     bytes.truncate(5000);
     std::fs::write(folder.join("word.redb"), &bytes).unwrap();
-    std::fs::write(&setup, b"rotten").unwrap();
+    std::fs::write(&configuration, b"rotten").unwrap();
     let contents = Storage::inspect(&folder).unwrap();
     assert_eq!(
         (contents.durable, contents.damaged.len()),
         (DurableState::default(), 2)
     );
     assert_eq!(std::fs::read(folder.join("word.redb")).unwrap(), bytes);
-    assert_eq!(std::fs::read(&setup).unwrap(), b"rotten");
+    assert_eq!(std::fs::read(&configuration).unwrap(), b"rotten");
     assert!(!folder.join("word.damaged").exists());
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -259,7 +271,7 @@
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("shared-{}", std::process::id()));
     let first = Storage::open(&folder).unwrap();
     let second = Storage::open(&folder).err().unwrap();
-    assert_eq!(second.current_context().trouble(), Trouble::InUse);
+    assert_eq!(second.current_context().trouble(), FailureKind::InUse);
     drop(first);
     assert!(Storage::open(&folder).is_ok());
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/test-harness/src/breaches.rs
+++ b/crates/test-harness/src/breaches.rs
@@ -54,19 +54,19 @@
     }
 }
 
-fn read_back(edition: u64, digest: &str) -> Fact {
+fn read_back(revision: u64, digest: &str) -> Fact {
     Fact::ReadBack {
         node: "pm-1".into(),
-        edition,
+        revision,
         digest: digest.into(),
         asked_at: Duration::from_millis(1),
     }
 }
 
-fn in_force(edition: u64) -> Fact {
+fn in_force(revision: u64) -> Fact {
     Fact::InForce {
         node: "c-1".into(),
-        edition,
+        revision,
     }
 }
 
@@ -121,12 +121,12 @@
             },
         )
     };
-    let setup = |edition: u64, mark| {
+    let configuration = |revision: u64, mark| {
         let (digest, took) = ("d".into(), Duration::ZERO);
         at(
-            edition - 2,
+            revision - 2,
             Fact::Submitted {
-                edition,
+                revision,
                 digest,
                 mark,
                 took,
@@ -143,7 +143,7 @@
         )
     };
     let numbered = |number| at(0, Fact::Acknowledged { number });
-    let submitted = || setup(2, 2);
+    let submitted = || configuration(2, 2);
     let probed = |ms, mark| {
         at(
             ms,
@@ -164,23 +164,23 @@
             .collect::<Vec<_>>()
     };
     let called = || {
-        let order = Order::Setup {
+        let order = Order::Configuration {
             number: None,
             base: None,
             digest: "d".into(),
         };
         at(
             0,
-            Fact::Called {
+            Fact::CallError {
                 call: "c".into(),
                 order,
             },
         )
     };
-    let returned = |ms, edition| {
+    let returned = |ms, revision| {
         let reply = Reply::Decided {
-            code: ResultCode::Fine,
-            edition: Some(edition),
+            code: ResultCode::Success,
+            revision: Some(revision),
         };
         at(
             ms,
@@ -190,7 +190,7 @@
             },
         )
     };
-    let accepted = || at(0, Fact::Accepted { edition: 2 });
+    let accepted = || at(0, Fact::Accepted { revision: 2 });
     let let_go = |keys: Range<u32>| Fact::LetGo {
         service: "payment".into(),
         keys,
@@ -257,13 +257,18 @@
         ),
         (
             7,
-            vec![submitted(), setup(3, 3), probed(3002, 2)],
-            vec![submitted(), setup(3, 3), probed(3001, 2)],
+            vec![submitted(), configuration(3, 3), probed(3002, 2)],
+            vec![submitted(), configuration(3, 3), probed(3001, 2)],
         ),
         (
             7,
-            vec![submitted(), setup(3, 3), probed(9, 3), probed(1010, 2)],
-            vec![setup(2, 2), probed(9, 2), probed(10, 2)],
+            vec![
+                submitted(),
+                configuration(3, 3),
+                probed(9, 3),
+                probed(1010, 2),
+            ],
+            vec![configuration(2, 2), probed(9, 2), probed(10, 2)],
         ),
         (
             8,
@@ -273,7 +278,7 @@
         (
             8,
             vec![
-                at(0, Fact::Accepted { edition: 3 }),
+                at(0, Fact::Accepted { revision: 3 }),
                 at(1, read_back(1, "d")),
             ],
             vec![accepted(), at(1, read_back(2, "d"))],
--- a/crates/test-harness/src/changes.rs
+++ b/crates/test-harness/src/changes.rs
@@ -93,7 +93,7 @@
 
 enum Write {
     State(u64, protocol::DurableState),
-    Setup(u64, String, Vec<u8>),
+    Configuration(u64, String, Vec<u8>),
     Drop(String),
 }
 
@@ -152,7 +152,7 @@
         roster_size: trial.nodes,
         seed,
         durable: contents.durable.clone(),
-        setups: contents.setups.clone(),
+        configurations: contents.configurations.clone(),
         times: Times::default(),
     })
 }
@@ -257,14 +257,14 @@
             match effect {
                 Effect::Send { to, body } => self.send(at, &to, body),
                 Effect::Keep { ticket, durable } => self.write(at, Write::State(ticket, durable)),
-                Effect::KeepSetup {
+                Effect::StoreConfiguration {
                     ticket,
                     digest,
                     bytes,
-                } => self.write(at, Write::Setup(ticket, digest, bytes)),
-                Effect::DropSetup { digest } => self.write(at, Write::Drop(digest)),
+                } => self.write(at, Write::Configuration(ticket, digest, bytes)),
+                Effect::DeleteConfiguration { digest } => self.write(at, Write::Drop(digest)),
                 Effect::Decided { decision, .. } => {
-                    self.accepted += usize::from(decision.code == result_code::ResultCode::Fine);
+                    self.accepted += usize::from(decision.code == result_code::ResultCode::Success);
                 }
                 Effect::Adopted | Effect::EpochKept { .. } => {}
             }
@@ -325,7 +325,7 @@
             ..crate::hollow::TODAY
         };
         // Each change is another one, of the same size.
-        size.setup(0)
+        size.configuration(0)
             .replace("\"r0\"", &format!("\"r0-{:06}\"", self.asked))
             .into_bytes()
     }
@@ -345,7 +345,7 @@
                 id: format!("change-{:012}", self.asked),
                 since,
             };
-            let change = Change::Setup {
+            let change = Change::Configuration {
                 id,
                 base: None,
                 number: None,
@@ -409,7 +409,7 @@
     /// changes go on meanwhile.
     pub fn bring_back_last(&mut self, blank: bool, bits: u64, storm: bool) -> CatchUp {
         let (last, begun_at) = (self.nodes.len() - 1, self.now);
-        let wanted = self.nodes[0].register.state().edition;
+        let wanted = self.nodes[0].register.state().revision;
         self.start_last(blank, bits);
         let mut took = None;
         while took.is_none() && self.now < begun_at + Duration::from_secs(60) {
@@ -419,10 +419,10 @@
                 self.run_until(self.now + TICK);
             }
             let node = &self.nodes[last];
-            let there = node.register.state().edition >= wanted
+            let there = node.register.state().revision >= wanted
                 && node.register.is_confirmed_since(begun_at)
-                && !node.register.lacks_accepted_setup()
-                && node.register.setup().is_some();
+                && !node.register.lacks_accepted_configuration()
+                && node.register.configuration().is_some();
             took = there.then(|| self.now - begun_at);
         }
         self.nodes[last].bits = None;
@@ -443,14 +443,14 @@
             let register = &self.nodes[last].register;
             let age = register
                 .age(self.now)
-                .filter(|_| register.setup().is_some());
+                .filter(|_| register.configuration().is_some());
             (
                 age,
                 self.nodes[0]
                     .register
                     .state()
-                    .edition
-                    .saturating_sub(register.state().edition),
+                    .revision
+                    .saturating_sub(register.state().revision),
             )
         });
         let (ages, editions_behind) = ages.unzip();
@@ -489,24 +489,28 @@
                 contents.durable = durable;
                 Some(ticket)
             }
-            (Disk::Memory(contents), Write::Setup(ticket, digest, bytes)) => {
-                contents.setups.insert(digest, bytes);
+            (Disk::Memory(contents), Write::Configuration(ticket, digest, bytes)) => {
+                contents.configurations.insert(digest, bytes);
                 Some(ticket)
             }
             (Disk::Memory(contents), Write::Drop(digest)) => {
-                contents.setups.remove(&digest);
+                contents.configurations.remove(&digest);
                 None
             }
             (Disk::Real(storage), Write::State(ticket, durable)) => {
                 storage.keep(&durable).expect("the disk works");
                 Some(ticket)
             }
-            (Disk::Real(storage), Write::Setup(ticket, digest, bytes)) => {
-                storage.keep_setup(&digest, &bytes).expect("the disk works");
+            (Disk::Real(storage), Write::Configuration(ticket, digest, bytes)) => {
+                storage
+                    .store_configuration(&digest, &bytes)
+                    .expect("the disk works");
                 Some(ticket)
             }
             (Disk::Real(storage), Write::Drop(digest)) => {
-                storage.drop_setup(&digest).expect("the disk works");
+                storage
+                    .delete_configuration(&digest)
+                    .expect("the disk works");
                 None
             }
         }
@@ -573,7 +577,7 @@
     println!(
         "{nodes} control nodes, {routes} routes: {} B a setup, {} B squeezed",
         bytes.len(),
-        protocol::squeeze(&bytes).len()
+        protocol::compress(&bytes).len()
     );
     for checkpoint in storm(&mut site, 10) {
         println!("{checkpoint:?}");
--- a/crates/test-harness/src/facts.rs
+++ b/crates/test-harness/src/facts.rs
@@ -53,19 +53,19 @@
     /// the yes comes.
     Evacuated { locality: String, back: bool },
     /// The system said yes to an edition.
-    Accepted { edition: u64 },
+    Accepted { revision: u64 },
     /// A node that says it serves has this edition in force.
-    InForce { node: String, edition: u64 },
+    InForce { node: String, revision: u64 },
     /// An operator read the setup back from a node.
     ReadBack {
         node: String,
-        edition: u64,
+        revision: u64,
         digest: String,
         asked_at: Duration,
     },
     /// An operator's setup, accepted under an edition; where it leads the probes, and how long the yes took.
     Submitted {
-        edition: u64,
+        revision: u64,
         digest: String,
         mark: usize,
         took: Duration,
@@ -75,7 +75,7 @@
     /// The system said yes to such a one, which it may have because a higher one holds.
     Acknowledged { number: u64 },
     /// An operator calls for something, by a name of the call's own, however often it is sent.
-    Called { call: String, order: Order },
+    CallError { call: String, order: Order },
     /// An operator is told the outcome of a call; again where it was sent again.
     Returned { call: String, reply: Reply },
     /// What was left after a lost majority was put in force.
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
-use transport::Caller;
+use transport::HttpClient;
 
-const MOST_STARTS: u32 = 20;
+const MAX_STARTS: u32 = 20;
 /// A daemon that could not open its ports has ended by then.
 const STARTED_AFTER: Duration = Duration::from_millis(100);
 
@@ -45,7 +45,7 @@
     /// Starts it, or starts it again. A port that is its own may be in use for a moment, by a connection that a
     /// neighbour on the same machine makes: then it ends at once, and is started anew.
     pub fn start(&mut self) -> io::Result<()> {
-        for _ in 0..MOST_STARTS {
+        for _ in 0..MAX_STARTS {
             self.spawn()?;
             let ended = (0..STARTED_AFTER.as_millis() / 10).find_map(|_| {
                 std::thread::sleep(Duration::from_millis(10));
@@ -284,11 +284,11 @@
 
     /// Waits until all these answer that they are ready. False where that took longer than `within`.
     pub async fn ready(addresses: &[String], within: Duration) -> bool {
-        let caller = Caller::default();
+        let client = HttpClient::default();
         let until = tokio::time::Instant::now() + within;
         for address in addresses {
             loop {
-                let called = caller.call(
+                let called = client.call(
                     address,
                     "GET",
                     "/ready",
--- a/crates/test-harness/src/history.rs
+++ b/crates/test-harness/src/history.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// A setup, with the operator's own number or the edition it was made from, where it has one.
-    Setup {
+    Configuration {
         number: Option<u64>,
         base: Option<u64>,
         digest: String,
@@ -38,10 +38,10 @@
     /// An order was decided; the edition is missing where the answer may be to a later sending of the same order.
     Decided {
         code: ResultCode,
-        edition: Option<u64>,
+        revision: Option<u64>,
     },
     /// The setup read back; its digest is empty where there was none.
-    Read { edition: u64, digest: String },
+    Read { revision: u64, digest: String },
 }
 
 /// One call, however often it was sent.
@@ -58,7 +58,7 @@
     /// True for reads, and for orders that were told that they changed nothing.
     fn never_changes(&self) -> bool {
         match &self.returned {
-            Some((_, Reply::Decided { code, .. })) => *code != ResultCode::Fine,
+            Some((_, Reply::Decided { code, .. })) => *code != ResultCode::Success,
             Some((_, Reply::Read { .. })) => true,
             None => false,
         }
@@ -66,8 +66,8 @@
 
     fn told_edition(&self) -> Option<u64> {
         match self.returned.as_ref()? {
-            (_, Reply::Decided { edition, .. }) => *edition,
-            (_, Reply::Read { edition, .. }) => Some(*edition),
+            (_, Reply::Decided { revision, .. }) => *revision,
+            (_, Reply::Read { revision, .. }) => Some(*revision),
         }
     }
 }
@@ -86,11 +86,11 @@
 /// ```
 /// use test_harness::history::{Call, Order, Reply, check};
 /// use std::time::Duration;
-/// let read = |edition, digest: &str| Call {
+/// let read = |revision, digest: &str| Call {
 ///     name: "read".into(),
 ///     called_at: Duration::ZERO,
 ///     order: Order::Read,
-///     returned: Some((Duration::from_secs(1), Reply::Read { edition, digest: digest.into() })),
+///     returned: Some((Duration::from_secs(1), Reply::Read { revision, digest: digest.into() })),
 /// };
 /// assert!(check(&[read(0, "")]).is_ok());
 /// assert!(check(&[read(1, "d")]).is_err(), "nobody wrote it");
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Model {
     /// None after a rescue, until an answer tells it.
-    edition: Option<u64>,
+    revision: Option<u64>,
     digest: String,
     /// The highest number in force so far.
     number: Option<u64>,
@@ -115,7 +115,7 @@
 impl Model {
     fn new() -> Model {
         Model {
-            edition: Some(0),
+            revision: Some(0),
             ..Model::default()
         }
     }
@@ -124,30 +124,30 @@
     fn after(&self, call: &Call) -> Option<Model> {
         match (&call.order, call.returned.as_ref().map(|(_, reply)| reply)) {
             (Order::Rescue, _) => Some(Model {
-                edition: None,
+                revision: None,
                 ..self.clone()
             }),
-            (Order::Read, Some(Reply::Read { edition, digest })) => (*digest == self.digest)
-                .then(|| self.at_edition(Some(*edition)))
+            (Order::Read, Some(Reply::Read { revision, digest })) => (*digest == self.digest)
+                .then(|| self.at_edition(Some(*revision)))
                 .flatten(),
             (Order::Read, _) => None,
             (order, None) => self.changed(order),
             (
                 order,
                 Some(Reply::Decided {
-                    code: ResultCode::Fine,
-                    edition,
+                    code: ResultCode::Success,
+                    revision,
                 }),
             ) => match self.changed(order) {
-                Some(changed) => changed.at_edition(*edition),
+                Some(changed) => changed.at_edition(*revision),
                 None => self
                     .stands(order)
-                    .then(|| self.at_edition(*edition))
+                    .then(|| self.at_edition(*revision))
                     .flatten(),
             },
-            (order, Some(Reply::Decided { code, edition })) => self
+            (order, Some(Reply::Decided { code, revision })) => self
                 .refuses(order, *code)
-                .then(|| self.at_edition(*edition))
+                .then(|| self.at_edition(*revision))
                 .flatten(),
             (_, Some(Reply::Read { .. })) => None,
         }
@@ -155,9 +155,9 @@
 
     /// This state, where it may have the edition that an answer told.
     fn at_edition(&self, told: Option<u64>) -> Option<Model> {
-        let fits = told.is_none() || self.edition.is_none() || told == self.edition;
+        let fits = told.is_none() || self.revision.is_none() || told == self.revision;
         fits.then(|| Model {
-            edition: told.or(self.edition),
+            revision: told.or(self.revision),
             ..self.clone()
         })
     }
@@ -166,12 +166,12 @@
     fn changed(&self, order: &Order) -> Option<Model> {
         let mut next = self.clone();
         match order {
-            Order::Setup { base, .. }
-                if base.is_some_and(|base| self.edition.is_some_and(|known| known != base)) =>
+            Order::Configuration { base, .. }
+                if base.is_some_and(|base| self.revision.is_some_and(|known| known != base)) =>
             {
                 return None;
             }
-            Order::Setup {
+            Order::Configuration {
                 number: Some(number),
                 digest,
                 ..
@@ -183,7 +183,7 @@
                 next.numbers.insert(*number, digest.clone());
                 next.digest.clone_from(digest);
             }
-            Order::Setup { digest, .. } => next.digest.clone_from(digest),
+            Order::Configuration { digest, .. } => next.digest.clone_from(digest),
             Order::Evacuate {
                 locality,
                 back: false,
@@ -195,14 +195,14 @@
             Order::Evacuate { .. } => {}
             Order::Read | Order::Rescue => return None,
         }
-        next.edition = self.edition.map(|edition| edition + 1);
+        next.revision = self.revision.map(|revision| revision + 1);
         Some(next)
     }
 
     /// True where an order that changes nothing finds what it asks for.
     fn stands(&self, order: &Order) -> bool {
         match order {
-            Order::Setup {
+            Order::Configuration {
                 number: Some(number),
                 digest,
                 ..
@@ -214,7 +214,7 @@
 
     /// True where an order that changes nothing is rightly told so with this code.
     fn refuses(&self, order: &Order, code: ResultCode) -> bool {
-        let Order::Setup {
+        let Order::Configuration {
             number,
             base,
             digest,
@@ -223,14 +223,14 @@
             return false;
         };
         match code {
-            ResultCode::SetupBehind => {
-                base.is_some() && (self.edition.is_none() || *base != self.edition)
+            ResultCode::RevisionConflict => {
+                base.is_some() && (self.revision.is_none() || *base != self.revision)
             }
-            ResultCode::NumberTaken => {
+            ResultCode::VersionConflict => {
                 let known = number.and_then(|number| self.numbers.get(&number));
                 known.is_some_and(|known| known != digest)
             }
-            ResultCode::Overtaken => {
+            ResultCode::Superseded => {
                 number.is_some_and(|number| self.number.is_some_and(|held| number < held))
             }
             _ => false,
@@ -310,7 +310,7 @@
         calls
             .iter()
             .filter_map(Call::told_edition)
-            .for_each(|edition| *awaited.entry(edition).or_insert(0) += 1);
+            .for_each(|revision| *awaited.entry(revision).or_insert(0) += 1);
         let (model, tried, stuck) = (Model::new(), HashSet::new(), None);
         Search {
             calls,
@@ -375,7 +375,7 @@
         let went_past = self
             .awaited
             .first_key_value()
-            .zip(after.edition)
+            .zip(after.revision)
             .is_some_and(|((first, _), now)| *first < now);
         if went_past || !self.tried.insert(self.fingerprint(&after)) {
             self.mark(call);
@@ -416,13 +416,13 @@
 
     /// Notes that a call's edition is awaited, or no longer.
     fn await_edition(&mut self, call: usize, awaited: bool) {
-        let Some(edition) = self.calls[call].told_edition() else {
+        let Some(revision) = self.calls[call].told_edition() else {
             return;
         };
-        let count = self.awaited.entry(edition).or_insert(0);
+        let count = self.awaited.entry(revision).or_insert(0);
         *count = if awaited { *count + 1 } else { *count - 1 };
         if *count == 0 {
-            self.awaited.remove(&edition);
+            self.awaited.remove(&revision);
         }
     }
 
@@ -466,7 +466,7 @@
     let mut calls: Vec<Call> = Vec::new();
     let mut known: BTreeMap<&str, usize> = BTreeMap::new();
     seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Called { call, order } => {
+        Fact::CallError { call, order } => {
             known.insert(call, calls.len());
             calls.push(Call {
                 name: call.clone(),
@@ -483,7 +483,7 @@
         }
         Fact::ReadBack {
             node,
-            edition,
+            revision,
             digest,
             asked_at,
         } => calls.push(Call {
@@ -493,7 +493,7 @@
             returned: Some((
                 *at,
                 Reply::Read {
-                    edition: *edition,
+                    revision: *revision,
                     digest: digest.clone(),
                 },
             )),
@@ -517,12 +517,12 @@
 fn is_clear(reply: &Reply) -> bool {
     match reply {
         Reply::Decided {
-            code: ResultCode::OrderForgotten,
+            code: ResultCode::ChangeForgotten,
             ..
         } => false,
         Reply::Decided {
-            code: ResultCode::Overtaken,
-            edition: None,
+            code: ResultCode::Superseded,
+            revision: None,
         } => false,
         Reply::Decided { .. } | Reply::Read { .. } => true,
     }
--- a/crates/test-harness/src/hollow/calls.rs
+++ b/crates/test-harness/src/hollow/calls.rs
@@ -1,7 +1,7 @@
 //! Orders and departures that come one after the other, and how long each waits for its answer.
 
 use super::fleet::Fleet;
-use control_plane::{Answer, Ask};
+use control_plane::{ControlRequest, ControlResponse};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -45,13 +45,13 @@
         // Each is another one, of the same size.
         let text = self
             .size
-            .setup(0)
+            .configuration(0)
             .replace("\"r0\"", &format!("\"r0-{number:06}\""));
         let (id, bytes) = (format!("order-{number}").into(), text.into_bytes());
         self.call(
             at,
             "submit",
-            Ask::Submit {
+            ControlRequest::Submit {
                 id,
                 base: None,
                 bytes,
@@ -64,34 +64,38 @@
     pub(crate) fn sign_off_unit(&mut self, at: usize) {
         let instance = format!("unit-{at}");
         self.crash_unit(at);
-        self.call(None, "sign off", Ask::SignOff { instance });
+        self.call(None, "sign off", ControlRequest::SignOff { instance });
     }
 
-    fn call(&mut self, at: Option<usize>, kind: &'static str, ask: Ask) {
+    fn call(&mut self, at: Option<usize>, kind: &'static str, ask: ControlRequest) {
         let Some(at) = at.or_else(|| self.some_control_node()) else {
             return;
         };
         let token = self.token();
         self.calls.asked += 1;
         self.calls.asked_at.insert(token, self.now);
-        self.step_control(at, kind, control_plane::Event::Ask { token, ask });
+        self.step_control(
+            at,
+            kind,
+            control_plane::Event::ControlRequest { token, ask },
+        );
     }
 
     /// True where the answer was one to such a call.
-    pub(super) fn answer_call(&mut self, token: u64, answer: &Answer) -> bool {
+    pub(super) fn answer_call(&mut self, token: u64, answer: &ControlResponse) -> bool {
         let Some(asked_at) = self.calls.asked_at.remove(&token) else {
             return false;
         };
         match answer {
-            Answer::Verdict {
-                code: result_code::ResultCode::Fine,
-                edition,
+            ControlResponse::Verdict {
+                code: result_code::ResultCode::Success,
+                revision,
             } => {
                 self.calls.taken_after.push(self.now - asked_at);
-                self.calls.awaited.push((*edition, asked_at));
+                self.calls.awaited.push((*revision, asked_at));
             }
-            Answer::Beat { .. } => self.calls.taken_after.push(self.now - asked_at),
-            Answer::Redirect { .. } => self.calls.redirected += 1,
+            ControlResponse::Beat { .. } => self.calls.taken_after.push(self.now - asked_at),
+            ControlResponse::Redirect { .. } => self.calls.redirected += 1,
             _ => self.calls.refused += 1,
         }
         true
@@ -104,13 +108,13 @@
             self.run_for(step.min(until - self.now));
             let everywhere = self
                 .views()
-                .map(|(_, _, view)| view.edition)
+                .map(|(_, _, view)| view.revision)
                 .min()
                 .unwrap_or(0);
             let now = self.now;
             let (done, awaited): (Vec<_>, Vec<_>) = std::mem::take(&mut self.calls.awaited)
                 .into_iter()
-                .partition(|(edition, _)| *edition <= everywhere);
+                .partition(|(revision, _)| *revision <= everywhere);
             self.calls.awaited = awaited;
             self.calls
                 .in_force_after
--- a/crates/test-harness/src/hollow/count.rs
+++ b/crates/test-harness/src/hollow/count.rs
@@ -9,7 +9,7 @@
 /// What a process does at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    Carrier,
+    DataNode,
     /// A postmaster without the placement duty.
     Voter,
     /// The postmaster that holds it.
@@ -20,7 +20,7 @@
 }
 
 pub const ROLES: [Role; 5] = [
-    Role::Carrier,
+    Role::DataNode,
     Role::Voter,
     Role::Holder,
     Role::Replica,
@@ -30,7 +30,7 @@
 impl fmt::Display for Role {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let name = match self {
-            Role::Carrier => "carrier",
+            Role::DataNode => "carrier",
             Role::Voter => "voter",
             Role::Holder => "holder",
             Role::Replica => "replica",
@@ -109,8 +109,8 @@
     /// ```
     /// use test_harness::hollow::{Ledger, Reach, Role};
     /// let mut ledger = Ledger::default();
-    /// ledger.sent((Role::Carrier, Role::Voter, "probe", Reach::Far), 100);
-    /// assert_eq!(ledger.out(Role::Carrier, None).bytes, 100);
+    /// ledger.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
+    /// assert_eq!(ledger.out(Role::DataNode, None).bytes, 100);
     /// assert_eq!(ledger.into_role(Role::Voter, Some(Reach::Far)).messages, 1);
     /// assert_eq!(ledger.into_role(Role::Voter, Some(Reach::Zone)).messages, 0);
     /// ```
@@ -124,8 +124,8 @@
     /// use test_harness::hollow::{Ledger, Role};
     /// use std::time::Duration;
     /// let mut ledger = Ledger::default();
-    /// ledger.stepped(Role::Carrier, 3, "tick", Duration::from_micros(5));
-    /// assert_eq!(ledger.busy(Role::Carrier), [Duration::from_micros(5)]);
+    /// ledger.stepped(Role::DataNode, 3, "tick", Duration::from_micros(5));
+    /// assert_eq!(ledger.busy(Role::DataNode), [Duration::from_micros(5)]);
     /// ```
     pub fn stepped(&mut self, role: Role, node: usize, kind: &'static str, took: Duration) {
         let steps = self.steps.entry((role, kind)).or_default();
@@ -178,7 +178,7 @@
     /// ```
     /// use test_harness::hollow::{Ledger, Reach, Role};
     /// let mut ledger = Ledger::default();
-    /// ledger.sent((Role::Carrier, Role::Voter, "probe", Reach::Far), 100);
+    /// ledger.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
     /// assert_eq!(ledger.totals()["probe"].bytes, 100);
     /// ```
     pub fn totals(&self) -> BTreeMap<&'static str, Flow> {
@@ -196,7 +196,7 @@
     ///
     /// ```
     /// use test_harness::hollow::{Ledger, Role};
-    /// assert!(Ledger::default().kinds(Role::Carrier).is_empty());
+    /// assert!(Ledger::default().kinds(Role::DataNode).is_empty());
     /// ```
     pub fn kinds(&self, role: Role) -> BTreeMap<&'static str, (Flow, Flow)> {
         let mut kinds: BTreeMap<&'static str, (Flow, Flow)> = BTreeMap::new();
@@ -219,7 +219,7 @@
     ///
     /// ```
     /// use test_harness::hollow::{Ledger, Role};
-    /// assert!(Ledger::default().steps(Role::Carrier).is_empty());
+    /// assert!(Ledger::default().steps(Role::DataNode).is_empty());
     /// ```
     pub fn steps(&self, role: Role) -> BTreeMap<&'static str, Steps> {
         self.steps
@@ -233,7 +233,7 @@
     ///
     /// ```
     /// use test_harness::hollow::{Ledger, Role};
-    /// assert!(Ledger::default().busy(Role::Carrier).is_empty());
+    /// assert!(Ledger::default().busy(Role::DataNode).is_empty());
     /// ```
     pub fn busy(&self, role: Role) -> Vec<Duration> {
         self.busy
@@ -299,15 +299,15 @@
 pub fn kind(body: &Payload) -> &'static str {
     match body {
         Payload::Probe(_) => "probe",
-        Payload::ProbeFor(_) => "probe for",
-        Payload::Heard(_) => "heard",
+        Payload::IndirectProbe(_) => "probe for",
+        Payload::ProbeReply(_) => "heard",
         Payload::Read(_) => "read",
         Payload::ReadBack(_) => "read back",
         Payload::DeparturesRead(_) => "read, left",
         Payload::DeparturesReadBack(_) => "back, left",
         Payload::LeaseRequest(_) | Payload::LeaseReply(_) | Payload::LeaseRelease(_) => "claim",
-        Payload::Beats(_) => "beats told on",
-        Payload::BeatsAck(_) => "beats taken",
+        Payload::Heartbeats(_) => "beats told on",
+        Payload::HeartbeatsAck(_) => "beats taken",
         Payload::SharesRequest(_) => "shares ask",
         Payload::SharesReply(_) => "shares given",
         Payload::Placement(_) => "placement",
@@ -316,13 +316,13 @@
         Payload::ViewUpdate(news) if news.number == 0 => "news image",
         Payload::ViewUpdate(_) => "news change",
         Payload::UpdateAck(_) => "news kept",
-        Payload::CarrierAck(_) => "carrier kept",
+        Payload::DataPlaneAck(_) => "carrier kept",
         Payload::UpstreamsRequest(_) => "roll ask",
         Payload::UpstreamsReply(_) => "roll told",
-        Payload::Holder(_) => "holder",
-        Payload::Alive(_) => "alive",
+        Payload::LeaseHolder(_) => "holder",
+        Payload::HeartbeatDigest(_) => "alive",
         Payload::KeyLoads(_) => "key loads",
-        Payload::SetupBytes(_) => "setup bytes",
+        Payload::ConfigurationBytes(_) => "setup bytes",
         Payload::Prepare(_)
         | Payload::Promise(_)
         | Payload::Accept(_)
--- a/crates/test-harness/src/hollow/figures.rs
+++ b/crates/test-harness/src/hollow/figures.rs
@@ -118,7 +118,7 @@
 /// How many processes have a role.
 fn processes(ledger: &Ledger, size: &Size, role: Role) -> usize {
     match role {
-        Role::Carrier => size.nodes,
+        Role::DataNode => size.nodes,
         Role::Voter => size.postmasters.saturating_sub(1),
         Role::Holder => 1,
         Role::Replica => ledger.busy(role).len(),
--- a/crates/test-harness/src/hollow/fleet.rs
+++ b/crates/test-harness/src/hollow/fleet.rs
@@ -6,9 +6,9 @@
 use super::size::Size;
 use super::units::Unit;
 use control_plane::ControlNode;
-use data_plane::Carrier;
+use data_plane::DataNode;
 use name_directory::View;
-use protocol::{DurableState, Heard, Member, Payload};
+use protocol::{DurableState, Member, Payload, ProbeReply};
 use random::Random;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -28,7 +28,7 @@
 pub(super) enum Core {
     ControlNode(Box<ControlNode>),
     /// With the view that requests would read: while they hold it, the next one is a copy.
-    Carrier(Box<Carrier>, Box<View>),
+    DataNode(Box<DataNode>, Box<View>),
     Down,
 }
 
@@ -41,7 +41,7 @@
     pub(super) life: u64,
     pub(super) started_at: Duration,
     pub(super) durable: DurableState,
-    pub(super) setups: BTreeMap<String, Vec<u8>>,
+    pub(super) configurations: BTreeMap<String, Vec<u8>>,
     pub(super) synced_at: Duration,
     /// Since when its book of members lacks all that are watched for.
     pub(super) lacks: Option<Duration>,
@@ -106,7 +106,7 @@
             control_nodes: size.nodes..size.nodes + size.postmasters,
         };
         let carriers =
-            (0..size.nodes).map(|at| (format!("carrier-{at}"), size.zone(at), Role::Carrier));
+            (0..size.nodes).map(|at| (format!("carrier-{at}"), size.zone(at), Role::DataNode));
         let control_nodes = (0..size.postmasters)
             .map(|at| (format!("postmaster-{at}"), size.zone(at), Role::Voter));
         carriers
@@ -127,7 +127,7 @@
             life: 0,
             started_at: Duration::ZERO,
             durable: DurableState::default(),
-            setups: BTreeMap::new(),
+            configurations: BTreeMap::new(),
             synced_at: Duration::ZERO,
             lacks: None,
         });
@@ -135,7 +135,7 @@
 
     fn member(&self, at: usize) -> Member {
         let node = &self.nodes[at];
-        let roles = if node.role == Role::Carrier {
+        let roles = if node.role == Role::DataNode {
             "proxy,directory"
         } else {
             "postmaster"
@@ -180,10 +180,10 @@
         node.started_at = self.now;
         node.synced_at = self.now;
         node.lacks = None;
-        node.core = if node.role == Role::Carrier {
+        node.core = if node.role == Role::DataNode {
             let times = data_plane::shell::times(&settings);
-            Core::Carrier(
-                Box::new(Carrier::new(data_plane::Start {
+            Core::DataNode(
+                Box::new(DataNode::new(data_plane::Start {
                     me,
                     seeds,
                     seed,
@@ -198,7 +198,7 @@
             } else {
                 Role::Voter
             };
-            let (durable, setups) = (node.durable.clone(), node.setups.clone());
+            let (durable, configurations) = (node.durable.clone(), node.configurations.clone());
             let times = control_plane::shell::times(&settings);
             Core::ControlNode(Box::new(ControlNode::new(control_plane::Start {
                 me,
@@ -208,7 +208,7 @@
                 reader: Default::default(),
                 owners: Default::default(),
                 durable,
-                setups,
+                configurations,
                 departures: Vec::new(),
                 times,
             })))
@@ -217,9 +217,9 @@
         let first = self.now + Duration::from_micros(self.random.below(TICK.as_micros() as u64));
         if !self.load.cold {
             let members = (0..self.nodes.len()).map(|at| self.member(at)).collect();
-            let body = Payload::Heard(Heard {
+            let body = Payload::ProbeReply(ProbeReply {
                 members,
-                ..Heard::default()
+                ..ProbeReply::default()
             });
             self.queue.push(
                 first,
@@ -247,7 +247,7 @@
     pub(crate) fn grow(&mut self, count: usize) {
         (0..count).for_each(|_| {
             let at = self.nodes.len();
-            self.push(format!("carrier-{at}"), self.size.zone(at), Role::Carrier);
+            self.push(format!("carrier-{at}"), self.size.zone(at), Role::DataNode);
             self.start(at);
         });
     }
@@ -328,7 +328,7 @@
             Happening::Datagram { node, from, body } => {
                 let (address, kind) = (self.member(from).probe_address, kind(&body));
                 match self.nodes[node].role {
-                    Role::Carrier => {
+                    Role::DataNode => {
                         self.step_carrier(node, kind, data_plane::Event::Datagram { address, body })
                     }
                     _ => self.step_control(
--- a/crates/test-harness/src/hollow/queue.rs
+++ b/crates/test-harness/src/hollow/queue.rs
@@ -1,7 +1,7 @@
 //! What happens when, in virtual time.
 
 use super::units::Answered;
-use control_plane::Answer;
+use control_plane::ControlResponse;
 use protocol::{DurableState, Payload, Upstream};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -49,14 +49,14 @@
     },
     Verdict {
         asked: u32,
-        answer: Answer,
+        answer: ControlResponse,
     },
 }
 
 /// What a disk is asked to keep.
 pub enum Write {
     State(DurableState),
-    Setup(String, Vec<u8>),
+    Configuration(String, Vec<u8>),
 }
 
 struct Item {
--- a/crates/test-harness/src/hollow/request.rs
+++ b/crates/test-harness/src/hollow/request.rs
@@ -6,7 +6,7 @@
 use super::size::Size;
 use name_directory::{Proxy, View};
 use protocol::{ClusterState, Placement, Reservation, Upstream, ViewUpdate};
-use request_routing::{Board, Journey, Move, Order, Outcome, Site};
+use request_routing::{CallOutcome, NextStep, ProxyContext, ProxyStats, RequestInfo, RequestState};
 use std::hint::black_box;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,8 +22,8 @@
 /// ```
 pub fn request_path(size: &Size, requests: usize) -> Figures {
     let mut view = view(size);
-    let board = Board::default();
-    let site = Site::new(
+    let board = ProxyStats::default();
+    let site = ProxyContext::new(
         "carrier-0",
         view.proxies[0].locality.clone(),
         Duration::from_secs(2),
@@ -52,7 +52,7 @@
             &name,
             origin,
             Duration::from_secs(2),
-            (name_directory::Owners::One, 3),
+            (name_directory::OwnershipMode::One, 3),
         );
         assert!(black_box(listed).is_ok(), "{name} has an owner");
         watch.took()
@@ -99,25 +99,25 @@
     request_path(size, REQUESTS)
 }
 
-fn order(size: &Size, at: usize) -> Order {
-    Order {
+fn order(size: &Size, at: usize) -> RequestInfo {
+    RequestInfo {
         try_id: format!("try-{at}"),
         name: format!("name-{}", at % size.routes),
         path: "/".into(),
         key: Some(format!("tenant-{}", at % 82_000)),
         arrived_at: NOW,
         remaining: Duration::from_secs(3),
-        ..Order::default()
+        ..RequestInfo::default()
     }
 }
 
 /// From the choice to the verdict; true where it was sent.
-fn journey(order: Order, site: &Site, view: &View, board: &Board) -> bool {
-    let mut journey = Journey::new(order, site.clone());
+fn journey(order: RequestInfo, site: &ProxyContext, view: &View, board: &ProxyStats) -> bool {
+    let mut journey = RequestState::new(order, site.clone());
     match journey.start(NOW, view, board) {
-        Move::Connect { .. } => {
-            let sent = matches!(journey.connected(NOW, view, board), Move::Send { .. });
-            journey.after(NOW, view, board, Outcome::Sealed);
+        NextStep::Connect { .. } => {
+            let sent = matches!(journey.connected(NOW, view, board), NextStep::Send { .. });
+            journey.after(NOW, view, board, CallOutcome::Sealed);
             sent
         }
         _ => false,
@@ -172,14 +172,14 @@
                 .collect();
             let given = (0..key_space::SLOT_COUNT)
                 .filter(|_| !holders.is_empty())
-                .map(|slot| protocol::Share {
+                .map(|slot| protocol::KeyShare {
                     from: slot,
                     until: slot + 1,
                     epoch: 1,
                     instance: format!("unit-{}", holders[slot as usize % holders.len().max(1)]),
-                    ..protocol::Share::default()
+                    ..protocol::KeyShare::default()
                 });
-            protocol::ServiceShares {
+            protocol::ServiceKeyShares {
                 service: format!("service-{service}"),
                 shares: given.collect(),
             }
@@ -198,10 +198,10 @@
     let mut view = View::default();
     let news = ViewUpdate {
         state: Some(ClusterState {
-            edition: 1,
+            revision: 1,
             ..ClusterState::default()
         }),
-        setup: Some(size.setup(0).into_bytes()),
+        configuration: Some(size.configuration(0).into_bytes()),
         upstreams: (0..size.upstreams).map(|at| upstream(size, at)).collect(),
         placement: Some(placement(size)),
         ..ViewUpdate::default()
--- a/crates/test-harness/src/hollow/sights.rs
+++ b/crates/test-harness/src/hollow/sights.rs
@@ -3,7 +3,7 @@
 use super::count::Ledger;
 use super::fleet::{Core, Fleet};
 use super::queue::Happening;
-use control_plane::{Answer, Ask};
+use control_plane::{ControlRequest, ControlResponse};
 use name_directory::View;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     pub fn submit(&mut self, extra: usize) {
         self.accepted = None;
         self.awaited += 1;
-        let bytes = self.size.setup(extra).into_bytes();
+        let bytes = self.size.configuration(extra).into_bytes();
         self.queue.push(
             self.now,
             Happening::Submit {
@@ -40,7 +40,7 @@
         };
         let token = self.token();
         self.submitted.insert(token, (asked, bytes.clone()));
-        let ask = Ask::Submit {
+        let ask = ControlRequest::Submit {
             id: format!("setup-{asked}").into(),
             base: None,
             bytes: bytes.clone(),
@@ -50,10 +50,14 @@
             self.now + Duration::from_secs(3),
             Happening::Submit { bytes, asked },
         );
-        self.step_control(at, "submit", control_plane::Event::Ask { token, ask });
+        self.step_control(
+            at,
+            "submit",
+            control_plane::Event::ControlRequest { token, ask },
+        );
     }
 
-    pub(super) fn answered(&mut self, at: usize, token: u64, answer: Answer) {
+    pub(super) fn answered(&mut self, at: usize, token: u64, answer: ControlResponse) {
         if !self.answer_beat(at, token, &answer) && !self.answer_call(token, &answer) {
             let asked = self.submitted.remove(&token);
             asked.into_iter().for_each(|(asked, _)| {
@@ -68,13 +72,13 @@
         }
     }
 
-    pub(super) fn verdict(&mut self, asked: u32, answer: &Answer) {
-        if let Answer::Verdict {
-            code: result_code::ResultCode::Fine,
-            edition,
+    pub(super) fn verdict(&mut self, asked: u32, answer: &ControlResponse) {
+        if let ControlResponse::Verdict {
+            code: result_code::ResultCode::Success,
+            revision,
         } = answer
         {
-            self.accepted = Some((*edition, self.now))
+            self.accepted = Some((*revision, self.now))
                 .filter(|_| asked == self.awaited)
                 .or(self.accepted);
         }
@@ -82,7 +86,7 @@
 
     /// The edition of the last setup, once it was accepted.
     pub(crate) fn accepted(&self) -> Option<u64> {
-        self.accepted.map(|(edition, _)| edition)
+        self.accepted.map(|(revision, _)| revision)
     }
 
     pub(super) fn look_up(&mut self, at: usize, book: &[(String, String)]) {
@@ -133,7 +137,9 @@
             .iter()
             .enumerate()
             .filter_map(|(at, node)| match &node.core {
-                Core::Carrier(carrier, _) => Some((at, self.now - node.started_at, carrier.view())),
+                Core::DataNode(carrier, _) => {
+                    Some((at, self.now - node.started_at, carrier.view()))
+                }
                 _ => None,
             })
     }
@@ -145,9 +151,9 @@
     /// let fleet = Fleet::new(TODAY, 1, Load::default());
     /// assert_eq!(fleet.in_force(0), 0, "no view is fresh yet");
     /// ```
-    pub fn in_force(&self, edition: u64) -> usize {
+    pub fn in_force(&self, revision: u64) -> usize {
         self.views()
-            .filter(|(_, now, view)| view.edition >= edition && view.is_fresh(*now, STALE_AFTER))
+            .filter(|(_, now, view)| view.revision >= revision && view.is_fresh(*now, STALE_AFTER))
             .count()
     }
 
--- a/crates/test-harness/src/hollow/size.rs
+++ b/crates/test-harness/src/hollow/size.rs
@@ -106,10 +106,10 @@
     /// A setup with a name for each route; `extra` adds routes.
     ///
     /// ```
-    /// let setup = config::Setup::read(test_harness::hollow::TODAY.setup(1).as_bytes()).unwrap();
-    /// assert_eq!(setup.routes.len(), 21);
+    /// let configuration = config::Configuration::read(test_harness::hollow::TODAY.configuration(1).as_bytes()).unwrap();
+    /// assert_eq!(configuration.routes.len(), 21);
     /// ```
-    pub fn setup(&self, extra: usize) -> String {
+    pub fn configuration(&self, extra: usize) -> String {
         let services = (0..self.services).map(|at| {
             let work = if at % 3 == 0 { "repeatable" } else { "once" };
             format!(
--- a/crates/test-harness/src/hollow/steps.rs
+++ b/crates/test-harness/src/hollow/steps.rs
@@ -19,7 +19,7 @@
         control: control_plane::Event,
     ) {
         match self.nodes[at].role {
-            Role::Carrier => self.step_carrier(at, kind, carrier),
+            Role::DataNode => self.step_carrier(at, kind, carrier),
             _ => self.step_control(at, kind, control),
         }
     }
@@ -27,7 +27,7 @@
     pub(super) fn parcel(&mut self, at: usize, from: usize, body: Payload) {
         let (from, kind) = (self.nodes[from].name.clone(), kind(&body));
         match self.nodes[at].role {
-            Role::Carrier => {
+            Role::DataNode => {
                 self.step_carrier(at, kind, data_plane::Event::Received { from, body })
             }
             _ => self.step_control(at, kind, control_plane::Event::Received { from, body }),
@@ -38,7 +38,7 @@
         let now = self.now;
         let node = &mut self.nodes[at];
         let local = now - node.started_at;
-        let Core::Carrier(carrier, view) = &mut node.core else {
+        let Core::DataNode(carrier, view) = &mut node.core else {
             return;
         };
         let watch = Stopwatch::start();
@@ -49,7 +49,7 @@
         {
             **view = carrier.view().clone();
         }
-        self.ledger.stepped(Role::Carrier, at, kind, watch.took());
+        self.ledger.stepped(Role::DataNode, at, kind, watch.took());
         effects.into_iter().for_each(|effect| match effect {
             data_plane::Effect::Send { to, body } => self.send(at, &to, body, true),
             data_plane::Effect::Datagram { address, body } => self.send(at, &address, body, false),
@@ -87,22 +87,24 @@
             control_plane::Effect::Keep { ticket, durable } => {
                 self.keep(at, ticket, Write::State(durable))
             }
-            control_plane::Effect::KeepSetup {
+            control_plane::Effect::StoreConfiguration {
                 ticket,
                 digest,
                 bytes,
             } => {
-                self.keep(at, ticket, Write::Setup(digest, bytes));
+                self.keep(at, ticket, Write::Configuration(digest, bytes));
             }
             control_plane::Effect::KeepDepartures { ticket, .. } => {
                 self.step_control(at, "kept", control_plane::Event::DeparturesKept { ticket });
             }
-            control_plane::Effect::DropSetup { digest } => {
-                drop(self.nodes[at].setups.remove(&digest))
+            control_plane::Effect::DeleteConfiguration { digest } => {
+                drop(self.nodes[at].configurations.remove(&digest))
+            }
+            control_plane::Effect::ControlResponse { token, answer } => {
+                self.answered(at, token, answer)
             }
-            control_plane::Effect::Answer { token, answer } => self.answered(at, token, answer),
             control_plane::Effect::Addresses(book) => self.look_up(at, &book),
-            control_plane::Effect::Note(_) | control_plane::Effect::Alarm(_) => {}
+            control_plane::Effect::Log(_) | control_plane::Effect::LogError(_) => {}
         });
     }
 
@@ -128,7 +130,7 @@
         }
         match write {
             Write::State(durable) => node.durable = durable,
-            Write::Setup(digest, bytes) => drop(node.setups.insert(digest, bytes)),
+            Write::Configuration(digest, bytes) => drop(node.configurations.insert(digest, bytes)),
         }
         self.step_control(at, "synced", control_plane::Event::Kept { ticket });
     }
--- a/crates/test-harness/src/hollow/trials.rs
+++ b/crates/test-harness/src/hollow/trials.rs
@@ -138,9 +138,9 @@
 fn config(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
     fleet.submit(1);
     let first = fleet.run_until(READY_WITHIN, |fleet| fleet.accepted().is_some());
-    let edition = fleet.accepted().unwrap_or(u64::MAX);
+    let revision = fleet.accepted().unwrap_or(u64::MAX);
     let all = fleet.run_until(READY_WITHIN, |fleet| {
-        fleet.in_force(edition) == run.size.nodes
+        fleet.in_force(revision) == run.size.nodes
     });
     let (first, all) = (seconds(first), seconds(all));
     figures.add("accepted.s", first);
--- a/crates/test-harness/src/hollow/units.rs
+++ b/crates/test-harness/src/hollow/units.rs
@@ -4,9 +4,9 @@
 use super::fleet::Fleet;
 use super::queue::Happening;
 use crate::upstreams::given_slots;
-use config::Sheet;
-use control_plane::{Answer, Ask};
-use protocol::{Share, Upstream};
+use config::JsonValue;
+use control_plane::{ControlRequest, ControlResponse};
+use protocol::{KeyShare, Upstream};
 use std::time::Duration;
 
 const BEAT_EVERY: Duration = Duration::from_millis(500);
@@ -25,7 +25,7 @@
 pub struct Answered {
     pub life: u64,
     pub beat: u64,
-    pub sheet: Sheet,
+    pub json: JsonValue,
 }
 
 impl Fleet {
@@ -107,19 +107,24 @@
         self.step_control(
             node,
             "beat",
-            control_plane::Event::Ask {
+            control_plane::Event::ControlRequest {
                 token,
-                ask: Ask::Beat(told),
+                ask: ControlRequest::Beat(told),
             },
         );
     }
 
     /// True where the answer was one to a beat.
-    pub(super) fn answer_beat(&mut self, node: usize, token: u64, answer: &Answer) -> bool {
+    pub(super) fn answer_beat(
+        &mut self,
+        node: usize,
+        token: u64,
+        answer: &ControlResponse,
+    ) -> bool {
         let Some((unit, life, beat)) = self.beats.remove(&token) else {
             return false;
         };
-        let Answer::Beat {
+        let ControlResponse::Beat {
             holder,
             shares,
             span,
@@ -127,18 +132,18 @@
         else {
             return true;
         };
-        let sheet = control_plane::beat_sheet(*holder, shares.clone(), *span);
+        let json = control_plane::beat_sheet(*holder, shares.clone(), *span);
         let (from, to) = (self.nodes[node].zone, self.units[unit].zone);
         let (role, reach) = (self.nodes[node].role, self.reach(from, to));
         self.ledger.sent(
             (role, Role::Upstream, "beat answer", reach),
-            sheet.to_string().len() as u64,
+            json.to_string().len() as u64,
         );
         if let Some(delay) = self.delay(from, to) {
             let answered = Answered {
                 life,
                 beat,
-                sheet: sheet.clone(),
+                json: json.clone(),
             };
             self.queue
                 .push(self.now + delay, Happening::BeatAnswered { unit, answered });
@@ -147,22 +152,22 @@
     }
 
     pub(super) fn beat_answered(&mut self, at: usize, answered: Answered) {
-        let Answered { life, beat, sheet } = answered;
+        let Answered { life, beat, json } = answered;
         let unit = &mut self.units[at];
         if !unit.up || unit.life != life || unit.told.beat != beat {
             return;
         }
-        let holder = sheet.count("holder").unwrap_or(0);
+        let holder = json.count("holder").unwrap_or(0);
         let new_holder = unit.told.holder != holder;
         unit.told.holder = holder;
-        if sheet.get("shares").is_some() {
-            let given = given_slots(&sheet).into_iter();
+        if json.get("shares").is_some() {
+            let given = given_slots(&json).into_iter();
             unit.told.holds = given
-                .map(|(slot, epoch)| Share {
+                .map(|(slot, epoch)| KeyShare {
                     from: slot,
                     until: slot + 1,
                     epoch,
-                    ..Share::default()
+                    ..KeyShare::default()
                 })
                 .collect();
         }
@@ -174,15 +179,15 @@
 }
 
 /// A beat's body as upstreams write it.
-fn described(told: &Upstream) -> Sheet {
+fn described(told: &Upstream) -> JsonValue {
     let runs = told.holds.iter().map(|share| {
-        Sheet::fields([
+        JsonValue::fields([
             ("from", u64::from(share.from).into()),
             ("until", u64::from(share.until).into()),
             ("epoch", share.epoch.into()),
         ])
     });
-    Sheet::fields([
+    JsonValue::fields([
         ("service", told.service.as_str().into()),
         ("instance", told.instance.as_str().into()),
         ("address", told.address.as_str().into()),
