--- a/crates/test-harness/src/hollow/ways.rs
+++ b/crates/test-harness/src/hollow/ways.rs
@@ -4,7 +4,8 @@
 use super::request::{placement, upstream};
 use super::size::Size;
 use protocol::{
-    Beats, ClusterState, Envelope, Member, Message, Payload, Placement, Probe, Upstream, ViewUpdate,
+    ClusterState, Envelope, Heartbeats, Member, Message, Payload, Placement, Probe, Upstream,
+    ViewUpdate,
 };
 
 /// Encoded bytes of each way.
@@ -26,22 +27,22 @@
     let all: Vec<Upstream> = (0..size.upstreams).map(|at| upstream(size, at)).collect();
     let state = || {
         Some(ClusterState {
-            edition: 1,
+            revision: 1,
             digest: protocol::digest(b"setup"),
             ..ClusterState::default()
         })
     };
     let placed = placement(size);
     let image = |upstreams| {
-        let (state, setup, placement) = (
+        let (state, configuration, placement) = (
             state(),
-            Some(size.setup(0).into_bytes()),
+            Some(size.configuration(0).into_bytes()),
             Some(placed.clone()),
         );
         Payload::ViewUpdate(ViewUpdate {
             stream: u64::MAX,
             state,
-            setup,
+            configuration,
             upstreams,
             placement,
             ..ViewUpdate::default()
@@ -64,12 +65,12 @@
             ..news
         })
     };
-    let setup = Some(size.setup(1).into_bytes());
+    let configuration = Some(size.configuration(1).into_bytes());
     add(
         "setup-change.whole.bytes",
         change(ViewUpdate {
             state: state(),
-            setup,
+            configuration,
             ..ViewUpdate::default()
         }),
         1,
@@ -79,7 +80,7 @@
         "setup-change.one-route.bytes",
         change(ViewUpdate {
             state: state(),
-            setup: Some(route.to_vec()),
+            configuration: Some(route.to_vec()),
             ..ViewUpdate::default()
         }),
         1,
@@ -120,9 +121,9 @@
         100,
     );
     let beats = |upstreams| {
-        Payload::Beats(Beats {
+        Payload::Heartbeats(Heartbeats {
             upstreams,
-            ..Beats::default()
+            ..Heartbeats::default()
         })
     };
     add("told-on.one.bytes", beats(all[..1].to_vec()), 1);
--- a/crates/test-harness/src/measure.rs
+++ b/crates/test-harness/src/measure.rs
@@ -2,7 +2,7 @@
 
 use crate::runs::submit;
 use bytes::Bytes;
-use config::Sheet;
+use config::JsonValue;
 use name_directory::View;
 use protocol::{Upstream, ViewUpdate};
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 use test_harness::shapes::{KALAM, ROADWISE, Shape};
 use test_harness::sim::{Plan, World};
 use test_harness::upstreams::{ANY, Unit};
-use transport::{Caller, Clock};
+use transport::{Clock, HttpClient};
 
 const ROUNDS: usize = 5;
 const CALLS: usize = 400;
@@ -41,7 +41,7 @@
         return Err("the fleet was not ready".into());
     }
     submit(
-        &Caller::default(),
+        &HttpClient::default(),
         &record,
         &clock,
         &nodes[0],
@@ -163,7 +163,7 @@
 }
 
 async fn latency(node: &str, unit: &Unit, service: &str) -> Result<(), String> {
-    let caller = Caller::default();
+    let client = HttpClient::default();
     let mut ratios = Vec::new();
     println!("medians of {CALLS} calls each, alternating, one at a time:");
     for round in 0..ROUNDS {
@@ -175,7 +175,7 @@
             let listed = format!("/directory?name={service}&region=north&zone=north-1");
             direct.push(
                 timed(
-                    &caller,
+                    &client,
                     &unit.address,
                     "POST",
                     &format!("/{service}"),
@@ -183,8 +183,8 @@
                 )
                 .await?,
             );
-            proxied.push(timed(&caller, node, "POST", &routed, &headers).await?);
-            looked.push(timed(&caller, node, "GET", &listed, &[]).await?);
+            proxied.push(timed(&client, node, "POST", &routed, &headers).await?);
+            looked.push(timed(&client, node, "GET", &listed, &[]).await?);
         }
         let median = |mut all: Vec<Duration>| {
             all.sort();
@@ -208,14 +208,14 @@
 }
 
 async fn timed(
-    caller: &Caller,
+    client: &HttpClient,
     node: &str,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
 ) -> Result<Duration, String> {
     let started_at = Instant::now();
-    let called = caller
+    let called = client
         .call(
             node,
             method,
@@ -239,25 +239,25 @@
         "a setup, from the asking until the yes and until it is in force at all {} carriers:",
         carriers.len()
     );
-    let caller = Caller::default();
+    let client = HttpClient::default();
     for round in 0..3 {
         for extra in [0, 1000, 5000, 15000] {
-            let (bytes, started_at) = (ROADWISE.setup(extra).len(), Instant::now());
+            let (bytes, started_at) = (ROADWISE.configuration(extra).len(), Instant::now());
             let id = format!("n-{round}-{extra}");
-            let edition = submit(&caller, record, clock, &nodes[1], &id, &ROADWISE, extra).await?;
+            let revision = submit(&client, record, clock, &nodes[1], &id, &ROADWISE, extra).await?;
             let yes = started_at.elapsed();
             let mut behind: BTreeSet<&String> = carriers.iter().collect();
             while !behind.is_empty() {
                 for node in behind.clone() {
-                    let called = caller
+                    let called = client
                         .call(node, "GET", "/node", &[], Bytes::new(), LIMIT, true)
                         .await;
-                    let sheet = called
-                        .ok()
-                        .and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
-                    if sheet
-                        .and_then(|sheet| sheet.count("edition"))
-                        .is_some_and(|known| known >= edition)
+                    let json = called.ok().and_then(|reply| {
+                        JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok()
+                    });
+                    if json
+                        .and_then(|json| json.count("edition"))
+                        .is_some_and(|known| known >= revision)
                     {
                         behind.remove(node);
                     }
--- a/crates/test-harness/src/origins.rs
+++ b/crates/test-harness/src/origins.rs
@@ -2,17 +2,17 @@
 
 use crate::facts::{Fact, Record};
 use crate::shapes::Shape;
-use config::Sheet;
+use config::JsonValue;
 use random::Random;
 use result_code::{Execution, ResultCode};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use transport::{Caller, Clock};
+use transport::{Clock, HttpClient};
 
 const WITHIN: Duration = Duration::from_millis(3000);
-const MOST_TRIES: u32 = 4;
+const MAX_TRIES: u32 = 4;
 const KEYS: u64 = 400;
 
 /// What a directory node told, and when it was asked.
@@ -40,7 +40,7 @@
     pub directories: Vec<String>,
     pub clock: Clock,
     pub record: Record,
-    caller: Caller,
+    client: HttpClient,
     known: Mutex<HashMap<(String, &'static str), Known>>,
     ended: Mutex<Vec<Ended>>,
     next: AtomicU64,
@@ -59,7 +59,7 @@
             directories,
             clock,
             record,
-            caller: Caller::default(),
+            client: HttpClient::default(),
             known: Mutex::default(),
             ended: Mutex::default(),
             next: AtomicU64::new(1),
@@ -104,7 +104,7 @@
         let (name, id) = (format!("work-{number}"), work.service);
         let started_at = self.clock.now();
         let (mut last, mut tries) = (0, 0);
-        while tries < MOST_TRIES && self.clock.now() < started_at + WITHIN {
+        while tries < MAX_TRIES && self.clock.now() < started_at + WITHIN {
             tries += 1;
             let left = (started_at + WITHIN).saturating_sub(self.clock.now());
             let try_id = format!("try-{number}-{tries}");
@@ -112,7 +112,7 @@
                 .attempt(&mut random, id, &place, &key, &name, &try_id, left)
                 .await;
             last = code.map(ResultCode::number).unwrap_or(0);
-            if code.is_some_and(|code| code.kind() != Execution::NotRun) {
+            if code.is_some_and(|code| code.kind() != Execution::NotExecuted) {
                 break;
             }
             let left = (started_at + WITHIN).saturating_sub(self.clock.now());
@@ -175,7 +175,7 @@
         let patience = left + Duration::from_millis(500);
         let body = bytes::Bytes::from(work.to_owned());
         let called = self
-            .caller
+            .client
             .call(
                 &known.proxies[at],
                 "POST",
@@ -187,14 +187,14 @@
             )
             .await;
         match called {
-            Err(transport::Called::NotConnected) => {
+            Err(transport::CallError::NotConnected) => {
                 self.known
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .clear();
                 (None, soon)
             }
-            Err(_) => (Some(ResultCode::Lost), soon),
+            Err(_) => (Some(ResultCode::ResponseLost), soon),
             Ok(reply) => {
                 let code = reply
                     .header("x-code")
@@ -211,8 +211,8 @@
                 let whole = reply.header("x-seal") == seal
                     && reply.header("x-try-id") == try_id
                     && reply.body == work.as_bytes();
-                let code = code.unwrap_or(ResultCode::Garbage);
-                let not_run = !success && code.kind() == Execution::NotRun;
+                let code = code.unwrap_or(ResultCode::InvalidResponse);
+                let not_run = !success && code.kind() == Execution::NotExecuted;
                 let answered = Fact::Answered {
                     try_id: try_id.into(),
                     code: code.number(),
@@ -251,7 +251,7 @@
         let asked_at = self.clock.now();
         let node = &self.directories[random.below(self.directories.len() as u64) as usize];
         let called = self
-            .caller
+            .client
             .call(
                 node,
                 "GET",
@@ -263,16 +263,16 @@
             )
             .await;
         let reply = called.ok().filter(|reply| reply.status == 200)?;
-        let sheet = Sheet::read(std::str::from_utf8(&reply.body).ok()?).ok()?;
-        let proxies: Vec<String> = sheet
+        let json = JsonValue::read(std::str::from_utf8(&reply.body).ok()?).ok()?;
+        let proxies: Vec<String> = json
             .list("proxies")
             .iter()
             .filter_map(|proxy| match proxy {
-                Sheet::Text(address) => Some(address.clone()),
+                JsonValue::Text(address) => Some(address.clone()),
                 _ => None,
             })
             .collect();
-        let lifetime = Duration::from_millis(sheet.count("lifetimeMs")?);
+        let lifetime = Duration::from_millis(json.count("lifetimeMs")?);
         let known = Some(Known {
             proxies,
             asked_at,
--- a/crates/test-harness/src/overload.rs
+++ b/crates/test-harness/src/overload.rs
@@ -98,7 +98,7 @@
         (
             "back after 1 s",
             Load {
-                come_back: Some(ms(1000)),
+                retry_after_for: Some(ms(1000)),
                 ..load
             },
         ),
--- a/crates/test-harness/src/plans.rs
+++ b/crates/test-harness/src/plans.rs
@@ -2,7 +2,7 @@
 
 use crate::runs::submit;
 use bytes::Bytes;
-use config::Sheet;
+use config::JsonValue;
 use std::sync::Arc;
 use std::time::Duration;
 use test_harness::facts::{Fact, Record};
@@ -10,7 +10,7 @@
 use test_harness::shapes::Shape;
 use test_harness::upstreams::{ANY, Ill, Unit};
 use test_harness::wires::{Cut, Wires};
-use transport::{Caller, Clock};
+use transport::{Clock, HttpClient};
 
 const BACK_WITHIN: Duration = Duration::from_secs(60);
 
@@ -302,20 +302,20 @@
         self.note("operators race");
         let nodes = self.fleet.nodes();
         for round in 0..8usize {
-            let edition = self.edition().await?;
+            let revision = self.revision().await?;
             let one = |at: usize| {
                 let (node, shape) = (
                     nodes[(round * 3 + at * 7) % nodes.len()].clone(),
                     self.shape.clone(),
                 );
                 let (id, record, clock) = (
-                    format!("race-{round}-{at}&base={edition}"),
+                    format!("race-{round}-{at}&base={revision}"),
                     self.record.clone(),
                     self.clock,
                 );
                 async move {
                     submit(
-                        &Caller::default(),
+                        &HttpClient::default(),
                         &record,
                         &clock,
                         &node,
@@ -335,10 +335,10 @@
         Ok(())
     }
 
-    async fn status(&self) -> Result<Sheet, String> {
+    async fn status(&self) -> Result<JsonValue, String> {
         for node in self.fleet.nodes() {
-            let caller = Caller::default();
-            let called = caller.call(
+            let client = HttpClient::default();
+            let called = client.call(
                 &node,
                 "GET",
                 "/status",
@@ -348,22 +348,22 @@
                 false,
             );
             let reply = called.await.ok().filter(|reply| reply.status == 200);
-            let sheet =
-                reply.and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
-            if let Some(sheet) =
-                sheet.filter(|sheet| sheet.get("current") == Some(&Sheet::Truth(true)))
+            let json =
+                reply.and_then(|reply| JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok());
+            if let Some(json) =
+                json.filter(|json| json.get("current") == Some(&JsonValue::Truth(true)))
             {
-                return Ok(sheet);
+                return Ok(json);
             }
         }
         Err("no node tells its status".into())
     }
 
     /// The edition that any node reads back at present.
-    async fn edition(&self) -> Result<u64, String> {
-        let caller = Caller::default();
+    async fn revision(&self) -> Result<u64, String> {
+        let client = HttpClient::default();
         for node in self.fleet.nodes() {
-            let called = caller.call(
+            let called = client.call(
                 &node,
                 "GET",
                 "/setup",
@@ -408,7 +408,7 @@
 
     /// The operators' page, step by step, with the operator's own tool.
     async fn rescue(&mut self) -> Result<(), String> {
-        let edition = self.edition().await?;
+        let revision = self.revision().await?;
         self.note("all postmasters killed, three disks lost for good");
         self.fleet.postmasters.iter_mut().for_each(Process::kill);
         self.fleet
@@ -456,10 +456,10 @@
             process.start().map_err(|e| e.to_string())?;
         }
         self.all_ready().await?;
-        let after = self.edition().await?;
+        let after = self.revision().await?;
         self.note("rescued");
-        println!("edition {edition} before the loss, {after} after the rescue");
-        (after > edition)
+        println!("edition {revision} before the loss, {after} after the rescue");
+        (after > revision)
             .then_some(())
             .ok_or_else(|| "the edition did not rise".to_owned())
     }
@@ -598,7 +598,7 @@
     }
 
     async fn evacuate(&mut self) -> Result<(), String> {
-        let (place, caller) = (self.shape.locality(0), Caller::default());
+        let (place, client) = (self.shape.locality(0), HttpClient::default());
         for (id, back) in [("out", false), ("back", true)] {
             let path = format!(
                 "/evacuations?id={id}&locality={}&back={back}",
@@ -615,7 +615,7 @@
                     },
                 );
             }
-            let called = caller
+            let called = client
                 .call(
                     &node,
                     "POST",
@@ -627,11 +627,11 @@
                 )
                 .await;
             let reply = called.map_err(|e| format!("evacuation: {e:?}"))?;
-            let sheet = Sheet::read(&String::from_utf8_lossy(&reply.body))?;
+            let json = JsonValue::read(&String::from_utf8_lossy(&reply.body))?;
             if reply.status != 200 {
-                return Err(format!("evacuation: {sheet}"));
+                return Err(format!("evacuation: {json}"));
             }
-            let (at, edition) = (self.clock.now(), sheet.count("edition").unwrap_or(0));
+            let (at, revision) = (self.clock.now(), json.count("edition").unwrap_or(0));
             if !back {
                 self.record.note(
                     at,
@@ -641,7 +641,7 @@
                     },
                 );
             }
-            self.record.note(at, Fact::Accepted { edition });
+            self.record.note(at, Fact::Accepted { revision });
             self.note(if back {
                 "zone taken back"
             } else {
@@ -661,12 +661,12 @@
     ) -> Result<(), String> {
         self.note(&format!("{what} of upstreams"));
         let nodes = Arc::new(self.fleet.nodes());
-        let caller = Caller::default();
+        let client = HttpClient::default();
         for at in (0..self.units.len()).filter(|at| chosen(*at)) {
             let old = self.units[at].clone();
             if notice {
                 old.leave();
-                old.beat_once(&caller, &nodes[at % nodes.len()]).await;
+                old.beat_once(&client, &nodes[at % nodes.len()]).await;
             } else {
                 old.crash();
             }
@@ -693,7 +693,7 @@
             let (record, clock) = (self.record.clone(), self.clock);
             async move {
                 submit(
-                    &Caller::default(),
+                    &HttpClient::default(),
                     &record,
                     &clock,
                     &node,
--- a/crates/test-harness/src/rules.rs
+++ b/crates/test-harness/src/rules.rs
@@ -286,26 +286,26 @@
     let mut highest: BTreeMap<String, u64> = BTreeMap::new();
     let mut found = Vec::new();
     seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Accepted { edition } => accepted.push((*at, *edition)),
-        Fact::InForce { node, edition } => {
+        Fact::Accepted { revision } => accepted.push((*at, *revision)),
+        Fact::InForce { node, revision } => {
             let known = highest.entry(node.clone()).or_insert(0);
-            if edition < known {
+            if revision < known {
                 found.push(violation(
                     7,
                     *at,
-                    format!("{node} went back from {known} to {edition}"),
+                    format!("{node} went back from {known} to {revision}"),
                 ));
             }
-            *known = (*known).max(*edition);
+            *known = (*known).max(*revision);
             let due = accepted
                 .iter()
                 .filter(|(told, _)| *at > *told + Duration::from_secs(3));
-            let due = due.map(|(_, edition)| *edition).max().unwrap_or(0);
-            if *edition < due {
+            let due = due.map(|(_, revision)| *revision).max().unwrap_or(0);
+            if *revision < due {
                 found.push(violation(
                     7,
                     *at,
-                    format!("{node} serves {edition}, but {due} was due"),
+                    format!("{node} serves {revision}, but {due} was due"),
                 ));
             }
         }
@@ -318,24 +318,24 @@
 /// where no setup with its mark could lawfully have led it there.
 fn traffic_only_rises(seen: &[Seen], _: &Terms) -> Vec<Violation> {
     let late = Duration::from_secs(3);
-    let setups: Vec<(Duration, u64, usize)> = seen
+    let configurations: Vec<(Duration, u64, usize)> = seen
         .iter()
         .filter_map(|(at, fact)| match fact {
-            Fact::Submitted { edition, mark, .. } => Some((*at, *edition, *mark)),
+            Fact::Submitted { revision, mark, .. } => Some((*at, *revision, *mark)),
             _ => None,
         })
         .collect();
     // When each edition was over: 3 s after the yes to any newer one.
-    let over = |edition: u64| {
-        setups
+    let over = |revision: u64| {
+        configurations
             .iter()
-            .filter(|(_, newer, _)| *newer > edition)
+            .filter(|(_, newer, _)| *newer > revision)
             .map(|(at, ..)| *at + late)
             .min()
     };
-    let spans: Vec<(u64, usize, Option<Duration>)> = setups
+    let spans: Vec<(u64, usize, Option<Duration>)> = configurations
         .iter()
-        .map(|(_, edition, mark)| (*edition, *mark, over(*edition)))
+        .map(|(_, revision, mark)| (*revision, *mark, over(*revision)))
         .collect();
     let mut floors: BTreeMap<&str, Vec<(Duration, u64)>> = BTreeMap::new();
     let mut found = Vec::new();
@@ -352,7 +352,7 @@
         }
         let lawful: Vec<u64> = marked
             .filter(|(.., over)| over.is_none_or(|over| *at <= over))
-            .map(|(edition, ..)| *edition)
+            .map(|(revision, ..)| *revision)
             .collect();
         let (least, most) = (lawful.iter().min().copied(), lawful.iter().max().copied());
         if most.is_none() {
@@ -388,41 +388,41 @@
     let mut accepted: Vec<(Duration, u64)> = Vec::new();
     let mut found = Vec::new();
     seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Accepted { edition } => accepted.push((*at, *edition)),
+        Fact::Accepted { revision } => accepted.push((*at, *revision)),
         Fact::Submitted {
-            edition, digest, ..
+            revision, digest, ..
         } => {
             let other = submitted
-                .insert(*edition, digest.clone())
+                .insert(*revision, digest.clone())
                 .filter(|other| other != digest);
             found.extend(
-                other.map(|_| violation(8, *at, format!("edition {edition} was given twice"))),
+                other.map(|_| violation(8, *at, format!("edition {revision} was given twice"))),
             );
         }
         Fact::ReadBack {
             node,
-            edition,
+            revision,
             digest,
             asked_at,
         } => {
             let known = accepted
                 .iter()
                 .filter(|(told, _)| told < asked_at)
-                .map(|(_, edition)| *edition);
+                .map(|(_, revision)| *revision);
             let newest = known.max().unwrap_or(0);
-            if *edition < newest {
+            if *revision < newest {
                 found.push(violation(
                     8,
                     *at,
-                    format!("{node} reads back {edition}, {newest} was accepted"),
+                    format!("{node} reads back {revision}, {newest} was accepted"),
                 ));
             }
-            let other = submitted.get(edition).filter(|known| *known != digest);
+            let other = submitted.get(revision).filter(|known| *known != digest);
             found.extend(other.map(|_| {
                 violation(
                     8,
                     *at,
-                    format!("{node} reads back another edition {edition}"),
+                    format!("{node} reads back another edition {revision}"),
                 )
             }));
         }
--- a/crates/test-harness/src/runs.rs
+++ b/crates/test-harness/src/runs.rs
@@ -2,7 +2,7 @@
 
 use crate::plans::Scene;
 use bytes::Bytes;
-use config::Sheet;
+use config::JsonValue;
 use result_code::ResultCode;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use test_harness::shapes::{MARKS, Shape, mark_of};
 use test_harness::upstreams::{ANY, Unit};
 use test_harness::{report, rules};
-use transport::{Caller, Clock};
+use transport::{Clock, HttpClient};
 
 /// Within this after the last fault everything must be served again.
 const RESUME_WITHIN: Duration = Duration::from_secs(15);
@@ -69,8 +69,8 @@
         return Err(format!("the fleet was not ready within {READY_WITHIN:?}"));
     }
     println!("{} processes ready after {:?}", nodes.len(), clock.now());
-    let caller = Caller::default();
-    submit(&caller, &record, &clock, &nodes[0], "first", &run.shape, 0).await?;
+    let client = HttpClient::default();
+    submit(&client, &record, &clock, &nodes[0], "first", &run.shape, 0).await?;
     println!("first setup in force after {:?}", clock.now());
     let mut units = Vec::new();
     for (work, count) in run.shape.works() {
@@ -123,7 +123,7 @@
     watcher.abort();
     reader.abort();
     prober.abort();
-    let alike = read_back_all(&caller, &record, &clock, &fleet).await;
+    let alike = read_back_all(&client, &record, &clock, &fleet).await;
     let seen = record.all();
     let violations = rules::judge(&seen, &run.shape.terms());
     let ended: Vec<_> = origins.ended().into_iter().skip(warm_up).collect();
@@ -188,7 +188,7 @@
 
 /// Submits a setup and waits until it is in force.
 pub async fn submit(
-    caller: &Caller,
+    client: &HttpClient,
     record: &Record,
     clock: &Clock,
     node: &str,
@@ -196,39 +196,41 @@
     shape: &Shape,
     extra: usize,
 ) -> Result<u64, String> {
-    let (setup, mark, submitted_at) = (shape.setup(extra), extra % MARKS.len(), clock.now());
-    let digest = protocol::digest(setup.as_bytes());
+    let (configuration, mark, submitted_at) =
+        (shape.configuration(extra), extra % MARKS.len(), clock.now());
+    let digest = protocol::digest(configuration.as_bytes());
     let path = format!("/setup?id={id}");
     // Unknown or not yet possible: the same id is asked again, and is decided once.
     for _ in 0..40 {
-        let called = caller.call(
+        let called = client.call(
             node,
             "PUT",
             &path,
             &[],
-            Bytes::from(setup.clone()),
+            Bytes::from(configuration.clone()),
             Duration::from_secs(10),
             false,
         );
         let reply = called.await.ok();
-        let sheet = reply.and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
-        let code = sheet.as_ref().and_then(|sheet| sheet.count("code"));
-        if code == Some(u64::from(ResultCode::Fine.number())) {
-            let edition = sheet.and_then(|sheet| sheet.count("edition")).unwrap_or(0);
+        let json =
+            reply.and_then(|reply| JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok());
+        let code = json.as_ref().and_then(|json| json.count("code"));
+        if code == Some(u64::from(ResultCode::Success.number())) {
+            let revision = json.and_then(|json| json.count("edition")).unwrap_or(0);
             let took = clock.now() - submitted_at;
             record.note(
                 clock.now(),
                 Fact::Submitted {
-                    edition,
+                    revision,
                     digest,
                     mark,
                     took,
                 },
             );
-            record.note(clock.now(), Fact::Accepted { edition });
-            return Ok(edition);
+            record.note(clock.now(), Fact::Accepted { revision });
+            return Ok(revision);
         }
-        if code == Some(u64::from(ResultCode::SetupBehind.number())) {
+        if code == Some(u64::from(ResultCode::RevisionConflict.number())) {
             return Err(format!("{id} was made from an older edition"));
         }
         tokio::time::sleep(Duration::from_millis(250)).await;
@@ -260,18 +262,18 @@
 
 /// Sends probes through every carrier: where they arrive shows which setup is in force there.
 async fn probe(carriers: Vec<String>) {
-    let caller = Caller::default();
+    let client = HttpClient::default();
     for number in 0u64.. {
         for (at, carrier) in carriers.iter().enumerate() {
-            let (try_id, caller, carrier) = (
+            let (try_id, client, carrier) = (
                 format!("probe-{number}-{at}"),
-                caller.clone(),
+                client.clone(),
                 carrier.clone(),
             );
             tokio::spawn(async move {
                 let headers = [("x-try-id", try_id.as_str()), ("x-remaining-ms", "1000")];
                 let within = Duration::from_secs(2);
-                let _ = caller
+                let _ = client
                     .call(
                         &carrier,
                         "POST",
@@ -295,8 +297,8 @@
             let (node, record) = (node.clone(), record.clone());
             tokio::spawn(async move {
                 let (asked_at, within) = (clock.now(), Duration::from_secs(3));
-                let caller = Caller::default();
-                let called = caller
+                let client = HttpClient::default();
+                let called = client
                     .call(&node, "GET", "/setup", &[], Bytes::new(), within, false)
                     .await;
                 called
@@ -304,13 +306,13 @@
                     .filter(|reply| reply.status == 200)
                     .into_iter()
                     .for_each(|reply| {
-                        let edition = reply.header("x-edition").parse().unwrap_or(0);
+                        let revision = reply.header("x-edition").parse().unwrap_or(0);
                         let digest = protocol::digest(&reply.body);
                         record.note(
                             clock.now(),
                             Fact::ReadBack {
                                 node: node.clone(),
-                                edition,
+                                revision,
                                 digest,
                                 asked_at,
                             },
@@ -324,10 +326,10 @@
 
 /// Notes the edition in force at each carrier that says it serves.
 async fn watch_editions(nodes: Vec<String>, record: Record, clock: Clock) {
-    let caller = Caller::default();
+    let client = HttpClient::default();
     loop {
         for node in &nodes {
-            let called = caller
+            let called = client
                 .call(
                     node,
                     "GET",
@@ -338,19 +340,19 @@
                     true,
                 )
                 .await;
-            let sheet = called
+            let json = called
                 .ok()
-                .and_then(|reply| Sheet::read(&String::from_utf8_lossy(&reply.body)).ok());
-            let serving = sheet.filter(|sheet| sheet.get("ready") == Some(&Sheet::Truth(true)));
+                .and_then(|reply| JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok());
+            let serving = json.filter(|json| json.get("ready") == Some(&JsonValue::Truth(true)));
             serving
-                .and_then(|sheet| sheet.count("edition"))
+                .and_then(|json| json.count("edition"))
                 .into_iter()
-                .for_each(|edition| {
+                .for_each(|revision| {
                     record.note(
                         clock.now(),
                         Fact::InForce {
                             node: node.clone(),
-                            edition,
+                            revision,
                         },
                     );
                 });
@@ -360,11 +362,16 @@
 }
 
 /// How many postmasters read the same setup back as the first.
-async fn read_back_all(caller: &Caller, record: &Record, clock: &Clock, fleet: &Fleet) -> usize {
+async fn read_back_all(
+    client: &HttpClient,
+    record: &Record,
+    clock: &Clock,
+    fleet: &Fleet,
+) -> usize {
     let mut read = Vec::new();
     for process in &fleet.postmasters {
         let asked_at = clock.now();
-        let called = caller.call(
+        let called = client.call(
             &process.http,
             "GET",
             "/setup",
@@ -374,16 +381,16 @@
             false,
         );
         if let Some(reply) = called.await.ok().filter(|reply| reply.status == 200) {
-            let edition = reply.header("x-edition").parse().unwrap_or(0);
+            let revision = reply.header("x-edition").parse().unwrap_or(0);
             let digest = protocol::digest(&reply.body);
             let back = Fact::ReadBack {
                 node: process.node.clone(),
-                edition,
+                revision,
                 digest: digest.clone(),
                 asked_at,
             };
             record.note(clock.now(), back);
-            read.push((edition, digest));
+            read.push((revision, digest));
         }
     }
     read.iter()
--- a/crates/test-harness/src/scripted/clients.rs
+++ b/crates/test-harness/src/scripted/clients.rs
@@ -2,27 +2,27 @@
 
 use super::{Fact, Facts, Peer, Said, Told, Try};
 use bytes::Bytes;
-use data_plane::{Dialect, Door, Node, NodeTerms};
+use data_plane::{ApiAdapter, ListenerKind, Node, NodeTerms};
 use http_body_util::BodyExt;
-use name_directory::{Owners, SetupReader, View};
+use name_directory::{ConfigurationReader, OwnershipMode, View};
 use protocol::{ClusterState, Upstream, ViewUpdate};
-use request_routing::Site;
+use request_routing::ProxyContext;
 use result_code::{Execution, ResultCode};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use transport::{Clock, Enquiry};
+use transport::{Clock, HttpRequest};
 
 const LONG: Duration = Duration::from_secs(3600);
 
 /// How requests and answers look on a site.
 pub struct Manner {
-    pub dialect: fn() -> Dialect,
+    pub api_adapter: fn() -> ApiAdapter,
     /// How its configurations are read.
-    pub reader: SetupReader,
+    pub reader: ConfigurationReader,
     /// A configuration with the services `once` and `again`, one of each kind of work.
-    pub setup: &'static str,
+    pub configuration: &'static str,
     /// The header that names the try in a request to an upstream.
     pub request_id: &'static str,
     /// The same in an upstream's answer.
@@ -30,7 +30,7 @@
     /// The headers of an upstream's answer but for its length.
     pub headers: fn(&Said) -> Vec<(&'static str, String)>,
     /// A client's request, with the time that it has.
-    pub enquiry: fn(&Try, Duration) -> Enquiry,
+    pub enquiry: fn(&Try, Duration) -> HttpRequest,
     /// What an answer tells a client.
     pub told: fn(u16, &hyper::HeaderMap, Bytes) -> Told,
 }
@@ -38,9 +38,9 @@
 impl Manner {
     /// The product's own interface.
     pub const OWN: Manner = Manner {
-        dialect: Dialect::own,
-        reader: SetupReader(config::Setup::read),
-        setup: r#"{"services": [{"name": "once", "work": "once", "mostBytes": 1048576},
+        api_adapter: ApiAdapter::own,
+        reader: ConfigurationReader(config::Configuration::read),
+        configuration: r#"{"services": [{"name": "once", "work": "once", "mostBytes": 1048576},
                                 {"name": "again", "work": "repeatable", "mostBytes": 1048576}],
                    "routes": [{"id": "r1", "name": "once", "path": "/x", "service": "once"},
                               {"id": "r2", "name": "again", "path": "/x", "service": "again"}]}"#,
@@ -61,7 +61,7 @@
         },
         enquiry: |told, within| {
             let within = within.as_millis().to_string();
-            Enquiry {
+            HttpRequest {
                 method: hyper::Method::POST,
                 path: format!("/r/{}/x", service(told)),
                 target: format!("/r/{}/x", service(told)),
@@ -70,7 +70,7 @@
                     ("x-remaining-ms", within.as_str()),
                 ]),
                 body: vec![b'b'; told.body_bytes].into(),
-                ..Enquiry::default()
+                ..HttpRequest::default()
             }
         },
         told: |status, headers, body| {
@@ -79,8 +79,8 @@
                 .and_then(|code| code.to_str().ok())
                 .and_then(|code| code.parse().ok());
             match code.and_then(ResultCode::from_number).map(ResultCode::kind) {
-                Some(Execution::Ran) if status == 200 => Told::Success { body },
-                Some(Execution::NotRun) => Told::NotRun,
+                Some(Execution::Executed) if status == 200 => Told::Success { body },
+                Some(Execution::NotExecuted) => Told::NotRun,
                 _ => Told::Unknown,
             }
         },
@@ -125,15 +125,16 @@
     /// # });
     /// ```
     pub fn start(manner: &'static Manner, peers: &[Peer], facts: Facts, takes: Takes) -> Proxy {
-        let mut site = Site::new("p", "n/1".parse().unwrap_or_default(), LONG, Duration::ZERO);
-        (site.owners, site.serves_on) = (Owners::ByCaller, true);
+        let mut site =
+            ProxyContext::new("p", "n/1".parse().unwrap_or_default(), LONG, Duration::ZERO);
+        (site.owners, site.serves_on) = (OwnershipMode::ByCaller, true);
         let terms = NodeTerms {
             clock: Clock::default(),
             keeps_connections: true,
             roles: "proxy".into(),
             lifetime: LONG,
         };
-        let node = Node::new(site, broken((manner.dialect)(), takes), terms);
+        let node = Node::new(site, broken((manner.api_adapter)(), takes), terms);
         node.publish(view(manner, peers));
         Proxy {
             node: Arc::new(node),
@@ -151,7 +152,7 @@
         let response = self
             .node
             .clone()
-            .serve(Door::Front, (self.manner.enquiry)(asked, within))
+            .serve(ListenerKind::Front, (self.manner.enquiry)(asked, within))
             .await;
         let (head, body) = response.into_parts();
         let body = body
@@ -170,12 +171,16 @@
     /// Why a try went where it went.
     pub async fn trace(&self, try_id: &str) -> String {
         let query = [("try".to_owned(), try_id.to_owned())].into();
-        let enquiry = Enquiry {
+        let enquiry = HttpRequest {
             path: "/trace".into(),
             query,
-            ..Enquiry::default()
+            ..HttpRequest::default()
         };
-        let response = self.node.clone().serve(Door::Directory, enquiry).await;
+        let response = self
+            .node
+            .clone()
+            .serve(ListenerKind::Directory, enquiry)
+            .await;
         let body = response
             .into_body()
             .collect()
@@ -201,12 +206,12 @@
         .flat_map(|peer| [known("once", peer), known("again", peer)])
         .collect();
     let state = ClusterState {
-        edition: 1,
+        revision: 1,
         ..ClusterState::default()
     };
     let news = ViewUpdate {
         state: Some(state),
-        setup: Some(manner.setup.into()),
+        configuration: Some(manner.configuration.into()),
         upstreams,
         ..ViewUpdate::default()
     };
@@ -219,28 +224,33 @@
     view
 }
 
-fn broken(dialect: Dialect, takes: Takes) -> Dialect {
-    let judge = dialect.judge;
+fn broken(api_adapter: ApiAdapter, takes: Takes) -> ApiAdapter {
+    let judge = api_adapter.judge;
     match takes {
-        Takes::ItsOwn => Dialect { judge, ..dialect },
-        Takes::LostForUnsent => Dialect {
+        Takes::ItsOwn => ApiAdapter {
+            judge,
+            ..api_adapter
+        },
+        Takes::LostForUnsent => ApiAdapter {
             judge: Box::new(move |called, try_id, instance| {
                 match judge(called, try_id, instance) {
-                    request_routing::Outcome::Lost => request_routing::Outcome::NotConnected,
+                    request_routing::CallOutcome::Lost => {
+                        request_routing::CallOutcome::NotConnected
+                    }
                     outcome => outcome,
                 }
             }),
-            ..dialect
+            ..api_adapter
         },
-        Takes::Anything => Dialect {
+        Takes::Anything => ApiAdapter {
             // Nothing names a try by this, so that no answer is told apart.
             answer_id: "x-nobody",
             judge: Box::new(move |called, _, _| match called {
-                Ok(reply) if reply.status == 200 => request_routing::Outcome::Sealed,
-                Ok(_) => request_routing::Outcome::SealedNotRun,
-                Err(_) => request_routing::Outcome::Lost,
+                Ok(reply) if reply.status == 200 => request_routing::CallOutcome::Sealed,
+                Ok(_) => request_routing::CallOutcome::SealedNotRun,
+                Err(_) => request_routing::CallOutcome::Lost,
             }),
-            ..dialect
+            ..api_adapter
         },
     }
 }
--- a/crates/test-harness/src/shapes.rs
+++ b/crates/test-harness/src/shapes.rs
@@ -193,17 +193,17 @@
     /// `probe` leads to.
     ///
     /// ```
-    /// assert!(config::Setup::read(test_harness::shapes::KALAM.setup(3).as_bytes()).is_ok());
+    /// assert!(config::Configuration::read(test_harness::shapes::KALAM.configuration(3).as_bytes()).is_ok());
     /// ```
-    pub fn setup(&self, extra: usize) -> String {
+    pub fn configuration(&self, extra: usize) -> String {
         self.written(extra, None)
     }
 
     /// The same with an operator's own number, and without `probe`: whether it is in force can't be told by its number.
     ///
     /// ```
-    /// let setup = test_harness::shapes::KALAM.numbered_setup(3, 7);
-    /// assert_eq!(config::Setup::read(setup.as_bytes()).unwrap().number, Some(7));
+    /// let configuration = test_harness::shapes::KALAM.numbered_setup(3, 7);
+    /// assert_eq!(config::Configuration::read(configuration.as_bytes()).unwrap().number, Some(7));
     /// ```
     pub fn numbered_setup(&self, extra: usize, number: u64) -> String {
         self.written(extra, Some(number))
--- a/crates/test-harness/src/sim/breaking.rs
+++ b/crates/test-harness/src/sim/breaking.rs
@@ -72,7 +72,7 @@
                 if matches!(self.plan.steps[at].fault, Fault::RotSetups(_)) {
                     self.on_machine(machine)
                         .into_iter()
-                        .for_each(|node| self.nodes[node].disk.setups.clear());
+                        .for_each(|node| self.nodes[node].disk.configurations.clear());
                 }
             }
             Fault::KillHerd(machines) => {
@@ -115,7 +115,7 @@
                         .for_each(|node| self.start(node));
                 }
                 self.set_disk(machine, |disk| disk.power_at = Some((write, synced)));
-                if self.operators.setups() > 0 {
+                if self.operators.configurations() > 0 {
                     (0..4).for_each(|extra| self.submit_setup(extra, None));
                 }
             }
@@ -211,7 +211,7 @@
             }
             Fault::SetupStorm => (0..40).for_each(|extra| self.submit_setup(extra * 10, None)),
             Fault::OperatorRace => (0..6).for_each(|_| {
-                let base = Some(self.operators.edition);
+                let base = Some(self.operators.revision);
                 self.submit_setup(1, base);
             }),
             Fault::InterruptFounding(machines) => {
@@ -492,15 +492,15 @@
         }
         let survivor = |at: &usize| {
             let Node { name, disk, .. } = &self.nodes[*at];
-            let setup = disk
-                .setups
+            let configuration = disk
+                .configurations
                 .get(&disk.durable.accepted.digest)
                 .cloned()
                 .unwrap_or_default();
             SurvivorState {
                 node: name.clone(),
                 durable: disk.durable.clone(),
-                setup,
+                configuration,
             }
         };
         let survivors: Vec<SurvivorState> = survivors.iter().map(survivor).collect();
@@ -512,15 +512,19 @@
                 self.note(Fact::Fault {
                     what: format!("rescued from {} voters", survivors.len()),
                 });
-                let SurvivorState { durable, setup, .. } = inheritance;
+                let SurvivorState {
+                    durable,
+                    configuration,
+                    ..
+                } = inheritance;
                 control_nodes.iter().for_each(|at| {
                     self.kill(*at);
-                    let setups = [(durable.accepted.digest.clone(), setup.clone())]
+                    let configurations = [(durable.accepted.digest.clone(), configuration.clone())]
                         .into_iter()
                         .collect();
                     self.nodes[*at].disk = Disk {
                         durable: durable.clone(),
-                        setups,
+                        configurations,
                         ..Disk::default()
                     };
                 });
@@ -638,12 +642,12 @@
     }
 
     /// One disk after the other breaks and heals, two at once at most, while setups come; then all control nodes restart.
-    fn break_disks_in_turn(&mut self, setups: u32, fault: fn(usize) -> Fault) {
+    fn break_disks_in_turn(&mut self, configurations: u32, fault: fn(usize) -> Fault) {
         (0..self.shape.disks).for_each(|machine| {
             let from = self.now + DISK_EVERY * machine as u32;
             self.push_step(from, from + DISK_BROKEN_FOR, fault(machine));
         });
-        self.storm_on(setups);
+        self.storm_on(configurations);
     }
 
     fn set_disk(&mut self, machine: usize, change: impl Fn(&mut super::nodes::Disk)) {
--- a/crates/test-harness/src/sim/connections.rs
+++ b/crates/test-harness/src/sim/connections.rs
@@ -5,10 +5,10 @@
 use super::nodes::NodeEvent;
 use super::path::Reply;
 use super::world::{Action, World};
-use request_routing::{Outcome, Stage};
+use request_routing::{CallOutcome, RequestStage};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use transport::{AnswerId, Belongs, Came};
+use transport::{ResponseArrival, ResponseId, ResponseMatch};
 
 /// So much later than its answer a surplus one comes at most.
 const SURPLUS_WITHIN: Duration = Duration::from_millis(200);
@@ -159,31 +159,32 @@
             return;
         };
         kept.spoiled = true;
-        let sent = |stage: &Stage| matches!(stage, Stage::Sent { .. });
+        let sent = |stage: &RequestStage| matches!(stage, RequestStage::Sent { .. });
         let mut trips = self.trips.iter_mut();
         let waiting = trips
             .find(|(_, trip)| trip.connection == Some(connection) && sent(trip.journey.stage()));
         let Some((id, trip)) = waiting else { return };
-        let came = Came {
+        let came = ResponseArrival {
             sole: kept.carried == 1,
             early: false,
         };
-        let due = AnswerId {
+        let due = ResponseId {
             header: "x-try-id",
             value: &trip.sent.try_id,
         };
-        let outcome = match transport::belongs(&reply.headers(), reply.status, Some(due), came) {
-            _ if self.weak.takes_next => Outcome::Sealed,
-            Belongs::ToAnother if trip.passed < transport::MOST_PASSED => {
-                trip.passed += 1;
-                self.connections.passed_over += 1;
-                return;
-            }
-            Belongs::Here => reply.judge(&trip.sent.try_id, trip.instance.as_deref()),
-            _ => Outcome::Garbage,
-        };
+        let outcome =
+            match transport::match_response(&reply.headers(), reply.status, Some(due), came) {
+                _ if self.weak.takes_next => CallOutcome::Sealed,
+                ResponseMatch::ToAnother if trip.passed < transport::MAX_PASSED => {
+                    trip.passed += 1;
+                    self.connections.passed_over += 1;
+                    return;
+                }
+                ResponseMatch::Here => reply.judge(&trip.sent.try_id, trip.instance.as_deref()),
+                _ => CallOutcome::Garbage,
+            };
         let (node, trip, send) = (trip.node, *id, trip.send);
-        let event = NodeEvent::Outcome {
+        let event = NodeEvent::CallOutcome {
             trip,
             send,
             outcome,
--- a/crates/test-harness/src/sim/cuts.rs
+++ b/crates/test-harness/src/sim/cuts.rs
@@ -7,7 +7,7 @@
 use super::operators::What;
 use super::world::World;
 use crate::facts::{Fact, Vouched};
-use control_plane::{Answer, Ask, Event};
+use control_plane::{ControlRequest, ControlResponse, Event};
 use result_code::ResultCode;
 use std::time::Duration;
 
@@ -96,7 +96,7 @@
                 Core::ControlNode(control) => {
                     drop(control.step(local, Event::Seeds(seeds.clone())))
                 }
-                Core::Carrier(carrier, _) => {
+                Core::DataNode(carrier, _) => {
                     drop(carrier.step(local, data_plane::Event::Seeds(seeds.clone())))
                 }
                 Core::Down => {}
@@ -187,19 +187,21 @@
     }
 
     /// Notes what a node vouches for while it is cut off from all others.
-    pub(super) fn note_vouched(&mut self, at: usize, token: u64, answer: &Answer) {
+    pub(super) fn note_vouched(&mut self, at: usize, token: u64, answer: &ControlResponse) {
         let Some((asked_at, what)) = self.asked.remove(&token) else {
             return;
         };
         let vouches = match answer {
-            Answer::Verdict { code, .. } => {
+            ControlResponse::Verdict { code, .. } => {
                 matches!(
                     code,
-                    ResultCode::Fine | ResultCode::Overtaken | ResultCode::NoWord
+                    ResultCode::Success | ResultCode::Superseded | ResultCode::NoConfiguration
                 )
             }
-            Answer::Setup { .. } | Answer::Beat { .. } => true,
-            Answer::Denied { .. } | Answer::Sheet(_) | Answer::Redirect { .. } => false,
+            ControlResponse::Configuration { .. } | ControlResponse::Beat { .. } => true,
+            ControlResponse::Denied { .. }
+            | ControlResponse::JsonValue(_)
+            | ControlResponse::Redirect { .. } => false,
         };
         if vouches && self.isolated.contains(&at) {
             let node = self.nodes[at].name.clone();
@@ -212,15 +214,17 @@
     }
 
     /// Notes when a question came to a node that is cut off from all others.
-    pub(super) fn note_asked(&mut self, at: usize, token: u64, ask: &Ask) {
+    pub(super) fn note_asked(&mut self, at: usize, token: u64, ask: &ControlRequest) {
         let what = match ask {
-            Ask::Submit { .. } | Ask::Evacuate { .. } => Vouched::Order,
-            Ask::Beat(upstream) if upstream.condition == upstream_registry::READY => {
+            ControlRequest::Submit { .. } | ControlRequest::Evacuate { .. } => Vouched::Order,
+            ControlRequest::Beat(upstream) if upstream.condition == upstream_registry::READY => {
                 Vouched::Heartbeat
             }
             // One that was told already that all know goes on beating.
-            Ask::Beat(upstream) if self.is_taken(&upstream.instance) => Vouched::Heartbeat,
-            Ask::Beat(_) | Ask::SignOff { .. } => Vouched::Leaving,
+            ControlRequest::Beat(upstream) if self.is_taken(&upstream.instance) => {
+                Vouched::Heartbeat
+            }
+            ControlRequest::Beat(_) | ControlRequest::SignOff { .. } => Vouched::Leaving,
             _ => Vouched::Reading,
         };
         if self.isolated.contains(&at) {
--- a/crates/test-harness/src/sim/net.rs
+++ b/crates/test-harness/src/sim/net.rs
@@ -68,7 +68,7 @@
 /// What a message is about.
 pub fn about(body: &Payload) -> &'static str {
     match body {
-        Payload::Probe(_) | Payload::ProbeFor(_) | Payload::Heard(_) => "membership",
+        Payload::Probe(_) | Payload::IndirectProbe(_) | Payload::ProbeReply(_) => "membership",
         Payload::Read(_)
         | Payload::ReadBack(_)
         | Payload::DeparturesRead(_)
@@ -80,18 +80,18 @@
         | Payload::Accepted(_)
         | Payload::Chosen(_)
         | Payload::ChosenDelta(_) => "rounds",
-        Payload::SetupBytes(_) | Payload::SetupAsk(_) => "setups",
+        Payload::ConfigurationBytes(_) | Payload::ConfigurationRequest(_) => "setups",
         Payload::LeaseRequest(_)
         | Payload::LeaseReply(_)
         | Payload::LeaseRelease(_)
-        | Payload::Holder(_) => "claims",
+        | Payload::LeaseHolder(_) => "claims",
         Payload::SharesRequest(_) | Payload::SharesReply(_) => "shares",
         Payload::Placement(_) => "placement",
         Payload::UpdateRequest(_)
         | Payload::Freshness(_)
         | Payload::ViewUpdate(_)
         | Payload::UpdateAck(_)
-        | Payload::CarrierAck(_) => "news",
+        | Payload::DataPlaneAck(_) => "news",
         Payload::BootstrapVote(_) | Payload::Bootstrapped(_) => "founding",
         _ => "upstreams",
     }
--- a/crates/test-harness/src/sim/nodes.rs
+++ b/crates/test-harness/src/sim/nodes.rs
@@ -3,15 +3,16 @@
 use super::net::Place;
 use super::path::Trip;
 use super::world::{Action, World};
-use config::{Complaint, Setup};
-use control_plane::{Answer, Ask, ControlNode};
-use data_plane::Carrier;
+use config::{Configuration, ValidationError};
+use control_plane::{ControlNode, ControlRequest, ControlResponse};
+use data_plane::DataNode;
 use locality::Locality;
-use name_directory::SetupReader;
+use name_directory::ConfigurationReader;
 use protocol::{
-    BeatsAck, Departure, DurableState, Envelope, Member, Message, Payload, ReadBack, ViewUpdate,
+    Departure, DurableState, Envelope, HeartbeatsAck, Member, Message, Payload, ReadBack,
+    ViewUpdate,
 };
-use request_routing::{Board, Outcome, Site};
+use request_routing::{CallOutcome, ProxyContext, ProxyStats};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -37,9 +38,9 @@
         address: String,
         body: Payload,
     },
-    Ask {
+    ControlRequest {
         token: u64,
-        ask: Ask,
+        ask: ControlRequest,
     },
     Lookup {
         work: u64,
@@ -56,20 +57,20 @@
         send: u32,
         life: (usize, u64),
     },
-    Called {
+    CallError {
         trip: u64,
     },
-    Outcome {
+    CallOutcome {
         trip: u64,
         send: u32,
-        outcome: Outcome,
+        outcome: CallOutcome,
         reply: Option<super::path::Reply>,
     },
 }
 
 pub enum Write {
     State(u64, DurableState),
-    Setup(u64, String, Vec<u8>),
+    Configuration(u64, String, Vec<u8>),
     Drop(String),
 }
 
@@ -77,7 +78,7 @@
 #[derive(Default)]
 pub struct Disk {
     pub durable: DurableState,
-    pub setups: BTreeMap<String, Vec<u8>>,
+    pub configurations: BTreeMap<String, Vec<u8>>,
     /// Departures, and when they were written. They are never synced: a power cut takes them.
     pub departures: Option<(Duration, Vec<Departure>)>,
     pub waiting: VecDeque<Write>,
@@ -109,14 +110,14 @@
                 self.durable = durable;
                 Some(ticket)
             }
-            Write::Setup(ticket, digest, bytes) => {
-                if !self.drops_newest || self.setups.len() < MAX_KEPT_BLINDLY {
-                    self.setups.insert(digest, bytes);
+            Write::Configuration(ticket, digest, bytes) => {
+                if !self.drops_newest || self.configurations.len() < MAX_KEPT_BLINDLY {
+                    self.configurations.insert(digest, bytes);
                 }
                 Some(ticket)
             }
             Write::Drop(digest) => {
-                self.setups
+                self.configurations
                     .retain(|known, _| *known != digest || self.drops_newest);
                 None
             }
@@ -126,7 +127,7 @@
 
 pub enum Core {
     ControlNode(Box<ControlNode>),
-    Carrier(Box<Carrier>, Box<Board>),
+    DataNode(Box<DataNode>, Box<ProxyStats>),
     Down,
 }
 
@@ -145,7 +146,7 @@
     pub disk: Disk,
     /// While frozen: since when, and what waits in its sockets.
     pub frozen: Option<(Duration, Vec<NodeEvent>)>,
-    pub site: Site,
+    pub site: ProxyContext,
     is_office: bool,
     /// When a carrier sweeps its board next, by its own clock.
     next_sweep: Duration,
@@ -157,9 +158,9 @@
 }
 
 impl Node {
-    pub fn carrier(&self) -> Option<&Carrier> {
+    pub fn carrier(&self) -> Option<&DataNode> {
         match &self.core {
-            Core::Carrier(carrier, _) => Some(carrier),
+            Core::DataNode(carrier, _) => Some(carrier),
             _ => None,
         }
     }
@@ -178,10 +179,10 @@
 }
 
 /// A configuration whose number is lost.
-fn read_unnumbered(bytes: &[u8]) -> Result<Setup, Vec<Complaint>> {
-    Setup::read(bytes).map(|mut setup| {
-        setup.number = None;
-        setup
+fn read_unnumbered(bytes: &[u8]) -> Result<Configuration, Vec<ValidationError>> {
+    Configuration::read(bytes).map(|mut configuration| {
+        configuration.number = None;
+        configuration
     })
 }
 
@@ -209,7 +210,7 @@
             if is_office { "postmaster" } else { "carrier" }
         );
         let zone: Locality = locality.parse().unwrap_or_default();
-        let site = Site::new(&name, zone, self.weak.stale_after, self.load.wait_for);
+        let site = ProxyContext::new(&name, zone, self.weak.stale_after, self.load.wait_for);
         let drift = self.random.below(2 * DRIFT) as i64 - DRIFT as i64;
         let place = Place {
             machine: Some(machine),
@@ -296,9 +297,9 @@
         let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap_or_default();
         let roster_size = self.shape.disks;
         let reader = if self.weak.unnumbered {
-            SetupReader(read_unnumbered)
+            ConfigurationReader(read_unnumbered)
         } else {
-            SetupReader::default()
+            ConfigurationReader::default()
         };
         let now = self.now;
         let departures = self.departures_found(at);
@@ -327,7 +328,8 @@
             ..Member::default()
         };
         node.core = if node.is_office {
-            let (durable, setups) = (node.disk.durable.clone(), node.disk.setups.clone());
+            let (durable, configurations) =
+                (node.disk.durable.clone(), node.disk.configurations.clone());
             node.disk.waiting.clear();
             let times = control_plane::shell::times(&settings);
             let longest_step = if self.weak.counts_jumps {
@@ -347,15 +349,15 @@
                 reader,
                 owners: Default::default(),
                 durable,
-                setups,
+                configurations,
                 departures,
                 times,
             };
             Core::ControlNode(Box::new(ControlNode::new(start)))
         } else {
             let times = data_plane::shell::times(&settings);
-            Core::Carrier(
-                Box::new(Carrier::new(data_plane::Start {
+            Core::DataNode(
+                Box::new(DataNode::new(data_plane::Start {
                     me,
                     seeds,
                     seed,
@@ -396,7 +398,7 @@
 
     /// The connection of a request dies with the process that served it.
     fn lose(&mut self, trip: &Trip) {
-        self.reply(trip, Err(transport::Called::Lost));
+        self.reply(trip, Err(transport::CallError::Lost));
     }
 
     /// Asks a process to end; it does so once it owes nothing.
@@ -408,7 +410,7 @@
                 self.run_control(at, effects);
                 self.end_if_done(at);
             }
-            Core::Carrier(carrier, _) => {
+            Core::DataNode(carrier, _) => {
                 let effects = carrier.step(local, data_plane::Event::Close);
                 self.run_carrier(at, effects);
             }
@@ -466,7 +468,7 @@
 
     /// Steps a core with an event, or with a tick, and carries out its effects.
     fn step_node(&mut self, at: usize, event: Option<NodeEvent>) {
-        if let Some(NodeEvent::Ask { token, ask }) = &event {
+        if let Some(NodeEvent::ControlRequest { token, ask }) = &event {
             self.note_asked(at, *token, ask);
         }
         let now = self.now;
@@ -481,14 +483,16 @@
                     Some(NodeEvent::Datagram { address, body }) => {
                         Event::Datagram { address, body }
                     }
-                    Some(NodeEvent::Ask { token, ask }) => Event::Ask { token, ask },
+                    Some(NodeEvent::ControlRequest { token, ask }) => {
+                        Event::ControlRequest { token, ask }
+                    }
                     Some(_) => return,
                 };
                 let effects = control.step(local, event);
                 self.run_control(at, effects);
                 self.end_if_done(at);
             }
-            Core::Carrier(carrier, board) => {
+            Core::DataNode(carrier, board) => {
                 use data_plane::Event;
                 if event.is_none() && local >= node.next_sweep {
                     node.next_sweep = local + Duration::from_secs(1);
@@ -526,13 +530,13 @@
             data_plane::Effect::Publish => self.ring_all(at),
             data_plane::Effect::Addresses(_)
             | data_plane::Effect::Phase(_)
-            | data_plane::Effect::Note(_) => {}
+            | data_plane::Effect::Log(_) => {}
         });
     }
 
     /// Beats may have told of room.
     fn ring_all(&self, at: usize) {
-        if let Core::Carrier(_, board) = &self.nodes[at].core {
+        if let Core::DataNode(_, board) = &self.nodes[at].core {
             board.ring_all();
         }
     }
@@ -544,23 +548,25 @@
             control_plane::Effect::Keep { ticket, durable } => {
                 self.write(at, Write::State(ticket, durable))
             }
-            control_plane::Effect::KeepSetup {
+            control_plane::Effect::StoreConfiguration {
                 ticket,
                 digest,
                 bytes,
             } => {
-                self.write(at, Write::Setup(ticket, digest, bytes));
+                self.write(at, Write::Configuration(ticket, digest, bytes));
             }
             control_plane::Effect::KeepDepartures { ticket, departures } => {
                 self.keep_departures(at, ticket, departures)
             }
-            control_plane::Effect::DropSetup { digest } => self.write(at, Write::Drop(digest)),
-            control_plane::Effect::Answer { token, answer } => {
+            control_plane::Effect::DeleteConfiguration { digest } => {
+                self.write(at, Write::Drop(digest))
+            }
+            control_plane::Effect::ControlResponse { token, answer } => {
                 self.control_answered(at, token, answer)
             }
             control_plane::Effect::Addresses(_)
-            | control_plane::Effect::Note(_)
-            | control_plane::Effect::Alarm(_) => {}
+            | control_plane::Effect::Log(_)
+            | control_plane::Effect::LogError(_) => {}
         });
     }
 
@@ -707,8 +713,10 @@
                     ..ReadBack::default()
                 })
             }
-            Payload::Beats(beats) if self.weak.tells_departures_blindly && beats.nonce != 0 => {
-                Payload::BeatsAck(BeatsAck { nonce: beats.nonce })
+            Payload::Heartbeats(beats)
+                if self.weak.tells_departures_blindly && beats.nonce != 0 =>
+            {
+                Payload::HeartbeatsAck(HeartbeatsAck { nonce: beats.nonce })
             }
             _ => return,
         };
@@ -765,8 +773,8 @@
             } => self.lookup(at, work, &name, &place, asked_at),
             NodeEvent::Request { trip, request } => self.request(at, trip, request),
             NodeEvent::Connected { trip, send, life } => self.connected(at, trip, send, life),
-            NodeEvent::Called { trip } => self.called(at, trip),
-            NodeEvent::Outcome {
+            NodeEvent::CallError { trip } => self.called(at, trip),
+            NodeEvent::CallOutcome {
                 trip,
                 send,
                 outcome,
@@ -790,12 +798,12 @@
                 );
             }
             NodeEvent::Request { request, .. } => {
-                self.reply_to(&request, Err(transport::Called::NotConnected));
+                self.reply_to(&request, Err(transport::CallError::NotConnected));
             }
-            NodeEvent::Ask { token, .. } => {
-                let answer = Answer::Verdict {
-                    code: result_code::ResultCode::NoPostmaster,
-                    edition: 0,
+            NodeEvent::ControlRequest { token, .. } => {
+                let answer = ControlResponse::Verdict {
+                    code: result_code::ResultCode::NoControlNode,
+                    revision: 0,
                 };
                 self.asked(token, answer);
             }
@@ -803,12 +811,12 @@
         }
     }
 
-    fn control_answered(&mut self, at: usize, token: u64, answer: Answer) {
+    fn control_answered(&mut self, at: usize, token: u64, answer: ControlResponse) {
         self.note_vouched(at, token, &answer);
         if matches!(
             answer,
-            Answer::Verdict {
-                code: result_code::ResultCode::Fine,
+            ControlResponse::Verdict {
+                code: result_code::ResultCode::Success,
                 ..
             }
         ) {
--- a/crates/test-harness/src/sim/operators.rs
+++ b/crates/test-harness/src/sim/operators.rs
@@ -7,14 +7,14 @@
 use crate::facts::Fact;
 use crate::history::{Order, Reply};
 use crate::shapes::MARKS;
-use control_plane::{Answer, Ask};
+use control_plane::{ControlRequest, ControlResponse};
 use quorum_register::OrderId;
 use result_code::ResultCode;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 const ASK_AGAIN: Duration = Duration::from_millis(200);
-const MOST_ASKS: u32 = 80;
+const MAX_ASKS: u32 = 80;
 /// A caller that hears nothing for so long goes on to another node.
 const CUT_SILENCE: Duration = Duration::from_secs(1);
 
@@ -40,7 +40,7 @@
         !self.anonymous || matches!(self.what, What::Numbered { .. })
     }
 
-    fn ask(&self) -> Ask {
+    fn ask(&self) -> ControlRequest {
         let id = OrderId {
             id: self.id.clone(),
             since: Some(self.since),
@@ -51,19 +51,19 @@
             id
         };
         match self.what.clone() {
-            What::Setup { bytes, base, .. } => Ask::Submit {
+            What::Configuration { bytes, base, .. } => ControlRequest::Submit {
                 id,
                 base,
                 bytes: bytes.into_bytes(),
                 in_force: false,
             },
-            What::Numbered { bytes, .. } => Ask::Submit {
+            What::Numbered { bytes, .. } => ControlRequest::Submit {
                 id,
                 base: None,
                 bytes: bytes.into_bytes(),
                 in_force: false,
             },
-            What::Evacuate { locality, back } => Ask::Evacuate {
+            What::Evacuate { locality, back } => ControlRequest::Evacuate {
                 id,
                 locality,
                 back,
@@ -76,12 +76,12 @@
     fn order(&self) -> Order {
         let digest = |bytes: &str| protocol::digest(bytes.as_bytes());
         match &self.what {
-            What::Setup { bytes, base, .. } => Order::Setup {
+            What::Configuration { bytes, base, .. } => Order::Configuration {
                 number: None,
                 base: *base,
                 digest: digest(bytes),
             },
-            What::Numbered { bytes, number } => Order::Setup {
+            What::Numbered { bytes, number } => Order::Configuration {
                 number: Some(*number),
                 base: None,
                 digest: digest(bytes),
@@ -96,7 +96,7 @@
 
 #[derive(Clone)]
 pub enum What {
-    Setup {
+    Configuration {
         bytes: String,
         base: Option<u64>,
         mark: usize,
@@ -124,16 +124,16 @@
     tokens: BTreeMap<u64, (usize, usize)>,
     read_backs: BTreeMap<u64, (usize, Duration)>,
     pub(super) beats: BTreeMap<u64, (usize, u64, u64, Duration, usize)>,
-    pub(super) edition: u64,
-    pub(super) setups: usize,
+    pub(super) revision: u64,
+    pub(super) configurations: usize,
     /// Numbered setups offered so far.
     pub(super) offered: Vec<(u64, String)>,
 }
 
 impl Operators {
     /// How many setups were submitted so far.
-    pub(super) fn setups(&self) -> usize {
-        self.setups
+    pub(super) fn configurations(&self) -> usize {
+        self.configurations
     }
 }
 
@@ -149,14 +149,14 @@
 
     /// Submits a new setup, larger by some routes.
     pub(super) fn submit_setup(&mut self, extra: usize, base: Option<u64>) {
-        self.operators.setups += 1;
+        self.operators.configurations += 1;
         let mut shape = self.shape.clone();
         if self.weak.homeless {
             shape.services.iter_mut().for_each(|work| work.homes = 0);
         }
-        let extra = extra + self.operators.setups;
-        let bytes = shape.setup(extra);
-        self.submit(What::Setup {
+        let extra = extra + self.operators.configurations;
+        let bytes = shape.configuration(extra);
+        self.submit(What::Configuration {
             bytes,
             base,
             mark: extra % MARKS.len(),
@@ -173,8 +173,8 @@
             .max()
             .unwrap_or(0);
         [3, 1, 5, 5, 4].into_iter().for_each(|ahead| {
-            self.operators.setups += 1;
-            let (number, extra) = (most + ahead, self.operators.setups);
+            self.operators.configurations += 1;
+            let (number, extra) = (most + ahead, self.operators.configurations);
             let bytes = self.shape.numbered_setup(extra, number);
             self.note(Fact::Offered {
                 number,
@@ -192,12 +192,12 @@
 
     /// Submits a new setup at this node first.
     pub(super) fn submit_first_at(&mut self, node: usize) {
-        self.operators.setups += 1;
-        let extra = self.operators.setups;
-        let bytes = self.shape.setup(extra);
+        self.operators.configurations += 1;
+        let extra = self.operators.configurations;
+        let bytes = self.shape.configuration(extra);
         self.submit_through(
             Some(node),
-            What::Setup {
+            What::Configuration {
                 bytes,
                 base: None,
                 mark: extra % MARKS.len(),
@@ -248,7 +248,7 @@
             then: None,
         });
         let order = self.operators.submissions[at].order();
-        self.note(Fact::Called { call: id, order });
+        self.note(Fact::CallError { call: id, order });
         let node = first_node.unwrap_or_else(|| self.some_control_node());
         self.ask_submission_at(at, node);
         at
@@ -268,9 +268,9 @@
         self.send_order_to(at, node);
         self.send_stray_copy(at);
         // No answer at all: ask again with the same id, elsewhere.
-        let unknown = Answer::Verdict {
-            code: ResultCode::SetupUnknown,
-            edition: 0,
+        let unknown = ControlResponse::Verdict {
+            code: ResultCode::ChangeOutcomeUnknown,
+            revision: 0,
         };
         let impatient = |step: &Step| matches!(step.fault, Fault::LongCut { .. });
         let impatient = self.plan.steps.iter().any(impatient);
@@ -298,7 +298,7 @@
         let token = self.id();
         self.operators.tokens.insert(token, (at, node));
         let mut ask = self.operators.submissions[at].ask();
-        if let (true, Ask::Submit { id, .. } | Ask::Evacuate { id, .. }) =
+        if let (true, ControlRequest::Submit { id, .. } | ControlRequest::Evacuate { id, .. }) =
             (self.weak.redoes_orders, &mut ask)
             && !id.id.is_empty()
         {
@@ -309,7 +309,7 @@
             takes,
             Action::Deliver {
                 node,
-                event: NodeEvent::Ask { token, ask },
+                event: NodeEvent::ControlRequest { token, ask },
             },
         );
     }
@@ -320,25 +320,27 @@
     }
 
     /// An answer of a postmaster, by token.
-    pub(super) fn asked(&mut self, token: u64, answer: Answer) {
+    pub(super) fn asked(&mut self, token: u64, answer: ControlResponse) {
         if let Some(beat) = self.operators.beats.remove(&token) {
             return self.beat_answered(beat, answer);
         }
         if let Some((node, asked_at)) = self.operators.read_backs.remove(&token) {
             let read = match answer {
-                Answer::Setup { edition, bytes } => Some((edition, protocol::digest(&bytes))),
+                ControlResponse::Configuration { revision, bytes } => {
+                    Some((revision, protocol::digest(&bytes)))
+                }
                 // 'Nothing was ever accepted' is an answer too.
-                Answer::Verdict {
-                    code: ResultCode::NoWord,
-                    edition,
-                } => Some((edition, String::new())),
+                ControlResponse::Verdict {
+                    code: ResultCode::NoConfiguration,
+                    revision,
+                } => Some((revision, String::new())),
                 _ => None,
             };
-            read.into_iter().for_each(|(edition, digest)| {
+            read.into_iter().for_each(|(revision, digest)| {
                 let node = self.nodes[node].name.clone();
                 self.note(Fact::ReadBack {
                     node,
-                    edition,
+                    revision,
                     digest,
                     asked_at,
                 });
@@ -347,12 +349,12 @@
         }
         let submission = self.operators.tokens.remove(&token);
         let answer = match answer {
-            Answer::Verdict {
-                code: ResultCode::NumberTaken,
-                edition,
-            } if self.weak.confirms_taken => Answer::Verdict {
-                code: ResultCode::Fine,
-                edition,
+            ControlResponse::Verdict {
+                code: ResultCode::VersionConflict,
+                revision,
+            } if self.weak.confirms_taken => ControlResponse::Verdict {
+                code: ResultCode::Success,
+                revision,
             },
             other => other,
         };
@@ -361,8 +363,8 @@
             .for_each(|(submission, _)| self.carry_answer(submission, answer.clone()));
     }
 
-    pub(super) fn operator_told(&mut self, at: usize, answer: Answer) {
-        if let Answer::Redirect { to } = &answer {
+    pub(super) fn operator_told(&mut self, at: usize, answer: ControlResponse) {
+        if let ControlResponse::Redirect { to } = &answer {
             let node = self
                 .named(to)
                 .filter(|_| !self.operators.submissions[at].decided);
@@ -370,37 +372,37 @@
                 .into_iter()
                 .for_each(|node| self.ask_submission_at(at, node));
         }
-        let Answer::Verdict { code, edition } = answer else {
+        let ControlResponse::Verdict { code, revision } = answer else {
             return;
         };
         let is_final = matches!(
             code,
-            ResultCode::Fine
-                | ResultCode::SetupBehind
-                | ResultCode::NumberTaken
-                | ResultCode::Overtaken
-                | ResultCode::OrderForgotten
+            ResultCode::Success
+                | ResultCode::RevisionConflict
+                | ResultCode::VersionConflict
+                | ResultCode::Superseded
+                | ResultCode::ChangeForgotten
                 | ResultCode::IdReused
         );
         let submission = &self.operators.submissions[at];
         let already_decided = submission.decided;
         if is_final {
             // Without an id the answer may be to a later sending than the one that was decided.
-            let edition = Some(edition).filter(|_| !submission.anonymous);
+            let revision = Some(revision).filter(|_| !submission.anonymous);
             let call = submission.id.clone();
             self.note(Fact::Returned {
                 call,
-                reply: Reply::Decided { code, edition },
+                reply: Reply::Decided { code, revision },
             });
         }
         if already_decided {
             return;
         }
         match code {
-            _ if is_final => self.decide_submission(at, code, edition),
+            _ if is_final => self.decide_submission(at, code, revision),
             // Not decided: again with the same id, after a moment.
             _ if !self.operators.submissions[at].asks_again
-                && self.operators.submissions[at].asked < MOST_ASKS =>
+                && self.operators.submissions[at].asked < MAX_ASKS =>
             {
                 self.operators.submissions[at].asks_again = true;
                 self.after(ASK_AGAIN, Action::OperatorAsk { submission: at });
@@ -409,7 +411,7 @@
         }
     }
 
-    fn decide_submission(&mut self, at: usize, code: ResultCode, edition: u64) {
+    fn decide_submission(&mut self, at: usize, code: ResultCode, revision: u64) {
         let submission = &mut self.operators.submissions[at];
         submission.decided = true;
         let remembered = !submission.anonymous;
@@ -417,16 +419,16 @@
         let submitted_at = submission.submitted_at;
         let (what, took) = (submission.what.clone(), self.now - submitted_at);
         self.operators.decided += u64::from(remembered);
-        self.operators.edition = self.operators.edition.max(edition);
+        self.operators.revision = self.operators.revision.max(revision);
         self.feed_storm();
-        if !matches!(code, ResultCode::Fine | ResultCode::Overtaken) {
+        if !matches!(code, ResultCode::Success | ResultCode::Superseded) {
             return;
         }
         match what {
-            What::Setup { bytes, mark, .. } => {
+            What::Configuration { bytes, mark, .. } => {
                 let digest = protocol::digest(bytes.as_bytes());
                 self.note(Fact::Submitted {
-                    edition,
+                    revision,
                     digest,
                     mark,
                     took,
@@ -448,8 +450,8 @@
             }),
             What::Evacuate { back: true, .. } => {}
         }
-        if code == ResultCode::Fine {
-            self.note(Fact::Accepted { edition });
+        if code == ResultCode::Success {
+            self.note(Fact::Accepted { revision });
         }
         then.into_iter().for_each(|then| self.submit(then));
     }
@@ -488,9 +490,9 @@
             }
             let token = self.id();
             self.operators.read_backs.insert(token, (node, self.now));
-            let event = NodeEvent::Ask {
+            let event = NodeEvent::ControlRequest {
                 token,
-                ask: Ask::ReadSetup,
+                ask: ControlRequest::ReadConfiguration,
             };
             self.after(Duration::from_millis(8), Action::Deliver { node, event });
         });
--- a/crates/test-harness/src/sim/order_faults.rs
+++ b/crates/test-harness/src/sim/order_faults.rs
@@ -4,7 +4,7 @@
 use super::operators::{Operators, What};
 use super::world::{Action, World};
 use crate::facts::Fact;
-use control_plane::Answer;
+use control_plane::ControlResponse;
 use std::time::Duration;
 
 /// How long an order, or its answer, takes.
@@ -87,7 +87,7 @@
     }
 
     /// Brings an answer to its operator, unless it is lost.
-    pub(super) fn carry_answer(&mut self, submission: usize, answer: Answer) {
+    pub(super) fn carry_answer(&mut self, submission: usize, answer: ControlResponse) {
         let OrderDelivery {
             lost_per_mille,
             scrambled,
@@ -160,9 +160,11 @@
 
     /// An operator offers a new setup under a number.
     fn offer(&mut self, number: u64, anonymous: bool) {
-        self.operators.setups += 1;
+        self.operators.configurations += 1;
         // Few routes: hundreds of these come. The number tells them apart.
-        let bytes = self.shape.numbered_setup(self.operators.setups % 8, number);
+        let bytes = self
+            .shape
+            .numbered_setup(self.operators.configurations % 8, number);
         self.note(Fact::Offered {
             number,
             digest: protocol::digest(bytes.as_bytes()),
@@ -226,11 +228,14 @@
         let node = &self.nodes[at];
         if node.up && node.frozen.is_none() {
             let accepted = &node.disk.durable.accepted;
-            let (edition, digest, node) =
-                (accepted.edition, accepted.digest.clone(), node.name.clone());
+            let (revision, digest, node) = (
+                accepted.revision,
+                accepted.digest.clone(),
+                node.name.clone(),
+            );
             self.note(Fact::ReadBack {
                 node,
-                edition,
+                revision,
                 digest,
                 asked_at: self.now,
             });
--- a/crates/test-harness/src/sim/path.rs
+++ b/crates/test-harness/src/sim/path.rs
@@ -6,18 +6,18 @@
 use crate::facts::Fact;
 use crate::origins::Ended;
 use locality::Locality;
-use name_directory::{Listing, View};
+use name_directory::{LookupAnswer, View};
 use protocol::Upstream;
 use random::Random;
-use request_routing::{Bell, Journey, Move, Order, Outcome};
+use request_routing::{CallOutcome, NextStep, RequestInfo, RequestState, WakeUp};
 use result_code::{Execution, ResultCode};
 use std::collections::BTreeMap;
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
-use transport::Called;
+use transport::CallError;
 
 const WITHIN: Duration = Duration::from_millis(3000);
-const MOST_TRIES: u32 = 4;
+const MAX_TRIES: u32 = 4;
 const SOON: Duration = Duration::from_millis(200);
 
 /// An answer on its way, as the wire would carry it.
@@ -31,7 +31,7 @@
     pub body: String,
     pub retry_after: Option<Duration>,
     /// Set where no answer came.
-    pub failed: Option<Called>,
+    pub failed: Option<CallError>,
 }
 
 impl Reply {
@@ -40,7 +40,7 @@
         let (try_id, instance, body) = (try_id.to_owned(), instance.to_owned(), body.to_owned());
         Reply {
             status,
-            code: Some(ResultCode::Fine),
+            code: Some(ResultCode::Success),
             try_id,
             instance,
             seal,
@@ -65,12 +65,12 @@
         }
     }
 
-    fn failed(called: Called) -> Reply {
+    fn failed(called: CallError) -> Reply {
         Reply {
             failed: Some(called),
             status: 0,
             code: None,
-            ..Reply::coded("", ResultCode::Lost, None)
+            ..Reply::coded("", ResultCode::ResponseLost, None)
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// The daemons' own judgement of it.
-    pub(super) fn judge(&self, try_id: &str, instance: Option<&str>) -> Outcome {
+    pub(super) fn judge(&self, try_id: &str, instance: Option<&str>) -> CallOutcome {
         let reply = transport::Reply {
             status: self.status,
             headers: self.headers(),
@@ -147,7 +147,7 @@
 /// One request at one proxy.
 pub struct Trip {
     pub node: usize,
-    pub journey: Journey,
+    pub journey: RequestState,
     pub request: Request,
     pub sent: Sent,
     /// Counts calls, so that an answer to an earlier one is dropped.
@@ -173,8 +173,8 @@
         /// Its kept connection ended, or something came on it, before it was written to.
         unwritable: bool,
     },
-    Called,
-    Outcome(Outcome, Option<Reply>),
+    CallError,
+    CallOutcome(CallOutcome, Option<Reply>),
 }
 
 /// Where one origin stands with its work.
@@ -255,7 +255,7 @@
         else {
             return;
         };
-        if state.tries >= MOST_TRIES || now >= state.started_at + WITHIN {
+        if state.tries >= MAX_TRIES || now >= state.started_at + WITHIN {
             return self.origin_end(work);
         }
         let id = (state.place.clone(), state.service);
@@ -308,7 +308,7 @@
                 name,
                 &origin,
                 lifetime,
-                (name_directory::Owners::One, 3),
+                (name_directory::OwnershipMode::One, 3),
             )
             .ok()
         });
@@ -322,7 +322,12 @@
         );
     }
 
-    pub(super) fn origin_told(&mut self, work: u64, listing: Option<Listing>, asked_at: Duration) {
+    pub(super) fn origin_told(
+        &mut self,
+        work: u64,
+        listing: Option<LookupAnswer>,
+        asked_at: Duration,
+    ) {
         let now = self.now;
         let Some(state) = self.origins.works.get_mut(&work) else {
             return;
@@ -380,7 +385,7 @@
             try_id: request.try_id.clone(),
         });
         let patience = remaining + Duration::from_millis(500);
-        let failed = Reply::failed(Called::TimedOut);
+        let failed = Reply::failed(CallError::TimedOut);
         self.after(
             patience,
             Action::OriginAnswer {
@@ -409,7 +414,7 @@
         }
         state.stand = Stand::Resting;
         let (try_id, body) = (format!("try-{work}-{try_number}"), format!("work-{work}"));
-        if answer.failed == Some(Called::NotConnected) {
+        if answer.failed == Some(CallError::NotConnected) {
             state.last = None;
             self.origins.known.clear();
             return self.after(SOON, Action::OriginTry { work });
@@ -417,11 +422,11 @@
         let code = answer
             .code
             .filter(|_| answer.failed.is_none())
-            .unwrap_or(ResultCode::Lost);
+            .unwrap_or(ResultCode::ResponseLost);
         state.last = Some(code);
         let success = answer.failed.is_none() && answer.status == 200;
-        let whole = answer.judge(&try_id, None) == Outcome::Sealed && answer.body == body;
-        let not_run = !success && answer.failed.is_none() && code.kind() == Execution::NotRun;
+        let whole = answer.judge(&try_id, None) == CallOutcome::Sealed && answer.body == body;
+        let not_run = !success && answer.failed.is_none() && code.kind() == Execution::NotExecuted;
         if answer.failed.is_none() {
             self.note(Fact::Answered {
                 try_id,
@@ -434,7 +439,7 @@
         if not_run {
             let told = answer
                 .retry_after
-                .map(|told| self.load.come_back.unwrap_or(told));
+                .map(|told| self.load.retry_after_for.unwrap_or(told));
             let wait = told.unwrap_or(SOON);
             self.after(wait, Action::OriginTry { work });
         } else {
@@ -466,7 +471,7 @@
 
     /// One probe through every carrier, once there was more than one setup.
     pub(super) fn probe(&mut self) {
-        let several = self.operators.setups() > 1;
+        let several = self.operators.configurations() > 1;
         self.carriers()
             .into_iter()
             .filter(|_| several)
@@ -504,12 +509,13 @@
             .carrier()
             .is_some_and(|carrier| carrier.phase() == data_plane::Phase::Denying)
         {
-            let retry_after = request_routing::come_back(ResultCode::Closing, 0.0, &request.try_id);
-            let denied = Reply::coded(&request.try_id, ResultCode::Closing, retry_after);
+            let retry_after =
+                request_routing::retry_after_for(ResultCode::ShuttingDown, 0.0, &request.try_id);
+            let denied = Reply::coded(&request.try_id, ResultCode::ShuttingDown, retry_after);
             return self.answer(&request, Some(at), denied);
         }
         let rung = self.rung.clone();
-        let order = Order {
+        let order = RequestInfo {
             try_id: request.try_id.clone(),
             name: match request.from {
                 From::Nobody => request.service.to_owned(),
@@ -521,13 +527,13 @@
             remaining: request.remaining,
             body_bytes: request.work.len() as u64,
             forwarded: matches!(request.from, From::Proxy { .. }),
-            bell: Bell::new(move || {
+            bell: WakeUp::new(move || {
                 rung.lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .push(trip)
             }),
         };
-        let journey = Journey::new(order, node.site.clone());
+        let journey = RequestState::new(order, node.site.clone());
         let sent = Sent {
             try_id: request.try_id.clone(),
             work: request.work.clone(),
@@ -563,7 +569,7 @@
             .get(&id)
             .is_some_and(|trip| trip.node == at && trip.waiting);
         if waits {
-            self.decide(id, Told::Called);
+            self.decide(id, Told::CallError);
         }
     }
 
@@ -577,7 +583,7 @@
                     Duration::ZERO,
                     Action::Deliver {
                         node,
-                        event: NodeEvent::Called { trip },
+                        event: NodeEvent::CallError { trip },
                     },
                 )
             });
@@ -611,7 +617,7 @@
             return;
         };
         let node = &self.nodes[trip.node];
-        let Core::Carrier(carrier, board) = &node.core else {
+        let Core::DataNode(carrier, board) = &node.core else {
             return;
         };
         let local = node.local(self.now);
@@ -635,18 +641,18 @@
         let mut reply = None;
         let next = match told {
             Told::Start => trip.journey.start(local, &view, board),
-            Told::Called => trip.journey.called(local, &view, board),
+            Told::CallError => trip.journey.called(local, &view, board),
             Told::Connected { unwritable } => {
                 let (judged_at, judged_by) = trip.chosen_by.take().unwrap_or((local, view.clone()));
                 match trip.journey.connected(judged_at, &judged_by, board) {
-                    Move::Send { .. } if unwritable => {
+                    NextStep::Send { .. } if unwritable => {
                         trip.may_reuse = false;
                         trip.journey.unsent(local)
                     }
                     next => next,
                 }
             }
-            Told::Outcome(outcome, came) => {
+            Told::CallOutcome(outcome, came) => {
                 reply = came;
                 if self.weak.spendthrift {
                     let desk = board.desk(trip.request.service);
@@ -656,7 +662,7 @@
             }
         };
         match next {
-            Move::Connect { upstream, within } => {
+            NextStep::Connect { upstream, within } => {
                 trip.send += 1;
                 trip.instance = Some(upstream.instance.clone());
                 (trip.address, trip.life, trip.connection, trip.passed) =
@@ -692,11 +698,11 @@
                         cut,
                     },
                 );
-                let late = (Outcome::NotConnected, None);
+                let late = (CallOutcome::NotConnected, None);
                 self.after_outcome(id, send, late, within.min(transport::CONNECT_WITHIN));
                 self.spring_ambush(at, &upstream.instance);
             }
-            Move::Send { share, within } => {
+            NextStep::Send { share, within } => {
                 // From here on an answer to the connecting is of no interest.
                 trip.send += 1;
                 trip.sent.epoch = share.map(|share| share.epoch);
@@ -710,20 +716,20 @@
                         cut,
                     },
                 );
-                self.after_outcome(id, send, (Outcome::TimedOut, None), within);
+                self.after_outcome(id, send, (CallOutcome::TimedOut, None), within);
             }
-            Move::Wait { within } => {
+            NextStep::Wait { within } => {
                 trip.waiting = true;
                 let node = trip.node;
                 self.after(
                     within,
                     Action::Deliver {
                         node,
-                        event: NodeEvent::Called { trip: id },
+                        event: NodeEvent::CallError { trip: id },
                     },
                 );
             }
-            Move::Forward { proxies, within } => {
+            NextStep::Forward { proxies, within } => {
                 trip.send += 1;
                 trip.instance = None;
                 let (send, at) = (trip.send, trip.node);
@@ -764,21 +770,21 @@
                                 },
                             },
                         );
-                        self.after_outcome(id, send, (Outcome::TimedOut, None), within);
+                        self.after_outcome(id, send, (CallOutcome::TimedOut, None), within);
                     }
                     None => self.after_outcome(
                         id,
                         send,
-                        (Outcome::NotConnected, None),
+                        (CallOutcome::NotConnected, None),
                         within.min(SOON),
                     ),
                 }
             }
-            Move::Pass => self.end_trip(
+            NextStep::Pass => self.end_trip(
                 id,
-                reply.unwrap_or_else(|| Reply::coded("", ResultCode::Lost, None)),
+                reply.unwrap_or_else(|| Reply::coded("", ResultCode::ResponseLost, None)),
             ),
-            Move::Answer { code, retry_after } => {
+            NextStep::Answer { code, retry_after } => {
                 let try_id = trip.request.try_id.clone();
                 self.end_trip(id, Reply::coded(&try_id, code, retry_after));
             }
@@ -842,10 +848,10 @@
                 };
                 let code = reply.code.filter(|_| reply.failed.is_none());
                 let denied =
-                    reply.seal.is_empty() && code.is_some_and(|code| code != ResultCode::Fine);
+                    reply.seal.is_empty() && code.is_some_and(|code| code != ResultCode::Success);
                 let judged = reply.judge(&request.try_id, None);
-                let outcome = if denied || judged == Outcome::SealedNotRun {
-                    Outcome::Sealed
+                let outcome = if denied || judged == CallOutcome::SealedNotRun {
+                    CallOutcome::Sealed
                 } else {
                     judged
                 };
@@ -857,13 +863,13 @@
     }
 
     /// A process died, or was down, with this request.
-    pub(super) fn reply(&mut self, trip: &Trip, called: Result<(), Called>) {
+    pub(super) fn reply(&mut self, trip: &Trip, called: Result<(), CallError>) {
         called.err().into_iter().for_each(|called| {
             self.answer(&trip.request, Some(trip.node), Reply::failed(called));
         });
     }
 
-    pub(super) fn reply_to(&mut self, request: &Request, called: Result<(), Called>) {
+    pub(super) fn reply_to(&mut self, request: &Request, called: Result<(), CallError>) {
         called
             .err()
             .into_iter()
@@ -874,13 +880,13 @@
         &mut self,
         trip: u64,
         send: u32,
-        outcome: (Outcome, Option<Reply>),
+        outcome: (CallOutcome, Option<Reply>),
         span: Duration,
     ) {
         let node = self.trips.get(&trip).map(|trip| trip.node);
         node.into_iter().for_each(|node| {
             let (outcome, reply) = outcome.clone();
-            let event = NodeEvent::Outcome {
+            let event = NodeEvent::CallOutcome {
                 trip,
                 send,
                 outcome,
@@ -895,7 +901,7 @@
         &mut self,
         trip: u64,
         send: u32,
-        called: Result<Reply, Called>,
+        called: Result<Reply, CallError>,
         delay: Duration,
     ) {
         let Some(waiting) = self.trips.get(&trip) else {
@@ -905,8 +911,8 @@
         if self.weak.trusting {
             let outcome = reply
                 .failed
-                .map(|_| Outcome::SealedNotRun)
-                .unwrap_or(Outcome::Sealed);
+                .map(|_| CallOutcome::SealedNotRun)
+                .unwrap_or(CallOutcome::Sealed);
             return self.after_outcome(trip, send, (outcome, Some(reply)), delay);
         }
         let outcome = reply.judge(&waiting.sent.try_id, waiting.instance.as_deref());
@@ -918,7 +924,7 @@
         at: usize,
         trip: u64,
         send: u32,
-        outcome: Outcome,
+        outcome: CallOutcome,
         reply: Option<Reply>,
     ) {
         let mine = self
@@ -931,11 +937,11 @@
                 .get_mut(&trip)
                 .and_then(|trip| trip.connection.take());
             let answered = reply.as_ref().is_some_and(|reply| reply.failed.is_none());
-            let expected = answered && outcome != Outcome::Garbage;
+            let expected = answered && outcome != CallOutcome::Garbage;
             connection
                 .into_iter()
                 .for_each(|connection| self.end_kept(connection, expected));
-            self.decide(trip, Told::Outcome(outcome, reply));
+            self.decide(trip, Told::CallOutcome(outcome, reply));
         }
     }
 }
--- a/crates/test-harness/src/sim/ranged.rs
+++ b/crates/test-harness/src/sim/ranged.rs
@@ -5,7 +5,7 @@
 use super::world::{Action, World};
 use crate::facts::Fact;
 use key_space::KEY_COUNT;
-use protocol::Share;
+use protocol::KeyShare;
 use random::Random;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -33,7 +33,7 @@
     /// The highest fence seen on any key.
     seen: Vec<(Range<u32>, u64)>,
     /// What it let go since its last acknowledged beat.
-    pub released: Vec<Share>,
+    pub released: Vec<KeyShare>,
     /// The key of each request that runs.
     pub working: BTreeMap<(u64, u32), u32>,
 }
@@ -81,14 +81,14 @@
     }
 
     /// What a beat lists; nothing once the hold has run out, even if work goes on.
-    pub fn listed(&self, now: Duration) -> Vec<Share> {
+    pub fn listed(&self, now: Duration) -> Vec<KeyShare> {
         let rows = self.rows.iter().filter(|_| now < self.until);
         let live = rows.chain(self.ending.iter().filter(|_| now < self.ending_until));
-        let share = |(keys, epoch): &(Range<u32>, u64)| Share {
+        let share = |(keys, epoch): &(Range<u32>, u64)| KeyShare {
             from: keys.start,
             until: keys.end,
             epoch: *epoch,
-            ..Share::default()
+            ..KeyShare::default()
         };
         live.map(share).collect()
     }
@@ -135,11 +135,11 @@
             self.ending.drain(..).partition(|(keys, _)| busy(keys));
         self.ending = ending;
         let gone: Vec<Range<u32>> = gone.into_iter().map(|(keys, _)| keys).collect();
-        let released = |keys: &Range<u32>| Share {
+        let released = |keys: &Range<u32>| KeyShare {
             from: keys.start,
             until: keys.end,
             handover: token.to_owned(),
-            ..Share::default()
+            ..KeyShare::default()
         };
         self.released.extend(gone.iter().map(released));
         gone
@@ -191,7 +191,7 @@
     pub(super) fn ranges_answered(
         &mut self,
         from: (usize, u64, u64, Duration, usize),
-        shares: Option<Vec<Share>>,
+        shares: Option<Vec<KeyShare>>,
         span: Duration,
     ) {
         let (unit, life, beat, sent_at, node) = from;
@@ -225,7 +225,7 @@
     pub(super) fn ranges_answer(
         &mut self,
         from: (usize, u64, u64, Duration),
-        shares: Vec<Share>,
+        shares: Vec<KeyShare>,
         span: Duration,
     ) {
         let (at, life, beat, sent_at) = from;
--- a/crates/test-harness/src/sim/signing_off.rs
+++ b/crates/test-harness/src/sim/signing_off.rs
@@ -1,7 +1,7 @@
 //! Upstreams that sign off before they ever said that they leave, serve on for a while, and end.
 
 use super::world::World;
-use control_plane::Ask;
+use control_plane::ControlRequest;
 use protocol::Upstream;
 
 impl World {
@@ -26,14 +26,14 @@
     }
 
     /// What an upstream says in its next call.
-    pub(super) fn beat_or_sign_off(&self, at: usize, told: Upstream) -> Ask {
+    pub(super) fn beat_or_sign_off(&self, at: usize, told: Upstream) -> ControlRequest {
         let unit = &self.units[at];
         match (unit.signed_off, unit.taken_at) {
-            (false, _) => Ask::Beat(told),
-            (true, None) => Ask::SignOff {
+            (false, _) => ControlRequest::Beat(told),
+            (true, None) => ControlRequest::SignOff {
                 instance: told.instance,
             },
-            (true, Some(_)) => Ask::Beat(Upstream {
+            (true, Some(_)) => ControlRequest::Beat(Upstream {
                 holds: Vec::new(),
                 ..told
             }),
--- a/crates/test-harness/src/sim/units.rs
+++ b/crates/test-harness/src/sim/units.rs
@@ -8,9 +8,9 @@
 use crate::facts::Fact;
 use crate::shapes::{Work, mark_of};
 use crate::upstreams::given_slots;
-use config::Sheet;
-use control_plane::Answer;
-use protocol::{Share, Upstream};
+use config::JsonValue;
+use control_plane::ControlResponse;
+use protocol::{KeyShare, Upstream};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::time::Duration;
@@ -182,11 +182,11 @@
         let node = unit.leaves_by.unwrap_or(node);
         unit.beat += 1;
         let holds = unit.holds.iter().filter(|(_, (_, until))| now < *until);
-        let holds = holds.map(|(slot, (epoch, _))| Share {
+        let holds = holds.map(|(slot, (epoch, _))| KeyShare {
             from: *slot,
             until: slot + 1,
             epoch: *epoch,
-            ..Share::default()
+            ..KeyShare::default()
         });
         let told = Upstream {
             service: unit.work.service.into(),
@@ -211,7 +211,7 @@
             self.operators
                 .beats
                 .insert(token, (at, life, beat, now, node));
-            let event = NodeEvent::Ask {
+            let event = NodeEvent::ControlRequest {
                 token,
                 ask: self.beat_or_sign_off(at, told.clone()),
             };
@@ -223,13 +223,13 @@
     pub(super) fn beat_answered(
         &mut self,
         from: (usize, u64, u64, Duration, usize),
-        answer: Answer,
+        answer: ControlResponse,
     ) {
         let (unit, life, beat, sent_at, node) = from;
-        if let Answer::Redirect { to } = &answer {
+        if let ControlResponse::Redirect { to } = &answer {
             self.units[unit].leaves_by = self.units[unit].leaves_by.and(self.named(to));
         }
-        let Answer::Beat {
+        let ControlResponse::Beat {
             holder,
             shares,
             span,
@@ -246,14 +246,14 @@
         if self.units[unit].work.numbered {
             return self.ranges_answered(from, shares, span);
         }
-        let sheet = control_plane::beat_sheet(holder, shares, span);
+        let json = control_plane::beat_sheet(holder, shares, span);
         let delay = self.net.delay(
             &mut self.random,
             &self.nodes[node].place,
             &self.units[unit].place,
         );
         delay.into_iter().for_each(|delay| {
-            let sheet = sheet.clone();
+            let json = json.clone();
             self.after(
                 delay,
                 Action::BeatAnswer {
@@ -261,7 +261,7 @@
                     life,
                     beat,
                     sent_at,
-                    sheet,
+                    json,
                 },
             );
         });
@@ -302,11 +302,11 @@
         life: u64,
         beat: u64,
         sent_at: Duration,
-        sheet: &Sheet,
+        json: &JsonValue,
     ) {
         let now = self.now;
         let unit = &mut self.units[at];
-        let told = sheet.count("holder").unwrap_or(0);
+        let told = json.count("holder").unwrap_or(0);
         let new_holder = unit.up && unit.life == life && unit.beat == beat && unit.holder != told;
         if new_holder {
             unit.holder = told;
@@ -316,16 +316,16 @@
             self.beat_once(at);
         }
         let unit = &mut self.units[at];
-        let span_ms = sheet
+        let span_ms = json
             .count("spanMs")
-            .filter(|_| sheet.get("shares").is_some());
+            .filter(|_| json.get("shares").is_some());
         let Some(span_ms) = span_ms.filter(|_| unit.up && unit.life == life && unit.beat == beat)
         else {
             return;
         };
         if now < unit.paused_until {
             let until = unit.paused_until;
-            let sheet = sheet.clone();
+            let json = json.clone();
             return self.at(
                 until,
                 Action::BeatAnswer {
@@ -333,13 +333,13 @@
                     life,
                     beat,
                     sent_at,
-                    sheet,
+                    json,
                 },
             );
         }
         let until =
             sent_at + true_span(Duration::from_millis(span_ms), unit.drift) + self.weak.holds_on;
-        let given = given_slots(sheet);
+        let given = given_slots(json);
         let (service, instance) = (unit.work.service.to_owned(), unit.instance.clone());
         let gone: Vec<u32> = unit
             .holds
@@ -404,7 +404,7 @@
             return self.back(
                 trip,
                 send,
-                Err(transport::Called::NotConnected),
+                Err(transport::CallError::NotConnected),
                 Duration::from_micros(300),
             );
         };
@@ -438,7 +438,7 @@
             return self.back(
                 trip,
                 send,
-                Err(transport::Called::Lost),
+                Err(transport::CallError::Lost),
                 Duration::from_micros(300),
             );
         };
@@ -453,7 +453,7 @@
             return self.back(
                 trip,
                 send,
-                Err(transport::Called::Lost),
+                Err(transport::CallError::Lost),
                 Duration::from_micros(300),
             );
         }
@@ -562,7 +562,7 @@
         }
         let lost = lost || self.resets();
         let called = if lost || !alive {
-            Err(transport::Called::Lost)
+            Err(transport::CallError::Lost)
         } else {
             Ok(reply)
         };
--- a/crates/test-harness/src/sim/world.rs
+++ b/crates/test-harness/src/sim/world.rs
@@ -11,8 +11,8 @@
 use crate::origins::Ended;
 use crate::rules::{Violation, judge};
 use crate::shapes::{ROADWISE, Shape};
-use config::Sheet;
-use protocol::{Departure, Share};
+use config::JsonValue;
+use protocol::{Departure, KeyShare};
 use random::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -64,7 +64,7 @@
         life: u64,
         beat: u64,
         sent_at: Duration,
-        shares: Vec<Share>,
+        shares: Vec<KeyShare>,
         span: Duration,
     },
     BeatAnswer {
@@ -72,7 +72,7 @@
         life: u64,
         beat: u64,
         sent_at: Duration,
-        sheet: Sheet,
+        json: JsonValue,
     },
     UnitConnect {
         trip: u64,
@@ -101,7 +101,7 @@
     },
     OriginTold {
         work: u64,
-        listing: Option<name_directory::Listing>,
+        listing: Option<name_directory::LookupAnswer>,
         asked_at: Duration,
     },
     OriginAnswer {
@@ -118,7 +118,7 @@
     },
     OperatorAnswer {
         submission: usize,
-        answer: control_plane::Answer,
+        answer: control_plane::ControlResponse,
     },
     Fault {
         at: usize,
@@ -262,7 +262,7 @@
     /// How long requests may wait for a seat.
     pub wait_for: Duration,
     /// Origins come back after this, whatever they are told.
-    pub come_back: Option<Duration>,
+    pub retry_after_for: Option<Duration>,
 }
 
 impl Default for Load {
@@ -273,7 +273,7 @@
             takes: (ms(3), ms(7)),
             some_slow: false,
             wait_for: ms(150),
-            come_back: None,
+            retry_after_for: None,
         }
     }
 }
@@ -520,8 +520,8 @@
                 life,
                 beat,
                 sent_at,
-                sheet,
-            } => self.beat_answer(unit, life, beat, sent_at, &sheet),
+                json,
+            } => self.beat_answer(unit, life, beat, sent_at, &json),
             Action::RangesAnswer {
                 unit,
                 life,
@@ -591,12 +591,12 @@
             .filter_map(|node| {
                 let view = node.carrier()?.view();
                 view.is_fresh(node.local(self.now), self.weak.stale_after)
-                    .then(|| (node.name.clone(), view.edition))
+                    .then(|| (node.name.clone(), view.revision))
             })
             .collect();
         serving
             .into_iter()
-            .for_each(|(node, edition)| self.note(Fact::InForce { node, edition }));
+            .for_each(|(node, revision)| self.note(Fact::InForce { node, revision }));
         self.watch_losses();
     }
 
@@ -635,21 +635,21 @@
 
     fn agreed(&self) -> bool {
         let there = || self.nodes.iter().filter(|node| !node.removed);
-        let editions = there().map(|node| match &node.core {
-            super::nodes::Core::ControlNode(control) => control.edition(),
-            super::nodes::Core::Carrier(carrier, _) => carrier.view().edition,
+        let revisions = there().map(|node| match &node.core {
+            super::nodes::Core::ControlNode(control) => control.revision(),
+            super::nodes::Core::DataNode(carrier, _) => carrier.view().revision,
             super::nodes::Core::Down => 0,
         });
         let places = there().filter_map(|node| node.carrier()).map(|carrier| {
             let view = carrier.view();
             (
                 view.reservations.clone(),
-                view.marks.clone(),
+                view.tombstones.clone(),
                 view.upstreams.len(),
             )
         });
-        let (editions, places): (Vec<_>, Vec<_>) = (editions.collect(), places.collect());
-        editions.windows(2).all(|two| two[0] == two[1])
+        let (revisions, places): (Vec<_>, Vec<_>) = (revisions.collect(), places.collect());
+        revisions.windows(2).all(|two| two[0] == two[1])
             && places.windows(2).all(|two| two[0] == two[1])
     }
 
--- a/crates/test-harness/src/upstreams.rs
+++ b/crates/test-harness/src/upstreams.rs
@@ -3,10 +3,10 @@
 use crate::facts::{Fact, Record};
 use crate::shapes::{Work, mark_of};
 use bytes::Bytes;
-use config::Sheet;
+use config::JsonValue;
 use http_body_util::Full;
 use hyper::Response;
-use protocol::Share;
+use protocol::KeyShare;
 use random::Random;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
-use transport::{Caller, Clock, Enquiry};
+use transport::{Clock, HttpClient, HttpRequest};
 
 const BEAT_EVERY: Duration = Duration::from_millis(500);
 const BEAT_WITHIN: Duration = Duration::from_millis(900);
@@ -61,12 +61,11 @@
 /// The slots, with their epochs, that the answer to a beat names.
 ///
 /// ```
-/// let sheet = config::Sheet::read(r#"{"shares": [{"from": 3, "until": 5, "epoch": 7}]}"#).unwrap();
-/// assert_eq!(test_harness::upstreams::given_slots(&sheet).into_iter().collect::<Vec<_>>(), [(3, 7), (4, 7)]);
+/// let json = config::JsonValue::read(r#"{"shares": [{"from": 3, "until": 5, "epoch": 7}]}"#).unwrap();
+/// assert_eq!(test_harness::upstreams::given_slots(&json).into_iter().collect::<Vec<_>>(), [(3, 7), (4, 7)]);
 /// ```
-pub fn given_slots(sheet: &Sheet) -> BTreeMap<u32, u64> {
-    sheet
-        .list("shares")
+pub fn given_slots(json: &JsonValue) -> BTreeMap<u32, u64> {
+    json.list("shares")
         .iter()
         .filter_map(|run| Some((run.count("from")?, run.count("until")?, run.count("epoch")?)))
         .flat_map(|(from, until, epoch)| (from..until).map(move |slot| (slot as u32, epoch)))
@@ -158,13 +157,13 @@
         nodes: Arc<Vec<String>>,
         mut closing: watch::Receiver<bool>,
     ) {
-        let caller = Caller::default();
+        let client = HttpClient::default();
         let mut random = Random::new(random::stable_hash(&self.instance));
         loop {
             let node = nodes[random.below(nodes.len() as u64) as usize].clone();
             self.pause().await;
             let known = self.holder.load(Ordering::Acquire);
-            let taken = self.beat_once(&caller, &node).await;
+            let taken = self.beat_once(&client, &node).await;
             let new_holder = self.work.keyed && self.holder.load(Ordering::Acquire) != known;
             // The next beat proves that it knows the new holder: the sooner, the less runs out.
             let pause = if taken && !new_holder {
@@ -183,28 +182,26 @@
     }
 
     /// Sends one beat; true where the node took it.
-    pub async fn beat_once(&self, caller: &Caller, node: &str) -> bool {
+    pub async fn beat_once(&self, client: &HttpClient, node: &str) -> bool {
         let sent_at = self.clock.now();
         let body = self.describe(sent_at).to_string();
-        let called = caller
+        let called = client
             .call(node, "POST", "/beats", &[], body.into(), BEAT_WITHIN, false)
             .await;
         let reply = called.ok().filter(|reply| reply.status == 200);
-        let sheet = reply
+        let json = reply
             .as_ref()
             .and_then(|reply| std::str::from_utf8(&reply.body).ok())
-            .and_then(|text| Sheet::read(text).ok());
-        sheet
-            .iter()
-            .for_each(|sheet| self.take_shares(sent_at, sheet));
+            .and_then(|text| JsonValue::read(text).ok());
+        json.iter().for_each(|json| self.take_shares(sent_at, json));
         reply.is_some()
     }
 
-    fn describe(&self, now: Duration) -> Sheet {
+    fn describe(&self, now: Duration) -> JsonValue {
         let condition =
             ["ready", "leaving", "gone"][self.condition.load(Ordering::Acquire) as usize % 3];
         let mut fields = vec![
-            ("service".to_owned(), Sheet::from(self.work.service)),
+            ("service".to_owned(), JsonValue::from(self.work.service)),
             ("instance".to_owned(), self.instance.as_str().into()),
             ("address".to_owned(), self.address.as_str().into()),
             ("locality".to_owned(), self.locality.as_str().into()),
@@ -224,43 +221,42 @@
             ),
         ];
         let runs = self.held(now).into_iter().map(|share| {
-            Sheet::fields([
+            JsonValue::fields([
                 ("from", u64::from(share.from).into()),
                 ("until", u64::from(share.until).into()),
                 ("epoch", share.epoch.into()),
             ])
         });
         fields.push(("holds".to_owned(), runs.collect()));
-        Sheet::Fields(fields)
+        JsonValue::Fields(fields)
     }
 
-    fn held(&self, now: Duration) -> Vec<Share> {
+    fn held(&self, now: Duration) -> Vec<KeyShare> {
         let holds = self.holds.lock().unwrap_or_else(PoisonError::into_inner);
         let live = holds.iter().filter(|(_, (_, until))| now < *until);
-        live.map(|(slot, (epoch, _))| Share {
+        live.map(|(slot, (epoch, _))| KeyShare {
             from: *slot,
             until: slot + 1,
             epoch: *epoch,
-            ..Share::default()
+            ..KeyShare::default()
         })
         .collect()
     }
 
     /// An answer that names shares says all that it holds from now on, counted from when the beat was sent.
-    fn take_shares(&self, sent_at: Duration, sheet: &Sheet) {
-        sheet
-            .count("holder")
+    fn take_shares(&self, sent_at: Duration, json: &JsonValue) {
+        json.count("holder")
             .into_iter()
             .for_each(|holder| self.holder.store(holder, Ordering::Release));
-        let Some(span_ms) = sheet
+        let Some(span_ms) = json
             .count("spanMs")
-            .filter(|_| sheet.get("shares").is_some())
+            .filter(|_| json.get("shares").is_some())
         else {
             return;
         };
         let until = sent_at + Duration::from_millis(span_ms);
         let now = self.clock.now();
-        let given = given_slots(sheet);
+        let given = given_slots(json);
         let mut holds = self.holds.lock().unwrap_or_else(PoisonError::into_inner);
         let service = self.work.service.to_owned();
         holds.retain(|slot, _| {
@@ -296,7 +292,7 @@
     }
 
     /// Keyed work runs only under a share that is held at this moment, in the epoch that the proxy names.
-    fn may_run(&self, enquiry: &Enquiry) -> bool {
+    fn may_run(&self, enquiry: &HttpRequest) -> bool {
         let now = self.clock.now();
         let slot = key_space::slot_of_key(enquiry.header("x-key"));
         let epoch = enquiry.header("x-share-epoch").parse::<u64>().ok();
@@ -308,7 +304,7 @@
         !self.work.keyed || (held.is_some() && held == epoch)
     }
 
-    async fn serve(&self, enquiry: Enquiry) -> Response<Full<Bytes>> {
+    async fn serve(&self, enquiry: HttpRequest) -> Response<Full<Bytes>> {
         self.pause().await;
         let ill = self.ill();
         let lost = |proxies: &[String]| {
--- a/crates/test-harness/tests/configurations.rs
+++ b/crates/test-harness/tests/configurations.rs
@@ -85,13 +85,14 @@
         .find(|(_, fact)| restart(fact))
         .map(|(at, _)| *at)?;
     let accepted = outcome.seen.iter().filter_map(|(_, fact)| match fact {
-        Fact::Accepted { edition } => Some(*edition),
+        Fact::Accepted { revision } => Some(*revision),
         _ => None,
     });
     let accepted = accepted.max()?;
     let before = outcome.seen.iter().filter(|(at, _)| *at < restarted);
-    let early = before
-        .filter(|(_, fact)| matches!(fact, Fact::InForce { edition, .. } if *edition >= accepted));
+    let early = before.filter(
+        |(_, fact)| matches!(fact, Fact::InForce { revision, .. } if *revision >= accepted),
+    );
     assert_eq!(early.count(), 0, "no carrier was told before the restart");
     let mut since: BTreeMap<&str, Duration> = BTreeMap::new();
     outcome
@@ -99,7 +100,7 @@
         .iter()
         .filter(|(at, _)| *at >= restarted)
         .for_each(|(at, fact)| match fact {
-            Fact::InForce { node, edition } if *edition >= accepted => {
+            Fact::InForce { node, revision } if *revision >= accepted => {
                 since.entry(node).or_insert(*at);
             }
             _ => {}
--- a/crates/test-harness/tests/history.rs
+++ b/crates/test-harness/tests/history.rs
@@ -18,35 +18,42 @@
     }
 }
 
-fn told(code: ResultCode, edition: u64) -> Reply {
+fn told(code: ResultCode, revision: u64) -> Reply {
     Reply::Decided {
         code,
-        edition: Some(edition),
+        revision: Some(revision),
     }
 }
 
-fn setup(from: u64, to: u64, number: u64, digest: &str, code: ResultCode, edition: u64) -> Call {
-    let order = Order::Setup {
+fn configuration(
+    from: u64,
+    to: u64,
+    number: u64,
+    digest: &str,
+    code: ResultCode,
+    revision: u64,
+) -> Call {
+    let order = Order::Configuration {
         number: Some(number),
         base: None,
         digest: digest.into(),
     };
-    call(from, order, Some((to, told(code, edition))))
+    call(from, order, Some((to, told(code, revision))))
 }
 
-fn based(from: u64, to: u64, base: u64, digest: &str, code: ResultCode, edition: u64) -> Call {
-    let order = Order::Setup {
+fn based(from: u64, to: u64, base: u64, digest: &str, code: ResultCode, revision: u64) -> Call {
+    let order = Order::Configuration {
         number: None,
         base: Some(base),
         digest: digest.into(),
     };
-    call(from, order, Some((to, told(code, edition))))
+    call(from, order, Some((to, told(code, revision))))
 }
 
 fn unanswered(from: u64, number: u64, digest: &str) -> Call {
     call(
         from,
-        Order::Setup {
+        Order::Configuration {
             number: Some(number),
             base: None,
             digest: digest.into(),
@@ -55,32 +62,32 @@
     )
 }
 
-fn evacuation(from: u64, to: u64, back: bool, edition: u64) -> Call {
+fn evacuation(from: u64, to: u64, back: bool, revision: u64) -> Call {
     call(
         from,
         Order::Evacuate {
             locality: "n1".into(),
             back,
         },
-        Some((to, told(ResultCode::Fine, edition))),
+        Some((to, told(ResultCode::Success, revision))),
     )
 }
 
-fn read(from: u64, to: u64, edition: u64, digest: &str) -> Call {
+fn read(from: u64, to: u64, revision: u64, digest: &str) -> Call {
     call(
         from,
         Order::Read,
         Some((
             to,
             Reply::Read {
-                edition,
+                revision,
                 digest: digest.into(),
             },
         )),
     )
 }
 
-const FINE: ResultCode = ResultCode::Fine;
+const FINE: ResultCode = ResultCode::Success;
 
 #[test]
 fn good_histories_pass() {
@@ -89,15 +96,15 @@
         ("a read of nothing", vec![read(0, 1, 0, "")]),
         (
             "a write and a read",
-            vec![setup(0, 1, 7, "a", FINE, 1), read(2, 3, 1, "a")],
+            vec![configuration(0, 1, 7, "a", FINE, 1), read(2, 3, 1, "a")],
         ),
         (
             "a read beside a write sees it",
-            vec![setup(0, 9, 7, "a", FINE, 1), read(1, 2, 1, "a")],
+            vec![configuration(0, 9, 7, "a", FINE, 1), read(1, 2, 1, "a")],
         ),
         (
             "a read beside a write misses it",
-            vec![setup(0, 9, 7, "a", FINE, 1), read(1, 2, 0, "")],
+            vec![configuration(0, 9, 7, "a", FINE, 1), read(1, 2, 0, "")],
         ),
         (
             "an order without an answer is in force",
@@ -113,27 +120,30 @@
         ),
         (
             "the same again",
-            vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 7, "a", FINE, 1)],
+            vec![
+                configuration(0, 1, 7, "a", FINE, 1),
+                configuration(2, 3, 7, "a", FINE, 1),
+            ],
         ),
         (
             "one number, one winner",
             vec![
-                setup(0, 9, 7, "a", FINE, 1),
-                setup(0, 9, 7, "b", ResultCode::NumberTaken, 1),
+                configuration(0, 9, 7, "a", FINE, 1),
+                configuration(0, 9, 7, "b", ResultCode::VersionConflict, 1),
             ],
         ),
         (
             "the highest holds",
             vec![
-                setup(0, 1, 9, "a", FINE, 1),
-                setup(2, 3, 7, "b", ResultCode::Overtaken, 1),
+                configuration(0, 1, 9, "a", FINE, 1),
+                configuration(2, 3, 7, "b", ResultCode::Superseded, 1),
             ],
         ),
         (
             "one base, one winner",
             vec![
                 based(0, 9, 0, "a", FINE, 1),
-                based(0, 9, 0, "b", ResultCode::SetupBehind, 1),
+                based(0, 9, 0, "b", ResultCode::RevisionConflict, 1),
             ],
         ),
         (
@@ -151,7 +161,7 @@
         (
             "after a rescue",
             vec![
-                setup(0, 1, 7, "a", FINE, 1),
+                configuration(0, 1, 7, "a", FINE, 1),
                 call(2, Order::Rescue, None),
                 read(5, 6, 1001, "a"),
                 read(7, 8, 1001, "a"),
@@ -169,53 +179,68 @@
         ("nobody wrote it", vec![read(0, 1, 1, "a")]),
         (
             "a read of old",
-            vec![setup(0, 1, 7, "a", FINE, 1), read(2, 3, 0, "")],
+            vec![configuration(0, 1, 7, "a", FINE, 1), read(2, 3, 0, "")],
         ),
         (
             "back and forth",
             vec![
-                setup(0, 9, 7, "a", FINE, 1),
+                configuration(0, 9, 7, "a", FINE, 1),
                 read(1, 2, 1, "a"),
                 read(3, 4, 0, ""),
             ],
         ),
         (
             "both confirmed",
-            vec![setup(0, 9, 7, "a", FINE, 1), setup(0, 9, 7, "b", FINE, 1)],
+            vec![
+                configuration(0, 9, 7, "a", FINE, 1),
+                configuration(0, 9, 7, "b", FINE, 1),
+            ],
         ),
         (
             "both confirmed, two editions",
-            vec![setup(0, 9, 7, "a", FINE, 1), setup(0, 9, 7, "b", FINE, 2)],
+            vec![
+                configuration(0, 9, 7, "a", FINE, 1),
+                configuration(0, 9, 7, "b", FINE, 2),
+            ],
         ),
         (
             "both confirmed, one after the other",
-            vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 7, "b", FINE, 1)],
+            vec![
+                configuration(0, 1, 7, "a", FINE, 1),
+                configuration(2, 3, 7, "b", FINE, 1),
+            ],
         ),
         (
             "done twice",
-            vec![setup(0, 1, 7, "a", FINE, 1), read(2, 3, 2, "a")],
+            vec![configuration(0, 1, 7, "a", FINE, 1), read(2, 3, 2, "a")],
         ),
         (
             "done twice, seen by the next",
-            vec![setup(0, 1, 7, "a", FINE, 1), setup(2, 3, 8, "b", FINE, 3)],
+            vec![
+                configuration(0, 1, 7, "a", FINE, 1),
+                configuration(2, 3, 8, "b", FINE, 3),
+            ],
         ),
         (
             "a lower number came into force",
-            vec![setup(0, 1, 9, "a", FINE, 1), setup(2, 3, 7, "b", FINE, 2)],
+            vec![
+                configuration(0, 1, 9, "a", FINE, 1),
+                configuration(2, 3, 7, "b", FINE, 2),
+            ],
         ),
         (
             "taken by nobody",
-            vec![setup(0, 1, 7, "b", ResultCode::NumberTaken, 0)],
+            vec![configuration(0, 1, 7, "b", ResultCode::VersionConflict, 0)],
         ),
         (
             "overtaken by nobody",
-            vec![setup(0, 1, 7, "b", ResultCode::Overtaken, 0)],
+            vec![configuration(0, 1, 7, "b", ResultCode::Superseded, 0)],
         ),
         (
             "an own order refused",
             vec![
-                setup(0, 1, 7, "a", FINE, 1),
-                setup(2, 3, 7, "a", ResultCode::NumberTaken, 1),
+                configuration(0, 1, 7, "a", FINE, 1),
+                configuration(2, 3, 7, "a", ResultCode::VersionConflict, 1),
             ],
         ),
         (
@@ -224,7 +249,7 @@
         ),
         (
             "refused for nothing",
-            vec![based(0, 1, 0, "a", ResultCode::SetupBehind, 0)],
+            vec![based(0, 1, 0, "a", ResultCode::RevisionConflict, 0)],
         ),
         (
             "evacuated anew",
@@ -245,7 +270,7 @@
         (
             "lost in a rescue",
             vec![
-                setup(0, 1, 7, "a", FINE, 1),
+                configuration(0, 1, 7, "a", FINE, 1),
                 call(2, Order::Rescue, None),
                 read(5, 6, 1001, ""),
             ],
@@ -263,7 +288,7 @@
 /// A history of a register that is written one after the other, with each call's start and answer drawn around the
 /// moment at which it took effect: it is good, however the calls overlap.
 fn drawn(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<Call>> {
-    let (mut edition, mut digest, mut calls) = (0, String::new(), Vec::new());
+    let (mut revision, mut digest, mut calls) = (0, String::new(), Vec::new());
     for at in 1..=noise.int_in_range(1..=40u64)? {
         let (moment, early, late) = (
             at * 10,
@@ -272,10 +297,10 @@
         );
         let (from, to) = (moment.saturating_sub(early), moment + late);
         if noise.ratio(1, 2)? {
-            edition += 1;
+            revision += 1;
             digest = format!("d{at}");
             let lost = noise.ratio(1, 4)?;
-            let order = Order::Setup {
+            let order = Order::Configuration {
                 number: Some(at),
                 base: None,
                 digest: digest.clone(),
@@ -283,10 +308,10 @@
             calls.push(call(
                 from,
                 order,
-                Some((to, told(FINE, edition))).filter(|_| !lost),
+                Some((to, told(FINE, revision))).filter(|_| !lost),
             ));
         } else {
-            calls.push(read(from, to, edition, &digest));
+            calls.push(read(from, to, revision, &digest));
         }
     }
     Ok(calls)
@@ -333,29 +358,29 @@
                 ended.is_none_or(|ended| ended >= calls[*earlier].called_at)
             })
         });
-        let (mut edition, mut digest) = (0, String::new());
+        let (mut revision, mut digest) = (0, String::new());
         keeps_time
             && order
                 .iter()
                 .all(|at| match (&calls[*at].order, &calls[*at].returned) {
                     (
-                        Order::Setup { digest: new, .. },
-                        Some((_, Reply::Decided { edition: told, .. })),
+                        Order::Configuration { digest: new, .. },
+                        Some((_, Reply::Decided { revision: told, .. })),
                     ) => {
-                        edition += 1;
+                        revision += 1;
                         digest.clone_from(new);
-                        *told == Some(edition)
+                        *told == Some(revision)
                     }
                     (
                         _,
                         Some((
                             _,
                             Reply::Read {
-                                edition: told,
+                                revision: told,
                                 digest: seen,
                             },
                         )),
-                    ) => (*told, seen) == (edition, &digest),
+                    ) => (*told, seen) == (revision, &digest),
                     _ => false,
                 })
     };
@@ -377,22 +402,22 @@
             for at in 0..noise.int_in_range(1..=5u64)? {
                 let from = noise.int_in_range(0..=20)?;
                 let to = from + noise.int_in_range(0..=15)?;
-                let edition = noise.int_in_range(0..=3)?;
+                let revision = noise.int_in_range(0..=3)?;
                 if noise.arbitrary()? {
-                    let order = Order::Setup {
+                    let order = Order::Configuration {
                         number: None,
                         base: None,
                         digest: format!("d{at}"),
                     };
-                    calls.push(call(from, order, Some((to, told(FINE, edition)))));
+                    calls.push(call(from, order, Some((to, told(FINE, revision)))));
                 } else {
                     let of = noise.int_in_range(0..=4u64)?;
-                    let digest = if edition == 0 {
+                    let digest = if revision == 0 {
                         String::new()
                     } else {
                         format!("d{of}")
                     };
-                    calls.push(read(from, to, edition, &digest));
+                    calls.push(read(from, to, revision, &digest));
                 }
             }
             let expected = explained(&calls);
--- a/crates/test-harness/tests/hollow.rs
+++ b/crates/test-harness/tests/hollow.rs
@@ -48,7 +48,7 @@
     let mut fleet = site(1, Load::default());
     fleet.run_for(WINDOW);
     let ledger = fleet.take_ledger();
-    let carriers = ledger.kinds(Role::Carrier);
+    let carriers = ledger.kinds(Role::DataNode);
     // Each carrier asks twice a second, by its own clock; each ask is answered.
     let (asks, answers) = (carriers["news ask"].0, carriers["fresh"].1);
     let expected = FORTY.nodes as u64 * 2 * WINDOW.as_secs();
@@ -91,7 +91,7 @@
     );
     fleet.run_for(WINDOW);
     let ledger = fleet.take_ledger();
-    let roles = [Role::Carrier, Role::Voter, Role::Holder, Role::Upstream];
+    let roles = [Role::DataNode, Role::Voter, Role::Holder, Role::Upstream];
     let (out, into) = roles.iter().fold((0, 0), |(out, into), role| {
         (
             out + ledger.out(*role, None).bytes,
@@ -102,16 +102,16 @@
     let reaches = [Reach::Zone, Reach::Region, Reach::Far];
     let split: u64 = reaches
         .iter()
-        .map(|reach| ledger.out(Role::Carrier, Some(*reach)).bytes)
+        .map(|reach| ledger.out(Role::DataNode, Some(*reach)).bytes)
         .sum();
-    assert_eq!(split, ledger.out(Role::Carrier, None).bytes);
+    assert_eq!(split, ledger.out(Role::DataNode, None).bytes);
     assert!(
-        ledger.kinds(Role::Carrier).contains_key("news change"),
+        ledger.kinds(Role::DataNode).contains_key("news change"),
         "other room is told"
     );
     // Every process took steps, and each once for every tick.
-    assert_eq!(ledger.busy(Role::Carrier).len(), FORTY.nodes);
-    let ticks = ledger.steps(Role::Carrier)["tick"].count;
+    assert_eq!(ledger.busy(Role::DataNode).len(), FORTY.nodes);
+    let ticks = ledger.steps(Role::DataNode)["tick"].count;
     assert!(
         ticks.abs_diff(FORTY.nodes as u64 * 50 * WINDOW.as_secs()) <= FORTY.nodes as u64,
         "{ticks} ticks"
@@ -124,7 +124,7 @@
         let mut fleet = site(seed, Load::default());
         fleet.run_for(Duration::from_secs(3));
         let ledger = fleet.take_ledger();
-        [Role::Carrier, Role::Voter, Role::Holder].map(|role| counts(&ledger, role))
+        [Role::DataNode, Role::Voter, Role::Holder].map(|role| counts(&ledger, role))
     };
     assert_eq!(count(5), count(5));
     assert_ne!(count(5), count(6));
--- a/crates/test-harness/tests/orders.rs
+++ b/crates/test-harness/tests/orders.rs
@@ -132,22 +132,22 @@
 #[test]
 fn orders_do_go_wrong_in_these_plans() {
     assert!(
-        answers("order-storm", ResultCode::Fine).0 >= 100,
+        answers("order-storm", ResultCode::Success).0 >= 100,
         "{:?}",
-        answers("order-storm", ResultCode::Fine)
+        answers("order-storm", ResultCode::Success)
     );
     numbers_are_raced_for();
     assert!(
-        answers("old-orders", ResultCode::Fine).1 >= 20,
+        answers("old-orders", ResultCode::Success).1 >= 20,
         "{:?}",
-        answers("old-orders", ResultCode::Fine)
+        answers("old-orders", ResultCode::Success)
     );
     assert!(
-        answers("late-evacuation", ResultCode::Fine).1 >= 8,
+        answers("late-evacuation", ResultCode::Success).1 >= 8,
         "{:?}",
-        answers("late-evacuation", ResultCode::Fine)
+        answers("late-evacuation", ResultCode::Success)
     );
-    let late = answers_on_four_seeds("late-orders+order-storm", ResultCode::Fine);
+    let late = answers_on_four_seeds("late-orders+order-storm", ResultCode::Success);
     assert!(late.1 >= 4 * 20, "{late:?}");
 }
 
@@ -156,9 +156,9 @@
 fn numbers_are_raced_for() {
     let count = |code| answers("equal-numbers", code).0;
     let (fine, taken, overtaken) = (
-        count(ResultCode::Fine),
-        count(ResultCode::NumberTaken),
-        count(ResultCode::Overtaken),
+        count(ResultCode::Success),
+        count(ResultCode::VersionConflict),
+        count(ResultCode::Superseded),
     );
     assert_eq!(fine, 1 + taken, "the site's first setup is the one besides");
     assert_eq!(
--- a/crates/test-harness/tests/reload.rs
+++ b/crates/test-harness/tests/reload.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 use tokio::time::{interval, timeout};
-use transport::Caller;
+use transport::HttpClient;
 
 const LIMIT: Duration = Duration::from_secs(30);
 const PAUSE: Duration = Duration::from_millis(20);
@@ -97,7 +97,7 @@
     /// The status of a page; none where nobody answers.
     async fn status(&self, path: &str) -> Option<u16> {
         let body = bytes::Bytes::new();
-        let called = Caller::default()
+        let called = HttpClient::default()
             .call(&self.http, "GET", path, &[], body, LIMIT, false)
             .await;
         called.ok().map(|reply| reply.status)
--- a/crates/test-harness/tests/seeds.rs
+++ b/crates/test-harness/tests/seeds.rs
@@ -252,8 +252,8 @@
         });
         let back = digests(&|fact| match fact {
             Fact::ReadBack {
-                digest, edition, ..
-            } if *edition > 1000 => Some(digest.clone()),
+                digest, revision, ..
+            } if *revision > 1000 => Some(digest.clone()),
             _ => None,
         });
         assert!(
--- a/crates/test-harness/tests/site.rs
+++ b/crates/test-harness/tests/site.rs
@@ -1,7 +1,7 @@
 //! A smallest site of real processes: what operators type, and what strangers send.
 
 use bytes::Bytes;
-use config::Sheet;
+use config::JsonValue;
 use result_code::ResultCode;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -10,7 +10,7 @@
 use test_harness::shapes::{ROADWISE, Shape};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use transport::{Caller, Reply};
+use transport::{HttpClient, Reply};
 
 const LIMIT: Duration = Duration::from_secs(60);
 
@@ -60,7 +60,7 @@
 
 async fn call(node: &str, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
     let body = Bytes::from(body.to_owned());
-    Caller::default()
+    HttpClient::default()
         .call(node, method, path, headers, body, LIMIT, false)
         .await
         .expect("a whole answer")
@@ -105,12 +105,12 @@
         (&["--http", "nowhere"], &["http", "nowhere", "IP number"]),
     ];
     cases.into_iter().for_each(|(more, told)| {
-        let (code, _, complaints) = run("data-plane", &[&whole[..], more].concat());
+        let (code, _, validation_errors) = run("data-plane", &[&whole[..], more].concat());
         assert_eq!(code, 2, "{more:?}");
         told.iter().for_each(|word| {
             assert!(
-                complaints.contains(word),
-                "{more:?}: {word} not in {complaints}"
+                validation_errors.contains(word),
+                "{more:?}: {word} not in {validation_errors}"
             )
         });
     });
@@ -130,18 +130,32 @@
 async fn operators_drive_any_node_and_get_one_verdict_for_one_id() {
     let fleet = site("operators").await;
     let nodes = fleet.nodes();
-    let setup = ROADWISE.setup(0);
-    let first = call(&nodes[0], "PUT", "/setup?id=a&wait=force", &[], &setup).await;
-    assert_eq!(code(&first), Some(ResultCode::Fine));
-    let again = call(&nodes[2], "PUT", "/setup?id=a", &[], &setup).await;
+    let configuration = ROADWISE.configuration(0);
+    let first = call(
+        &nodes[0],
+        "PUT",
+        "/setup?id=a&wait=force",
+        &[],
+        &configuration,
+    )
+    .await;
+    assert_eq!(code(&first), Some(ResultCode::Success));
+    let again = call(&nodes[2], "PUT", "/setup?id=a", &[], &configuration).await;
     assert_eq!(
         first.body, again.body,
         "the same id has the same verdict at any node"
     );
-    let other = call(&nodes[1], "PUT", "/setup?id=a", &[], &ROADWISE.setup(1)).await;
+    let other = call(
+        &nodes[1],
+        "PUT",
+        "/setup?id=a",
+        &[],
+        &ROADWISE.configuration(1),
+    )
+    .await;
     assert_eq!(code(&other), Some(ResultCode::IdReused));
-    let behind = call(&nodes[1], "PUT", "/setup?id=b&base=0", &[], &setup).await;
-    assert_eq!(code(&behind), Some(ResultCode::SetupBehind));
+    let behind = call(&nodes[1], "PUT", "/setup?id=b&base=0", &[], &configuration).await;
+    assert_eq!(code(&behind), Some(ResultCode::RevisionConflict));
     let bad = call(
         &nodes[0],
         "PUT",
@@ -150,8 +164,8 @@
         r#"{"routes": [{"id": "r", "id": 1}], "hue": 2}"#,
     )
     .await;
-    assert_eq!(code(&bad), Some(ResultCode::SetupBad));
-    let told = Sheet::read(&String::from_utf8_lossy(&bad.body))
+    assert_eq!(code(&bad), Some(ResultCode::InvalidConfiguration));
+    let told = JsonValue::read(&String::from_utf8_lossy(&bad.body))
         .expect("JSON")
         .list("complaints")
         .len();
@@ -160,7 +174,7 @@
         let back = call(node, "GET", "/setup", &[], "").await;
         assert_eq!(
             (back.body, back.headers["x-edition"].clone()),
-            (setup.clone().into(), "1".parse().unwrap())
+            (configuration.clone().into(), "1".parse().unwrap())
         );
     }
     let node = nodes[0].as_str();
@@ -195,7 +209,7 @@
     };
     assert_eq!(asked(&nodes[0]).await, Some(ResultCode::NoSuchName));
     let place = |id: &'static str, extra| {
-        let (node, setup) = (nodes[1].clone(), ROADWISE.setup(extra));
+        let (node, configuration) = (nodes[1].clone(), ROADWISE.configuration(extra));
         async move {
             code(
                 &call(
@@ -203,23 +217,23 @@
                     "PUT",
                     &format!("/setup?id={id}&wait=force"),
                     &[],
-                    &setup,
+                    &configuration,
                 )
                 .await,
             )
         }
     };
-    assert_eq!(place("in", 1).await, Some(ResultCode::Fine));
+    assert_eq!(place("in", 1).await, Some(ResultCode::Success));
     assert_eq!(
         asked(&nodes[0]).await,
         Some(ResultCode::NoOwner),
         "the name is known, and nobody beats for it"
     );
-    assert_eq!(place("out", 0).await, Some(ResultCode::Fine));
+    assert_eq!(place("out", 0).await, Some(ResultCode::Success));
     assert_eq!(asked(&nodes[0]).await, Some(ResultCode::NoSuchName));
     // A founding may be quicker than the first claim, which voters grant a span after their start.
     let placed = || async { call(node, "GET", "/status", &[], "").await.body };
-    while Sheet::read(&String::from_utf8_lossy(&placed().await))
+    while JsonValue::read(&String::from_utf8_lossy(&placed().await))
         .unwrap()
         .text("placement")
         == Some("")
@@ -265,35 +279,40 @@
         "PUT",
         "/setup?id=a&wait=force",
         &[],
-        &ROADWISE.setup(0),
+        &ROADWISE.configuration(0),
     )
     .await;
     let (fine, long) = (("x-remaining-ms", "1000"), "x".repeat(70_000));
     let cases: Vec<Case> = vec![
-        ("/r/booking/booking", vec![fine], "", ResultCode::MissingTry),
+        (
+            "/r/booking/booking",
+            vec![fine],
+            "",
+            ResultCode::MissingAttemptId,
+        ),
         (
             "/r/booking/booking",
             vec![("x-try-id", "two words"), fine],
             "",
-            ResultCode::MissingTry,
+            ResultCode::MissingAttemptId,
         ),
         (
             "/r/booking/booking",
             vec![("x-try-id", "t1")],
             "",
-            ResultCode::MissingRemaining,
+            ResultCode::MissingDeadline,
         ),
         (
             "/r/booking/booking",
             vec![("x-try-id", "t2"), ("x-remaining-ms", "-5")],
             "",
-            ResultCode::MissingRemaining,
+            ResultCode::MissingDeadline,
         ),
         (
             "/r/booking/booking",
             vec![("x-try-id", "t3"), ("x-remaining-ms", "99999999")],
             "",
-            ResultCode::MissingRemaining,
+            ResultCode::MissingDeadline,
         ),
         (
             "/r/moon/booking",
@@ -325,7 +344,7 @@
             "",
             ResultCode::NoSuchName,
         ),
-        ("/moon", vec![], "", ResultCode::NoSuchPage),
+        ("/moon", vec![], "", ResultCode::NoSuchEndpoint),
         ("/beats", vec![], "{\"service\": 7}", ResultCode::Malformed),
         ("/beats", vec![], &long, ResultCode::Malformed),
         (
@@ -347,7 +366,7 @@
         assert_eq!(reply.status, expected.status());
     }
     let huge = "x".repeat(3 * 1024 * 1024);
-    let denied = Caller::default()
+    let denied = HttpClient::default()
         .call(
             &postmaster,
             "PUT",
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -4,8 +4,8 @@
 //! the request went out whole, exactly one answer came after it, that answer was this request's own and nothing came
 //! besides. In every other case it is closed, so that no later request can meet what is left on it.
 
-use crate::call::{Called, Reply};
-use crate::identity::{self, AnswerId, Belongs, Came};
+use crate::http_client::{CallError, Reply};
+use crate::response_match::{self, ResponseArrival, ResponseId, ResponseMatch};
 use crate::wire::{Progress, Record, Wire, close_unacknowledged_after};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -27,9 +27,9 @@
 const KEEP_IDLE: Duration = Duration::from_secs(6);
 /// What crosses the other side's close on the way is lost: a connection is given up so much earlier.
 const CLOSE_EARLIER: Duration = Duration::from_secs(1);
-const MOST_REPLY_BYTES: usize = 4 * 1024 * 1024;
+const MAX_REPLY_BYTES: usize = 4 * 1024 * 1024;
 /// How many answers to other requests are read past before the one that is due.
-pub const MOST_PASSED: usize = 4;
+pub const MAX_PASSED: usize = 4;
 
 type Driver = http1::Connection<TokioIo<Wire>, Full<Bytes>>;
 type Sender = SendRequest<Full<Bytes>>;
@@ -44,7 +44,7 @@
     pub headers: HeaderMap,
     pub body: Bytes,
     /// What its answer must carry; none where the other side tells no ids.
-    pub id: Option<AnswerId<'a>>,
+    pub id: Option<ResponseId<'a>>,
 }
 
 /// An idle connection: what it carried is whole, and nothing is known to stand on it.
@@ -69,7 +69,7 @@
     /// assert!(transport::Connection::open(&free, Duration::from_secs(5)).await.is_err());
     /// # });
     /// ```
-    pub async fn open(address: &str, within: Duration) -> Result<Connection, Called> {
+    pub async fn open(address: &str, within: Duration) -> Result<Connection, CallError> {
         let record = Record::default();
         let opened = async {
             let stream = TcpStream::connect(address).await.ok()?;
@@ -85,7 +85,7 @@
             .await
             .ok()
             .flatten();
-        let (sender, driver) = opened.ok_or(Called::NotConnected)?;
+        let (sender, driver) = opened.ok_or(CallError::NotConnected)?;
         Ok(Connection {
             address: address.to_owned(),
             sender,
@@ -129,7 +129,7 @@
     }
 
     /// Writes the request and reads its reply. All in one task: from this call to the first byte nothing waits.
-    /// [`Called::NotConnected`] means that the kernel took no byte of the request. The connection comes back where
+    /// [`CallError::NotConnected`] means that the kernel took no byte of the request. The connection comes back where
     /// another call may follow on it.
     ///
     /// ```
@@ -139,8 +139,8 @@
     /// let socket = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     /// let address = socket.local_addr().unwrap().to_string();
     /// let (_open, closing) = tokio::sync::watch::channel(false);
-    /// tokio::spawn(transport::serve(socket, closing, |enquiry: transport::Enquiry| async move {
-    ///     transport::answer(result_code::ResultCode::Fine, "text/plain", enquiry.body)
+    /// tokio::spawn(transport::serve(socket, closing, |enquiry: transport::HttpRequest| async move {
+    ///     transport::answer(result_code::ResultCode::Success, "text/plain", enquiry.body)
     /// }));
     /// let within = Duration::from_secs(5);
     /// let said = |body: &'static str| Outbound { method: "POST", path: "/", body: body.into(), ..Default::default() };
@@ -155,7 +155,7 @@
         self,
         outbound: Outbound<'_>,
         within: Duration,
-    ) -> (Result<Reply, Called>, Option<Connection>) {
+    ) -> (Result<Reply, CallError>, Option<Connection>) {
         let deadline = Instant::now() + within;
         let id = outbound.id;
         let (mut asked, mut request) = match Asked::begin(self, outbound) {
@@ -164,24 +164,24 @@
         };
         loop {
             let called = tokio::time::timeout_at(deadline, asked.answer(request)).await;
-            let reply = match called.unwrap_or(Err(Called::TimedOut)) {
+            let reply = match called.unwrap_or(Err(CallError::TimedOut)) {
                 Ok(reply) => reply,
                 // The kernel took nothing: that proves more than what the library hands back unsent.
                 Err(_) if asked.progress() == Progress::Unsent => {
-                    return (Err(Called::NotConnected), None);
+                    return (Err(CallError::NotConnected), None);
                 }
                 Err(failed) => return (Err(failed), None),
             };
-            match asked.belongs(&reply, id) {
-                Belongs::Here => {
+            match asked.match_response(&reply, id) {
+                ResponseMatch::Here => {
                     let again = asked.into_idle(&reply);
                     return (Ok(reply), again);
                 }
-                Belongs::ToAnother => match asked.read_on(&reply).await {
+                ResponseMatch::ToAnother => match asked.read_on(&reply).await {
                     Some(next) => (asked, request) = next,
-                    None => return (Err(Called::Garbage), None),
+                    None => return (Err(CallError::Garbage), None),
                 },
-                Belongs::ToNobody => return (Err(Called::Garbage), None),
+                ResponseMatch::ToNobody => return (Err(CallError::Garbage), None),
             }
         }
     }
@@ -214,7 +214,7 @@
     fn begin(
         connection: Connection,
         outbound: Outbound<'_>,
-    ) -> Result<(Asked, Request<Full<Bytes>>), Called> {
+    ) -> Result<(Asked, Request<Full<Bytes>>), CallError> {
         let Connection {
             address,
             sender,
@@ -243,7 +243,7 @@
     }
 
     /// Sends a request and drives the connection until an answer is whole.
-    async fn answer(&mut self, request: Request<Full<Bytes>>) -> Result<Reply, Called> {
+    async fn answer(&mut self, request: Request<Full<Bytes>>) -> Result<Reply, CallError> {
         let mut reply = pin!(reply(self.sender.try_send_request(request)));
         let driver = &mut self.driver;
         let ended = poll_fn(|context| match driver {
@@ -272,19 +272,19 @@
         self.record.is_early(self.body_bytes)
     }
 
-    fn belongs(&self, reply: &Reply, id: Option<AnswerId<'_>>) -> Belongs {
-        let came = Came {
+    fn match_response(&self, reply: &Reply, id: Option<ResponseId<'_>>) -> ResponseMatch {
+        let came = ResponseArrival {
             sole: self.carried == 1 && self.passed == 0,
             early: self.is_early(),
         };
-        identity::belongs(&reply.headers, reply.status, id, came)
+        response_match::match_response(&reply.headers, reply.status, id, came)
     }
 
     /// The same connection after an answer to another request, for reading the next one. None where the request is not
     /// out whole, where that answer says that it was the last, or where it can't be told for sure where it ends.
     async fn read_on(self, passed: &Reply) -> Option<(Asked, Request<Full<Bytes>>)> {
         let sure = self.progress() == Progress::Whole && self.method != Method::HEAD;
-        if !sure || self.passed == MOST_PASSED || says_close(passed) || is_ambiguous(passed) {
+        if !sure || self.passed == MAX_PASSED || says_close(passed) || is_ambiguous(passed) {
             return None;
         }
         let parts = self.driver?.into_parts();
@@ -362,7 +362,7 @@
         .any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-fn build(address: &str, outbound: Outbound<'_>) -> Result<Request<Full<Bytes>>, Called> {
+fn build(address: &str, outbound: Outbound<'_>) -> Result<Request<Full<Bytes>>, CallError> {
     let Outbound {
         method,
         path,
@@ -374,7 +374,7 @@
         .method(method)
         .uri(path)
         .body(Full::new(body));
-    let mut request = request.map_err(|_| Called::NotConnected)?;
+    let mut request = request.map_err(|_| CallError::NotConnected)?;
     *request.headers_mut() = headers;
     if let (false, Ok(host)) = (request.headers().contains_key("host"), address.parse()) {
         request.headers_mut().insert("host", host);
@@ -385,12 +385,12 @@
 /// Waits for a whole reply.
 async fn reply(
     response: impl Future<Output = Result<Response<Incoming>, Unsent>>,
-) -> Result<Reply, Called> {
+) -> Result<Reply, CallError> {
     let failed = |failure: Unsent| match () {
         // Handed back before any byte of it was written.
-        () if failure.message().is_some() => Called::NotConnected,
-        () if failure.error().is_parse() => Called::Garbage,
-        () => Called::Lost,
+        () if failure.message().is_some() => CallError::NotConnected,
+        () if failure.error().is_parse() => CallError::Garbage,
+        () => CallError::Lost,
     };
     let (head, body) = response.await.map_err(failed)?.into_parts();
     let chunked = |value: &hyper::header::HeaderValue| {
@@ -405,12 +405,12 @@
         || body.is_end_stream();
     // Where only the close of the connection ends the body, the whole can't be told from a part.
     if !framed || head.status.is_informational() {
-        return Err(Called::Garbage);
+        return Err(CallError::Garbage);
     }
-    let body = Limited::new(body, MOST_REPLY_BYTES)
+    let body = Limited::new(body, MAX_REPLY_BYTES)
         .collect()
         .await
-        .map_err(|_| Called::Garbage)?;
+        .map_err(|_| CallError::Garbage)?;
     Ok(Reply {
         status: head.status.as_u16(),
         headers: head.headers,
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/http_client.rs
@@ -34,7 +34,7 @@
 
 /// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Called {
+pub enum CallError {
     /// No byte can have reached the other side: none left this process.
     NotConnected,
     /// It may have been read; no whole reply came.
@@ -47,21 +47,21 @@
 
 /// Makes calls, and keeps a few idle connections for those that may use them.
 #[derive(Clone, Default)]
-pub struct Caller {
+pub struct HttpClient {
     idle: Arc<Pool>,
 }
 
-impl Caller {
+impl HttpClient {
     /// Calls an address once. `reuse` may take an idle connection, whose death after the write can't be told
     /// from a lost reply; without it the connection is new, and carries nothing else.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
     /// use std::time::{Duration, Instant};
-    /// let caller = transport::Caller::default();
+    /// let client = transport::HttpClient::default();
     /// let free = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap().to_string();
-    /// let failed = caller.call(&free, "GET", "/", &[], Default::default(), Duration::from_secs(5), false).await;
-    /// assert_eq!(failed.unwrap_err(), transport::Called::NotConnected);
+    /// let failed = client.call(&free, "GET", "/", &[], Default::default(), Duration::from_secs(5), false).await;
+    /// assert_eq!(failed.unwrap_err(), transport::CallError::NotConnected);
     /// # });
     /// ```
     #[allow(clippy::too_many_arguments)]
@@ -74,7 +74,7 @@
         body: Bytes,
         within: Duration,
         reuse: bool,
-    ) -> Result<Reply, Called> {
+    ) -> Result<Reply, CallError> {
         let outbound = Outbound {
             method,
             path,
@@ -92,7 +92,7 @@
         if let Some(connection) = kept {
             match connection.exchange(outbound.clone(), left()).await {
                 // It was closed before a byte went out.
-                (Err(Called::NotConnected), _) => {}
+                (Err(CallError::NotConnected), _) => {}
                 (called, again) => return self.ended(called, again),
             }
         }
@@ -103,9 +103,9 @@
 
     fn ended(
         &self,
-        called: Result<Reply, Called>,
+        called: Result<Reply, CallError>,
         again: Option<Connection>,
-    ) -> Result<Reply, Called> {
+    ) -> Result<Reply, CallError> {
         again
             .into_iter()
             .for_each(|connection| self.idle.keep(connection));
--- a/crates/transport/src/desk.rs
+++ b/crates/transport/src/http_server.rs
@@ -1,7 +1,7 @@
 //! The HTTP server: bounded in size, time and number of connections.
 
 use bytes::Bytes;
-use config::Sheet;
+use config::JsonValue;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -18,8 +18,8 @@
 use tokio::sync::{Semaphore, watch};
 
 /// The largest body that any endpoint reads: a setup and some room.
-pub const MOST_BODY_BYTES: usize = 2 * 1024 * 1024 + 4096;
-const MOST_CONNECTIONS: usize = 4096;
+pub const MAX_BODY_BYTES: usize = 2 * 1024 * 1024 + 4096;
+const MAX_CONNECTIONS: usize = 4096;
 const HEAD_WITHIN: Duration = Duration::from_secs(5);
 /// How long a closing server still listens to connections that were just opened.
 const ON_THE_WAY: Duration = Duration::from_millis(300);
@@ -27,7 +27,7 @@
 
 /// A request, read whole.
 #[derive(Clone, Debug, Default)]
-pub struct Enquiry {
+pub struct HttpRequest {
     pub method: Method,
     pub path: String,
     /// Path and query as they came.
@@ -37,11 +37,11 @@
     pub body: Bytes,
 }
 
-impl Enquiry {
+impl HttpRequest {
     /// A header's text; empty where it is missing or unreadable.
     ///
     /// ```
-    /// let enquiry = transport::Enquiry { method: hyper::Method::GET, path: "/".into(), target: "/".into(), query: Default::default(),
+    /// let enquiry = transport::HttpRequest { method: hyper::Method::GET, path: "/".into(), target: "/".into(), query: Default::default(),
     ///     headers: Default::default(), body: Default::default() };
     /// assert_eq!(enquiry.header("x-try-id"), "");
     /// ```
@@ -55,7 +55,7 @@
     /// A query field; empty where it is missing.
     ///
     /// ```
-    /// let enquiry = transport::Enquiry { method: hyper::Method::GET, path: "/".into(),
+    /// let enquiry = transport::HttpRequest { method: hyper::Method::GET, path: "/".into(),
     ///     target: "/".into(), query: [("name".to_owned(), "book".to_owned())].into_iter().collect(),
     ///     headers: Default::default(), body: Default::default() };
     /// assert_eq!(enquiry.query("name"), "book");
@@ -68,27 +68,27 @@
 /// A JSON answer with a code.
 ///
 /// ```
-/// let response = transport::json(result_code::ResultCode::Fine, &config::Sheet::Null);
+/// let response = transport::json_response(result_code::ResultCode::Success, &config::JsonValue::Null);
 /// assert_eq!(response.status(), 200);
 /// ```
-pub fn json(code: ResultCode, sheet: &Sheet) -> Response<Full<Bytes>> {
-    answer(code, "application/json", sheet.to_string().into())
+pub fn json_response(code: ResultCode, body: &JsonValue) -> Response<Full<Bytes>> {
+    answer(code, "application/json", body.to_string().into())
 }
 
 /// A code as a JSON answer, with when to come back.
 ///
 /// ```
 /// use std::time::Duration;
-/// let response = transport::verdict(result_code::ResultCode::Busy, Some(Duration::from_millis(900)));
+/// let response = transport::result_response(result_code::ResultCode::Overloaded, Some(Duration::from_millis(900)));
 /// assert_eq!(response.headers()["retry-after"], "1");
 /// assert_eq!(response.headers()["x-code"], "1201");
 /// ```
-pub fn verdict(code: ResultCode, retry_after: Option<Duration>) -> Response<Full<Bytes>> {
-    let sheet = Sheet::fields([
+pub fn result_response(code: ResultCode, retry_after: Option<Duration>) -> Response<Full<Bytes>> {
+    let body = JsonValue::fields([
         ("code", u64::from(code.number()).into()),
         ("text", code.text().into()),
     ]);
-    let mut response = json(code, &sheet);
+    let mut response = json_response(code, &body);
     retry_after.into_iter().for_each(|span| {
         let seconds = (span.as_millis() as u64).div_ceil(1000).max(1);
         response.headers_mut().insert("retry-after", seconds.into());
@@ -107,7 +107,7 @@
 /// assert_eq!(response.headers()["location"], "http://127.0.0.1:7001/setup");
 /// ```
 pub fn redirect(location: &str) -> Response<Full<Bytes>> {
-    let mut response = verdict(ResultCode::Elsewhere, None);
+    let mut response = result_response(ResultCode::Redirected, None);
     let location = hyper::header::HeaderValue::from_str(location);
     location.into_iter().for_each(|location| {
         response.headers_mut().insert("location", location);
@@ -118,7 +118,7 @@
 /// Bytes as an answer with a code.
 ///
 /// ```
-/// let response = transport::answer(result_code::ResultCode::Fine, "text/plain", "hello".into());
+/// let response = transport::answer(result_code::ResultCode::Success, "text/plain", "hello".into());
 /// assert_eq!(response.headers()["content-type"], "text/plain");
 /// ```
 pub fn answer(code: ResultCode, kind: &'static str, body: Bytes) -> Response<Full<Bytes>> {
@@ -141,11 +141,11 @@
 /// let socket = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
 /// let address = socket.local_addr().unwrap().to_string();
 /// let (close, closing) = tokio::sync::watch::channel(false);
-/// let server = tokio::spawn(transport::serve(socket, closing, |enquiry: transport::Enquiry| async move {
-///     transport::answer(result_code::ResultCode::Fine, "text/plain", enquiry.body)
+/// let server = tokio::spawn(transport::serve(socket, closing, |enquiry: transport::HttpRequest| async move {
+///     transport::answer(result_code::ResultCode::Success, "text/plain", enquiry.body)
 /// }));
-/// let caller = transport::Caller::default();
-/// let reply = caller.call(&address, "POST", "/", &[], "hello".into(), std::time::Duration::from_secs(5), false);
+/// let client = transport::HttpClient::default();
+/// let reply = client.call(&address, "POST", "/", &[], "hello".into(), std::time::Duration::from_secs(5), false);
 /// assert_eq!(&reply.await.unwrap().body[..], b"hello");
 /// close.send(true).unwrap();
 /// server.await.unwrap();
@@ -153,10 +153,10 @@
 /// ```
 pub async fn serve<H, F>(socket: TcpListener, mut closing: watch::Receiver<bool>, handler: H)
 where
-    H: Fn(Enquiry) -> F + Clone + Send + Sync + 'static,
+    H: Fn(HttpRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
-    let room = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+    let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut end_by = None;
     loop {
         let ending = *closing.borrow();
@@ -206,7 +206,7 @@
         });
     }
     // Every connection gives its permit back when it ends.
-    let _ = room.acquire_many(MOST_CONNECTIONS as u32).await;
+    let _ = room.acquire_many(MAX_CONNECTIONS as u32).await;
 }
 
 async fn closed(closing: &mut watch::Receiver<bool>) {
@@ -215,17 +215,17 @@
 
 async fn take<H, F>(request: Request<Incoming>, handler: H) -> Response<Full<Bytes>>
 where
-    H: Fn(Enquiry) -> F,
+    H: Fn(HttpRequest) -> F,
     F: Future<Output = Response<Full<Bytes>>>,
 {
     let (head, body) = request.into_parts();
     let read =
-        tokio::time::timeout(BODY_WITHIN, Limited::new(body, MOST_BODY_BYTES).collect()).await;
+        tokio::time::timeout(BODY_WITHIN, Limited::new(body, MAX_BODY_BYTES).collect()).await;
     let body = match read {
-        Err(_) => return verdict(ResultCode::TooSlow, None),
+        Err(_) => return result_response(ResultCode::TooSlow, None),
         Ok(Err(failure)) => {
             let large = failure.is::<http_body_util::LengthLimitError>();
-            return verdict(
+            return result_response(
                 if large {
                     ResultCode::TooLarge
                 } else {
@@ -243,7 +243,7 @@
         .split('&')
         .filter(|part| !part.is_empty());
     let query = query.map(|part| part.split_once('=').unwrap_or((part, "")));
-    handler(Enquiry {
+    handler(HttpRequest {
         method: head.method,
         path: head.uri.path().to_owned(),
         target: head
--- a/crates/transport/src/links.rs
+++ b/crates/transport/src/links.rs
@@ -13,14 +13,14 @@
 use tokio::time::Instant;
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-const MOST_FRAME_BYTES: usize = 16 * 1024 * 1024;
-const MOST_WAITING: usize = 512;
+const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
+const MAX_WAITING: usize = 512;
 /// Beyond so many, links that have ended are forgotten.
-const MOST_LINKS: usize = 4096;
+const MAX_LINKS: usize = 4096;
 const CONNECT_WITHIN: Duration = Duration::from_millis(800);
 const WRITE_WITHIN: Duration = Duration::from_secs(3);
 /// What waited so long to be sent is dropped: messages tell ages as of their sending, and none of them may be counted on.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(1);
+pub const MAX_WAIT: Duration = Duration::from_secs(1);
 /// A link whose other side takes nothing for so long is closed, with all that lies in the kernel: no view in use is
 /// older, so nothing in it is missed.
 const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(2);
@@ -41,7 +41,7 @@
 
     /// The message, where it is still worth sending.
     fn in_time(self) -> Option<Envelope> {
-        Some(self.envelope).filter(|_| self.since.elapsed() < LONGEST_WAIT)
+        Some(self.envelope).filter(|_| self.since.elapsed() < MAX_WAIT)
     }
 }
 
@@ -158,7 +158,7 @@
             let address = table.addresses.get(to).cloned();
             address.map(|address| {
                 // Registered at once, so that what follows waits behind it in order.
-                let (sender, receiver) = mpsc::channel(MOST_WAITING);
+                let (sender, receiver) = mpsc::channel(MAX_WAITING);
                 let _ = sender.try_send(Waiting::now(envelope));
                 table.open.insert(to.to_owned(), sender.clone());
                 (address, (sender, receiver))
@@ -215,14 +215,14 @@
         close_unacknowledged_after(&stream, ACKNOWLEDGED_WITHIN);
         let (reader, writer) = stream.into_split();
         let frames = || Frames {
-            most_bytes: MOST_FRAME_BYTES,
+            most_bytes: MAX_FRAME_BYTES,
         };
         let mut reader = FramedRead::new(reader, frames());
         let mut writer = FramedWrite::new(writer, frames());
         writer.set_backpressure_boundary(64 * 1024);
         // The sender is kept here, so that a newer link to the same node does not end this one.
         let mut registered = dialled.is_some();
-        let (sender, mut receiver) = dialled.unwrap_or_else(|| mpsc::channel(MOST_WAITING));
+        let (sender, mut receiver) = dialled.unwrap_or_else(|| mpsc::channel(MAX_WAITING));
         loop {
             let next = if registered {
                 tokio::select! {
@@ -246,7 +246,7 @@
                     if !registered {
                         registered = true;
                         self.with(|table| {
-                            if table.open.len() >= MOST_LINKS {
+                            if table.open.len() >= MAX_LINKS {
                                 table.open.retain(|_, sender| !sender.is_closed());
                             }
                             table.open.insert(from.clone(), sender.clone());
--- a/crates/transport/src/doors.rs
+++ b/crates/transport/src/listeners.rs
@@ -7,35 +7,35 @@
 
 /// What kept a process from starting.
 #[derive(Debug)]
-pub struct NoStart(String);
+pub struct StartError(String);
 
-impl NoStart {
+impl StartError {
     /// A sentence on what could not be done; causes are attached below it.
     ///
     /// ```
-    /// assert_eq!(transport::NoStart::new("data: can't be opened").to_string(), "data: can't be opened");
+    /// assert_eq!(transport::StartError::new("data: can't be opened").to_string(), "data: can't be opened");
     /// ```
     pub fn new(text: impl Into<String>) -> Self {
-        NoStart(text.into())
+        StartError(text.into())
     }
 }
 
-impl fmt::Display for NoStart {
+impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for NoStart {}
+impl std::error::Error for StartError {}
 
 /// The sockets that both daemons listen on.
-pub struct Doors {
+pub struct Listeners {
     pub http: TcpListener,
     pub link: TcpListener,
     pub probe: UdpSocket,
 }
 
-impl Doors {
+impl Listeners {
     /// Opens them where the settings say.
     ///
     /// ```
@@ -45,12 +45,12 @@
     ///     |name| Setting { name, shape: Shape::Address, fallback: Some("127.0.0.1:0"), help: "" };
     /// let table = [ADDRESS("http"), ADDRESS("link")];
     /// let settings = Settings::read(&[&table], None, &[]).unwrap();
-    /// assert!(transport::Doors::open(&settings).await.is_ok());
+    /// assert!(transport::Listeners::open(&settings).await.is_ok());
     /// # });
     /// ```
-    pub async fn open(settings: &Settings) -> Result<Doors, Report<NoStart>> {
-        let shut = || NoStart::new(format!("link: can't listen on {}", settings.get("link")));
-        Ok(Doors {
+    pub async fn open(settings: &Settings) -> Result<Listeners, Report<StartError>> {
+        let shut = || StartError::new(format!("link: can't listen on {}", settings.get("link")));
+        Ok(Listeners {
             http: listen(settings, "http").await?,
             link: listen(settings, "link").await?,
             probe: UdpSocket::bind(settings.get("link"))
@@ -70,8 +70,8 @@
 /// assert!(transport::listen(&settings, "http").await.is_ok());
 /// # });
 /// ```
-pub async fn listen(settings: &Settings, name: &str) -> Result<TcpListener, Report<NoStart>> {
-    let shut = || NoStart::new(format!("{name}: can't listen on {}", settings.get(name)));
+pub async fn listen(settings: &Settings, name: &str) -> Result<TcpListener, Report<StartError>> {
+    let shut = || StartError::new(format!("{name}: can't listen on {}", settings.get(name)));
     TcpListener::bind(settings.get(name))
         .await
         .change_context_lazy(shut)
@@ -81,7 +81,7 @@
 ///
 /// ```
 /// use error_stack::Report;
-/// let report = Report::new(transport::NoStart::new("no disk")).change_context(transport::NoStart::new("data"));
+/// let report = Report::new(transport::StartError::new("no disk")).change_context(transport::StartError::new("data"));
 /// assert_eq!(transport::causes(&report), "data: no disk");
 /// ```
 pub fn causes<C>(report: &Report<C>) -> String {
@@ -97,7 +97,7 @@
 /// ```
 /// transport::end("data-plane", Ok(()));
 /// ```
-pub fn end(name: &str, run: Result<(), Report<NoStart>>) {
+pub fn end(name: &str, run: Result<(), Report<StartError>>) {
     if let Err(report) = run {
         let text = causes(&report);
         log::error!("start: {text}");
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 /// Most idle connections to one address.
-const MOST_IDLE: usize = 8;
+const MAX_IDLE: usize = 8;
 
 /// Idle connections by address, each with when it became idle.
 type Idle = HashMap<String, Vec<(Instant, Connection)>>;
@@ -53,7 +53,7 @@
         self.with(|idle| {
             let kept = idle.entry(connection.address().to_owned()).or_default();
             kept.push((Instant::now(), connection));
-            let excess = kept.len().saturating_sub(MOST_IDLE);
+            let excess = kept.len().saturating_sub(MAX_IDLE);
             kept.drain(..excess);
         });
     }
--- a/crates/transport/src/reload.rs
+++ b/crates/transport/src/reload.rs
@@ -1,7 +1,7 @@
 //! Settings that are read again while a process runs.
 
 use crate::start::{Program, read_flags, seeds};
-use config::{Complaint, Settings};
+use config::{Settings, ValidationError};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// Listens for SIGHUP, which says that the settings file has changed.
@@ -59,7 +59,7 @@
     }
 
     fn read(&mut self) -> Option<Vec<String>> {
-        let refused = |complaint: Complaint| {
+        let refused = |complaint: ValidationError| {
             log::error!("settings: refused, going on with the old ones: {complaint}")
         };
         let (settings, ..) = read_flags(self.program)
--- a/crates/transport/src/identity.rs
+++ b/crates/transport/src/response_match.rs
@@ -7,14 +7,14 @@
 
 /// The header by which the answer to a request is known, and its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerId<'a> {
+pub struct ResponseId<'a> {
     pub header: &'static str,
     pub value: &'a str,
 }
 
 /// How an answer came, beside what it says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Came {
+pub struct ResponseArrival {
     /// It is the first answer on a connection that carried one request.
     pub sole: bool,
     /// It began before the request was out whole.
@@ -23,7 +23,7 @@
 
 /// To which request an answer belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belongs {
+pub enum ResponseMatch {
     /// To the request under way.
     Here,
     /// To another one, by its id: the one that is due may follow.
@@ -40,7 +40,7 @@
     Unsaid,
 }
 
-impl AnswerId<'_> {
+impl ResponseId<'_> {
     fn whose(&self, headers: &HeaderMap) -> Whose {
         let mut values = headers.get_all(self.header).iter();
         match (values.next(), values.next()) {
@@ -57,20 +57,25 @@
 /// out and names nobody can at most be a refusal.
 ///
 /// ```
-/// use transport::{AnswerId, Belongs, Came, belongs, headers};
-/// let id = Some(AnswerId { header: "x-try-id", value: "t-2" });
-/// let (used, new) = (Came { sole: false, early: false }, Came { sole: true, early: false });
-/// assert_eq!(belongs(&headers(&[("x-try-id", "t-2")]), 200, id, used), Belongs::Here);
-/// assert_eq!(belongs(&headers(&[("x-try-id", "t-1")]), 200, id, used), Belongs::ToAnother);
-/// assert_eq!(belongs(&headers(&[]), 503, id, used), Belongs::ToNobody);
-/// assert_eq!(belongs(&headers(&[]), 503, id, new), Belongs::Here);
+/// use transport::{ResponseId, ResponseMatch, ResponseArrival, match_response, headers};
+/// let id = Some(ResponseId { header: "x-try-id", value: "t-2" });
+/// let (used, new) = (ResponseArrival { sole: false, early: false }, ResponseArrival { sole: true, early: false });
+/// assert_eq!(match_response(&headers(&[("x-try-id", "t-2")]), 200, id, used), ResponseMatch::Here);
+/// assert_eq!(match_response(&headers(&[("x-try-id", "t-1")]), 200, id, used), ResponseMatch::ToAnother);
+/// assert_eq!(match_response(&headers(&[]), 503, id, used), ResponseMatch::ToNobody);
+/// assert_eq!(match_response(&headers(&[]), 503, id, new), ResponseMatch::Here);
 /// ```
-pub fn belongs(headers: &HeaderMap, status: u16, id: Option<AnswerId<'_>>, came: Came) -> Belongs {
+pub fn match_response(
+    headers: &HeaderMap,
+    status: u16,
+    id: Option<ResponseId<'_>>,
+    came: ResponseArrival,
+) -> ResponseMatch {
     match id.map_or(Whose::Unsaid, |id| id.whose(headers)) {
-        Whose::This => Belongs::Here,
-        Whose::Another => Belongs::ToAnother,
-        Whose::Unsaid if id.is_some() && !came.sole => Belongs::ToNobody,
-        Whose::Unsaid if came.early && status < FIRST_REFUSAL => Belongs::ToNobody,
-        Whose::Unsaid => Belongs::Here,
+        Whose::This => ResponseMatch::Here,
+        Whose::Another => ResponseMatch::ToAnother,
+        Whose::Unsaid if id.is_some() && !came.sole => ResponseMatch::ToNobody,
+        Whose::Unsaid if came.early && status < FIRST_REFUSAL => ResponseMatch::ToNobody,
+        Whose::Unsaid => ResponseMatch::Here,
     }
 }
--- a/crates/transport/src/start.rs
+++ b/crates/transport/src/start.rs
@@ -1,6 +1,6 @@
 //! Starting a daemon: flags, settings file, logs and the clock.
 
-use config::{Complaint, Setting, Settings, Shape, check_times};
+use config::{Setting, Settings, Shape, ValidationError, check_times};
 use log::LevelFilter;
 use random::Random;
 use simplelog::{Config, ConfigBuilder, SimpleLogger};
@@ -25,7 +25,7 @@
     pub about: &'static str,
     pub tables: &'static [&'static [Setting]],
     /// Checks settings against each other.
-    pub check: fn(&Settings) -> Vec<Complaint>,
+    pub check: fn(&Settings) -> Vec<ValidationError>,
 }
 
 /// Monotonic time since the process started; nothing else decides anything. It goes on while the machine is
@@ -87,8 +87,8 @@
             }
             settings
         }
-        Err(complaints) => {
-            complaints
+        Err(validation_errors) => {
+            validation_errors
                 .iter()
                 .for_each(|complaint| eprintln!("{}: {complaint}", program.name));
             eprintln!("{}: see --help", program.name);
@@ -100,9 +100,9 @@
 /// The settings, how much is logged, and whether they are only to be checked.
 pub(crate) fn read_flags(
     program: &Program,
-) -> Result<(Settings, LevelFilter, bool), Vec<Complaint>> {
+) -> Result<(Settings, LevelFilter, bool), Vec<ValidationError>> {
     let wrong = |path: &str, text: String| {
-        vec![Complaint {
+        vec![ValidationError {
             path: path.to_owned(),
             text,
         }]
@@ -155,10 +155,10 @@
         }
     }
     let settings = Settings::read(program.tables, file.as_deref(), &flags)?;
-    let mut complaints = check_times(&settings);
-    complaints.extend((program.check)(&settings));
-    if !complaints.is_empty() {
-        return Err(complaints);
+    let mut validation_errors = check_times(&settings);
+    validation_errors.extend((program.check)(&settings));
+    if !validation_errors.is_empty() {
+        return Err(validation_errors);
     }
     Ok((settings, level, check_only))
 }
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use transport::{AnswerId, Called, Connection, Outbound, Pool, Reply};
+use transport::{CallError, Connection, Outbound, Pool, Reply, ResponseId};
 
 const AMPLE: Duration = Duration::from_secs(20);
 /// More than the kernel takes for a peer that does not read.
@@ -18,7 +18,7 @@
 
 fn outbound(id: &str) -> Outbound<'_> {
     let headers = transport::headers(&[("x-try-id", id)]);
-    let id = Some(AnswerId {
+    let id = Some(ResponseId {
         header: "x-try-id",
         value: id,
     });
@@ -56,7 +56,7 @@
     peer: &mut TcpStream,
     id: &str,
     told: &str,
-) -> (Result<Reply, Called>, Option<Connection>) {
+) -> (Result<Reply, CallError>, Option<Connection>) {
     let telling = async {
         let read = read_request(peer).await;
         assert!(read.contains(&format!("x-try-id: {id}\r\n")), "{read}");
@@ -90,7 +90,7 @@
     let (called, again) = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
-        (Called::NotConnected, true)
+        (CallError::NotConnected, true)
     );
     assert!(began.elapsed() < AMPLE / 2, "it is known at once");
 }
@@ -105,7 +105,7 @@
     let (called, again) = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
-        (Called::NotConnected, true)
+        (CallError::NotConnected, true)
     );
     assert_eq!(read_request(&mut peer).await, "", "no byte of it left");
 }
@@ -133,7 +133,7 @@
     let (called, again) = connection.exchange(long, Duration::from_millis(30)).await;
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
-        (Called::TimedOut, true)
+        (CallError::TimedOut, true)
     );
     drop(peer);
 
@@ -150,12 +150,15 @@
         drop(peer);
     };
     let ((called, again), ()) = tokio::join!(connection.exchange(long, AMPLE), resetting);
-    assert_eq!((called.unwrap_err(), again.is_none()), (Called::Lost, true));
+    assert_eq!(
+        (called.unwrap_err(), again.is_none()),
+        (CallError::Lost, true)
+    );
 }
 
 #[tokio::test]
 async fn an_answer_before_the_request_was_whole_ends_the_connection() {
-    let early = |told: String, id: Option<AnswerId<'static>>| async move {
+    let early = |told: String, id: Option<ResponseId<'static>>| async move {
         let (connection, mut peer) = pair().await;
         let long = Outbound {
             body: vec![0; LONG].into(),
@@ -171,7 +174,7 @@
         assert!(again.is_none());
         called.map(|reply| reply.status)
     };
-    let id = Some(AnswerId {
+    let id = Some(ResponseId {
         header: "x-try-id",
         value: "t-1",
     });
@@ -182,7 +185,7 @@
     );
     assert_eq!(
         early(answer("t-0", "of another"), id).await,
-        Err(Called::Garbage)
+        Err(CallError::Garbage)
     );
     let too_large = "HTTP/1.1 413 Too Large\r\ncontent-length: 0\r\n\r\n";
     assert_eq!(
@@ -192,7 +195,7 @@
     );
     assert_eq!(
         early(answer("t-1", "own"), None).await,
-        Err(Called::Garbage),
+        Err(CallError::Garbage),
         "a success of nobody knows what"
     );
 }
@@ -245,7 +248,7 @@
     let (called, again) = exchange(kept.unwrap(), &mut peer, "t-2", nameless).await;
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
-        (Called::Garbage, true)
+        (CallError::Garbage, true)
     );
 }
 
@@ -262,7 +265,7 @@
     let ((called, again), ()) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
-        (Called::Garbage, true)
+        (CallError::Garbage, true)
     );
 }
 
--- a/crates/transport/tests/links.rs
+++ b/crates/transport/tests/links.rs
@@ -1,16 +1,16 @@
 //! Links between two processes: what waited too long is not sent any more.
 
-use protocol::{Alive, Payload};
+use protocol::{HeartbeatDigest, Payload};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::{advance, pause, resume};
-use transport::{LONGEST_WAIT, Links};
+use transport::{Links, MAX_WAIT};
 
 fn told(beat: u64) -> Payload {
-    Payload::Alive(Alive {
+    Payload::HeartbeatDigest(HeartbeatDigest {
         beats: vec![beat],
-        ..Alive::default()
+        ..HeartbeatDigest::default()
     })
 }
 
@@ -39,13 +39,13 @@
 
 #[tokio::test]
 async fn what_waited_too_long_in_a_link_is_dropped_and_what_follows_is_sent() {
-    assert_eq!(first_after(LONGEST_WAIT).await, told(2));
+    assert_eq!(first_after(MAX_WAIT).await, told(2));
 }
 
 #[tokio::test]
 async fn what_waited_for_a_shorter_time_is_sent_in_order() {
     assert_eq!(
-        first_after(LONGEST_WAIT - Duration::from_millis(1)).await,
+        first_after(MAX_WAIT - Duration::from_millis(1)).await,
         told(1)
     );
 }
--- a/crates/upstream-registry/src/heartbeat.rs
+++ b/crates/upstream-registry/src/heartbeat.rs
@@ -1,7 +1,7 @@
 //! What upstreams with numeric keys say in a heartbeat, and what they are answered.
 
 /// A longer handover token is dropped, and its keys start cold.
-pub const LONGEST_HANDOVER: usize = 1024;
+pub const MAX_HANDOVER: usize = 1024;
 
 /// Keys and the fence they were given under.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/upstream-registry/src/holds.rs
+++ b/crates/upstream-registry/src/holds.rs
@@ -1,6 +1,6 @@
 //! Holds of keys: what a heartbeat confirms or lets go, what runs out, and what a new lease holder adopts.
 
-use crate::heartbeat::{Heartbeat, LONGEST_HANDOVER, Row};
+use crate::heartbeat::{Heartbeat, MAX_HANDOVER, Row};
 use crate::ranges::{FENCE_BITS, Ranges};
 use crate::table::{Held, State};
 use std::time::Duration;
@@ -75,7 +75,7 @@
             .iter()
             .filter(|row| row.from <= row.to && row.to < self.keys);
         sound
-            .filter(|row| row.handover.len() <= LONGEST_HANDOVER)
+            .filter(|row| row.handover.len() <= MAX_HANDOVER)
             .for_each(|row| {
                 self.table
                     .within(row.from, row.to)
--- a/crates/upstream-registry/src/ranges.rs
+++ b/crates/upstream-registry/src/ranges.rs
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 /// A heartbeat that lists more is no answer's worth.
-pub const MOST_ROWS: usize = 1024;
+pub const MAX_ROWS: usize = 1024;
 /// Beyond so many instances, those that hold nothing and aren't ready are forgotten.
-pub const MOST_INSTANCES: usize = 1024;
+pub const MAX_INSTANCES: usize = 1024;
 /// Grants of one lease are counted in so many bits of the fence, below its epoch.
 pub(crate) const FENCE_BITS: u32 = 24;
 
@@ -169,7 +169,7 @@
     ) -> Option<()> {
         let me = &beat.instance;
         let last = self.heard.get(me).and_then(|heard| heard.sequence);
-        let sound = beat.holdings.len() <= MOST_ROWS && beat.released.len() <= MOST_ROWS;
+        let sound = beat.holdings.len() <= MAX_ROWS && beat.released.len() <= MAX_ROWS;
         if last.is_some_and(|last| beat.sequence <= last) || !sound {
             return None;
         }
@@ -186,7 +186,7 @@
                 at: now,
             },
         );
-        if self.heard.len() > MOST_INSTANCES {
+        if self.heard.len() > MAX_INSTANCES {
             // Whoever holds nothing and is given nothing has nothing to lose by an overtaken heartbeat.
             let table = &self.table;
             self.heard.retain(|name, _| {
