--- a/crates/upstream-registry/src/roll.rs
+++ b/crates/upstream-registry/src/registry.rs
@@ -14,11 +14,11 @@
 
 /// How long a gone instance is remembered, so that a late beat does not bring it back.
 const REMEMBERED: Duration = Duration::from_secs(60);
-/// A tenant that was not heard for so long may have been told of late: see [`Roll::comes_back`]. Longer than a beat and
+/// A tenant that was not heard for so long may have been told of late: see [`UpstreamRegistry::comes_back`]. Longer than a beat and
 /// the batch that it is told on with.
 const TENANT_SILENT: Duration = Duration::from_millis(1800);
 /// Most upstreams kept.
-const MOST_UPSTREAMS: usize = 20_000;
+const MAX_UPSTREAMS: usize = 20_000;
 
 type Id = (String, String);
 
@@ -42,7 +42,7 @@
 
 /// All upstreams known here.
 #[derive(Default)]
-pub struct Roll {
+pub struct UpstreamRegistry {
     entries: BTreeMap<Id, Entry>,
     /// Who holds an address at present.
     addresses: BTreeMap<String, Id>,
@@ -89,25 +89,25 @@
     mark & u64::from(u32::MAX) == 0
 }
 
-impl Roll {
+impl UpstreamRegistry {
     /// Takes in a beat, direct or told on; true where it was news.
     ///
     /// ```
-    /// use upstream_registry::{GONE, LEAVING, READY, Roll};
+    /// use upstream_registry::{GONE, LEAVING, READY, UpstreamRegistry};
     /// use protocol::Upstream;
     /// use std::time::Duration;
     /// let beat = |instance: &str, beat, condition| Upstream {
     ///     service: "slots".into(), instance: instance.into(), address: "127.0.0.1:9".into(),
     ///     beat, condition, ..Default::default()
     /// };
-    /// let (mut roll, now) = (Roll::default(), Duration::from_secs(9));
-    /// assert!(roll.take(now, beat("a", 1, READY)));
-    /// assert!(roll.take(now, beat("a", 2, LEAVING)));
-    /// assert!(!roll.take(now, beat("a", 1, READY)), "an older beat changes nothing");
-    /// roll.take(now, beat("a", 3, READY));
-    /// assert_eq!(roll.all(now)[0].condition, LEAVING, "leaving is for good");
-    /// roll.take(now + Duration::from_secs(1), beat("b", 1, READY));
-    /// assert_eq!(roll.all(now)[0].condition, GONE, "its address has a new tenant");
+    /// let (mut registry, now) = (UpstreamRegistry::default(), Duration::from_secs(9));
+    /// assert!(registry.take(now, beat("a", 1, READY)));
+    /// assert!(registry.take(now, beat("a", 2, LEAVING)));
+    /// assert!(!registry.take(now, beat("a", 1, READY)), "an older beat changes nothing");
+    /// registry.take(now, beat("a", 3, READY));
+    /// assert_eq!(registry.all(now)[0].condition, LEAVING, "leaving is for good");
+    /// registry.take(now + Duration::from_secs(1), beat("b", 1, READY));
+    /// assert_eq!(registry.all(now)[0].condition, GONE, "its address has a new tenant");
     /// ```
     pub fn take(&mut self, now: Duration, told: Upstream) -> bool {
         let id = (told.service.clone(), told.instance.clone());
@@ -117,7 +117,7 @@
         let known = self.entries.get(&id);
         if known.is_some_and(|entry| {
             (entry.upstream.condition == GONE && !back) || told.beat <= entry.upstream.beat
-        }) || (known.is_none() && self.entries.len() >= MOST_UPSTREAMS)
+        }) || (known.is_none() && self.entries.len() >= MAX_UPSTREAMS)
         {
             return false;
         }
@@ -177,17 +177,17 @@
     /// Takes in from a batch that an upstream beat and is still as its mark tells; false where its record is wanted.
     ///
     /// ```
-    /// use upstream_registry::Roll;
+    /// use upstream_registry::UpstreamRegistry;
     /// use std::time::Duration;
-    /// let (ms, mut roll) = (Duration::from_millis, Roll::default());
+    /// let (ms, mut registry) = (Duration::from_millis, UpstreamRegistry::default());
     /// let told = protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() };
     /// let mark = upstream_registry::mark(&told);
-    /// assert!(!roll.keeps_beating(ms(1000), mark, 1, ms(0)), "nobody knows it");
-    /// roll.take(ms(1000), told);
-    /// assert!(roll.keeps_beating(ms(3000), mark, 2, ms(200)));
-    /// assert_eq!((roll.all(ms(3000))[0].beat, roll.all(ms(3000))[0].age_ms), (2, 200));
-    /// assert!(!roll.keeps_beating(ms(3500), mark ^ 1, 3, ms(0)), "something about it changed");
-    /// assert!(roll.keeps_beating(ms(3500), mark ^ 1, 2, ms(0)), "what is known is no older");
+    /// assert!(!registry.keeps_beating(ms(1000), mark, 1, ms(0)), "nobody knows it");
+    /// registry.take(ms(1000), told);
+    /// assert!(registry.keeps_beating(ms(3000), mark, 2, ms(200)));
+    /// assert_eq!((registry.all(ms(3000))[0].beat, registry.all(ms(3000))[0].age_ms), (2, 200));
+    /// assert!(!registry.keeps_beating(ms(3500), mark ^ 1, 3, ms(0)), "something about it changed");
+    /// assert!(registry.keeps_beating(ms(3500), mark ^ 1, 2, ms(0)), "what is known is no older");
     /// ```
     pub fn keeps_beating(&mut self, now: Duration, told: u64, beat: u64, age: Duration) -> bool {
         let Some(entry) = self
@@ -213,7 +213,7 @@
     /// The upstream that a mark stands for, with its ages.
     ///
     /// ```
-    /// assert_eq!(upstream_registry::Roll::default().marked(std::time::Duration::ZERO, 7), None);
+    /// assert_eq!(upstream_registry::UpstreamRegistry::default().marked(std::time::Duration::ZERO, 7), None);
     /// ```
     pub fn marked(&self, now: Duration, mark: u64) -> Option<Upstream> {
         let entry = self
@@ -246,7 +246,7 @@
     ///
     /// ```
     /// let upstream = protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() };
-    /// assert_eq!(upstream_registry::Roll::default().one(std::time::Duration::ZERO, &upstream), None);
+    /// assert_eq!(upstream_registry::UpstreamRegistry::default().one(std::time::Duration::ZERO, &upstream), None);
     /// ```
     pub fn one(&self, now: Duration, upstream: &Upstream) -> Option<Upstream> {
         let id = (upstream.service.clone(), upstream.instance.clone());
@@ -303,13 +303,13 @@
     /// Drops the silent, and forgets those long gone.
     ///
     /// ```
-    /// use upstream_registry::Roll;
+    /// use upstream_registry::UpstreamRegistry;
     /// use std::time::Duration;
-    /// let mut roll = Roll::default();
-    /// roll.take(Duration::ZERO, protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() });
-    /// roll.sweep(Duration::from_secs(4), Duration::from_secs(3));
-    /// assert!(roll.all(Duration::from_secs(4)).is_empty());
-    /// assert_eq!(roll.changes(Duration::from_secs(4))[0].condition, upstream_registry::GONE);
+    /// let mut registry = UpstreamRegistry::default();
+    /// registry.take(Duration::ZERO, protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() });
+    /// registry.sweep(Duration::from_secs(4), Duration::from_secs(3));
+    /// assert!(registry.all(Duration::from_secs(4)).is_empty());
+    /// assert_eq!(registry.changes(Duration::from_secs(4))[0].condition, upstream_registry::GONE);
     /// ```
     pub fn sweep(&mut self, now: Duration, silent_for: Duration) {
         let over = |entry: &Entry| {
@@ -358,8 +358,8 @@
     /// What changed since the last call; a dropped upstream comes as gone.
     ///
     /// ```
-    /// let mut roll = upstream_registry::Roll::default();
-    /// assert!(roll.changes(std::time::Duration::ZERO).is_empty());
+    /// let mut registry = upstream_registry::UpstreamRegistry::default();
+    /// assert!(registry.changes(std::time::Duration::ZERO).is_empty());
     /// ```
     pub fn changes(&mut self, now: Duration) -> Vec<Upstream> {
         std::mem::take(&mut self.changed)
@@ -374,7 +374,7 @@
     /// Everything known, with ages.
     ///
     /// ```
-    /// assert!(upstream_registry::Roll::default().all(std::time::Duration::ZERO).is_empty());
+    /// assert!(upstream_registry::UpstreamRegistry::default().all(std::time::Duration::ZERO).is_empty());
     /// ```
     pub fn all(&self, now: Duration) -> Vec<Upstream> {
         self.entries
@@ -387,12 +387,12 @@
     ///
     /// ```
     /// use protocol::Upstream;
-    /// let mut roll = upstream_registry::Roll::default();
+    /// let mut registry = upstream_registry::UpstreamRegistry::default();
     /// [("a", "1"), ("b", "2"), ("c", "3")].into_iter().for_each(|(service, instance)| {
     ///     let (service, instance, address) = (service.into(), instance.into(), instance.into());
-    ///     roll.take(Default::default(), Upstream { service, instance, address, beat: 1, ..Upstream::default() });
+    ///     registry.take(Default::default(), Upstream { service, instance, address, beat: 1, ..Upstream::default() });
     /// });
-    /// assert_eq!(roll.of_service("b").map(|upstream| upstream.instance.as_str()).collect::<Vec<_>>(), ["2"]);
+    /// assert_eq!(registry.of_service("b").map(|upstream| upstream.instance.as_str()).collect::<Vec<_>>(), ["2"]);
     /// ```
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Upstream> {
         let first = (service.to_owned(), String::new());
@@ -408,11 +408,11 @@
     /// ```
     /// use protocol::Upstream;
     /// use std::time::Duration;
-    /// let (mut roll, second) = (upstream_registry::Roll::default(), Duration::from_secs(1));
+    /// let (mut registry, second) = (upstream_registry::UpstreamRegistry::default(), Duration::from_secs(1));
     /// let upstream = Upstream { service: "s".into(), instance: "a".into(), beat: 1, ..Upstream::default() };
-    /// roll.take(second, upstream);
-    /// assert_eq!(roll.heard_within("s", 2 * second, 3 * second).count(), 1);
-    /// assert_eq!(roll.heard_within("s", 4 * second, 3 * second).count(), 0);
+    /// registry.take(second, upstream);
+    /// assert_eq!(registry.heard_within("s", 2 * second, 3 * second).count(), 1);
+    /// assert_eq!(registry.heard_within("s", 4 * second, 3 * second).count(), 0);
     /// ```
     pub fn heard_within(
         &self,
@@ -432,7 +432,7 @@
     /// Those that will not come back, heard of lately: told again, since they tell themselves no more.
     ///
     /// ```
-    /// assert!(upstream_registry::Roll::default().farewells(std::time::Duration::ZERO).is_empty());
+    /// assert!(upstream_registry::UpstreamRegistry::default().farewells(std::time::Duration::ZERO).is_empty());
     /// ```
     pub fn farewells(&self, now: Duration) -> Vec<Upstream> {
         let fresh = |entry: &&Entry| {
@@ -449,13 +449,13 @@
     /// one that is not known here. Without a service it is whoever has this instance id, now or later.
     ///
     /// ```
-    /// use upstream_registry::{GONE, READY, Roll};
+    /// use upstream_registry::{GONE, READY, UpstreamRegistry};
     /// use protocol::{Departure, Upstream};
     /// use std::time::Duration;
-    /// let (mut roll, now) = (Roll::default(), Duration::from_secs(9));
-    /// assert!(roll.depart(now, &Departure { instance: "a".into(), condition: GONE, beat: 7, ..Default::default() }));
-    /// roll.take(now, Upstream { service: "s".into(), instance: "a".into(), beat: 7, ..Default::default() });
-    /// assert_eq!(roll.all(now)[0].condition, GONE, "a late beat brings nobody back");
+    /// let (mut registry, now) = (UpstreamRegistry::default(), Duration::from_secs(9));
+    /// assert!(registry.depart(now, &Departure { instance: "a".into(), condition: GONE, beat: 7, ..Default::default() }));
+    /// registry.take(now, Upstream { service: "s".into(), instance: "a".into(), beat: 7, ..Default::default() });
+    /// assert_eq!(registry.all(now)[0].condition, GONE, "a late beat brings nobody back");
     /// ```
     pub fn depart(&mut self, now: Duration, departure: &Departure) -> bool {
         let Departure {
@@ -485,7 +485,7 @@
             .iter()
             .for_each(|id| self.depart_known(now, id, *condition, *beat));
         if known.is_empty() && self.departed_condition(&named, *beat) < *condition {
-            let room = self.departed.len() < MOST_UPSTREAMS || self.departed.contains_key(&named);
+            let room = self.departed.len() < MAX_UPSTREAMS || self.departed.contains_key(&named);
             if room {
                 // Whoever follows this node may still know it.
                 self.changed.insert(named.clone());
@@ -535,10 +535,10 @@
     /// whoever has this instance id.
     ///
     /// ```
-    /// let (mut roll, now) = (upstream_registry::Roll::default(), std::time::Duration::ZERO);
-    /// roll.depart(now, &protocol::Departure { instance: "a".into(), condition: 1, ..Default::default() });
-    /// assert_eq!(roll.departed().map(|gone| gone.condition).collect::<Vec<_>>(), [upstream_registry::GONE]);
-    /// assert_eq!(roll.changes(now).len(), 1);
+    /// let (mut registry, now) = (upstream_registry::UpstreamRegistry::default(), std::time::Duration::ZERO);
+    /// registry.depart(now, &protocol::Departure { instance: "a".into(), condition: 1, ..Default::default() });
+    /// assert_eq!(registry.departed().map(|gone| gone.condition).collect::<Vec<_>>(), [upstream_registry::GONE]);
+    /// assert_eq!(registry.changes(now).len(), 1);
     /// ```
     pub fn departed(&self) -> impl Iterator<Item = Upstream> {
         self.departed.keys().map(Self::forgotten)
@@ -559,11 +559,11 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let (mut roll, at) = (upstream_registry::Roll::default(), Duration::from_secs(9));
+    /// let (mut registry, at) = (upstream_registry::UpstreamRegistry::default(), Duration::from_secs(9));
     /// let leaves = protocol::Upstream { beat: 1, condition: upstream_registry::LEAVING, ..Default::default() };
-    /// roll.take(at, leaves);
-    /// assert_eq!(roll.departures(at, Duration::from_secs(5)).len(), 1);
-    /// assert!(roll.departures(at + Duration::from_secs(5), Duration::from_secs(5)).is_empty());
+    /// registry.take(at, leaves);
+    /// assert_eq!(registry.departures(at, Duration::from_secs(5)).len(), 1);
+    /// assert!(registry.departures(at + Duration::from_secs(5), Duration::from_secs(5)).is_empty());
     /// ```
     pub fn departures(&self, now: Duration, within: Duration) -> Vec<Departure> {
         let known = self.entries.iter().filter_map(|(id, entry)| {
@@ -617,11 +617,11 @@
         [[old.clone(), new.clone()], [new.clone(), old.clone()]]
             .into_iter()
             .for_each(|order| {
-                let mut roll = Roll::default();
+                let mut registry = UpstreamRegistry::default();
                 order.into_iter().for_each(|upstream| {
-                    roll.take(Duration::from_secs(1), upstream);
+                    registry.take(Duration::from_secs(1), upstream);
                 });
-                let live = roll
+                let live = registry
                     .all(Duration::from_secs(1))
                     .into_iter()
                     .find(|upstream| upstream.instance == "unit-27");
@@ -640,25 +640,31 @@
             ..Upstream::default()
         };
         let ms = Duration::from_millis;
-        let mut roll = Roll::default();
-        roll.take(ms(1000), told("new", 1));
-        roll.take(ms(1200), told("old", 9));
+        let mut registry = UpstreamRegistry::default();
+        registry.take(ms(1000), told("new", 1));
+        registry.take(ms(1200), told("old", 9));
         assert_eq!(
-            roll.one(ms(1200), &told("new", 0)).map(|new| new.condition),
+            registry
+                .one(ms(1200), &told("new", 0))
+                .map(|new| new.condition),
             Some(GONE),
             "it seems the older"
         );
         assert!(
-            !roll.take(ms(1500), told("new", 2)),
+            !registry.take(ms(1500), told("new", 2)),
             "for a moment it can't be known"
         );
-        assert!(roll.take(ms(3000), told("new", 5)));
+        assert!(registry.take(ms(3000), told("new", 5)));
         assert_eq!(
-            roll.one(ms(3000), &told("new", 0)).map(|new| new.condition),
+            registry
+                .one(ms(3000), &told("new", 0))
+                .map(|new| new.condition),
             Some(READY)
         );
         assert_eq!(
-            roll.one(ms(3000), &told("old", 0)).map(|old| old.condition),
+            registry
+                .one(ms(3000), &told("old", 0))
+                .map(|old| old.condition),
             Some(GONE)
         );
     }
@@ -674,10 +680,10 @@
             born_ms,
             ..Upstream::default()
         };
-        let mut roll = Roll::default();
-        roll.take(Duration::from_secs(1), told("a-younger", 40_000));
-        roll.take(Duration::from_secs(1), told("b-older", 90_000));
-        let ready: Vec<String> = roll
+        let mut registry = UpstreamRegistry::default();
+        registry.take(Duration::from_secs(1), told("a-younger", 40_000));
+        registry.take(Duration::from_secs(1), told("b-older", 90_000));
+        let ready: Vec<String> = registry
             .all(Duration::from_secs(1))
             .into_iter()
             .filter(|upstream| upstream.condition == READY)
--- a/crates/upstream-registry/src/shares.rs
+++ b/crates/upstream-registry/src/shares.rs
@@ -9,12 +9,12 @@
 //! one under its claim, when nobody else gave any more: what it says it holds, it alone holds, and keeps.
 
 use key_space::SLOT_COUNT;
-use protocol::{Share, Upstream};
+use protocol::{KeyShare, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Beyond so many instances, those that are gone are forgotten.
-const MOST_BEATS: usize = 256;
+const MAX_BEATS: usize = 256;
 
 #[derive(Clone)]
 struct Slot {
@@ -47,7 +47,7 @@
     /// let unit = |name: &str, beat| Upstream { instance: name.into(), beat, ..Default::default() };
     /// let ready = ["a".to_owned(), "b".to_owned()].into_iter().collect();
     /// assert_eq!(shares.beat(Duration::from_secs(1), &unit("a", 1), &ready), None, "quiet at first");
-    /// let held = protocol::Share { from: 3, until: 5, epoch: 9, instance: "b".into(), ..Default::default() };
+    /// let held = protocol::KeyShare { from: 3, until: 5, epoch: 9, instance: "b".into(), ..Default::default() };
     /// let heard = Upstream { holder: 1, holds: vec![held.clone()], ..unit("b", 1) };
     /// assert_eq!(shares.beat(Duration::from_secs(1), &heard, &ready), Some(vec![held]), "but it keeps what it has");
     /// let now = Duration::from_secs(4);
@@ -70,11 +70,11 @@
     ///
     /// ```
     /// use upstream_registry::Shares;
-    /// use protocol::{Share, Upstream};
+    /// use protocol::{KeyShare, Upstream};
     /// use std::time::Duration;
     /// let (span, now) = (Duration::from_secs(3), Duration::from_secs(4));
     /// let mut shares = Shares::new(Duration::ZERO, span, 1);
-    /// let unit = |name: &str, beat, holds: &[Share]| Upstream {
+    /// let unit = |name: &str, beat, holds: &[KeyShare]| Upstream {
     ///     instance: name.into(), beat, holds: holds.to_vec(), ..Default::default()
     /// };
     /// let one = ["a".to_owned()].into_iter().collect();
@@ -92,7 +92,7 @@
         now: Duration,
         upstream: &Upstream,
         ready: &BTreeSet<String>,
-    ) -> Option<Vec<Share>> {
+    ) -> Option<Vec<KeyShare>> {
         let me = &upstream.instance;
         if self
             .beats
@@ -102,7 +102,7 @@
             return None;
         }
         self.beats.insert(me.clone(), upstream.beat);
-        if self.beats.len() > MOST_BEATS {
+        if self.beats.len() > MAX_BEATS {
             // Whoever is not there and holds nothing has nothing to lose by an overtaken beat.
             let slots = &self.slots;
             self.beats.retain(|other, _| {
@@ -197,17 +197,17 @@
     /// # use std::time::Duration;
     /// assert!(upstream_registry::Shares::new(Duration::ZERO, Duration::from_secs(3), 1).all(Duration::ZERO).is_empty());
     /// ```
-    pub fn all(&self, now: Duration) -> Vec<Share> {
+    pub fn all(&self, now: Duration) -> Vec<KeyShare> {
         self.runs(|_, owned| now < owned.until)
     }
 
     /// Chosen slots as runs of one owner and epoch.
-    fn runs(&self, chosen: impl Fn(u32, &Slot) -> bool) -> Vec<Share> {
+    fn runs(&self, chosen: impl Fn(u32, &Slot) -> bool) -> Vec<KeyShare> {
         let picked = self
             .slots
             .iter()
             .filter(|(slot, owned)| chosen(**slot, owned));
-        picked.fold(Vec::new(), |mut runs: Vec<Share>, (slot, owned)| {
+        picked.fold(Vec::new(), |mut runs: Vec<KeyShare>, (slot, owned)| {
             match runs.last_mut() {
                 Some(run)
                     if run.until == *slot
@@ -218,12 +218,12 @@
                 }
                 _ => {
                     let instance = owned.owner.clone();
-                    runs.push(Share {
+                    runs.push(KeyShare {
                         from: *slot,
                         until: slot + 1,
                         epoch: owned.epoch,
                         instance,
-                        ..Share::default()
+                        ..KeyShare::default()
                     })
                 }
             }
--- a/crates/upstream-registry/src/table.rs
+++ b/crates/upstream-registry/src/table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Ranges of one service. At the bound nothing more is cut, and whoever holds a range holds all of it.
-pub const MOST_RANGES: usize = 1024;
+pub const MAX_RANGES: usize = 1024;
 
 /// Keys an upstream holds, or may hold.
 #[derive(Clone, PartialEq)]
@@ -103,7 +103,7 @@
                     .last_key_value()
                     .is_some_and(|(_, (end, _))| cut > end)
         };
-        if !cuts.iter().all(whole) && self.0.len() + 2 > MOST_RANGES {
+        if !cuts.iter().all(whole) && self.0.len() + 2 > MAX_RANGES {
             return;
         }
         cuts.into_iter().for_each(|cut| self.cut(cut));
--- a/crates/upstream-registry/tests/arbitrary.rs
+++ b/crates/upstream-registry/tests/arbitrary.rs
@@ -1,7 +1,7 @@
 //! Whatever becomes of beats and answers, and whoever holds the duty, no slot has two upstreams.
 
 use arbtest::arbtest;
-use protocol::{Share, Upstream};
+use protocol::{KeyShare, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use upstream_registry::Shares;
@@ -20,7 +20,7 @@
 /// A beat on its way, when it was sent, or its answer.
 enum Envelope {
     Beat(usize, Duration, Upstream),
-    Answer(usize, u64, Duration, Option<Vec<Share>>, u64),
+    Answer(usize, u64, Duration, Option<Vec<KeyShare>>, u64),
 }
 
 #[test]
@@ -54,11 +54,11 @@
                         let unit = &mut units[at];
                         unit.beat += 1;
                         let held = unit.holds.iter().filter(|(_, (_, until))| now < *until);
-                        let holds = held.map(|(slot, (epoch, _))| Share {
+                        let holds = held.map(|(slot, (epoch, _))| KeyShare {
                             from: *slot,
                             until: slot + 1,
                             epoch: *epoch,
-                            ..Share::default()
+                            ..KeyShare::default()
                         });
                         let upstream = Upstream {
                             instance: format!("u{at}"),
--- a/crates/upstream-registry/tests/division.rs
+++ b/crates/upstream-registry/tests/division.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use upstream_registry::{
-    Grant, Heartbeat, Load, MOST_RANGES, MOST_ROWS, Ranges, Released, Row, Terms,
+    Grant, Heartbeat, Load, MAX_RANGES, MAX_ROWS, Ranges, Released, Row, Terms,
 };
 
 const KEYS: u32 = 65536;
@@ -409,11 +409,11 @@
             to: 0,
             fence: 1
         };
-        MOST_ROWS + 1
+        MAX_ROWS + 1
     ];
     assert_eq!(ranges.beat(MS(2600), &beat(2, many), &ready, &load), None);
     (0..60).for_each(|at| {
-        let holdings = (0..MOST_ROWS as u32).map(|row| row * 64 + at);
+        let holdings = (0..MAX_ROWS as u32).map(|row| row * 64 + at);
         let holdings = holdings.map(|key| Row {
             from: key,
             to: key,
@@ -425,6 +425,6 @@
             &ready,
             &load,
         );
-        assert!(ranges.all(MS(2700)).len() <= MOST_RANGES);
+        assert!(ranges.all(MS(2700)).len() <= MAX_RANGES);
     });
 }
