--- a/crates/test-harness/tests/site.rs
+++ b/crates/test-harness/tests/site.rs
@@ -116,7 +116,7 @@
     });
     assert_eq!(
         run("control-plane", &["--version"]).1.trim(),
-        "postmaster 0.1.0"
+        "control-plane 0.1.0"
     );
     assert!(run("mothspindlectl", &["--help"]).1.contains("exit codes"));
     assert_eq!(run("mothspindlectl", &["dance"]).0, 2);
@@ -242,9 +242,9 @@
     [
         "edition 4",
         "evacuated: \"middle/middle-1\" (complete)",
-        "postmaster-0",
+        "control-plane-0",
         "voting",
-        "carrier-1",
+        "data-plane-1",
     ]
     .into_iter()
     .for_each(|told| assert!(site.contains(told), "{told} not in {site}"));
