--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -99,7 +99,7 @@
     let code = match read_flags().and_then(|flags| read_call(&flags).map(|call| (flags, call))) {
         Ok((flags, call)) => drive(&flags, call).await,
         Err((code, text)) => {
-            let quiet = code == exit::FINE;
+            let quiet = code == exit::SUCCESS;
             if quiet {
                 println!("{text}")
             } else {
@@ -127,9 +127,12 @@
                 .map_err(|failure| wrong(failure.to_string()))
         };
         match arg {
-            Long("help") | Short('h') => return Err((exit::FINE, HELP.to_owned())),
+            Long("help") | Short('h') => return Err((exit::SUCCESS, HELP.to_owned())),
             Long("version") | Short('V') => {
-                return Err((exit::FINE, format!("clerk {}", env!("CARGO_PKG_VERSION"))));
+                return Err((
+                    exit::SUCCESS,
+                    format!("clerk {}", env!("CARGO_PKG_VERSION")),
+                ));
             }
             Long("node") => {
                 let node = value(&mut parser)?;
@@ -166,7 +169,7 @@
     let id = flags
         .id
         .clone()
-        .unwrap_or_else(|| format!("clerk-{:016x}", transport::chance()));
+        .unwrap_or_else(|| format!("clerk-{:016x}", transport::random_seed()));
     let wait = if flags.wait { "&wait=force" } else { "" };
     let since = flags
         .since
@@ -183,8 +186,8 @@
         is_new_order,
     };
     let done = |told: Result<String, Report<rescue::Failure>>| {
-        told.map(|text| (exit::FINE, text))
-            .unwrap_or_else(|failed| (exit::FAILED, transport::causes(&failed)))
+        told.map(|text| (exit::SUCCESS, text))
+            .unwrap_or_else(|failed| (exit::FAILURE, transport::error_chain(&failed)))
     };
     let call = match words.as_slice() {
         ["manifest", file] => {
@@ -212,9 +215,9 @@
                 .collect::<Vec<_>>()
                 .join("\n");
             return Err(if fine {
-                (exit::FINE, "the setup is fine".into())
+                (exit::SUCCESS, "the setup is fine".into())
             } else {
-                (exit::FAILED, text)
+                (exit::FAILURE, text)
             });
         }
         ["submit", file] => {
@@ -279,9 +282,9 @@
     lines.iter().for_each(|line| println!("{line}"));
     wrong.iter().for_each(|line| println!("wrong: {line}"));
     if wrong.is_empty() {
-        exit::FINE
+        exit::SUCCESS
     } else {
-        exit::FAILED
+        exit::FAILURE
     }
 }
 
@@ -293,10 +296,10 @@
             remarks
                 .iter()
                 .for_each(|remark| eprintln!("clerk: {remark}"));
-            (exit::FINE, configuration)
+            (exit::SUCCESS, configuration)
         }
         Err(validation_errors) => (
-            exit::FAILED,
+            exit::FAILURE,
             lines(
                 validation_errors
                     .iter()
@@ -453,8 +456,8 @@
                 .for_each(|(path, text)| eprintln!("clerk: {path}: {text}"));
         });
     match code {
-        Some(ResultCode::Success | ResultCode::Superseded) => exit::FINE,
+        Some(ResultCode::Success | ResultCode::Superseded) => exit::SUCCESS,
         Some(ResultCode::ChangeOutcomeUnknown) => UNKNOWN,
-        _ => exit::FAILED,
+        _ => exit::FAILURE,
     }
 }
--- a/crates/control-plane/src/api_adapter.rs
+++ b/crates/control-plane/src/api_adapter.rs
@@ -239,7 +239,7 @@
         } => transport::json_response(ResultCode::Success, &beat_sheet(holder, shares, span)),
         ControlResponse::Configuration { revision, bytes } => {
             let mut response =
-                transport::answer(ResultCode::Success, "application/json", bytes.into());
+                transport::body_response(ResultCode::Success, "application/json", bytes.into());
             response.headers_mut().insert("x-edition", revision.into());
             response
         }
--- a/crates/control-plane/src/shell.rs
+++ b/crates/control-plane/src/shell.rs
@@ -20,7 +20,7 @@
 use storage::{Contents, FailureKind, Storage};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot, watch};
-use transport::{Clock, HttpRequest, Links, Listeners, Program, StartError};
+use transport::{Arrival, Clock, HttpRequest, Links, Listeners, Program, StartError};
 
 const TICK: Duration = Duration::from_millis(20);
 const MAX_EVENTS: usize = 4096;
@@ -194,12 +194,12 @@
     let (departure_log, departures) = storage.departure_log(transport::since_boot());
     let mut control = ControlNode::new(Start {
         me,
-        seeds: transport::seeds(&settings),
+        seeds: transport::seed_addresses(&settings),
         roster_size: match settings.count("roster-size") {
             0 => settings.list("localities").len(),
             size => size as usize,
         },
-        seed: transport::chance(),
+        seed: transport::random_seed(),
         reader: api_adapter.reader,
         owners: if settings.get("owners") == "one" {
             OwnershipMode::One
@@ -257,7 +257,7 @@
                 }
                 event
             }
-            Some((from, body)) = arrived.recv() => {
+            Some(Arrival { from, payload: body }) = arrived.recv() => {
                 shared.parcels.fetch_add(1, Ordering::Relaxed);
                 Event::Received { from, body }
             }
@@ -296,7 +296,7 @@
             answers.retain(|_, answer| !answer.is_closed());
             if now >= next_told {
                 next_told = now + Duration::from_secs(5);
-                log::debug!("links: {:?}", links.sent());
+                log::debug!("links: {:?}", links.sent_counts());
             }
         }
     }
@@ -346,7 +346,7 @@
             Effect::Datagram { address, body } => transport::send_datagram(probe, &address, body),
             Effect::Addresses(book) => {
                 log::debug!("rounds: {} members", book.len());
-                links.learn(book);
+                links.set_addresses(book.into_iter().collect());
             }
             Effect::Log(text) => log::info!("office: {text}"),
             Effect::LogError(text) => log::error!("office: {text}"),
--- a/crates/data-plane/src/node.rs
+++ b/crates/data-plane/src/node.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
-use transport::{Clock, HttpClient, HttpRequest, Pool};
+use transport::{Clock, ConnectionPool, HttpClient, HttpRequest};
 
 #[derive(Default)]
 pub(crate) struct Counters {
@@ -45,7 +45,7 @@
     pub(crate) board: ProxyStats,
     pub(crate) client: HttpClient,
     /// Connections to upstreams that wait for their next request.
-    pub(crate) pool: Pool,
+    pub(crate) pool: ConnectionPool,
     pub(crate) keeps_connections: bool,
     pub(crate) api_adapter: ApiAdapter,
     pub(crate) traces: Traces,
@@ -89,7 +89,7 @@
             postmasters: ArcSwap::default(),
             board: ProxyStats::default(),
             client: HttpClient::default(),
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             keeps_connections,
             api_adapter,
             traces: Traces::default(),
--- a/crates/data-plane/src/relay.rs
+++ b/crates/data-plane/src/relay.rs
@@ -44,7 +44,7 @@
                         .and_then(ResultCode::from_number)
                         .unwrap_or(ResultCode::InvalidResponse);
                     let mut response =
-                        transport::answer(code, "application/json", reply.body.clone());
+                        transport::body_response(code, "application/json", reply.body.clone());
                     ["x-edition", "retry-after"].into_iter().for_each(|name| {
                         let value = reply.headers.get(name).cloned();
                         value.into_iter().for_each(|value| {
--- a/crates/data-plane/src/serve.rs
+++ b/crates/data-plane/src/serve.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::sync::Notify;
-use transport::{CallError, Connection, HttpRequest, Outbound, Reply, ResponseId};
+use transport::{CallError, Connection, HttpRequest, OutboundRequest, Reply, ResponseId};
 
 /// No origin waits longer than this.
 const MAX_REMAINING_MS: u64 = 60_000;
@@ -51,7 +51,7 @@
 /// assert_eq!(data_plane::judge(&reply(&seal, "fin"), "t", Some("a")), CallOutcome::Garbage);
 /// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "t", Some("b")), CallOutcome::Replaced, "another instance's own");
 /// assert_eq!(data_plane::judge(&reply(&seal, "fine"), "u", Some("a")), CallOutcome::Garbage);
-/// assert_eq!(data_plane::judge(&Err(CallError::Lost), "t", Some("a")), CallOutcome::Lost);
+/// assert_eq!(data_plane::judge(&Err(CallError::ConnectionLost), "t", Some("a")), CallOutcome::Lost);
 /// ```
 pub fn judge(
     called: &Result<Reply, CallError>,
@@ -60,9 +60,9 @@
 ) -> CallOutcome {
     match called {
         Err(CallError::NotConnected) => CallOutcome::NotConnected,
-        Err(CallError::Lost) => CallOutcome::Lost,
+        Err(CallError::ConnectionLost) => CallOutcome::Lost,
         Err(CallError::TimedOut) => CallOutcome::TimedOut,
-        Err(CallError::Garbage) => CallOutcome::Garbage,
+        Err(CallError::InvalidResponse) => CallOutcome::Garbage,
         Ok(reply) => {
             let answered = reply.header("x-instance");
             let whole = reply.header("x-try-id") == try_id
@@ -120,7 +120,7 @@
     headers.extend(order.key.as_deref().map(|key| ("x-key", key)));
     headers.extend(epoch.as_deref().map(|epoch| ("x-share-epoch", epoch)));
     headers.extend(Some(("x-forwarded-hop", "1")).filter(|_| call.instance.is_none()));
-    transport::headers(&headers)
+    transport::header_map(&headers)
 }
 
 /// An upstream's verdict in the product's own way.
@@ -313,7 +313,7 @@
         target: &str,
         call: Call<'_>,
     ) -> (Result<Reply, CallError>, Option<Connection>) {
-        let outbound = Outbound {
+        let outbound = OutboundRequest {
             method: enquiry.method.as_str(),
             path: target,
             headers: (self.api_adapter.headers)(enquiry, order, call),
@@ -323,9 +323,10 @@
                 value: &order.try_id,
             }),
         };
-        let (called, again) = connection.exchange(outbound, call.within).await;
+        let exchange = connection.exchange(outbound, call.within).await;
         // Without reuse each request has its own: one that dies after a write can't be told from a lost verdict.
-        (called, again.filter(|_| self.keeps_connections))
+        let again = exchange.connection.filter(|_| self.keeps_connections);
+        (exchange.result, again)
     }
 
     /// One hop to the locality that owns the name. The next proxy is tried only where none can have been reached.
--- a/crates/data-plane/src/shell.rs
+++ b/crates/data-plane/src/shell.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
-use transport::{Clock, Links, Listeners, Program, StartError};
+use transport::{Arrival, Clock, Links, Listeners, Program, StartError};
 
 const TICK: Duration = Duration::from_millis(20);
 const MAX_ARRIVALS: usize = 1024;
@@ -219,8 +219,8 @@
     let links = Links::open(me.node.clone(), Some(link), arrivals);
     let mut carrier = DataNode::new(Start {
         me,
-        seeds: transport::seeds(&settings),
-        seed: transport::chance(),
+        seeds: transport::seed_addresses(&settings),
+        seed: transport::random_seed(),
         reader,
         times: times(&settings),
     });
@@ -251,7 +251,7 @@
     loop {
         let event = tokio::select! {
             _ = tick.tick() => Event::Tick,
-            Some((from, body)) = arrived.recv() => Event::Received { from, body },
+            Some(Arrival { from, payload: body }) = arrived.recv() => Event::Received { from, body },
             Ok((count, address)) = probe.recv_from(&mut datagram) => {
                 match Envelope::decode(&datagram[..count]).ok().and_then(|parcel| parcel.body) {
                     Some(body) => Event::Datagram { address: address.to_string(), body },
@@ -267,7 +267,7 @@
             Effect::Send { to, body } => links.send(&to, body),
             Effect::Datagram { address, body } => transport::send_datagram(&probe, &address, body),
             Effect::Addresses(book) => {
-                links.learn(book);
+                links.set_addresses(book.into_iter().collect());
                 node.learn_control_nodes(carrier.postmasters());
             }
             Effect::Publish => {
@@ -289,7 +289,7 @@
         if now >= next_sweep {
             next_sweep = now + Duration::from_secs(1);
             carrier.step(now, Event::Counted(node.sweep(now)));
-            log::debug!("links: {:?}", links.sent());
+            log::debug!("links: {:?}", links.sent_counts());
         }
         if carrier.phase() == Phase::Denying {
             break;
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -53,7 +53,7 @@
                     .as_mut()
                     .and_then(|child| child.try_wait().ok().flatten())
             });
-            if ended.and_then(|status| status.code()) != Some(transport::exit::NO_START) {
+            if ended.and_then(|status| status.code()) != Some(transport::exit::START_FAILED) {
                 return Ok(());
             }
         }
--- a/crates/test-harness/src/scripted/clients.rs
+++ b/crates/test-harness/src/scripted/clients.rs
@@ -65,7 +65,7 @@
                 method: hyper::Method::POST,
                 path: format!("/r/{}/x", service(told)),
                 target: format!("/r/{}/x", service(told)),
-                headers: transport::headers(&[
+                headers: transport::header_map(&[
                     ("x-try-id", told.id.as_str()),
                     ("x-remaining-ms", within.as_str()),
                 ]),
--- a/crates/test-harness/src/sim/connections.rs
+++ b/crates/test-harness/src/sim/connections.rs
@@ -8,7 +8,7 @@
 use request_routing::{CallOutcome, RequestStage};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use transport::{ResponseArrival, ResponseId, ResponseMatch};
+use transport::{ResponseContext, ResponseId, ResponseMatch};
 
 /// So much later than its answer a surplus one comes at most.
 const SURPLUS_WITHIN: Duration = Duration::from_millis(200);
@@ -164,9 +164,9 @@
         let waiting = trips
             .find(|(_, trip)| trip.connection == Some(connection) && sent(trip.journey.stage()));
         let Some((id, trip)) = waiting else { return };
-        let came = ResponseArrival {
-            sole: kept.carried == 1,
-            early: false,
+        let came = ResponseContext {
+            is_first_on_connection: kept.carried == 1,
+            before_request_complete: false,
         };
         let due = ResponseId {
             header: "x-try-id",
@@ -175,12 +175,14 @@
         let outcome =
             match transport::match_response(&reply.headers(), reply.status, Some(due), came) {
                 _ if self.weak.takes_next => CallOutcome::Sealed,
-                ResponseMatch::ToAnother if trip.passed < transport::MAX_PASSED => {
+                ResponseMatch::OtherRequest if trip.passed < transport::MAX_SKIPPED_RESPONSES => {
                     trip.passed += 1;
                     self.connections.passed_over += 1;
                     return;
                 }
-                ResponseMatch::Here => reply.judge(&trip.sent.try_id, trip.instance.as_deref()),
+                ResponseMatch::CurrentRequest => {
+                    reply.judge(&trip.sent.try_id, trip.instance.as_deref())
+                }
                 _ => CallOutcome::Garbage,
             };
         let (node, trip, send) = (trip.node, *id, trip.send);
--- a/crates/test-harness/src/sim/nodes.rs
+++ b/crates/test-harness/src/sim/nodes.rs
@@ -398,7 +398,7 @@
 
     /// The connection of a request dies with the process that served it.
     fn lose(&mut self, trip: &Trip) {
-        self.reply(trip, Err(transport::CallError::Lost));
+        self.reply(trip, Err(transport::CallError::ConnectionLost));
     }
 
     /// Asks a process to end; it does so once it owes nothing.
--- a/crates/test-harness/src/sim/path.rs
+++ b/crates/test-harness/src/sim/path.rs
@@ -687,8 +687,11 @@
                     self.after(Duration::ZERO, Action::Deliver { node: at, event });
                     return self.spring_ambush(at, &upstream.instance);
                 }
-                let (delay, cut) =
-                    self.way_to(at, &upstream.address, within.min(transport::CONNECT_WITHIN));
+                let (delay, cut) = self.way_to(
+                    at,
+                    &upstream.address,
+                    within.min(transport::CONNECT_TIMEOUT),
+                );
                 self.after(
                     delay,
                     Action::UnitConnect {
@@ -699,7 +702,7 @@
                     },
                 );
                 let late = (CallOutcome::NotConnected, None);
-                self.after_outcome(id, send, late, within.min(transport::CONNECT_WITHIN));
+                self.after_outcome(id, send, late, within.min(transport::CONNECT_TIMEOUT));
                 self.spring_ambush(at, &upstream.instance);
             }
             NextStep::Send { share, within } => {
@@ -707,7 +710,7 @@
                 trip.send += 1;
                 trip.sent.epoch = share.map(|share| share.epoch);
                 let (send, at, address) = (trip.send, trip.node, trip.address.clone());
-                let (delay, cut) = self.way_to(at, &address, transport::CONNECT_WITHIN);
+                let (delay, cut) = self.way_to(at, &address, transport::CONNECT_TIMEOUT);
                 self.after(
                     delay,
                     Action::UnitCall {
--- a/crates/test-harness/src/sim/units.rs
+++ b/crates/test-harness/src/sim/units.rs
@@ -438,7 +438,7 @@
             return self.back(
                 trip,
                 send,
-                Err(transport::CallError::Lost),
+                Err(transport::CallError::ConnectionLost),
                 Duration::from_micros(300),
             );
         };
@@ -453,7 +453,7 @@
             return self.back(
                 trip,
                 send,
-                Err(transport::CallError::Lost),
+                Err(transport::CallError::ConnectionLost),
                 Duration::from_micros(300),
             );
         }
@@ -562,7 +562,7 @@
         }
         let lost = lost || self.resets();
         let called = if lost || !alive {
-            Err(transport::CallError::Lost)
+            Err(transport::CallError::ConnectionLost)
         } else {
             Ok(reply)
         };
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -5,7 +5,7 @@
 //! besides. In every other case it is closed, so that no later request can meet what is left on it.
 
 use crate::http_client::{CallError, Reply};
-use crate::response_match::{self, ResponseArrival, ResponseId, ResponseMatch};
+use crate::response_match::{self, ResponseContext, ResponseId, ResponseMatch};
 use crate::wire::{Progress, Record, Wire, close_unacknowledged_after};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -22,14 +22,14 @@
 use tokio::time::Instant;
 
 /// A connection that does not come up in this time will not; time is left to go elsewhere.
-pub const CONNECT_WITHIN: Duration = Duration::from_millis(500);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a connection may lie idle where the other side does not say.
 const KEEP_IDLE: Duration = Duration::from_secs(6);
 /// What crosses the other side's close on the way is lost: a connection is given up so much earlier.
 const CLOSE_EARLIER: Duration = Duration::from_secs(1);
 const MAX_REPLY_BYTES: usize = 4 * 1024 * 1024;
 /// How many answers to other requests are read past before the one that is due.
-pub const MAX_PASSED: usize = 4;
+pub const MAX_SKIPPED_RESPONSES: usize = 4;
 
 type Driver = http1::Connection<TokioIo<Wire>, Full<Bytes>>;
 type Sender = SendRequest<Full<Bytes>>;
@@ -37,7 +37,7 @@
 
 /// A request to be sent once.
 #[derive(Clone, Debug, Default)]
-pub struct Outbound<'a> {
+pub struct OutboundRequest<'a> {
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
@@ -47,6 +47,23 @@
     pub id: Option<ResponseId<'a>>,
 }
 
+/// What came of one request on a connection.
+pub struct Exchange {
+    /// The response that belongs to the request, or why there is none.
+    pub result: Result<Reply, CallError>,
+    /// The connection, where another request may follow on it. It is closed in every other case.
+    pub connection: Option<Connection>,
+}
+
+impl Exchange {
+    fn failed(error: CallError) -> Exchange {
+        Exchange {
+            result: Err(error),
+            connection: None,
+        }
+    }
+}
+
 /// An idle connection: what it carried is whole, and nothing is known to stand on it.
 pub struct Connection {
     address: String,
@@ -76,12 +93,12 @@
             let _ = stream.set_nodelay(true);
             // What the other side's machine does not take soon is not delivered at all: a request may not
             // lie in a cut network and arrive when it is not allowed any more.
-            close_unacknowledged_after(&stream, CONNECT_WITHIN);
+            close_unacknowledged_after(&stream, CONNECT_TIMEOUT);
             http1::handshake(TokioIo::new(Wire::new(stream, record.clone())))
                 .await
                 .ok()
         };
-        let opened = tokio::time::timeout(within.min(CONNECT_WITHIN), opened)
+        let opened = tokio::time::timeout(within.min(CONNECT_TIMEOUT), opened)
             .await
             .ok()
             .flatten();
@@ -135,32 +152,28 @@
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
     /// use std::time::Duration;
-    /// use transport::Outbound;
+    /// use transport::OutboundRequest;
     /// let socket = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     /// let address = socket.local_addr().unwrap().to_string();
     /// let (_open, closing) = tokio::sync::watch::channel(false);
     /// tokio::spawn(transport::serve(socket, closing, |enquiry: transport::HttpRequest| async move {
-    ///     transport::answer(result_code::ResultCode::Success, "text/plain", enquiry.body)
+    ///     transport::body_response(result_code::ResultCode::Success, "text/plain", enquiry.body)
     /// }));
     /// let within = Duration::from_secs(5);
-    /// let said = |body: &'static str| Outbound { method: "POST", path: "/", body: body.into(), ..Default::default() };
+    /// let said = |body: &'static str| OutboundRequest { method: "POST", path: "/", body: body.into(), ..Default::default() };
     /// let connection = transport::Connection::open(&address, within).await.unwrap();
-    /// let (reply, again) = connection.exchange(said("hello"), within).await;
-    /// assert_eq!(&reply.unwrap().body[..], b"hello");
-    /// let (reply, _) = again.unwrap().exchange(said("again"), within).await;
-    /// assert_eq!(&reply.unwrap().body[..], b"again");
+    /// let first = connection.exchange(said("hello"), within).await;
+    /// assert_eq!(&first.result.unwrap().body[..], b"hello");
+    /// let second = first.connection.unwrap().exchange(said("again"), within).await;
+    /// assert_eq!(&second.result.unwrap().body[..], b"again");
     /// # });
     /// ```
-    pub async fn exchange(
-        self,
-        outbound: Outbound<'_>,
-        within: Duration,
-    ) -> (Result<Reply, CallError>, Option<Connection>) {
+    pub async fn exchange(self, outbound: OutboundRequest<'_>, within: Duration) -> Exchange {
         let deadline = Instant::now() + within;
         let id = outbound.id;
         let (mut asked, mut request) = match Asked::begin(self, outbound) {
             Ok(begun) => begun,
-            Err(failed) => return (Err(failed), None),
+            Err(failed) => return Exchange::failed(failed),
         };
         loop {
             let called = tokio::time::timeout_at(deadline, asked.answer(request)).await;
@@ -168,20 +181,23 @@
                 Ok(reply) => reply,
                 // The kernel took nothing: that proves more than what the library hands back unsent.
                 Err(_) if asked.progress() == Progress::Unsent => {
-                    return (Err(CallError::NotConnected), None);
+                    return Exchange::failed(CallError::NotConnected);
                 }
-                Err(failed) => return (Err(failed), None),
+                Err(failed) => return Exchange::failed(failed),
             };
             match asked.match_response(&reply, id) {
-                ResponseMatch::Here => {
-                    let again = asked.into_idle(&reply);
-                    return (Ok(reply), again);
+                ResponseMatch::CurrentRequest => {
+                    let connection = asked.into_idle(&reply);
+                    return Exchange {
+                        result: Ok(reply),
+                        connection,
+                    };
                 }
-                ResponseMatch::ToAnother => match asked.read_on(&reply).await {
+                ResponseMatch::OtherRequest => match asked.read_on(&reply).await {
                     Some(next) => (asked, request) = next,
-                    None => return (Err(CallError::Garbage), None),
+                    None => return Exchange::failed(CallError::InvalidResponse),
                 },
-                ResponseMatch::ToNobody => return (Err(CallError::Garbage), None),
+                ResponseMatch::Unknown => return Exchange::failed(CallError::InvalidResponse),
             }
         }
     }
@@ -213,7 +229,7 @@
 impl Asked {
     fn begin(
         connection: Connection,
-        outbound: Outbound<'_>,
+        outbound: OutboundRequest<'_>,
     ) -> Result<(Asked, Request<Full<Bytes>>), CallError> {
         let Connection {
             address,
@@ -273,9 +289,9 @@
     }
 
     fn match_response(&self, reply: &Reply, id: Option<ResponseId<'_>>) -> ResponseMatch {
-        let came = ResponseArrival {
-            sole: self.carried == 1 && self.passed == 0,
-            early: self.is_early(),
+        let came = ResponseContext {
+            is_first_on_connection: self.carried == 1 && self.passed == 0,
+            before_request_complete: self.is_early(),
         };
         response_match::match_response(&reply.headers, reply.status, id, came)
     }
@@ -284,7 +300,11 @@
     /// out whole, where that answer says that it was the last, or where it can't be told for sure where it ends.
     async fn read_on(self, passed: &Reply) -> Option<(Asked, Request<Full<Bytes>>)> {
         let sure = self.progress() == Progress::Whole && self.method != Method::HEAD;
-        if !sure || self.passed == MAX_PASSED || says_close(passed) || is_ambiguous(passed) {
+        if !sure
+            || self.passed == MAX_SKIPPED_RESPONSES
+            || says_close(passed)
+            || is_ambiguous(passed)
+        {
             return None;
         }
         let parts = self.driver?.into_parts();
@@ -362,8 +382,8 @@
         .any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-fn build(address: &str, outbound: Outbound<'_>) -> Result<Request<Full<Bytes>>, CallError> {
-    let Outbound {
+fn build(address: &str, outbound: OutboundRequest<'_>) -> Result<Request<Full<Bytes>>, CallError> {
+    let OutboundRequest {
         method,
         path,
         headers,
@@ -389,8 +409,8 @@
     let failed = |failure: Unsent| match () {
         // Handed back before any byte of it was written.
         () if failure.message().is_some() => CallError::NotConnected,
-        () if failure.error().is_parse() => CallError::Garbage,
-        () => CallError::Lost,
+        () if failure.error().is_parse() => CallError::InvalidResponse,
+        () => CallError::ConnectionLost,
     };
     let (head, body) = response.await.map_err(failed)?.into_parts();
     let chunked = |value: &hyper::header::HeaderValue| {
@@ -405,12 +425,12 @@
         || body.is_end_stream();
     // Where only the close of the connection ends the body, the whole can't be told from a part.
     if !framed || head.status.is_informational() {
-        return Err(CallError::Garbage);
+        return Err(CallError::InvalidResponse);
     }
     let body = Limited::new(body, MAX_REPLY_BYTES)
         .collect()
         .await
-        .map_err(|_| CallError::Garbage)?;
+        .map_err(|_| CallError::InvalidResponse)?;
     Ok(Reply {
         status: head.status.as_u16(),
         headers: head.headers,
--- a/crates/transport/src/http_client.rs
+++ b/crates/transport/src/http_client.rs
@@ -1,8 +1,8 @@
 //! Calls over HTTP. Nothing is ever sent twice, and what surely did not reach the other side is told apart from what
 //! may have.
 
-use crate::connection::{Connection, Outbound};
-use crate::pool::Pool;
+use crate::connection::{Connection, Exchange, OutboundRequest};
+use crate::pool::ConnectionPool;
 use bytes::Bytes;
 use hyper::HeaderMap;
 use std::sync::Arc;
@@ -38,17 +38,17 @@
     /// No byte can have reached the other side: none left this process.
     NotConnected,
     /// It may have been read; no whole reply came.
-    Lost,
+    ConnectionLost,
     /// No whole reply came in time.
     TimedOut,
     /// The reply was no HTTP, over the bound, another request's, or of no told length.
-    Garbage,
+    InvalidResponse,
 }
 
 /// Makes calls, and keeps a few idle connections for those that may use them.
 #[derive(Clone, Default)]
 pub struct HttpClient {
-    idle: Arc<Pool>,
+    idle: Arc<ConnectionPool>,
 }
 
 impl HttpClient {
@@ -75,10 +75,10 @@
         within: Duration,
         reuse: bool,
     ) -> Result<Reply, CallError> {
-        let outbound = Outbound {
+        let outbound = OutboundRequest {
             method,
             path,
-            headers: self::headers(headers),
+            headers: header_map(headers),
             body,
             id: None,
         };
@@ -92,33 +92,34 @@
         if let Some(connection) = kept {
             match connection.exchange(outbound.clone(), left()).await {
                 // It was closed before a byte went out.
-                (Err(CallError::NotConnected), _) => {}
-                (called, again) => return self.ended(called, again),
+                Exchange {
+                    result: Err(CallError::NotConnected),
+                    ..
+                } => {}
+                exchange => return self.keep_connection(exchange),
             }
         }
         let connection = Connection::open(address, left()).await?;
-        let (called, again) = connection.exchange(outbound, left()).await;
-        self.ended(called, again.filter(|_| reuse))
+        let mut exchange = connection.exchange(outbound, left()).await;
+        exchange.connection = exchange.connection.filter(|_| reuse);
+        self.keep_connection(exchange)
     }
 
-    fn ended(
-        &self,
-        called: Result<Reply, CallError>,
-        again: Option<Connection>,
-    ) -> Result<Reply, CallError> {
-        again
-            .into_iter()
-            .for_each(|connection| self.idle.keep(connection));
-        called
+    /// Puts a connection that may be used again into the pool, and hands out the result.
+    fn keep_connection(&self, exchange: Exchange) -> Result<Reply, CallError> {
+        if let Some(connection) = exchange.connection {
+            self.idle.keep(connection);
+        }
+        exchange.result
     }
 }
 
 /// Headers from names and values; what can't be one is left out.
 ///
 /// ```
-/// assert_eq!(transport::headers(&[("x-try-id", "t-1"), ("x-bad", "\n")]).len(), 1);
+/// assert_eq!(transport::header_map(&[("x-try-id", "t-1"), ("x-bad", "\n")]).len(), 1);
 /// ```
-pub fn headers(pairs: &[(&str, &str)]) -> HeaderMap {
+pub fn header_map(pairs: &[(&str, &str)]) -> HeaderMap {
     let header = |(name, value): &(&str, &str)| {
         let name = hyper::header::HeaderName::from_bytes(name.as_bytes());
         name.ok().zip(value.parse().ok())
--- a/crates/transport/src/http_server.rs
+++ b/crates/transport/src/http_server.rs
@@ -72,7 +72,7 @@
 /// assert_eq!(response.status(), 200);
 /// ```
 pub fn json_response(code: ResultCode, body: &JsonValue) -> Response<Full<Bytes>> {
-    answer(code, "application/json", body.to_string().into())
+    body_response(code, "application/json", body.to_string().into())
 }
 
 /// A code as a JSON answer, with when to come back.
@@ -118,10 +118,10 @@
 /// Bytes as an answer with a code.
 ///
 /// ```
-/// let response = transport::answer(result_code::ResultCode::Success, "text/plain", "hello".into());
+/// let response = transport::body_response(result_code::ResultCode::Success, "text/plain", "hello".into());
 /// assert_eq!(response.headers()["content-type"], "text/plain");
 /// ```
-pub fn answer(code: ResultCode, kind: &'static str, body: Bytes) -> Response<Full<Bytes>> {
+pub fn body_response(code: ResultCode, kind: &'static str, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = hyper::StatusCode::from_u16(code.status()).unwrap_or_default();
     response.headers_mut().insert(
@@ -142,7 +142,7 @@
 /// let address = socket.local_addr().unwrap().to_string();
 /// let (close, closing) = tokio::sync::watch::channel(false);
 /// let server = tokio::spawn(transport::serve(socket, closing, |enquiry: transport::HttpRequest| async move {
-///     transport::answer(result_code::ResultCode::Success, "text/plain", enquiry.body)
+///     transport::body_response(result_code::ResultCode::Success, "text/plain", enquiry.body)
 /// }));
 /// let client = transport::HttpClient::default();
 /// let reply = client.call(&address, "POST", "/", &[], "hello".into(), std::time::Duration::from_secs(5), false);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -11,15 +11,20 @@
 mod start;
 mod wire;
 
-pub use connection::{CONNECT_WITHIN, Connection, MAX_PASSED, Outbound};
-pub use http_client::{CallError, HttpClient, Reply, headers};
+pub use connection::{
+    CONNECT_TIMEOUT, Connection, Exchange, MAX_SKIPPED_RESPONSES, OutboundRequest,
+};
+pub use http_client::{CallError, HttpClient, Reply, header_map};
 pub use http_server::{
-    HttpRequest, MAX_BODY_BYTES, answer, json_response, redirect, result_response, serve,
+    HttpRequest, MAX_BODY_BYTES, body_response, json_response, redirect, result_response, serve,
 };
-pub use links::{Links, MAX_WAIT, Sent, send_datagram};
-pub use listeners::{Listeners, StartError, causes, end, listen};
-pub use pool::Pool;
+pub use links::{Arrival, Links, MAX_QUEUE_TIME, MessageCount, SentCounts, send_datagram};
+pub use listeners::{Listeners, StartError, error_chain, exit_on_start_error, listen};
+pub use pool::ConnectionPool;
 pub use reload::{Reload, reload_signal};
-pub use response_match::{ResponseArrival, ResponseId, ResponseMatch, match_response};
-pub use start::{Clock, Program, begin, chance, exit, seeds, since_boot, stop_signal};
+pub use response_match::{ResponseContext, ResponseId, ResponseMatch, match_response};
+pub use start::{
+    Clock, Program, exit, parse_settings_or_exit, random_seed, seed_addresses, since_boot,
+    stop_signal,
+};
 pub use wire::close_unacknowledged_after;
--- a/crates/transport/src/links.rs
+++ b/crates/transport/src/links.rs
@@ -17,10 +17,10 @@
 const MAX_WAITING: usize = 512;
 /// Beyond so many, links that have ended are forgotten.
 const MAX_LINKS: usize = 4096;
-const CONNECT_WITHIN: Duration = Duration::from_millis(800);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 const WRITE_WITHIN: Duration = Duration::from_secs(3);
 /// What waited so long to be sent is dropped: messages tell ages as of their sending, and none of them may be counted on.
-pub const MAX_WAIT: Duration = Duration::from_secs(1);
+pub const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
 /// A link whose other side takes nothing for so long is closed, with all that lies in the kernel: no view in use is
 /// older, so nothing in it is missed.
 const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(2);
@@ -41,7 +41,7 @@
 
     /// The message, where it is still worth sending.
     fn in_time(self) -> Option<Envelope> {
-        Some(self.envelope).filter(|_| self.since.elapsed() < MAX_WAIT)
+        Some(self.envelope).filter(|_| self.since.elapsed() < MAX_QUEUE_TIME)
     }
 }
 
@@ -51,8 +51,26 @@
     addresses: HashMap<String, String>,
 }
 
-/// Messages and bytes sent since the start, by kind.
-pub type Sent = BTreeMap<&'static str, (u64, u64)>;
+/// How much of one kind of message was sent.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct MessageCount {
+    /// Number of messages.
+    pub messages: u64,
+    /// Their encoded length, without the frames' headers.
+    pub bytes: u64,
+}
+
+/// What was sent since the process started, by kind of message.
+pub type SentCounts = BTreeMap<&'static str, MessageCount>;
+
+/// A message that was received, and the node that sent it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Arrival {
+    /// Id of the sending node, as its envelope says.
+    pub from: String,
+    /// What it sent.
+    pub payload: Payload,
+}
 
 type Waitlist = (mpsc::Sender<Waiting>, mpsc::Receiver<Waiting>);
 
@@ -63,8 +81,8 @@
     /// The number that connections go out from, so that the other side sees where they come from.
     source: Option<IpAddr>,
     table: Arc<Mutex<Table>>,
-    sent: Arc<Mutex<Sent>>,
-    arrivals: mpsc::Sender<(String, Payload)>,
+    sent: Arc<Mutex<SentCounts>>,
+    arrivals: mpsc::Sender<Arrival>,
 }
 
 impl Links {
@@ -78,17 +96,13 @@
     /// let address = socket.local_addr().unwrap().to_string();
     /// let _b = transport::Links::open("b".into(), Some(socket), told);
     /// let a = transport::Links::open("a".into(), None, tokio::sync::mpsc::channel(8).0);
-    /// a.learn(vec![("b".into(), address)]);
+    /// a.set_addresses([("b".into(), address)].into());
     /// let read = Payload::Read(Read { nonce: 7, ..Default::default() });
     /// a.send("b", read.clone());
-    /// assert_eq!(heard.recv().await, Some(("a".to_owned(), read)));
+    /// assert_eq!(heard.recv().await, Some(transport::Arrival { from: "a".into(), payload: read }));
     /// # });
     /// ```
-    pub fn open(
-        me: String,
-        socket: Option<TcpListener>,
-        arrivals: mpsc::Sender<(String, Payload)>,
-    ) -> Links {
+    pub fn open(me: String, socket: Option<TcpListener>, arrivals: mpsc::Sender<Arrival>) -> Links {
         let source = socket
             .as_ref()
             .and_then(|socket| socket.local_addr().ok())
@@ -119,11 +133,11 @@
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
     /// let links = transport::Links::open("a".into(), None, tokio::sync::mpsc::channel(1).0);
-    /// links.learn(vec![("b".into(), "127.0.0.1:1".into())]);
+    /// links.set_addresses([("b".into(), "127.0.0.1:1".into())].into());
     /// # });
     /// ```
-    pub fn learn(&self, addresses: Vec<(String, String)>) {
-        self.with(|table| table.addresses = addresses.into_iter().collect());
+    pub fn set_addresses(&self, addresses: HashMap<String, String>) {
+        self.with(|table| table.addresses = addresses);
     }
 
     fn with<T>(&self, change: impl FnOnce(&mut Table) -> T) -> T {
@@ -147,7 +161,8 @@
         {
             let mut sent = self.sent.lock().unwrap_or_else(PoisonError::into_inner);
             let counts = sent.entry(kind).or_default();
-            *counts = (counts.0 + 1, counts.1 + envelope.encoded_len() as u64);
+            counts.messages += 1;
+            counts.bytes += envelope.encoded_len() as u64;
         }
         let dial = self.with(|table| {
             let open = table.open.get(to).filter(|sender| !sender.is_closed());
@@ -167,7 +182,8 @@
         dial.into_iter().for_each(|(address, waitlist)| {
             let links = self.clone();
             tokio::spawn(async move {
-                let connected = tokio::time::timeout(CONNECT_WITHIN, links.connect(&address)).await;
+                let connected =
+                    tokio::time::timeout(CONNECT_TIMEOUT, links.connect(&address)).await;
                 if let Ok(Ok(stream)) = connected {
                     links.hold(stream, Some(waitlist)).await;
                 }
@@ -181,10 +197,10 @@
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
     /// let links = transport::Links::open("a".into(), None, tokio::sync::mpsc::channel(1).0);
     /// links.send("nobody", protocol::Payload::UpstreamsRequest(Default::default()));
-    /// assert_eq!(links.sent()["rollAsk"].0, 1);
+    /// assert_eq!(links.sent_counts()["rollAsk"].messages, 1);
     /// # });
     /// ```
-    pub fn sent(&self) -> Sent {
+    pub fn sent_counts(&self) -> SentCounts {
         self.sent
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -252,11 +268,9 @@
                             table.open.insert(from.clone(), sender.clone());
                         });
                     }
-                    let body = body.into_iter().map(|body| (from.clone(), body));
-                    for arrival in body {
-                        if self.arrivals.send(arrival).await.is_err() {
-                            return;
-                        }
+                    let Some(payload) = body else { continue };
+                    if self.arrivals.send(Arrival { from, payload }).await.is_err() {
+                        return;
                     }
                 }
                 Ok(None) | Err(None) | Err(Some(Err(_))) => return,
--- a/crates/transport/src/listeners.rs
+++ b/crates/transport/src/listeners.rs
@@ -82,9 +82,9 @@
 /// ```
 /// use error_stack::Report;
 /// let report = Report::new(transport::StartError::new("no disk")).change_context(transport::StartError::new("data"));
-/// assert_eq!(transport::causes(&report), "data: no disk");
+/// assert_eq!(transport::error_chain(&report), "data: no disk");
 /// ```
-pub fn causes<C>(report: &Report<C>) -> String {
+pub fn error_chain<C>(report: &Report<C>) -> String {
     let frames = report.frames().filter_map(|frame| match frame.kind() {
         FrameKind::Context(context) => Some(context.to_string()),
         _ => None,
@@ -95,13 +95,13 @@
 /// Tells why a daemon ended, where it could not start, and ends the process.
 ///
 /// ```
-/// transport::end("data-plane", Ok(()));
+/// transport::exit_on_start_error("data-plane", Ok(()));
 /// ```
-pub fn end(name: &str, run: Result<(), Report<StartError>>) {
+pub fn exit_on_start_error(name: &str, run: Result<(), Report<StartError>>) {
     if let Err(report) = run {
-        let text = causes(&report);
+        let text = error_chain(&report);
         log::error!("start: {text}");
         eprintln!("{name}: {text}");
-        std::process::exit(crate::exit::NO_START);
+        std::process::exit(crate::exit::START_FAILED);
     }
 }
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -13,9 +13,9 @@
 
 /// Connections that wait for their next call, by address; the last one used is the first taken.
 #[derive(Default)]
-pub struct Pool(Mutex<Idle>);
+pub struct ConnectionPool(Mutex<Idle>);
 
-impl Pool {
+impl ConnectionPool {
     fn with<T>(&self, change: impl FnOnce(&mut Idle) -> T) -> T {
         change(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -24,7 +24,7 @@
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// assert!(transport::Pool::default().take("127.0.0.1:1").await.is_none());
+    /// assert!(transport::ConnectionPool::default().take("127.0.0.1:1").await.is_none());
     /// # });
     /// ```
     pub async fn take(&self, address: &str) -> Option<Connection> {
@@ -44,7 +44,7 @@
     /// let socket = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     /// let address = socket.local_addr().unwrap().to_string();
     /// let connection = transport::Connection::open(&address, std::time::Duration::from_secs(5)).await.unwrap();
-    /// let pool = transport::Pool::default();
+    /// let pool = transport::ConnectionPool::default();
     /// pool.keep(connection);
     /// assert!(pool.take(&address).await.is_some());
     /// # });
@@ -61,7 +61,7 @@
     /// Closes those that lay idle for too long.
     ///
     /// ```
-    /// transport::Pool::default().sweep();
+    /// transport::ConnectionPool::default().sweep();
     /// ```
     pub fn sweep(&self) {
         self.with(|idle| {
--- a/crates/transport/src/reload.rs
+++ b/crates/transport/src/reload.rs
@@ -1,6 +1,6 @@
 //! Settings that are read again while a process runs.
 
-use crate::start::{Program, read_flags, seeds};
+use crate::start::{Program, read_flags, seed_addresses};
 use config::{Settings, ValidationError};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
@@ -29,7 +29,7 @@
     Reload {
         program,
         settings: settings.clone(),
-        seeds: seeds(settings),
+        seeds: seed_addresses(settings),
         asked,
     }
 }
@@ -80,7 +80,7 @@
                     settings.get(name)
                 );
             });
-        let seeds = seeds(&settings);
+        let seeds = seed_addresses(&settings);
         let changed = seeds != self.seeds;
         log::info!(
             "settings: read again; seeds are {} ({})",
--- a/crates/transport/src/response_match.rs
+++ b/crates/transport/src/response_match.rs
@@ -14,22 +14,22 @@
 
 /// How an answer came, beside what it says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ResponseArrival {
+pub struct ResponseContext {
     /// It is the first answer on a connection that carried one request.
-    pub sole: bool,
+    pub is_first_on_connection: bool,
     /// It began before the request was out whole.
-    pub early: bool,
+    pub before_request_complete: bool,
 }
 
 /// To which request an answer belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMatch {
     /// To the request under way.
-    Here,
+    CurrentRequest,
     /// To another one, by its id: the one that is due may follow.
-    ToAnother,
+    OtherRequest,
     /// Nobody can tell.
-    ToNobody,
+    Unknown,
 }
 
 /// What an answer says of the request that it is for.
@@ -57,25 +57,27 @@
 /// out and names nobody can at most be a refusal.
 ///
 /// ```
-/// use transport::{ResponseId, ResponseMatch, ResponseArrival, match_response, headers};
+/// use transport::{ResponseId, ResponseMatch, ResponseContext, match_response, header_map};
 /// let id = Some(ResponseId { header: "x-try-id", value: "t-2" });
-/// let (used, new) = (ResponseArrival { sole: false, early: false }, ResponseArrival { sole: true, early: false });
-/// assert_eq!(match_response(&headers(&[("x-try-id", "t-2")]), 200, id, used), ResponseMatch::Here);
-/// assert_eq!(match_response(&headers(&[("x-try-id", "t-1")]), 200, id, used), ResponseMatch::ToAnother);
-/// assert_eq!(match_response(&headers(&[]), 503, id, used), ResponseMatch::ToNobody);
-/// assert_eq!(match_response(&headers(&[]), 503, id, new), ResponseMatch::Here);
+/// let (used, new) = (ResponseContext { is_first_on_connection: false, before_request_complete: false }, ResponseContext { is_first_on_connection: true, before_request_complete: false });
+/// assert_eq!(match_response(&header_map(&[("x-try-id", "t-2")]), 200, id, used), ResponseMatch::CurrentRequest);
+/// assert_eq!(match_response(&header_map(&[("x-try-id", "t-1")]), 200, id, used), ResponseMatch::OtherRequest);
+/// assert_eq!(match_response(&header_map(&[]), 503, id, used), ResponseMatch::Unknown);
+/// assert_eq!(match_response(&header_map(&[]), 503, id, new), ResponseMatch::CurrentRequest);
 /// ```
 pub fn match_response(
     headers: &HeaderMap,
     status: u16,
     id: Option<ResponseId<'_>>,
-    came: ResponseArrival,
+    came: ResponseContext,
 ) -> ResponseMatch {
     match id.map_or(Whose::Unsaid, |id| id.whose(headers)) {
-        Whose::This => ResponseMatch::Here,
-        Whose::Another => ResponseMatch::ToAnother,
-        Whose::Unsaid if id.is_some() && !came.sole => ResponseMatch::ToNobody,
-        Whose::Unsaid if came.early && status < FIRST_REFUSAL => ResponseMatch::ToNobody,
-        Whose::Unsaid => ResponseMatch::Here,
+        Whose::This => ResponseMatch::CurrentRequest,
+        Whose::Another => ResponseMatch::OtherRequest,
+        Whose::Unsaid if id.is_some() && !came.is_first_on_connection => ResponseMatch::Unknown,
+        Whose::Unsaid if came.before_request_complete && status < FIRST_REFUSAL => {
+            ResponseMatch::Unknown
+        }
+        Whose::Unsaid => ResponseMatch::CurrentRequest,
     }
 }
--- a/crates/transport/src/start.rs
+++ b/crates/transport/src/start.rs
@@ -10,13 +10,13 @@
 /// Documented exit codes.
 pub mod exit {
     /// All went well.
-    pub const FINE: i32 = 0;
+    pub const SUCCESS: i32 = 0;
     /// It was asked for something that failed.
-    pub const FAILED: i32 = 1;
+    pub const FAILURE: i32 = 1;
     /// Flags or settings were denied.
     pub const USAGE: i32 = 2;
     /// The disk or a socket could not be used.
-    pub const NO_START: i32 = 3;
+    pub const START_FAILED: i32 = 3;
 }
 
 /// What a daemon says of itself.
@@ -71,9 +71,9 @@
 /// ```no_run
 /// let program = transport::Program { name: "data-plane", about: "The data plane.", tables: &[config::TIMES],
 ///     check: |_| Vec::new() };
-/// let settings = transport::begin(&program);
+/// let settings = transport::parse_settings_or_exit(&program);
 /// ```
-pub fn begin(program: &Program) -> Settings {
+pub fn parse_settings_or_exit(program: &Program) -> Settings {
     // Until the process listens for it, this signal would end it.
     if tokio::runtime::Handle::try_current().is_ok() {
         drop(signal(SignalKind::hangup()));
@@ -83,7 +83,7 @@
             let _ = SimpleLogger::init(level, log_shape());
             if check_only {
                 println!("{}: the settings are fine", program.name);
-                std::process::exit(exit::FINE);
+                std::process::exit(exit::SUCCESS);
             }
             settings
         }
@@ -118,11 +118,11 @@
         let name = match arg {
             Long("help") | Short('h') => {
                 help(program);
-                std::process::exit(exit::FINE)
+                std::process::exit(exit::SUCCESS)
             }
             Long("version") | Short('V') => {
                 println!("{} {}", program.name, env!("CARGO_PKG_VERSION"));
-                std::process::exit(exit::FINE)
+                std::process::exit(exit::SUCCESS)
             }
             Long("check") => {
                 check_only = true;
@@ -222,9 +222,9 @@
 ///     Setting { name: "seeds", shape: Shape::Addresses, fallback: Some("127.0.0.1:1,127.0.0.2:1"), help: "" },
 ///     Setting { name: "seed-port", shape: Shape::Count(0, 65_535), fallback: Some("7"), help: "" },
 /// ];
-/// assert_eq!(transport::seeds(&Settings::read(&[&table], None, &[]).unwrap()), ["127.0.0.1:7", "127.0.0.2:7"]);
+/// assert_eq!(transport::seed_addresses(&Settings::read(&[&table], None, &[]).unwrap()), ["127.0.0.1:7", "127.0.0.2:7"]);
 /// ```
-pub fn seeds(settings: &Settings) -> Vec<String> {
+pub fn seed_addresses(settings: &Settings) -> Vec<String> {
     let port = settings.get("seed-port");
     let link = |seed: String| match seed.rsplit_once(':') {
         Some((ip, _)) if !matches!(port, "" | "0") => format!("{ip}:{port}"),
@@ -236,9 +236,9 @@
 /// A seed that differs at each start.
 ///
 /// ```
-/// assert_ne!(transport::chance(), transport::chance());
+/// assert_ne!(transport::random_seed(), transport::random_seed());
 /// ```
-pub fn chance() -> u64 {
+pub fn random_seed() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     let drawn = std::collections::hash_map::RandomState::new()
         .build_hasher()
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use transport::{CallError, Connection, Outbound, Pool, Reply, ResponseId};
+use transport::{CallError, Connection, ConnectionPool, Exchange, OutboundRequest, ResponseId};
 
 const AMPLE: Duration = Duration::from_secs(20);
 /// More than the kernel takes for a peer that does not read.
@@ -16,18 +16,18 @@
     (connection.unwrap(), accepted.unwrap().0)
 }
 
-fn outbound(id: &str) -> Outbound<'_> {
-    let headers = transport::headers(&[("x-try-id", id)]);
+fn outbound(id: &str) -> OutboundRequest<'_> {
+    let headers = transport::header_map(&[("x-try-id", id)]);
     let id = Some(ResponseId {
         header: "x-try-id",
         value: id,
     });
-    Outbound {
+    OutboundRequest {
         method: "POST",
         path: "/",
         headers,
         id,
-        ..Outbound::default()
+        ..OutboundRequest::default()
     }
 }
 
@@ -51,12 +51,7 @@
 }
 
 /// One exchange, with what the peer does once it read the request.
-async fn exchange(
-    connection: Connection,
-    peer: &mut TcpStream,
-    id: &str,
-    told: &str,
-) -> (Result<Reply, CallError>, Option<Connection>) {
+async fn exchange(connection: Connection, peer: &mut TcpStream, id: &str, told: &str) -> Exchange {
     let telling = async {
         let read = read_request(peer).await;
         assert!(read.contains(&format!("x-try-id: {id}\r\n")), "{read}");
@@ -67,7 +62,7 @@
 
 /// Waits until something stands on the socket, or its end does.
 async fn until_readable(connection: Connection) -> Option<Connection> {
-    let pool = Pool::default();
+    let pool = ConnectionPool::default();
     let address = connection.address().to_owned();
     pool.keep(connection);
     let mut kept = pool.take(&address).await;
@@ -82,12 +77,18 @@
 #[tokio::test]
 async fn a_request_that_meets_a_closed_connection_is_known_to_be_unsent() {
     let (connection, mut peer) = pair().await;
-    let (reply, kept) = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
+    let Exchange {
+        result: reply,
+        connection: kept,
+    } = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
     assert_eq!(&reply.unwrap().body[..], b"one");
     drop(peer);
     tokio::task::yield_now().await;
     let began = Instant::now();
-    let (called, again) = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
+    let Exchange {
+        result: called,
+        connection: again,
+    } = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
         (CallError::NotConnected, true)
@@ -98,11 +99,16 @@
 #[tokio::test]
 async fn a_request_that_meets_a_surplus_answer_before_its_first_byte_is_known_to_be_unsent() {
     let (connection, mut peer) = pair().await;
-    let (_, kept) = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
+    let Exchange {
+        connection: kept, ..
+    } = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
     peer.write_all(answer("t-1", "one").as_bytes())
         .await
         .unwrap();
-    let (called, again) = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
+    let Exchange {
+        result: called,
+        connection: again,
+    } = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
         (CallError::NotConnected, true)
@@ -114,7 +120,9 @@
 async fn what_stands_on_an_idle_connection_is_seen_before_it_is_used() {
     for told in [answer("t-1", "one"), "\r\n".to_owned(), String::new()] {
         let (connection, mut peer) = pair().await;
-        let (_, kept) = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
+        let Exchange {
+            connection: kept, ..
+        } = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
         peer.write_all(told.as_bytes()).await.unwrap();
         let peer = Some(peer).filter(|_| !told.is_empty());
         let looked = tokio::time::timeout(AMPLE, until_readable(kept.unwrap())).await;
@@ -126,11 +134,14 @@
 #[tokio::test]
 async fn a_part_of_a_request_may_have_been_read() {
     let (connection, peer) = pair().await;
-    let long = Outbound {
+    let long = OutboundRequest {
         body: vec![0; LONG].into(),
         ..outbound("t-1")
     };
-    let (called, again) = connection.exchange(long, Duration::from_millis(30)).await;
+    let Exchange {
+        result: called,
+        connection: again,
+    } = connection.exchange(long, Duration::from_millis(30)).await;
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
         (CallError::TimedOut, true)
@@ -138,7 +149,7 @@
     drop(peer);
 
     let (connection, mut peer) = pair().await;
-    let long = Outbound {
+    let long = OutboundRequest {
         body: vec![0; LONG].into(),
         ..outbound("t-1")
     };
@@ -149,10 +160,16 @@
             .unwrap();
         drop(peer);
     };
-    let ((called, again), ()) = tokio::join!(connection.exchange(long, AMPLE), resetting);
+    let (
+        Exchange {
+            result: called,
+            connection: again,
+        },
+        (),
+    ) = tokio::join!(connection.exchange(long, AMPLE), resetting);
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
-        (CallError::Lost, true)
+        (CallError::ConnectionLost, true)
     );
 }
 
@@ -160,7 +177,7 @@
 async fn an_answer_before_the_request_was_whole_ends_the_connection() {
     let early = |told: String, id: Option<ResponseId<'static>>| async move {
         let (connection, mut peer) = pair().await;
-        let long = Outbound {
+        let long = OutboundRequest {
             body: vec![0; LONG].into(),
             id,
             ..outbound("t-1")
@@ -170,7 +187,13 @@
             peer.read_exact(&mut head).await.unwrap();
             peer.write_all(told.as_bytes()).await.unwrap();
         };
-        let ((called, again), ()) = tokio::join!(connection.exchange(long, AMPLE), telling);
+        let (
+            Exchange {
+                result: called,
+                connection: again,
+            },
+            (),
+        ) = tokio::join!(connection.exchange(long, AMPLE), telling);
         assert!(again.is_none());
         called.map(|reply| reply.status)
     };
@@ -185,7 +208,7 @@
     );
     assert_eq!(
         early(answer("t-0", "of another"), id).await,
-        Err(CallError::Garbage)
+        Err(CallError::InvalidResponse)
     );
     let too_large = "HTTP/1.1 413 Too Large\r\ncontent-length: 0\r\n\r\n";
     assert_eq!(
@@ -195,7 +218,7 @@
     );
     assert_eq!(
         early(answer("t-1", "own"), None).await,
-        Err(CallError::Garbage),
+        Err(CallError::InvalidResponse),
         "a success of nobody knows what"
     );
 }
@@ -203,14 +226,19 @@
 #[tokio::test]
 async fn the_answer_behind_those_to_other_requests_is_found_and_the_connection_ends() {
     let (connection, mut peer) = pair().await;
-    let (_, kept) = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
+    let Exchange {
+        connection: kept, ..
+    } = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
     let told = [
         answer("t-1", "one"),
         answer("t-0", ""),
         answer("t-2", "two"),
     ]
     .concat();
-    let (called, again) = exchange(kept.unwrap(), &mut peer, "t-2", &told).await;
+    let Exchange {
+        result: called,
+        connection: again,
+    } = exchange(kept.unwrap(), &mut peer, "t-2", &told).await;
     assert_eq!(
         (&called.unwrap().body[..], again.is_none()),
         (&b"two"[..], true)
@@ -229,8 +257,13 @@
             tokio::task::yield_now().await;
             peer.write_all(&told.as_bytes()[cut..]).await.unwrap();
         };
-        let ((called, again), ()) =
-            tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
+        let (
+            Exchange {
+                result: called,
+                connection: again,
+            },
+            (),
+        ) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
         assert_eq!(
             (&called.unwrap().body[..], again.is_none()),
             (&b"own"[..], true),
@@ -243,12 +276,18 @@
 async fn an_answer_that_names_nobody_counts_on_a_connection_of_its_own_only() {
     let nameless = "HTTP/1.1 503 No Room\r\ncontent-length: 0\r\n\r\n";
     let (connection, mut peer) = pair().await;
-    let (called, kept) = exchange(connection, &mut peer, "t-1", nameless).await;
+    let Exchange {
+        result: called,
+        connection: kept,
+    } = exchange(connection, &mut peer, "t-1", nameless).await;
     assert_eq!(called.unwrap().status, 503);
-    let (called, again) = exchange(kept.unwrap(), &mut peer, "t-2", nameless).await;
+    let Exchange {
+        result: called,
+        connection: again,
+    } = exchange(kept.unwrap(), &mut peer, "t-2", nameless).await;
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
-        (CallError::Garbage, true)
+        (CallError::InvalidResponse, true)
     );
 }
 
@@ -262,17 +301,23 @@
             .unwrap();
         drop(peer);
     };
-    let ((called, again), ()) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
+    let (
+        Exchange {
+            result: called,
+            connection: again,
+        },
+        (),
+    ) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
     assert_eq!(
         (called.unwrap_err(), again.is_none()),
-        (CallError::Garbage, true)
+        (CallError::InvalidResponse, true)
     );
 }
 
 #[tokio::test]
 async fn an_answer_without_a_body_leaves_the_connection_in_doubt() {
     let (connection, mut peer) = pair().await;
-    let head = Outbound {
+    let head = OutboundRequest {
         method: "HEAD",
         ..outbound("t-1")
     };
@@ -282,6 +327,12 @@
             .await
             .unwrap();
     };
-    let ((called, again), ()) = tokio::join!(connection.exchange(head, AMPLE), telling);
+    let (
+        Exchange {
+            result: called,
+            connection: again,
+        },
+        (),
+    ) = tokio::join!(connection.exchange(head, AMPLE), telling);
     assert_eq!((called.unwrap().status, again.is_none()), (200, true));
 }
--- a/crates/transport/tests/links.rs
+++ b/crates/transport/tests/links.rs
@@ -5,7 +5,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::{advance, pause, resume};
-use transport::{Links, MAX_WAIT};
+use transport::{Arrival, Links, MAX_QUEUE_TIME};
 
 fn told(beat: u64) -> Payload {
     Payload::HeartbeatDigest(HeartbeatDigest {
@@ -15,13 +15,13 @@
 }
 
 /// Two processes, the first of which knows where to reach the second.
-async fn pair() -> (Links, mpsc::Receiver<(String, Payload)>, Links) {
+async fn pair() -> (Links, mpsc::Receiver<Arrival>, Links) {
     let (arrivals, heard) = mpsc::channel(8);
     let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = socket.local_addr().unwrap().to_string();
     let receiver = Links::open("b".into(), Some(socket), arrivals);
     let sender = Links::open("a".into(), None, mpsc::channel(8).0);
-    sender.learn(vec![("b".into(), address)]);
+    sender.set_addresses([("b".into(), address)].into());
     (sender, heard, receiver)
 }
 
@@ -34,18 +34,18 @@
     advance(waited).await;
     resume();
     sender.send("b", told(2));
-    heard.recv().await.unwrap().1
+    heard.recv().await.unwrap().payload
 }
 
 #[tokio::test]
 async fn what_waited_too_long_in_a_link_is_dropped_and_what_follows_is_sent() {
-    assert_eq!(first_after(MAX_WAIT).await, told(2));
+    assert_eq!(first_after(MAX_QUEUE_TIME).await, told(2));
 }
 
 #[tokio::test]
 async fn what_waited_for_a_shorter_time_is_sent_in_order() {
     assert_eq!(
-        first_after(MAX_WAIT - Duration::from_millis(1)).await,
+        first_after(MAX_QUEUE_TIME - Duration::from_millis(1)).await,
         told(1)
     );
 }
