--- a/crates/cli/src/rescue.rs
+++ b/crates/cli/src/rescue.rs
@@ -72,7 +72,7 @@
     let revision = durable.accepted.revision;
     let told = format!(
         "{node}: edition {revision}, a roster of {}{}",
-        durable.roster.len(),
+        durable.initial_voters.len(),
         told_damage(&findings)
     );
     write(
@@ -100,7 +100,7 @@
         .iter()
         .map(|file| read(file))
         .collect::<Result<Vec<_>, _>>()?;
-    let settled = quorum_register::settle(&survivors, lost)
+    let settled = quorum_register::recover_from_survivors(&survivors, lost)
         .change_context_lazy(|| failure("nothing was settled"))?;
     write(file, &settled)?;
     Ok(format!(
--- a/crates/control-plane/src/anonymous_orders.rs
+++ b/crates/control-plane/src/anonymous_orders.rs
@@ -8,7 +8,7 @@
 //! for a moment after that: whoever still waits asks again.
 
 use crate::node::ControlNode;
-use quorum_register::{Change, Decision, OrderId};
+use quorum_register::{Change, ChangeId, Decision};
 use result_code::ResultCode;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 
 /// An order that waits for a confirmation asked after it came.
 struct Waiting {
-    token: u64,
+    request_id: u64,
     came_at: Duration,
     locality: String,
     back: bool,
@@ -54,16 +54,16 @@
     pub(crate) fn evacuate_anonymously(
         &mut self,
         now: Duration,
-        token: u64,
+        request_id: u64,
         locality: String,
         back: bool,
     ) {
-        self.open_order(token);
+        self.open_order(request_id);
         if self.anonymous.may_be_old(now) || self.anonymous.waiting.len() >= MAX_WAITING {
-            return self.deny_anonymous(now, token);
+            return self.deny_anonymous(now, request_id);
         }
         self.anonymous.waiting.push(Waiting {
-            token,
+            request_id,
             came_at: now,
             locality,
             back,
@@ -86,7 +86,7 @@
             .partition(|wait| self.register.is_confirmed_since(wait.came_at));
         self.anonymous.waiting = waiting;
         late.into_iter()
-            .for_each(|wait| self.deny_anonymous(now, wait.token));
+            .for_each(|wait| self.deny_anonymous(now, wait.request_id));
         confirmed
             .into_iter()
             .for_each(|wait| self.evacuate_confirmed(now, wait));
@@ -94,12 +94,12 @@
 
     fn evacuate_confirmed(&mut self, now: Duration, wait: Waiting) {
         let Waiting {
-            token,
+            request_id,
             locality,
             back,
             ..
         } = wait;
-        if !self.is_open_order(token) {
+        if !self.is_open_order(request_id) {
             // Contact was lost meanwhile, and its caller was told to ask elsewhere.
             return;
         }
@@ -107,17 +107,17 @@
         if self.register.state().evacuated.contains(&locality) != back {
             return self.decided(
                 now,
-                token,
+                request_id,
                 Decision {
                     code: ResultCode::Success,
                     revision,
                 },
             );
         }
-        let (id, seen) = (OrderId::default(), Some(revision));
+        let (id, seen) = (ChangeId::default(), Some(revision));
         self.change(
             now,
-            token,
+            request_id,
             Change::Evacuate {
                 id,
                 locality,
@@ -128,11 +128,11 @@
         );
     }
 
-    fn deny_anonymous(&mut self, now: Duration, token: u64) {
+    fn deny_anonymous(&mut self, now: Duration, request_id: u64) {
         let revision = self.register.state().revision;
         self.decided(
             now,
-            token,
+            request_id,
             Decision {
                 code: ResultCode::StaleView,
                 revision,
--- a/crates/control-plane/src/api_adapter.rs
+++ b/crates/control-plane/src/api_adapter.rs
@@ -8,7 +8,7 @@
 use hyper::Response;
 use name_directory::ConfigurationReader;
 use protocol::{KeyShare, Upstream};
-use quorum_register::OrderId;
+use quorum_register::ChangeId;
 use result_code::ResultCode;
 use std::time::Duration;
 use transport::HttpRequest;
@@ -126,7 +126,7 @@
 }
 
 /// The id of an order, and how many orders were decided before it was first sent.
-fn read_order_id(enquiry: &HttpRequest, validation_errors: &mut Vec<ValidationError>) -> OrderId {
+fn read_order_id(enquiry: &HttpRequest, validation_errors: &mut Vec<ValidationError>) -> ChangeId {
     let since = Some(enquiry.query("since"))
         .filter(|since| !since.is_empty())
         .map(str::parse::<u64>);
@@ -137,7 +137,7 @@
             "must be the count of decided orders that a status told",
         );
     }
-    OrderId {
+    ChangeId {
         id: enquiry.query("id").to_owned(),
         since: since.and_then(Result::ok),
     }
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -27,7 +27,7 @@
     /// How long after the last confirmation this node still counts as in contact with a majority. No confirmation of
     /// what was asked meanwhile: an order, a reading or a leaving is acknowledged by a majority of its own.
     fn contact_span(&self) -> Duration {
-        self.times.register.confirm_every * LOST_CONFIRMATIONS + CONFIRMATION_TAKES
+        self.times.register.confirm_interval * LOST_CONFIRMATIONS + CONFIRMATION_TAKES
     }
 
     /// True while a majority answered a question of this node that it asked a moment ago.
@@ -43,13 +43,13 @@
     }
 
     /// The answer of a node that may not vouch for anything: nothing was done, and another node may be asked.
-    pub(crate) fn refuse(&mut self, now: Duration, token: u64, code: ResultCode) {
+    pub(crate) fn refuse(&mut self, now: Duration, request_id: u64, code: ResultCode) {
         let revision = self.register.state().revision;
         let answer = match self.address_in_contact(now) {
             Some(to) => ControlResponse::Redirect { to },
             None => ControlResponse::Verdict { code, revision },
         };
-        self.answer(token, answer);
+        self.answer(request_id, answer);
     }
 
     /// Notes that a voter answered a question of this node.
@@ -97,18 +97,18 @@
     }
 
     /// Notes that an order waits for the register's decision.
-    pub(crate) fn open_order(&mut self, token: u64) {
-        self.contact.orders.insert(token);
+    pub(crate) fn open_order(&mut self, request_id: u64) {
+        self.contact.orders.insert(request_id);
     }
 
     /// True where the caller of an order still waits to hear of it.
-    pub(crate) fn is_open_order(&self, token: u64) -> bool {
-        self.contact.orders.contains(&token)
+    pub(crate) fn is_open_order(&self, request_id: u64) -> bool {
+        self.contact.orders.contains(&request_id)
     }
 
     /// The order is answered now; false where it was before.
-    pub(crate) fn close_order(&mut self, token: u64) -> bool {
-        self.contact.orders.remove(&token)
+    pub(crate) fn close_order(&mut self, request_id: u64) -> bool {
+        self.contact.orders.remove(&request_id)
     }
 
     /// Contact was lost while orders were under way: their callers hear that nobody can tell, and ask another node.
@@ -119,14 +119,14 @@
         let revision = self.register.state().revision;
         let waiting = std::mem::take(&mut self.contact.orders);
         self.waiting_force
-            .retain(|wait| !waiting.contains(&wait.token));
-        waiting.into_iter().for_each(|token| {
+            .retain(|wait| !waiting.contains(&wait.request_id));
+        waiting.into_iter().for_each(|request_id| {
             let answer = ControlResponse::Verdict {
                 code: ResultCode::ChangeOutcomeUnknown,
                 revision,
             };
             self.effects
-                .push_back(Effect::ControlResponse { token, answer });
+                .push_back(Effect::ControlResponse { request_id, answer });
         });
     }
 }
--- a/crates/control-plane/src/departure_writer.rs
+++ b/crates/control-plane/src/departure_writer.rs
@@ -23,7 +23,7 @@
     /// let (storage, _) = storage::Storage::open(&folder).unwrap();
     /// let (log, _) = storage.departure_log(transport::since_boot());
     /// let (tell, told) = std::sync::mpsc::channel();
-    /// let writer = DepartureWriter::start(log, Default::default(), move |ticket| tell.send(ticket).is_ok());
+    /// let writer = DepartureWriter::start(log, Default::default(), move |write_id| tell.send(write_id).is_ok());
     /// writer.write(7, vec![]);
     /// assert_eq!(told.recv(), Ok(7));
     /// std::fs::remove_dir_all(&folder).unwrap();
@@ -39,9 +39,9 @@
     }
 
     /// Hands a write over. It never waits; a later write takes the place of one that fails.
-    pub fn write(&self, ticket: u64, departures: Vec<Departure>) {
+    pub fn write(&self, write_id: u64, departures: Vec<Departure>) {
         // The thread ends before this only with the whole process.
-        let _ = self.writes.send((ticket, departures));
+        let _ = self.writes.send((write_id, departures));
     }
 }
 
@@ -53,13 +53,13 @@
 ) {
     let mut failures = 0;
     let mut next = waiting.recv().ok();
-    while let Some((ticket, departures)) = next {
+    while let Some((write_id, departures)) = next {
         next = match log.keep(departures.clone(), transport::since_boot()) {
             Ok(()) => {
                 if std::mem::take(&mut failures) > 0 {
                     info!("disk: departures are kept again");
                 }
-                if !report(ticket) {
+                if !report(write_id) {
                     return;
                 }
                 waiting.recv().ok()
@@ -73,7 +73,7 @@
                 }
                 match waiting.recv_timeout(pauses.after(failures)) {
                     Ok(later) => Some(later),
-                    Err(RecvTimeoutError::Timeout) => Some((ticket, departures)),
+                    Err(RecvTimeoutError::Timeout) => Some((write_id, departures)),
                     Err(RecvTimeoutError::Disconnected) => None,
                 }
             }
--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -27,7 +27,7 @@
 
 /// A departure whose caller waits until a majority knows.
 struct Wait {
-    token: u64,
+    request_id: u64,
     upstream: Upstream,
     taken_by: BTreeSet<String>,
     until: Duration,
@@ -51,7 +51,7 @@
     /// The digest that came with the question being answered.
     asked_with: u64,
     /// The last write of departures, and what waits for it; nothing where it is done.
-    ticket: u64,
+    write_id: u64,
     being_kept: Vec<AfterKept>,
     /// What waits for the write after it.
     to_keep: Vec<AfterKept>,
@@ -87,13 +87,13 @@
     }
 
     /// Tells every control node of a departure, and the caller once a majority of the voters knows.
-    pub(crate) fn tell_departure(&mut self, now: Duration, token: u64, upstream: Upstream) {
+    pub(crate) fn tell_departure(&mut self, now: Duration, request_id: u64, upstream: Upstream) {
         if self.departures.waiting.len() >= MAX_WAITING {
-            return self.refuse(now, token, ResultCode::StaleView);
+            return self.refuse(now, request_id, ResultCode::StaleView);
         }
         let nonce = self.random.next_u64().max(1);
         let wait = Wait {
-            token,
+            request_id,
             upstream,
             taken_by: BTreeSet::new(),
             until: now + PATIENCE,
@@ -117,15 +117,17 @@
             return;
         }
         self.departures.being_kept = std::mem::take(&mut self.departures.to_keep);
-        self.departures.ticket += 1;
-        let (ticket, departures) = (self.departures.ticket, self.recent_departures(now));
-        self.effects
-            .push_back(Effect::KeepDepartures { ticket, departures });
+        self.departures.write_id += 1;
+        let (write_id, departures) = (self.departures.write_id, self.recent_departures(now));
+        self.effects.push_back(Effect::KeepDepartures {
+            write_id,
+            departures,
+        });
     }
 
     /// What was known of departures when this write began is known in the next life of this process too.
-    pub(crate) fn departures_kept(&mut self, now: Duration, ticket: u64) {
-        if ticket != self.departures.ticket {
+    pub(crate) fn departures_kept(&mut self, now: Duration, write_id: u64) {
+        if write_id != self.departures.write_id {
             return;
         }
         std::mem::take(&mut self.departures.being_kept)
@@ -224,7 +226,9 @@
             return;
         }
         let Some(Wait {
-            token, upstream, ..
+            request_id,
+            upstream,
+            ..
         }) = self.departures.waiting.remove(&nonce)
         else {
             return;
@@ -233,7 +237,7 @@
             let id = (upstream.service.clone(), upstream.instance.clone());
             self.departures.known.insert(id, (upstream.condition, now));
         }
-        self.answer_taken_beat(now, token, upstream);
+        self.answer_taken_beat(now, request_id, upstream);
     }
 
     pub(crate) fn tick_departures(&mut self, now: Duration) {
@@ -249,7 +253,7 @@
         late.into_iter().for_each(|nonce| {
             let wait = self.departures.waiting.remove(&nonce);
             wait.into_iter()
-                .for_each(|wait| self.refuse(now, wait.token, ResultCode::StaleView));
+                .for_each(|wait| self.refuse(now, wait.request_id, ResultCode::StaleView));
         });
         let due = self
             .departures
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -22,11 +22,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Write {
     State {
-        ticket: u64,
+        write_id: u64,
         durable: DurableState,
     },
     Configuration {
-        ticket: u64,
+        write_id: u64,
         digest: String,
         bytes: Vec<u8>,
     },
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskReport {
     /// The write with this ticket and all before it are synced.
-    Synced { ticket: u64 },
+    Synced { write_id: u64 },
     /// A write failed, and is tried again until it is done.
     Retrying,
     /// The write that failed is done.
@@ -134,8 +134,8 @@
     /// let (storage, _) = storage::Storage::open(&folder).unwrap();
     /// let (tell, told) = std::sync::mpsc::channel();
     /// let disk = Disk::start(storage, RetryBackoff::default(), transport::Clock::default(), move |report| tell.send(report).is_ok());
-    /// disk.write(Write::State { ticket: 7, durable: Default::default() });
-    /// assert_eq!(told.recv().unwrap(), DiskReport::Synced { ticket: 7 });
+    /// disk.write(Write::State { write_id: 7, durable: Default::default() });
+    /// assert_eq!(told.recv().unwrap(), DiskReport::Synced { write_id: 7 });
     /// std::fs::remove_dir_all(&folder).unwrap();
     /// ```
     pub fn start(
@@ -196,7 +196,7 @@
 ///
 /// ```
 /// use control_plane::disk::{Write, merge};
-/// let state = |ticket| Write::State { ticket, durable: Default::default() };
+/// let state = |write_id| Write::State { write_id, durable: Default::default() };
 /// let removal = Write::DeleteConfiguration { digest: "a".into() };
 /// let merged = merge(vec![state(1), state(2), removal.clone(), state(3), state(4)]);
 /// assert_eq!(merged, [state(2), removal, state(4)]);
@@ -268,17 +268,17 @@
 
     fn carry_out(&mut self, write: Write) -> Result<(), Ended> {
         match write {
-            Write::State { ticket, durable } => {
+            Write::State { write_id, durable } => {
                 self.retry(|storage| storage.keep(&durable))?;
-                self.tell(DiskReport::Synced { ticket })
+                self.tell(DiskReport::Synced { write_id })
             }
             Write::Configuration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             } => {
                 self.retry(|storage| storage.store_configuration(&digest, &bytes))?;
-                self.tell(DiskReport::Synced { ticket })
+                self.tell(DiskReport::Synced { write_id })
             }
             Write::DeleteConfiguration { digest } => {
                 // It takes room and nothing else: the next start finds it and drops it again.
--- a/crates/control-plane/src/keys.rs
+++ b/crates/control-plane/src/keys.rs
@@ -141,7 +141,7 @@
         upstream: &Upstream,
         epoch: u64,
     ) -> Option<Vec<KeyShare>> {
-        let held_at = self.hold_clock.now();
+        let held_at = self.grant_clock.now();
         let terms = Terms {
             hold: self.times.share_span,
             answer_within: ANSWER_WITHIN,
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -9,7 +9,7 @@
 use crate::updates::Reader;
 use crate::voters::VoterChanges;
 use config::{Configuration, JsonValue, ValidationError};
-use lease::HoldClock;
+use lease::BoundedStepClock;
 use lease::Lease;
 use membership::Membership;
 use name_directory::{ConfigurationReader, OwnershipMode};
@@ -17,7 +17,7 @@
     Departure, DurableState, KeyShare, Member, Payload, Placement, Upstream, UpstreamsReply,
     UpstreamsRequest,
 };
-use quorum_register::{Change, OrderId, Register, VoterPhase};
+use quorum_register::{Change, ChangeId, Register, VoterPhase};
 use random::Random;
 use result_code::ResultCode;
 use std::collections::{BTreeMap, VecDeque};
@@ -31,9 +31,9 @@
 /// A postmaster's time values.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    pub register: quorum_register::Times,
+    pub register: quorum_register::RegisterTiming,
     pub membership: membership::Times,
-    pub lease: lease::Times,
+    pub lease: lease::LeaseTiming,
     pub placement: name_directory::Times,
     pub share_span: Duration,
     pub upstream_silent: Duration,
@@ -46,7 +46,7 @@
 pub struct Start {
     pub me: Member,
     pub seeds: Vec<String>,
-    pub roster_size: usize,
+    pub initial_voter_count: usize,
     pub seed: u64,
     /// How configurations are read.
     pub reader: ConfigurationReader,
@@ -63,13 +63,13 @@
 #[derive(Clone, Debug)]
 pub enum ControlRequest {
     Submit {
-        id: OrderId,
+        id: ChangeId,
         base: Option<u64>,
         bytes: Vec<u8>,
         in_force: bool,
     },
     Evacuate {
-        id: OrderId,
+        id: ChangeId,
         locality: String,
         back: bool,
         in_force: bool,
@@ -134,16 +134,16 @@
         body: Payload,
     },
     ControlRequest {
-        token: u64,
+        request_id: u64,
         ask: ControlRequest,
     },
-    Kept {
-        ticket: u64,
+    WriteCompleted {
+        write_id: u64,
     },
     DiskFailed,
     /// The departures with this ticket outlive this process.
     DeparturesKept {
-        ticket: u64,
+        write_id: u64,
     },
     /// A write failed, and the disk tries it again until it is done.
     DiskRetrying,
@@ -165,19 +165,19 @@
         address: String,
         body: Payload,
     },
-    Keep {
-        ticket: u64,
+    Persist {
+        write_id: u64,
         durable: DurableState,
     },
     StoreConfiguration {
-        ticket: u64,
+        write_id: u64,
         digest: String,
         bytes: Vec<u8>,
     },
     /// Write these departures, without a sync and without waiting for other writes, then tell `DeparturesKept`. They
     /// take the place of those written before.
     KeepDepartures {
-        ticket: u64,
+        write_id: u64,
         departures: Vec<Departure>,
     },
     /// The file of this setup may go, after all writes before.
@@ -185,7 +185,7 @@
         digest: String,
     },
     ControlResponse {
-        token: u64,
+        request_id: u64,
         answer: ControlResponse,
     },
     /// Membership changed: node ids with their link addresses.
@@ -197,7 +197,7 @@
 }
 
 pub(crate) struct InForce {
-    pub token: u64,
+    pub request_id: u64,
     pub answer: ControlResponse,
     pub revision: u64,
     pub until: Duration,
@@ -205,12 +205,12 @@
 
 /// A read-back that waits for a confirmation asked after it.
 pub(crate) struct ReadWait {
-    pub token: u64,
+    pub request_id: u64,
     pub asked_at: Duration,
 }
 
 pub(crate) struct BeatWait {
-    pub token: u64,
+    pub request_id: u64,
     /// Who was asked.
     pub asked: String,
     pub until: Duration,
@@ -268,7 +268,7 @@
     pub(crate) roll_told: bool,
     pub(crate) held_epoch: u64,
     /// By which the holds that this node gave are waited out.
-    pub(crate) hold_clock: HoldClock,
+    pub(crate) grant_clock: BoundedStepClock,
     pub(crate) counts: Counts,
     /// A write failed and is tried again: nothing new is promised or accepted here meanwhile.
     pub(crate) disk_fails: bool,
@@ -284,7 +284,7 @@
     ///
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
-    /// let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     ///     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert_eq!(control_plane::ControlNode::new(start).revision(), 0);
     /// ```
@@ -294,7 +294,7 @@
         let Start {
             me,
             seeds,
-            roster_size,
+            initial_voter_count,
             reader,
             owners,
             durable,
@@ -307,16 +307,16 @@
         departures.iter().for_each(|departure| {
             registry.depart(Duration::ZERO, departure);
         });
-        let register = Register::new(quorum_register::Start {
+        let register = Register::new(quorum_register::RegisterConfig {
             me: me.node.clone(),
-            roster_size,
+            initial_voter_count,
             seed: random.next_u64(),
             durable,
             configurations,
             times: times.register,
         });
         ControlNode {
-            hold_clock: HoldClock::new(times.longest_step),
+            grant_clock: BoundedStepClock::new(times.longest_step),
             membership: Membership::new(me.clone(), seeds, times.membership, random.next_u64()),
             lease: Lease::new(me.node.clone(), times.lease, random.next_u64()),
             told: register.phase().clone(),
@@ -361,7 +361,7 @@
     ///
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
-    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert_eq!(control_plane::ControlNode::new(start).revision(), 0);
     /// ```
@@ -373,16 +373,16 @@
     ///
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
-    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// use control_plane::{ControlResponse, ControlRequest, Effect, Event, ControlNode};
     /// let mut control = ControlNode::new(start);
     /// let ask = ControlRequest::Submit { id: "a".into(), base: None, bytes: b"{".to_vec(), in_force: false };
-    /// let effects = control.step(Default::default(), Event::ControlRequest { token: 7, ask });
-    /// assert!(matches!(&effects[0], Effect::ControlResponse { token: 7, answer: ControlResponse::Denied { .. } }));
+    /// let effects = control.step(Default::default(), Event::ControlRequest { request_id: 7, ask });
+    /// assert!(matches!(&effects[0], Effect::ControlResponse { request_id: 7, answer: ControlResponse::Denied { .. } }));
     /// ```
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
-        self.hold_clock.advance(now);
+        self.grant_clock.advance(now);
         self.anonymous.note_step(now);
         match event {
             Event::Tick => self.tick(now),
@@ -393,14 +393,14 @@
                     .step(now, membership::Event::Received { address, body });
                 self.run_membership(now, effects);
             }
-            Event::ControlRequest { token, .. } if self.closing => {
-                self.refuse(now, token, ResultCode::ShuttingDown)
+            Event::ControlRequest { request_id, .. } if self.closing => {
+                self.refuse(now, request_id, ResultCode::ShuttingDown)
             }
-            Event::ControlRequest { token, ask } => self.ask(now, token, ask),
-            Event::Kept { ticket } => {
-                self.run_register(now, quorum_register::Event::Kept { ticket })
+            Event::ControlRequest { request_id, ask } => self.ask(now, request_id, ask),
+            Event::WriteCompleted { write_id } => {
+                self.run_register(now, quorum_register::Event::WriteCompleted { write_id })
             }
-            Event::DeparturesKept { ticket } => self.departures_kept(now, ticket),
+            Event::DeparturesKept { write_id } => self.departures_kept(now, write_id),
             Event::DiskFailed => self.run_register(now, quorum_register::Event::DiskFailed),
             Event::DiskRetrying => self.disk_fails = true,
             Event::DiskRecovered => self.disk_fails = false,
@@ -447,7 +447,7 @@
 
     /// Until its bytes are here this node can't answer with the state it holds: it asks the others for them.
     fn note_missing_setup(&mut self) {
-        let lacks = self.register.lacks_accepted_configuration();
+        let lacks = self.register.is_missing_accepted_configuration();
         if lacks != self.lacks_setup {
             self.lacks_setup = lacks;
             self.effects.push_back(match lacks {
@@ -469,7 +469,7 @@
                 VoterPhase::Recovering(_) => "recovering from the voters",
                 VoterPhase::Active if self.register.is_voter() => "voting",
                 VoterPhase::Active => "following, without a vote",
-                VoterPhase::Out => "the disk failed: out of rounds",
+                VoterPhase::Failed => "the disk failed: out of rounds",
             };
             self.effects.push_back(Effect::Log(text.into()));
         }
@@ -541,16 +541,17 @@
         let effects = self.register.step(now, event);
         effects.into_iter().for_each(|effect| match effect {
             quorum_register::Effect::Send { to, body } => self.send_of_register(now, to, body),
-            quorum_register::Effect::Keep { ticket, durable } => {
-                self.effects.push_back(Effect::Keep { ticket, durable });
+            quorum_register::Effect::Persist { write_id, durable } => {
+                self.effects
+                    .push_back(Effect::Persist { write_id, durable });
             }
             quorum_register::Effect::StoreConfiguration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             } => {
                 self.effects.push_back(Effect::StoreConfiguration {
-                    ticket,
+                    write_id,
                     digest,
                     bytes,
                 });
@@ -558,12 +559,13 @@
             quorum_register::Effect::DeleteConfiguration { digest } => self
                 .effects
                 .push_back(Effect::DeleteConfiguration { digest }),
-            quorum_register::Effect::Decided { token, decision } => {
-                self.decided(now, token, decision)
-            }
-            quorum_register::Effect::Adopted => self.adopted(),
-            quorum_register::Effect::EpochKept { token } => {
-                self.run_lease(now, lease::Event::EpochKept { token })
+            quorum_register::Effect::Decided {
+                request_id,
+                decision,
+            } => self.decided(now, request_id, decision),
+            quorum_register::Effect::StateChanged => self.adopted(),
+            quorum_register::Effect::LeaseEpochPersisted { request_id } => {
+                self.run_lease(now, lease::Event::LeaseEpochPersisted { request_id })
             }
         });
     }
@@ -574,15 +576,18 @@
             self.register.voter_set().clone(),
             self.register.lease_epoch(),
         );
-        self.run_lease(now, lease::Event::Voters { voter_set, epoch });
+        self.run_lease(now, lease::Event::VotersChanged { voter_set, epoch });
     }
 
     pub(crate) fn run_lease(&mut self, now: Duration, event: lease::Event) {
         let effects = self.lease.step(now, event);
         effects.into_iter().for_each(|effect| match effect {
             lease::Effect::Send { to, body } => self.effects.push_back(Effect::Send { to, body }),
-            lease::Effect::RaiseEpoch { epoch, token } => {
-                self.run_register(now, quorum_register::Event::RaiseEpoch { epoch, token });
+            lease::Effect::PersistLeaseEpoch { epoch, request_id } => {
+                self.run_register(
+                    now,
+                    quorum_register::Event::PersistLeaseEpoch { epoch, request_id },
+                );
             }
         });
     }
@@ -616,15 +621,15 @@
     pub(crate) fn change(
         &mut self,
         now: Duration,
-        token: u64,
+        request_id: u64,
         change: Change,
         bytes: Option<Vec<u8>>,
     ) {
-        self.open_order(token);
+        self.open_order(request_id);
         self.run_register(
             now,
-            quorum_register::Event::Ask {
-                token,
+            quorum_register::Event::Submit {
+                request_id,
                 change,
                 bytes,
             },
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -43,7 +43,7 @@
     ///
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
-    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert!(!control_plane::ControlNode::new(start).holds_placement(Default::default()));
     /// ```
@@ -69,14 +69,14 @@
             self.hear_holder(me, epoch);
             self.tell_postmasters(Payload::LeaseHolder(LeaseHolder { epoch }));
         }
-        let founding = self.lease.is_founder(epoch);
+        let founding = self.lease.is_first_holder(epoch);
         let mut duty = self
             .duty
             .take()
             .filter(|duty| duty.epoch == epoch)
             .unwrap_or_else(|| PlacementLease {
                 epoch,
-                since: self.hold_clock.now(),
+                since: self.grant_clock.now(),
                 founding,
                 counts: KeyCounts::default(),
                 ranges: BTreeMap::new(),
@@ -183,7 +183,7 @@
         } else {
             Vec::new()
         };
-        let held_at = self.hold_clock.now();
+        let held_at = self.grant_clock.now();
         let told = keyed.map(|service| {
             let name = &service.name;
             let known = match (duty.ranges.get(name), duty.shares.get(name)) {
@@ -265,7 +265,7 @@
         {
             return self.give_ranges(now, upstream, epoch);
         }
-        let (span, held_at) = (self.times.share_span, self.hold_clock.now());
+        let (span, held_at) = (self.times.share_span, self.grant_clock.now());
         let ready = self
             .registry
             .of_service(&upstream.service)
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -17,9 +17,9 @@
 const BEAT_PATIENCE: Duration = Duration::from_millis(700);
 
 impl ControlNode {
-    pub(crate) fn ask(&mut self, now: Duration, token: u64, ask: ControlRequest) {
+    pub(crate) fn ask(&mut self, now: Duration, request_id: u64, ask: ControlRequest) {
         if Self::needs_contact(&ask) && !self.is_in_contact(now) {
-            return self.ask_out_of_contact(now, token, ask);
+            return self.ask_out_of_contact(now, request_id, ask);
         }
         match ask {
             ControlRequest::Submit {
@@ -29,7 +29,7 @@
                 in_force,
             } => match (self.reader.0)(&bytes) {
                 Err(validation_errors) => self.answer(
-                    token,
+                    request_id,
                     ControlResponse::Denied {
                         code: ResultCode::InvalidConfiguration,
                         validation_errors,
@@ -38,10 +38,10 @@
                 Ok(configuration) => {
                     let number = configuration.number;
                     let digest = protocol::digest(&bytes);
-                    self.wait_for_force(now, token, in_force);
+                    self.wait_for_force(now, request_id, in_force);
                     self.change(
                         now,
-                        token,
+                        request_id,
                         Change::Configuration {
                             id,
                             base,
@@ -58,13 +58,13 @@
                 back,
                 in_force,
             } => {
-                self.wait_for_force(now, token, in_force);
+                self.wait_for_force(now, request_id, in_force);
                 if id.id.is_empty() {
-                    self.evacuate_anonymously(now, token, locality, back);
+                    self.evacuate_anonymously(now, request_id, locality, back);
                 } else {
                     self.change(
                         now,
-                        token,
+                        request_id,
                         Change::Evacuate {
                             id,
                             locality,
@@ -76,18 +76,18 @@
                 }
             }
             ControlRequest::ChangeVoters { add, remove } => {
-                self.change_voters(now, token, add, remove)
+                self.change_voters(now, request_id, add, remove)
             }
             ControlRequest::ReadConfiguration => {
                 if self.read_waits.len() < MAX_READ_WAITS {
                     self.read_waits.push(ReadWait {
-                        token,
+                        request_id,
                         asked_at: now,
                     });
                     self.run_register(now, quorum_register::Event::Confirm);
                 } else {
                     self.answer(
-                        token,
+                        request_id,
                         ControlResponse::Verdict {
                             code: ResultCode::TooManyPendingChanges,
                             revision: 0,
@@ -97,11 +97,11 @@
             }
             ControlRequest::Status => {
                 let json = self.status(now);
-                self.answer(token, ControlResponse::JsonValue(json));
+                self.answer(request_id, ControlResponse::JsonValue(json));
             }
             ControlRequest::Upstreams => {
                 let json = self.registry.all(now).iter().map(upstream_sheet).collect();
-                self.answer(token, ControlResponse::JsonValue(json));
+                self.answer(request_id, ControlResponse::JsonValue(json));
             }
             ControlRequest::Reservations => {
                 let json = self.placement.reservations.iter().map(|owned| {
@@ -113,7 +113,7 @@
                     ])
                 });
                 let json = json.collect();
-                self.answer(token, ControlResponse::JsonValue(json));
+                self.answer(request_id, ControlResponse::JsonValue(json));
             }
             ControlRequest::Tombstones => {
                 let json = self.placement.tombstones.iter().map(|mark| {
@@ -125,24 +125,24 @@
                     ])
                 });
                 let json = json.collect();
-                self.answer(token, ControlResponse::JsonValue(json));
+                self.answer(request_id, ControlResponse::JsonValue(json));
             }
-            ControlRequest::Beat(upstream) => self.beat(now, token, upstream),
+            ControlRequest::Beat(upstream) => self.beat(now, request_id, upstream),
             ControlRequest::SignOff { instance } => {
                 let gone = self.sign_off(now, instance);
-                self.tell_departure(now, token, gone);
+                self.tell_departure(now, request_id, gone);
             }
         }
     }
 
     /// What an upstream says of itself is good to know, and to tell whom this node reaches. It is no acknowledgement.
-    fn ask_out_of_contact(&mut self, now: Duration, token: u64, ask: ControlRequest) {
+    fn ask_out_of_contact(&mut self, now: Duration, request_id: u64, ask: ControlRequest) {
         match ask {
             ControlRequest::Submit { bytes, .. } => {
                 // What is wrong with it is wrong whoever decides.
                 if let Err(validation_errors) = (self.reader.0)(&bytes) {
                     return self.answer(
-                        token,
+                        request_id,
                         ControlResponse::Denied {
                             code: ResultCode::InvalidConfiguration,
                             validation_errors,
@@ -158,7 +158,7 @@
             }
             _ => {}
         }
-        self.refuse(now, token, ResultCode::StaleView);
+        self.refuse(now, request_id, ResultCode::StaleView);
     }
 
     /// Records that an instance is gone, known here or not.
@@ -184,7 +184,7 @@
             let revision = self.register.state().revision;
             let confirmed = self.register.is_confirmed_since(wait.asked_at);
             let answer = match self.register.configuration() {
-                _ if !confirmed => return self.refuse(now, wait.token, ResultCode::StaleView),
+                _ if !confirmed => return self.refuse(now, wait.request_id, ResultCode::StaleView),
                 None => ControlResponse::Verdict {
                     code: ResultCode::NoConfiguration,
                     revision,
@@ -194,25 +194,25 @@
                     bytes: bytes.to_vec(),
                 },
             };
-            self.answer(wait.token, answer);
+            self.answer(wait.request_id, answer);
         });
     }
 
-    pub(crate) fn answer(&mut self, token: u64, answer: ControlResponse) {
+    pub(crate) fn answer(&mut self, request_id: u64, answer: ControlResponse) {
         self.effects
-            .push_back(Effect::ControlResponse { token, answer });
+            .push_back(Effect::ControlResponse { request_id, answer });
     }
 
     /// The operator wants to hear only once the change is in force everywhere that still serves.
-    fn wait_for_force(&mut self, now: Duration, token: u64, in_force: bool) {
+    fn wait_for_force(&mut self, now: Duration, request_id: u64, in_force: bool) {
         if in_force {
             let answer = ControlResponse::Verdict {
                 code: ResultCode::ChangeOutcomeUnknown,
                 revision: 0,
             };
-            let until = now + self.times.register.patience * 2;
+            let until = now + self.times.register.change_timeout * 2;
             self.waiting_force.push(InForce {
-                token,
+                request_id,
                 answer,
                 revision: u64::MAX,
                 until,
@@ -220,8 +220,8 @@
         }
     }
 
-    pub(crate) fn decided(&mut self, now: Duration, token: u64, decision: Decision) {
-        if !self.close_order(token) {
+    pub(crate) fn decided(&mut self, now: Duration, request_id: u64, decision: Decision) {
+        if !self.close_order(request_id) {
             return;
         }
         let Decision { code, revision } = decision;
@@ -236,20 +236,21 @@
         let waiting = self
             .waiting_force
             .iter_mut()
-            .find(|waiting| waiting.token == token && code == ResultCode::Success);
+            .find(|waiting| waiting.request_id == request_id && code == ResultCode::Success);
         match waiting {
             Some(waiting) => {
                 // Every view that was not told has aged out by then.
                 *waiting = InForce {
-                    token,
+                    request_id,
                     answer,
                     revision,
                     until: now + self.times.stale_after,
                 };
             }
             None => {
-                self.waiting_force.retain(|waiting| waiting.token != token);
-                self.answer(token, answer);
+                self.waiting_force
+                    .retain(|waiting| waiting.request_id != request_id);
+                self.answer(request_id, answer);
             }
         }
     }
@@ -260,7 +261,7 @@
             .partition(|waiting| now >= waiting.until || self.all_kept(waiting.revision));
         self.waiting_force = waiting;
         done.into_iter()
-            .for_each(|done| self.answer(done.token, done.answer));
+            .for_each(|done| self.answer(done.request_id, done.answer));
         let late: Vec<u64> = self
             .beat_waits
             .iter()
@@ -270,31 +271,31 @@
         late.into_iter().for_each(|nonce| {
             let wait = self.beat_waits.remove(&nonce);
             wait.into_iter()
-                .for_each(|wait| self.answer_without_holder(now, wait.token));
+                .for_each(|wait| self.answer_without_holder(now, wait.request_id));
         });
     }
 
     /// The holder of the placement did not answer. Where it is heard, it is this node's way to it that is cut: the
     /// upstream finds its keys there. Else nobody gives any at present.
-    fn answer_without_holder(&mut self, now: Duration, token: u64) {
+    fn answer_without_holder(&mut self, now: Duration, request_id: u64) {
         match self.address_in_contact(now) {
-            Some(to) => self.answer(token, ControlResponse::Redirect { to }),
-            None => self.answer_beat(token, 0, None),
+            Some(to) => self.answer(request_id, ControlResponse::Redirect { to }),
+            None => self.answer_beat(request_id, 0, None),
         }
     }
 
-    fn beat(&mut self, now: Duration, token: u64, upstream: Upstream) {
+    fn beat(&mut self, now: Duration, request_id: u64, upstream: Upstream) {
         self.counts.beats += 1;
         if self.is_unknown_departure(&upstream) {
             self.record_beat(now, &upstream);
-            return self.tell_departure(now, token, upstream);
+            return self.tell_departure(now, request_id, upstream);
         }
         self.take_beat(now, &upstream);
-        self.answer_taken_beat(now, token, upstream);
+        self.answer_taken_beat(now, request_id, upstream);
     }
 
     /// The answer to a beat that was taken in: with the keys that the upstream holds from now on, where it has any.
-    pub(crate) fn answer_taken_beat(&mut self, now: Duration, token: u64, upstream: Upstream) {
+    pub(crate) fn answer_taken_beat(&mut self, now: Duration, request_id: u64, upstream: Upstream) {
         let may_hold = upstream.condition != upstream_registry::GONE;
         let keyed = may_hold
             && self
@@ -303,18 +304,18 @@
                 .get(&upstream.service)
                 .is_some_and(|service| service.keyed);
         if !keyed || self.placed_by.is_empty() || self.beat_waits.len() >= MAX_BEAT_WAITS {
-            return self.answer_beat(token, 0, None);
+            return self.answer_beat(request_id, 0, None);
         }
         if self.placed_by == self.me.node {
             let given = self.give_shares(now, &upstream);
-            return self.answer_beat(token, self.held_epoch, given);
+            return self.answer_beat(request_id, self.held_epoch, given);
         }
         let nonce = self.random.next_u64();
         let to = self.placed_by.clone();
         self.beat_waits.insert(
             nonce,
             BeatWait {
-                token,
+                request_id,
                 asked: to.clone(),
                 until: now + BEAT_PATIENCE,
             },
@@ -358,13 +359,18 @@
         let wait = self.beat_waits.remove(&given.nonce);
         let shares = Some(given.shares).filter(|_| given.span_ms > 0);
         wait.into_iter()
-            .for_each(|wait| self.answer_beat(wait.token, given.holder, shares.clone()));
+            .for_each(|wait| self.answer_beat(wait.request_id, given.holder, shares.clone()));
     }
 
     /// Without `shares` the upstream learns nothing new, and what it holds runs out by itself.
-    fn answer_beat(&mut self, token: u64, holder: u64, shares: Option<Vec<protocol::KeyShare>>) {
+    fn answer_beat(
+        &mut self,
+        request_id: u64,
+        holder: u64,
+        shares: Option<Vec<protocol::KeyShare>>,
+    ) {
         self.answer(
-            token,
+            request_id,
             ControlResponse::Beat {
                 holder,
                 shares,
@@ -380,7 +386,7 @@
             VoterPhase::Recovering(_) => "mending",
             VoterPhase::Active if self.register.is_voter() => "voting",
             VoterPhase::Active => "following",
-            VoterPhase::Out => "out",
+            VoterPhase::Failed => "out",
         };
         let members = self.members.iter().map(|member| {
             JsonValue::fields([
@@ -415,7 +421,7 @@
             ),
             (
                 "setupMissing",
-                self.register.lacks_accepted_configuration().into(),
+                self.register.is_missing_accepted_configuration().into(),
             ),
             ("edition", state.revision.into()),
             ("digest", state.digest.as_str().into()),
@@ -456,11 +462,11 @@
 
 impl ControlNode {
     fn show_counts(&self) -> JsonValue {
-        let (tally, counts) = (self.register.tally(), &self.counts);
+        let (statistics, counts) = (self.register.statistics(), &self.counts);
         JsonValue::fields([
-            ("rounds", tally.rounds.into()),
-            ("roundsLost", tally.lost.into()),
-            ("writes", tally.writes.into()),
+            ("rounds", statistics.rounds_started.into()),
+            ("roundsLost", statistics.rounds_lost.into()),
+            ("writes", statistics.disk_writes.into()),
             ("beats", counts.beats.into()),
             ("claimsHeld", counts.leases_held.into()),
             ("placementsTold", counts.placements_told.into()),
--- a/crates/control-plane/src/shell.rs
+++ b/crates/control-plane/src/shell.rs
@@ -118,15 +118,15 @@
 /// ```
 pub fn times(settings: &Settings) -> Times {
     Times {
-        register: quorum_register::Times {
-            confirm_every: settings.span("confirm-every-ms"),
+        register: quorum_register::RegisterTiming {
+            confirm_interval: settings.span("confirm-every-ms"),
             ..Default::default()
         },
         membership: membership::Times {
             probe_every: settings.span("probe-every-ms"),
             suspect_for: settings.span("suspect-for-ms"),
         },
-        lease: lease::Times::new(
+        lease: lease::LeaseTiming::new(
             settings.span("claim-span-ms"),
             settings.span("claim-margin-ms"),
         ),
@@ -195,7 +195,7 @@
     let mut control = ControlNode::new(Start {
         me,
         seeds: transport::seed_addresses(&settings),
-        roster_size: match settings.count("roster-size") {
+        initial_voter_count: match settings.count("roster-size") {
             0 => settings.list("localities").len(),
             size => size as usize,
         },
@@ -252,8 +252,8 @@
         let event = tokio::select! {
             _ = tick.tick() => Event::Tick,
             Some((event, answer)) = inbox.recv() => {
-                if let (Event::ControlRequest { token, .. }, Some(answer)) = (&event, answer) {
-                    answers.insert(*token, answer);
+                if let (Event::ControlRequest { request_id, .. }, Some(answer)) = (&event, answer) {
+                    answers.insert(*request_id, answer);
                 }
                 event
             }
@@ -314,25 +314,26 @@
         answers: &mut HashMap<u64, oneshot::Sender<ControlResponse>>,
     ) {
         effects.into_iter().for_each(|effect| match effect {
-            Effect::Keep { ticket, durable } => disk.write(Write::State { ticket, durable }),
+            Effect::Persist { write_id, durable } => disk.write(Write::State { write_id, durable }),
             Effect::StoreConfiguration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             } => disk.write(Write::Configuration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             }),
-            Effect::KeepDepartures { ticket, departures } => {
-                departure_log.write(ticket, departures)
-            }
+            Effect::KeepDepartures {
+                write_id,
+                departures,
+            } => departure_log.write(write_id, departures),
             Effect::DeleteConfiguration { digest } => {
                 disk.write(Write::DeleteConfiguration { digest })
             }
-            Effect::ControlResponse { token, answer } => {
+            Effect::ControlResponse { request_id, answer } => {
                 answers
-                    .remove(&token)
+                    .remove(&request_id)
                     .into_iter()
                     .for_each(|waiting| drop(waiting.send(answer.clone())));
             }
@@ -361,7 +362,7 @@
 ) -> impl Fn(DiskReport) -> bool {
     move |report| {
         let event = match report {
-            DiskReport::Synced { ticket } => Event::Kept { ticket },
+            DiskReport::Synced { write_id } => Event::WriteCompleted { write_id },
             DiskReport::Retrying => Event::DiskRetrying,
             DiskReport::Recovered => Event::DiskRecovered,
             DiskReport::Lost => Event::DiskFailed,
@@ -374,9 +375,9 @@
 fn kept_to(
     events: mpsc::Sender<(Event, Option<oneshot::Sender<ControlResponse>>)>,
 ) -> impl Fn(u64) -> bool {
-    move |ticket| {
+    move |write_id| {
         events
-            .blocking_send((Event::DeparturesKept { ticket }, None))
+            .blocking_send((Event::DeparturesKept { write_id }, None))
             .is_ok()
     }
 }
@@ -452,9 +453,9 @@
 }
 
 async fn put(shared: &Shared, ask: ControlRequest, target: &str) -> Response<Full<Bytes>> {
-    let token = shared.tokens.fetch_add(1, Ordering::Relaxed);
+    let request_id = shared.tokens.fetch_add(1, Ordering::Relaxed);
     let (answer, answered) = oneshot::channel();
-    let event = (Event::ControlRequest { token, ask }, Some(answer));
+    let event = (Event::ControlRequest { request_id, ask }, Some(answer));
     if shared.events.try_send(event).is_err() {
         return (shared.api_adapter.show)(ControlResponse::Verdict {
             code: ResultCode::TooManyPendingChanges,
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -86,7 +86,7 @@
         };
         if !self.has_caught_up(&successor) {
             // A round that changes nothing brings it the state in force.
-            return self.propose(now, Change::Finish);
+            return self.propose(now, Change::FinishRound);
         }
         let mut voters: Vec<String> = voter_set
             .voters
@@ -104,16 +104,16 @@
     pub(crate) fn change_voters(
         &mut self,
         now: Duration,
-        token: u64,
+        request_id: u64,
         add: Option<String>,
         remove: Option<String>,
     ) {
         let revision = self.revision();
         match self.voters_after(now, add, remove) {
-            Err(code) => self.answer(token, ControlResponse::Verdict { code, revision }),
+            Err(code) => self.answer(request_id, ControlResponse::Verdict { code, revision }),
             Ok(voters) => {
                 let epoch = self.register.state().voter_set.epoch;
-                self.change(now, token, Change::BeginVoters { epoch, voters }, None);
+                self.change(now, request_id, Change::BeginVoters { epoch, voters }, None);
             }
         }
     }
@@ -162,7 +162,7 @@
     fn may_begin_change(&self, now: Duration) -> bool {
         let least = self.times.lease.span + self.times.lease.margin;
         self.register
-            .voters_settled_for(now)
+            .voter_set_stable_for(now)
             .is_some_and(|settled| settled >= least)
     }
 
@@ -197,7 +197,7 @@
         });
         let heard = others.filter(|member| {
             member.node == self.me.node
-                || self.register.silent_for(now, &member.node) < HEARD_WITHIN
+                || self.register.time_since_heard(now, &member.node) < HEARD_WITHIN
         });
         heard.map(|member| member.node.clone()).collect()
     }
@@ -219,7 +219,7 @@
             REPLACE_ELSEWHERE_AFTER
         };
         let leaves = near && self.voter_changes.leaving.contains_key(voter);
-        leaves || self.register.silent_for(now, voter) >= patience
+        leaves || self.register.time_since_heard(now, voter) >= patience
     }
 
     pub(crate) fn voter_leaving(&mut self, now: Duration, from: String) {
@@ -265,7 +265,7 @@
     ///
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
-    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// let mut control = control_plane::ControlNode::new(start);
     /// assert!(!control.may_end());
@@ -280,7 +280,7 @@
     ///
     /// ```
     /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
-    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], roster_size: 6, seed: 1, reader: Default::default(), owners: Default::default(),
+    /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert!(control_plane::ControlNode::new(start).voters().is_empty());
     /// ```
@@ -316,12 +316,12 @@
             let silent_ms = if mine {
                 0
             } else {
-                self.register.silent_for(now, node).as_millis() as u64
+                self.register.time_since_heard(now, node).as_millis() as u64
             };
             let synced = if mine {
                 None
             } else {
-                self.register.synced_round(node)
+                self.register.persisted_round(node)
             };
             JsonValue::fields([
                 ("node", node.as_str().into()),
--- a/crates/control-plane/tests/anonymous_orders.rs
+++ b/crates/control-plane/tests/anonymous_orders.rs
@@ -15,7 +15,7 @@
         back,
         in_force: false,
     };
-    site.step(Event::ControlRequest { token: 1, ask });
+    site.step(Event::ControlRequest { request_id: 1, ask });
     site.run(Duration::from_millis(100));
     site.answers.pop().and_then(|answer| match answer {
         ControlResponse::Verdict { code, .. } => Some(code),
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -7,7 +7,7 @@
     ClusterState, Departure, DurableState, Member, Payload, Probe, ProbeReply, UpdateRequest,
     Upstream, ViewUpdate, VoterSet,
 };
-use quorum_register::OrderId;
+use quorum_register::ChangeId;
 use result_code::ResultCode;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -115,17 +115,20 @@
                     },
                 ));
             }
-            Effect::Keep { ticket, .. } | Effect::StoreConfiguration { ticket, .. } => {
+            Effect::Persist { write_id, .. } | Effect::StoreConfiguration { write_id, .. } => {
                 self.queue
-                    .push_back((self.now + 1, at, Event::Kept { ticket }));
+                    .push_back((self.now + 1, at, Event::WriteCompleted { write_id }));
             }
-            Effect::KeepDepartures { ticket, departures } => {
+            Effect::KeepDepartures {
+                write_id,
+                departures,
+            } => {
                 self.departures[at] = departures;
                 self.queue
-                    .push_back((self.now + 1, at, Event::DeparturesKept { ticket }));
+                    .push_back((self.now + 1, at, Event::DeparturesKept { write_id }));
             }
-            Effect::ControlResponse { token, answer } => {
-                self.answers.insert(token, (self.now, answer));
+            Effect::ControlResponse { request_id, answer } => {
+                self.answers.insert(request_id, (self.now, answer));
             }
             _ => {}
         });
@@ -168,23 +171,23 @@
     /// Asks a node; the token of the answer to come.
     fn ask(&mut self, at: usize, ask: ControlRequest) -> u64 {
         self.next_token += 1;
-        let token = self.next_token;
-        self.step(at, Event::ControlRequest { token, ask });
-        token
+        let request_id = self.next_token;
+        self.step(at, Event::ControlRequest { request_id, ask });
+        request_id
     }
 
     /// What a caller hears within its patience.
     fn answer(&mut self, at: usize, ask: ControlRequest) -> Option<ControlResponse> {
-        let token = self.ask(at, ask);
+        let request_id = self.ask(at, ask);
         self.run_for(SILENCE);
-        self.answers.remove(&token).map(|(_, answer)| answer)
+        self.answers.remove(&request_id).map(|(_, answer)| answer)
     }
 
     /// What a caller hears at once: before another node could have been asked.
     fn answer_at_once(&mut self, at: usize, ask: ControlRequest) -> Option<ControlResponse> {
-        let token = self.ask(at, ask);
+        let request_id = self.ask(at, ask);
         self.run_for(TICK);
-        self.answers.remove(&token).map(|(_, answer)| answer)
+        self.answers.remove(&request_id).map(|(_, answer)| answer)
     }
 
     fn cut_off(&mut self, at: usize, hears: bool, speaks: bool) {
@@ -294,9 +297,9 @@
 
 fn control(node: &str, departures: Vec<Departure>) -> ControlNode {
     let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
-    let roster: Vec<String> = NODES.iter().map(|node| (*node).to_owned()).collect();
+    let initial_voters: Vec<String> = NODES.iter().map(|node| (*node).to_owned()).collect();
     let accepted = ClusterState {
-        voter_set: VoterSet::new(roster.clone()),
+        voter_set: VoterSet::new(initial_voters.clone()),
         ..ClusterState::default()
     };
     ControlNode::new(Start {
@@ -304,11 +307,11 @@
         owners: Default::default(),
         me: member(node),
         seeds: vec![],
-        roster_size: NODES.len(),
+        initial_voter_count: NODES.len(),
         seed: u64::from(node.as_bytes()[0]),
         durable: DurableState {
             disk: 7,
-            roster,
+            initial_voters,
             accepted,
             ..DurableState::default()
         },
@@ -333,7 +336,7 @@
 
 fn evacuate(id: &str) -> ControlRequest {
     ControlRequest::Evacuate {
-        id: OrderId::from(id),
+        id: ChangeId::from(id),
         locality: "north/a".into(),
         back: false,
         in_force: false,
@@ -460,8 +463,8 @@
                 .map(|ask| (format!("{ask:?}"), site.ask(at, ask)))
                 .collect();
             site.run_for(20_000);
-            tokens.into_iter().for_each(|(told, token)| {
-                let answer = site.answers.remove(&token).map(|(_, answer)| answer);
+            tokens.into_iter().for_each(|(told, request_id)| {
+                let answer = site.answers.remove(&request_id).map(|(_, answer)| answer);
                 assert!(
                     answer.is_some() && !acknowledged(&answer),
                     "{told}: {answer:?}"
@@ -476,9 +479,9 @@
     let at = site.bystander();
     site.cut_off(at, false, false);
     let asked_at = site.now;
-    let token = site.ask(at, evacuate("order"));
+    let request_id = site.ask(at, evacuate("order"));
     site.run_for(1500);
-    let (answered_at, answer) = site.answers.remove(&token).expect("it is answered");
+    let (answered_at, answer) = site.answers.remove(&request_id).expect("it is answered");
     assert!(
         answered_at < asked_at + 1300,
         "after {} ms",
@@ -543,12 +546,14 @@
                 number += 1;
                 let (asked_at, mut at, mut hops) = (site.now, cut, 0);
                 let taken = loop {
-                    let token = site.ask(at, evacuate(&format!("order-{number}")));
+                    let request_id = site.ask(at, evacuate(&format!("order-{number}")));
                     let waited_from = site.now;
-                    while !site.answers.contains_key(&token) && site.now < waited_from + SILENCE {
+                    while !site.answers.contains_key(&request_id)
+                        && site.now < waited_from + SILENCE
+                    {
                         site.run_for(TICK);
                     }
-                    match site.answers.remove(&token).map(|(_, answer)| answer) {
+                    match site.answers.remove(&request_id).map(|(_, answer)| answer) {
                         Some(ControlResponse::Verdict {
                             code: ResultCode::Success,
                             ..
@@ -620,13 +625,13 @@
     );
     assert!(answer.is_some() && !acknowledged(&answer), "{answer:?}");
     // It told whom it could, and that one gets it acknowledged.
-    let token = site.ask(
+    let request_id = site.ask(
         reached,
         ControlRequest::Beat(beat(3, upstream_registry::LEAVING)),
     );
     let asked_at = site.now;
     site.run_for(200);
-    let (answered_at, answer) = site.answers.remove(&token).expect("an answer");
+    let (answered_at, answer) = site.answers.remove(&request_id).expect("an answer");
     assert!(
         acknowledged(&Some(answer)) && answered_at <= asked_at + 3 * DELAY,
         "quick on a calm day"
@@ -684,9 +689,9 @@
     site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
     site.run_for(600);
     site.split(&[3, 4]);
-    let token = site.ask(0, departure);
+    let request_id = site.ask(0, departure);
     site.run_for(3 * DELAY);
-    let answer = site.answers.remove(&token).map(|(_, answer)| answer);
+    let answer = site.answers.remove(&request_id).map(|(_, answer)| answer);
     assert!(acknowledged(&answer), "{answer:?}");
     site.cuts.clear();
     site.split(&LATER_MAJORITY);
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -5,7 +5,9 @@
 
 use control_plane::disk::{Disk, DiskReport, RetryBackoff, Write, merge};
 use protocol::DurableState;
-use quorum_register::{Change, Effect, Event, Register, Start, Times, VoterPhase};
+use quorum_register::{
+    Change, Effect, Event, Register, RegisterConfig, RegisterTiming, VoterPhase,
+};
 use random::Random;
 use simulated::{Loss, Omits, SimulatedDisk};
 use std::collections::{BTreeSet, VecDeque};
@@ -33,7 +35,7 @@
 
 fn write(number: u64) -> Write {
     Write::State {
-        ticket: number,
+        write_id: number,
         durable: state(number),
     }
 }
@@ -86,13 +88,13 @@
         disk.write(write(1));
         assert_eq!(
             told.recv_timeout(SOON),
-            Ok(DiskReport::Synced { ticket: 1 }),
+            Ok(DiskReport::Synced { write_id: 1 }),
             "{name}"
         );
         break_it(&files);
         let (digest, bytes) = configuration(2);
         disk.write(Write::Configuration {
-            ticket: 2,
+            write_id: 2,
             digest: digest.clone(),
             bytes,
         });
@@ -115,7 +117,7 @@
         let mut synced = Vec::new();
         while synced.last() != Some(&4) {
             match told.recv_timeout(SOON) {
-                Ok(DiskReport::Synced { ticket }) => synced.push(ticket),
+                Ok(DiskReport::Synced { write_id }) => synced.push(write_id),
                 other => panic!("{name}: {other:?}"),
             }
             let found = after_power_loss(&files);
@@ -142,7 +144,7 @@
         assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Recovered));
         assert_eq!(
             told.recv_timeout(SOON),
-            Ok(DiskReport::Synced { ticket: number })
+            Ok(DiskReport::Synced { write_id: number })
         );
     }
 }
@@ -189,7 +191,7 @@
     let (digest, bytes) = configuration(0);
     (2..=400).for_each(|number| match number {
         300 => disk.write(Write::Configuration {
-            ticket: 300,
+            write_id: 300,
             digest: digest.clone(),
             bytes: bytes.clone(),
         }),
@@ -200,7 +202,7 @@
     let mut last = 0;
     loop {
         match told.recv_timeout(SOON) {
-            Ok(DiskReport::Synced { ticket }) => last = ticket,
+            Ok(DiskReport::Synced { write_id }) => last = write_id,
             Ok(DiskReport::Lost) => break,
             other => panic!("{other:?}"),
         }
@@ -234,7 +236,7 @@
     let mut last = 0;
     while last < 99 {
         match told.recv_timeout(SOON) {
-            Ok(DiskReport::Synced { ticket }) => last = ticket,
+            Ok(DiskReport::Synced { write_id }) => last = write_id,
             other => panic!("{other:?}"),
         }
     }
@@ -260,16 +262,16 @@
     now: Duration,
     waiting: VecDeque<Write>,
     most_waiting: usize,
-    token: u64,
+    request_id: u64,
 }
 
 impl OneVoter {
     fn new(seed: u64) -> OneVoter {
-        let times = Times::default();
+        let times = RegisterTiming::default();
         let (durable, configurations) = Default::default();
-        let start = Start {
+        let start = RegisterConfig {
             me: "pm".into(),
-            roster_size: 1,
+            initial_voter_count: 1,
             seed,
             durable,
             configurations,
@@ -282,7 +284,7 @@
             now,
             waiting,
             most_waiting: 0,
-            token: 0,
+            request_id: 0,
         };
         voter.step(Event::Peers(vec!["pm".into()]));
         while *voter.register.phase() != VoterPhase::Active {
@@ -296,16 +298,16 @@
         self.now += Duration::from_millis(10);
         for effect in self.register.step(self.now, event) {
             match effect {
-                Effect::Keep { ticket, durable } => {
-                    self.waiting.push_back(Write::State { ticket, durable })
+                Effect::Persist { write_id, durable } => {
+                    self.waiting.push_back(Write::State { write_id, durable })
                 }
                 Effect::StoreConfiguration {
-                    ticket,
+                    write_id,
                     digest,
                     bytes,
                 } => {
                     self.waiting.push_back(Write::Configuration {
-                        ticket,
+                        write_id,
                         digest,
                         bytes,
                     });
@@ -323,8 +325,8 @@
     fn report(&mut self, count: usize) {
         for _ in 0..count {
             match self.waiting.pop_front() {
-                Some(Write::State { ticket, .. } | Write::Configuration { ticket, .. }) => {
-                    self.step(Event::Kept { ticket })
+                Some(Write::State { write_id, .. } | Write::Configuration { write_id, .. }) => {
+                    self.step(Event::WriteCompleted { write_id })
                 }
                 Some(Write::DeleteConfiguration { .. }) => {}
                 None => return,
@@ -334,15 +336,15 @@
 
     fn submit(&mut self, number: u64) {
         let (digest, bytes) = configuration(number);
-        self.token += 1;
+        self.request_id += 1;
         let change = Change::Configuration {
             id: format!("{number}").into(),
             base: None,
             number: None,
             digest,
         };
-        self.step(Event::Ask {
-            token: self.token,
+        self.step(Event::Submit {
+            request_id: self.request_id,
             change,
             bytes: Some(bytes),
         });
@@ -385,14 +387,16 @@
         let count = (random.below(12) as usize).min(voter.waiting.len());
         let batch: Vec<Write> = voter.waiting.drain(..count).collect();
         for write in merge(batch) {
-            let ticket = match write {
-                Write::State { ticket, durable } => {
+            let write_id = match write {
+                Write::State { write_id, durable } => {
                     held.state = durable;
-                    Some(ticket)
+                    Some(write_id)
                 }
-                Write::Configuration { ticket, digest, .. } => {
+                Write::Configuration {
+                    write_id, digest, ..
+                } => {
                     held.configurations.insert(digest);
-                    Some(ticket)
+                    Some(write_id)
                 }
                 Write::DeleteConfiguration { digest } => {
                     held.configurations.remove(&digest);
@@ -405,9 +409,9 @@
                     "the state on the disk names {digest}, which is not there"
                 ));
             }
-            ticket
+            write_id
                 .into_iter()
-                .for_each(|ticket| voter.step(Event::Kept { ticket }));
+                .for_each(|write_id| voter.step(Event::WriteCompleted { write_id }));
         }
     }
     Ok(())
--- a/crates/control-plane/tests/gossip.rs
+++ b/crates/control-plane/tests/gossip.rs
@@ -40,7 +40,7 @@
         owners: Default::default(),
         me: member(node, place),
         seeds: vec![],
-        roster_size: 4,
+        initial_voter_count: 4,
         seed: 1,
         durable: Default::default(),
         configurations: Default::default(),
@@ -121,7 +121,7 @@
         control,
         at,
         Event::ControlRequest {
-            token: at,
+            request_id: at,
             ask: ControlRequest::Beat(upstream),
         },
     )
@@ -305,7 +305,7 @@
         &mut a,
         2000,
         Event::ControlRequest {
-            token: 2000,
+            request_id: 2000,
             ask: ControlRequest::SignOff {
                 instance: "u".into(),
             },
@@ -331,7 +331,7 @@
         near,
         2500,
         Event::ControlRequest {
-            token: 2500,
+            request_id: 2500,
             ask: ControlRequest::Beat(unit(9, upstream_registry::READY)),
         },
     );
--- a/crates/control-plane/tests/keys.rs
+++ b/crates/control-plane/tests/keys.rs
@@ -27,7 +27,7 @@
     asked: Vec<SharesRequest>,
     /// What carriers were told.
     told: Vec<ViewUpdate>,
-    token: u64,
+    request_id: u64,
     /// True for the broken twin: holds run out by whatever its clock jumps.
     trusts_jumps: bool,
 }
@@ -59,7 +59,7 @@
     ControlNode::new(Start {
         me,
         seeds: vec![],
-        roster_size: 1,
+        initial_voter_count: 1,
         seed,
         reader,
         owners,
@@ -85,7 +85,7 @@
             answers,
             asked,
             told,
-            token: 0,
+            request_id: 0,
             trusts_jumps,
         };
         site.until_held();
@@ -95,7 +95,7 @@
             bytes: SETUP.into(),
             in_force: false,
         };
-        site.step(Event::ControlRequest { token: 0, ask });
+        site.step(Event::ControlRequest { request_id: 0, ask });
         site.wait(2000);
         assert_eq!(site.control.revision(), 1);
         site
@@ -117,22 +117,24 @@
                 .step(self.now, event)
                 .into_iter()
                 .for_each(|effect| match effect {
-                    Effect::Keep { ticket, durable } => {
+                    Effect::Persist { write_id, durable } => {
                         self.durable = durable;
-                        events.push(Event::Kept { ticket });
+                        events.push(Event::WriteCompleted { write_id });
                     }
                     Effect::StoreConfiguration {
-                        ticket,
+                        write_id,
                         digest,
                         bytes,
                     } => {
                         self.configurations.insert(digest, bytes);
-                        events.push(Event::Kept { ticket });
+                        events.push(Event::WriteCompleted { write_id });
                     }
-                    Effect::KeepDepartures { ticket, .. } => {
-                        events.push(Event::DeparturesKept { ticket })
+                    Effect::KeepDepartures { write_id, .. } => {
+                        events.push(Event::DeparturesKept { write_id })
+                    }
+                    Effect::ControlResponse { request_id, answer } => {
+                        self.answers.push((request_id, answer))
                     }
-                    Effect::ControlResponse { token, answer } => self.answers.push((token, answer)),
                     Effect::Send {
                         body: Payload::SharesRequest(ask),
                         ..
@@ -167,14 +169,18 @@
 
     /// What it answers to a heartbeat.
     fn beat(&mut self, instance: &str, beat: u64, holds: &[KeyShare]) -> Option<Vec<KeyShare>> {
-        self.token += 1;
+        self.request_id += 1;
         let unit = unit(instance, beat, holds);
         self.step(Event::ControlRequest {
-            token: self.token,
+            request_id: self.request_id,
             ask: ControlRequest::Beat(unit),
         });
         match self.answers.pop() {
-            Some((token, ControlResponse::Beat { shares, .. })) if token == self.token => shares,
+            Some((request_id, ControlResponse::Beat { shares, .. }))
+                if request_id == self.request_id =>
+            {
+                shares
+            }
             other => panic!("no answer: {other:?}"),
         }
     }
@@ -308,7 +314,7 @@
             body: Payload::LeaseHolder(LeaseHolder { epoch: 1000 }),
         });
         site.step(Event::ControlRequest {
-            token: 70,
+            request_id: 70,
             ask: ControlRequest::Beat(unit("u", 1, &[])),
         });
         site.asked.pop().expect("it asks the holder").nonce
@@ -368,14 +374,14 @@
         "the founder gives at once"
     );
     site.step(Event::ControlRequest {
-        token: 99,
+        request_id: 99,
         ask: ControlRequest::SignOff {
             instance: "u".into(),
         },
     });
-    let (token, answer) = site.answers.pop().expect("the sign-off is answered");
+    let (request_id, answer) = site.answers.pop().expect("the sign-off is answered");
     assert!(
-        token == 99 && matches!(answer, ControlResponse::Beat { .. }),
+        request_id == 99 && matches!(answer, ControlResponse::Beat { .. }),
         "{answer:?}"
     );
     site.wait(waited_ms);
--- a/crates/control-plane/tests/repair.rs
+++ b/crates/control-plane/tests/repair.rs
@@ -12,9 +12,9 @@
 
 /// A voter whose state names a setup, with or without its bytes.
 fn start(configurations: BTreeMap<String, Vec<u8>>) -> ControlNode {
-    let roster: Vec<String> = ["pm-1", "pm-2", "pm-3"].map(String::from).to_vec();
+    let initial_voters: Vec<String> = ["pm-1", "pm-2", "pm-3"].map(String::from).to_vec();
     let voter_set = VoterSet {
-        voters: roster.clone(),
+        voters: initial_voters.clone(),
         ..Default::default()
     };
     let accepted = ClusterState {
@@ -25,8 +25,8 @@
     };
     let durable = DurableState {
         disk: 7,
-        endorsed: roster.clone(),
-        roster,
+        bootstrap_vote: initial_voters.clone(),
+        initial_voters,
         accepted,
         ..Default::default()
     };
@@ -39,7 +39,7 @@
     ControlNode::new(Start {
         me,
         seeds: vec![],
-        roster_size: 3,
+        initial_voter_count: 3,
         seed: 1,
         reader: Default::default(),
         owners: Default::default(),
@@ -68,7 +68,7 @@
     let effects = control.step(
         now,
         Event::ControlRequest {
-            token: 1,
+            request_id: 1,
             ask: ControlRequest::Status,
         },
     );
--- a/crates/control-plane/tests/site/mod.rs
+++ b/crates/control-plane/tests/site/mod.rs
@@ -33,7 +33,7 @@
             owners: Default::default(),
             me,
             seeds: vec![],
-            roster_size: 1,
+            initial_voter_count: 1,
             seed: 1,
             durable: Default::default(),
             configurations: Default::default(),
@@ -51,10 +51,12 @@
     pub fn step(&mut self, event: Event) {
         let effects = self.control.step(self.now, event);
         effects.into_iter().for_each(|effect| match effect {
-            Effect::Keep { ticket, .. } | Effect::StoreConfiguration { ticket, .. } => {
-                self.step(Event::Kept { ticket })
+            Effect::Persist { write_id, .. } | Effect::StoreConfiguration { write_id, .. } => {
+                self.step(Event::WriteCompleted { write_id })
+            }
+            Effect::KeepDepartures { write_id, .. } => {
+                self.step(Event::DeparturesKept { write_id })
             }
-            Effect::KeepDepartures { ticket, .. } => self.step(Event::DeparturesKept { ticket }),
             Effect::ControlResponse { answer, .. } => self.answers.push(answer),
             Effect::Send {
                 body: Payload::ViewUpdate(update),
@@ -73,7 +75,7 @@
     }
 
     pub fn order(&mut self, ask: ControlRequest) {
-        self.step(Event::ControlRequest { token: 1, ask });
+        self.step(Event::ControlRequest { request_id: 1, ask });
         self.run(Duration::from_millis(100));
         let fine = matches!(
             self.answers.pop(),
--- a/crates/lease/src/hold_clock.rs
+++ b/crates/lease/src/bounded_step_clock.rs
@@ -10,28 +10,28 @@
 /// too short. So jumps that are each too small to be noticed don't add up within one grant.
 ///
 /// ```
-/// use lease::{HoldClock, MAX_STEP};
+/// use lease::{BoundedStepClock, MAX_STEP};
 /// use std::time::Duration;
-/// let mut clock = HoldClock::new(MAX_STEP);
+/// let mut clock = BoundedStepClock::new(MAX_STEP);
 /// clock.advance(Duration::from_secs(5));
 /// clock.advance(Duration::from_secs(9));
 /// assert_eq!(clock.now(), MAX_STEP);
 /// ```
 #[derive(Clone, Hash)]
-pub struct HoldClock {
+pub struct BoundedStepClock {
     longest_step: Duration,
     last: Option<Duration>,
     counted: Duration,
 }
 
-impl HoldClock {
+impl BoundedStepClock {
     /// A clock at zero.
     ///
     /// ```
-    /// assert!(lease::HoldClock::new(lease::MAX_STEP).now().is_zero());
+    /// assert!(lease::BoundedStepClock::new(lease::MAX_STEP).now().is_zero());
     /// ```
     pub fn new(longest_step: Duration) -> Self {
-        HoldClock {
+        BoundedStepClock {
             longest_step,
             last: None,
             counted: Duration::ZERO,
@@ -42,7 +42,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let mut clock = lease::HoldClock::new(lease::MAX_STEP);
+    /// let mut clock = lease::BoundedStepClock::new(lease::MAX_STEP);
     /// [0, 20, 40].map(|at| clock.advance(Duration::from_millis(at)));
     /// assert_eq!(clock.now(), Duration::from_millis(40));
     /// ```
@@ -54,7 +54,7 @@
     /// What was counted so far.
     ///
     /// ```
-    /// assert!(lease::HoldClock::new(lease::MAX_STEP).now().is_zero());
+    /// assert!(lease::BoundedStepClock::new(lease::MAX_STEP).now().is_zero());
     /// ```
     pub fn now(&self) -> Duration {
         self.counted
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -5,9 +5,9 @@
 //! voter grants nothing for one whole span, since it has forgotten whom it granted. Nor does a voter that has just taken
 //! another's place: it knows of no lease that the voters before it granted.
 
-mod hold_clock;
+mod bounded_step_clock;
 
-pub use hold_clock::{HoldClock, MAX_STEP};
+pub use bounded_step_clock::{BoundedStepClock, MAX_STEP};
 
 use protocol::{LeaseRelease, LeaseReply, LeaseRequest, Payload, VoterSet};
 use random::Random;
@@ -19,7 +19,7 @@
 
 /// The lease's time values.
 #[derive(Clone, Copy, Debug, Hash)]
-pub struct Times {
+pub struct LeaseTiming {
     pub span: Duration,
     /// How long before the end the holder stops.
     pub margin: Duration,
@@ -27,16 +27,16 @@
     pub longest_step: Duration,
 }
 
-impl Times {
+impl LeaseTiming {
     /// A span and its margin, with the longest step that is counted in full by default.
     ///
     /// ```
     /// # use std::time::Duration;
-    /// let times = lease::Times::new(Duration::from_secs(3), Duration::from_millis(500));
+    /// let times = lease::LeaseTiming::new(Duration::from_secs(3), Duration::from_millis(500));
     /// assert_eq!(times.longest_step, lease::MAX_STEP);
     /// ```
-    pub fn new(span: Duration, margin: Duration) -> Times {
-        Times {
+    pub fn new(span: Duration, margin: Duration) -> LeaseTiming {
+        LeaseTiming {
             span,
             margin,
             longest_step: MAX_STEP,
@@ -68,13 +68,13 @@
         body: Payload,
     },
     /// The voters, and the highest epoch safe on this disk.
-    Voters {
+    VotersChanged {
         voter_set: VoterSet,
         epoch: u64,
     },
     /// The epoch asked for with this token is synced.
-    EpochKept {
-        token: u64,
+    LeaseEpochPersisted {
+        request_id: u64,
     },
     /// This node is closing: let go.
     Close,
@@ -87,10 +87,10 @@
         to: String,
         body: Payload,
     },
-    /// Sync this epoch, then tell `EpochKept`.
-    RaiseEpoch {
+    /// Sync this epoch, then tell `LeaseEpochPersisted`.
+    PersistLeaseEpoch {
         epoch: u64,
-        token: u64,
+        request_id: u64,
     },
 }
 
@@ -137,7 +137,7 @@
 pub struct Lease {
     me: String,
     voter_set: VoterSet,
-    times: Times,
+    times: LeaseTiming,
     random: Random,
     granted: Option<Granted>,
     /// Grants that wait for their epoch's sync.
@@ -155,7 +155,7 @@
     phase: CandidatePhase,
     next_ask: Duration,
     /// The clock of this voter's grants.
-    grant_clock: HoldClock,
+    grant_clock: BoundedStepClock,
     /// This voter grants no new lease before this, by the clock of its grants: it may have forgotten, or slept over, whom it granted.
     quiet_until: Duration,
     last_step: Option<Duration>,
@@ -167,10 +167,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let times = lease::Times::new(Duration::from_secs(3), Duration::from_millis(500));
+    /// let times = lease::LeaseTiming::new(Duration::from_secs(3), Duration::from_millis(500));
     /// assert_eq!(lease::Lease::new("a".into(), times, 1).holds(Duration::ZERO), None);
     /// ```
-    pub fn new(me: String, times: Times, seed: u64) -> Self {
+    pub fn new(me: String, times: LeaseTiming, seed: u64) -> Self {
         Lease {
             me,
             voter_set: VoterSet::default(),
@@ -185,7 +185,7 @@
             granted_epoch: 0,
             phase: CandidatePhase::Resting,
             next_ask: Duration::ZERO,
-            grant_clock: HoldClock::new(times.longest_step),
+            grant_clock: BoundedStepClock::new(times.longest_step),
             quiet_until: times.span,
             last_step: None,
             effects: Vec::new(),
@@ -195,19 +195,19 @@
     /// The epoch under which this node holds the duty at this moment.
     ///
     /// ```
-    /// use lease::{Lease, Effect, Event, Times};
+    /// use lease::{Lease, Effect, Event, LeaseTiming};
     /// use std::time::Duration;
-    /// let times = Times::new(Duration::from_secs(3), Duration::from_millis(500));
+    /// let times = LeaseTiming::new(Duration::from_secs(3), Duration::from_millis(500));
     /// let mut alone = Lease::new("a".into(), times, 1);
-    /// alone.step(Duration::ZERO, Event::Voters { voter_set: protocol::VoterSet::new(vec!["a".into()]), epoch: 4 });
+    /// alone.step(Duration::ZERO, Event::VotersChanged { voter_set: protocol::VoterSet::new(vec!["a".into()]), epoch: 4 });
     /// let (mut now, mut effects) = (Duration::ZERO, vec![]);
     /// while effects.is_empty() {
     ///     now += Duration::from_millis(10);
     ///     effects = alone.step(now, Event::Tick);
     /// }
     /// assert!(now > times.span, "whom it granted before its start, it may have forgotten");
-    /// let Effect::RaiseEpoch { epoch: 5, token, .. } = effects[0] else { panic!("{effects:?}") };
-    /// alone.step(now, Event::EpochKept { token });
+    /// let Effect::PersistLeaseEpoch { epoch: 5, request_id, .. } = effects[0] else { panic!("{effects:?}") };
+    /// alone.step(now, Event::LeaseEpochPersisted { request_id });
     /// assert_eq!(alone.holds(now), Some(5));
     /// assert_eq!(alone.holds(now + Duration::from_millis(2500)), None);
     /// alone.step(now + Duration::from_millis(600), Event::Tick);
@@ -230,19 +230,19 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// # let times = lease::Times::new(Duration::from_secs(3), Duration::from_millis(500));
-    /// assert!(!lease::Lease::new("a".into(), times, 1).is_founder(7));
+    /// # let times = lease::LeaseTiming::new(Duration::from_secs(3), Duration::from_millis(500));
+    /// assert!(!lease::Lease::new("a".into(), times, 1).is_first_holder(7));
     /// ```
-    pub fn is_founder(&self, epoch: u64) -> bool {
+    pub fn is_first_holder(&self, epoch: u64) -> bool {
         self.founder == Some(epoch)
     }
 
     /// The one reducer: takes an event in, gives effects out.
     ///
     /// ```
-    /// use lease::{Lease, Event, Times};
+    /// use lease::{Lease, Event, LeaseTiming};
     /// use std::time::Duration;
-    /// let times = Times::new(Duration::from_secs(3), Duration::from_millis(500));
+    /// let times = LeaseTiming::new(Duration::from_secs(3), Duration::from_millis(500));
     /// let mut lease = Lease::new("a".into(), times, 1);
     /// assert!(lease.step(Duration::ZERO, Event::Tick).is_empty());
     /// ```
@@ -250,7 +250,7 @@
         self.mind_gap(now);
         match event {
             Event::Tick => self.tick(now),
-            Event::Voters { voter_set, epoch } => {
+            Event::VotersChanged { voter_set, epoch } => {
                 self.learn_voters(now, voter_set);
                 self.seen_epoch = self.seen_epoch.max(epoch);
                 // The disk knows of grants of an earlier life.
@@ -258,8 +258,8 @@
                 self.granted_epoch = self.granted_epoch.max(epoch);
             }
             Event::Received { from, body } => self.take(now, &from, body),
-            Event::EpochKept { token } => {
-                let ask = self.pending.remove(&token);
+            Event::LeaseEpochPersisted { request_id } => {
+                let ask = self.pending.remove(&request_id);
                 ask.into_iter()
                     .for_each(|(from, ask, _)| self.grant(now, &from, &ask));
             }
@@ -542,16 +542,16 @@
         } else if ask.renewal {
             self.grant(now, from, &ask);
         } else {
-            let token = self.random.next_u64();
+            let request_id = self.random.next_u64();
             self.seen_epoch = self.seen_epoch.max(ask.epoch);
             self.only_epoch = Some(ask.epoch).filter(|_| self.unheld);
             self.unheld = false;
             self.granted_epoch = ask.epoch;
-            self.effects.push(Effect::RaiseEpoch {
+            self.effects.push(Effect::PersistLeaseEpoch {
                 epoch: ask.epoch,
-                token,
+                request_id,
             });
-            self.pending.insert(token, (from.to_owned(), ask, now));
+            self.pending.insert(request_id, (from.to_owned(), ask, now));
         }
     }
 
--- a/crates/lease/tests/arbitrary.rs
+++ b/crates/lease/tests/arbitrary.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
-use lease::{Effect, Event, Lease, Times};
+use lease::{Effect, Event, Lease, LeaseTiming};
 use protocol::Payload;
 use std::time::Duration;
 
@@ -42,15 +42,15 @@
     format!("v{at}")
 }
 
-fn times() -> Times {
-    Times::new(MS(1500), MS(500))
+fn times() -> LeaseTiming {
+    LeaseTiming::new(MS(1500), MS(500))
 }
 
 fn born(at: usize, seed: u64, epoch: u64, now: Duration, drift: i64) -> Node {
     let mut lease = Lease::new(name(at), times(), seed);
     lease.step(
         Duration::ZERO,
-        Event::Voters {
+        Event::VotersChanged {
             voter_set: protocol::VoterSet::new((0..VOTERS).map(name).collect()),
             epoch,
         },
@@ -77,12 +77,14 @@
                     .expect("a voter");
                 self.wire.push((at, to, body));
             }
-            Effect::RaiseEpoch { epoch, token } => self.syncs.push((at, epoch, token)),
+            Effect::PersistLeaseEpoch { epoch, request_id } => {
+                self.syncs.push((at, epoch, request_id))
+            }
         });
         let holders = self.nodes.iter().filter_map(|node| {
             node.lease
                 .holds(node.local(self.now))
-                .map(|epoch| (epoch, node.lease.is_founder(epoch)))
+                .map(|epoch| (epoch, node.lease.is_first_holder(epoch)))
         });
         let holders: Vec<(u64, bool)> = holders.collect();
         let count = holders.len();
@@ -147,10 +149,10 @@
                 self.jump(at, ahead, noise.arbitrary()?);
             }
             62..=75 if !self.syncs.is_empty() => {
-                let (at, epoch, token) = self.syncs.remove(0);
+                let (at, epoch, request_id) = self.syncs.remove(0);
                 self.nodes[at].epoch = self.nodes[at].epoch.max(epoch);
                 if self.awake(at) {
-                    self.step(at, Event::EpochKept { token });
+                    self.step(at, Event::LeaseEpochPersisted { request_id });
                 }
             }
             _ => {
@@ -225,10 +227,12 @@
     (0..1600)
         .step_by(20)
         .for_each(|at| drop(ask(at, 4, request(0, 1))));
-    let Some(Effect::RaiseEpoch { token, .. }) = ask(1600, 1, request(5, 2)) else {
+    let Some(Effect::PersistLeaseEpoch { request_id, .. }) = ask(1600, 1, request(5, 2)) else {
         panic!("it is asked for the first")
     };
-    voter.lease.step(MS(1610), Event::EpochKept { token });
+    voter
+        .lease
+        .step(MS(1610), Event::LeaseEpochPersisted { request_id });
     // 0.1 s go by, and 0.9 s more by the clock.
     let mut denied = |at: u64| {
         let body = Payload::LeaseRequest(request(6, 3));
--- a/crates/lease/tests/liveness.rs
+++ b/crates/lease/tests/liveness.rs
@@ -1,7 +1,7 @@
 //! The lease is soon held and then kept while a majority of the voters answers, however slowly, and whatever the
 //! others do.
 
-use lease::{Effect, Event, Lease, Times};
+use lease::{Effect, Event, Lease, LeaseTiming};
 use protocol::{Payload, VoterSet};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 enum What {
     Message { from: usize, body: Payload },
-    Synced { token: u64 },
+    Synced { request_id: u64 },
 }
 
 struct Pending {
@@ -47,8 +47,13 @@
         sync: Duration,
         jumping: impl IntoIterator<Item = usize>,
     ) -> Site {
-        let nodes = (0..VOTERS)
-            .map(|at| Lease::new(name(at), Times::new(SPAN, MARGIN), seed * 100 + at as u64));
+        let nodes = (0..VOTERS).map(|at| {
+            Lease::new(
+                name(at),
+                LeaseTiming::new(SPAN, MARGIN),
+                seed * 100 + at as u64,
+            )
+        });
         let jumping = jumping.into_iter().collect();
         let (nodes, pending, now) = (nodes.collect(), Vec::new(), Duration::ZERO);
         let mut site = Site {
@@ -63,7 +68,7 @@
         (0..VOTERS).for_each(|at| {
             site.step(
                 at,
-                Event::Voters {
+                Event::VotersChanged {
                     voter_set: voter_set.clone(),
                     epoch: 0,
                 },
@@ -87,10 +92,10 @@
                         what: What::Message { from: at, body },
                     }
                 }
-                Effect::RaiseEpoch { token, .. } => Pending {
+                Effect::PersistLeaseEpoch { request_id, .. } => Pending {
                     at: self.now + self.sync,
                     node: at,
-                    what: What::Synced { token },
+                    what: What::Synced { request_id },
                 },
             };
             self.pending.push(pending);
@@ -122,7 +127,9 @@
                         body,
                     },
                 ),
-                What::Synced { token } => self.step(node, Event::EpochKept { token }),
+                What::Synced { request_id } => {
+                    self.step(node, Event::LeaseEpochPersisted { request_id })
+                }
             });
         (0..VOTERS).for_each(|at| self.step(at, Event::Tick));
     }
--- a/crates/lease/tests/new_voter.rs
+++ b/crates/lease/tests/new_voter.rs
@@ -1,6 +1,6 @@
 //! A voter that has just taken another's place knows of no lease that was granted before it.
 
-use lease::{Effect, Event, Lease, Times};
+use lease::{Effect, Event, Lease, LeaseTiming};
 use protocol::{LeaseRequest, Payload, VoterSet};
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     /// It has followed for long, so that its own start makes it wait for nothing.
     fn that_followed(name: &str) -> Voter {
         let mut voter = Voter {
-            lease: Lease::new(name.into(), Times::new(SPAN, MS(500)), 1),
+            lease: Lease::new(name.into(), LeaseTiming::new(SPAN, MS(500)), 1),
             now: MS(0),
         };
         voter.learns(before());
@@ -49,7 +49,7 @@
     fn learns(&mut self, voter_set: VoterSet) {
         self.lease.step(
             self.now,
-            Event::Voters {
+            Event::VotersChanged {
                 voter_set,
                 epoch: 0,
             },
@@ -81,7 +81,7 @@
         );
         effects
             .iter()
-            .any(|effect| matches!(effect, Effect::RaiseEpoch { .. }))
+            .any(|effect| matches!(effect, Effect::PersistLeaseEpoch { .. }))
     }
 }
 
--- a/crates/model-checker/src/control_model.rs
+++ b/crates/model-checker/src/control_model.rs
@@ -14,7 +14,7 @@
 use crate::traffic::{self, Traffic, TrafficNode, TrafficWorld};
 use lease::Lease;
 use protocol::{LeaseReply, Payload, Prepare};
-use quorum_register::{Change, Register, Start, VoterPhase};
+use quorum_register::{Change, Register, RegisterConfig, VoterPhase};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -341,14 +341,14 @@
         lives: u64,
     ) -> Node {
         let seed = fingerprint_of(&(at, lives));
-        let mut register = Register::new(Start {
+        let mut register = Register::new(RegisterConfig {
             me: node_name(at),
-            roster_size: self.scenario.voters,
+            initial_voter_count: self.scenario.voters,
             seed,
             durable: disk.durable.clone(),
             configurations: disk.configurations.clone(),
-            times: quorum_register::Times {
-                confirm_every: NEVER,
+            times: quorum_register::RegisterTiming {
+                confirm_interval: NEVER,
                 ..Default::default()
             },
         });
@@ -357,9 +357,9 @@
             quorum_register::Event::Peers((0..peers).map(node_name).collect()),
         );
         // Its ticks are far apart, and its clocks drift but never jump.
-        let times = lease::Times {
+        let times = lease::LeaseTiming {
             longest_step: Duration::MAX,
-            ..lease::Times::new(SPAN, MARGIN)
+            ..lease::LeaseTiming::new(SPAN, MARGIN)
         };
         let lease = Lease::new(node_name(at), times, seed);
         let (writes, disk_is_stray, fingerprint) = (VecDeque::new(), false, 0);
@@ -398,7 +398,7 @@
             self.step_register(
                 &mut world,
                 at,
-                quorum_register::Event::Propose(Change::Finish),
+                quorum_register::Event::Propose(Change::FinishRound),
             )
         });
         self.run_undisturbed(&mut world, START_ROUNDS, None);
@@ -461,23 +461,28 @@
             quorum_register::Effect::Send { to, body } => {
                 self.send(world, at, node_index(&to), body)
             }
-            quorum_register::Effect::Keep { ticket, durable } => {
-                write(world, at, ticket, Content::State(durable))
+            quorum_register::Effect::Persist { write_id, durable } => {
+                write(world, at, write_id, Content::State(durable))
             }
             quorum_register::Effect::StoreConfiguration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             } => {
-                write(world, at, ticket, Content::Configuration { digest, bytes });
+                write(
+                    world,
+                    at,
+                    write_id,
+                    Content::Configuration { digest, bytes },
+                );
             }
             quorum_register::Effect::DeleteConfiguration { digest } => {
                 write(world, at, 0, Content::DroppedSetup { digest })
             }
-            quorum_register::Effect::EpochKept { token } => {
-                self.step_lease(world, at, lease::Event::EpochKept { token });
+            quorum_register::Effect::LeaseEpochPersisted { request_id } => {
+                self.step_lease(world, at, lease::Event::LeaseEpochPersisted { request_id });
             }
-            quorum_register::Effect::Adopted => {
+            quorum_register::Effect::StateChanged => {
                 let state = world.nodes[at].register.state().clone();
                 world.note(world.history.adopted(at, &state));
             }
@@ -491,11 +496,11 @@
         let effects = world.node_mut(at).lease.step(clock, event);
         effects.into_iter().for_each(|effect| match effect {
             lease::Effect::Send { to, body } => self.send(world, at, node_index(&to), body),
-            lease::Effect::RaiseEpoch { epoch, token } => {
+            lease::Effect::PersistLeaseEpoch { epoch, request_id } => {
                 self.step_register(
                     world,
                     at,
-                    quorum_register::Event::RaiseEpoch { epoch, token },
+                    quorum_register::Event::PersistLeaseEpoch { epoch, request_id },
                 );
             }
         });
@@ -510,7 +515,7 @@
         }
         let register = &world.nodes[at].register;
         let (voter_set, epoch) = (register.voter_set().clone(), register.lease_epoch());
-        self.step_lease(world, at, lease::Event::Voters { voter_set, epoch });
+        self.step_lease(world, at, lease::Event::VotersChanged { voter_set, epoch });
         self.step_lease(world, at, event);
     }
 
@@ -583,8 +588,8 @@
             self.step_register(
                 world,
                 at,
-                quorum_register::Event::Kept {
-                    ticket: write.ticket,
+                quorum_register::Event::WriteCompleted {
+                    write_id: write.write_id,
                 },
             );
         }
@@ -646,7 +651,7 @@
             return vec![ControlAction::CompleteVoters { node }];
         }
         if register
-            .voters_settled_for(self.clock(world, node))
+            .voter_set_stable_for(self.clock(world, node))
             .is_none_or(|settled| settled < SETTLED)
         {
             return Vec::new();
@@ -701,7 +706,7 @@
                 node: at,
                 life: node.lives,
                 epoch,
-                founder: node.lease.is_founder(epoch),
+                founder: node.lease.is_first_holder(epoch),
             })
         };
         let holders: Vec<Holding> = (0..world.nodes.len()).filter_map(holding).collect();
@@ -710,11 +715,11 @@
     }
 }
 
-fn write(world: &mut ControlWorld, at: usize, ticket: u64, content: Content) {
+fn write(world: &mut ControlWorld, at: usize, write_id: u64, content: Content) {
     world
         .node_mut(at)
         .writes
-        .push_back(Write { ticket, content });
+        .push_back(Write { write_id, content });
 }
 
 fn disk_changed(world: &mut ControlWorld, at: usize) {
--- a/crates/model-checker/src/disk.rs
+++ b/crates/model-checker/src/disk.rs
@@ -6,7 +6,7 @@
 /// A write that the disk has not reported as synced.
 #[derive(Clone, Hash)]
 pub(crate) struct Write {
-    pub ticket: u64,
+    pub write_id: u64,
     pub content: Content,
 }
 
--- a/crates/model-checker/src/lease_model.rs
+++ b/crates/model-checker/src/lease_model.rs
@@ -9,7 +9,7 @@
 use crate::model::{Invariant, Model, Violation, fingerprint_of, node_index, node_name};
 use crate::network::{InFlight, Message, Network, Schedule};
 use crate::traffic::{self, Traffic, TrafficNode, TrafficWorld};
-use lease::{Effect, Event, Lease, Times};
+use lease::{Effect, Event, Lease, LeaseTiming};
 use protocol::majority;
 use protocol::{LeaseReply, Payload, VoterSet};
 use std::collections::VecDeque;
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Hash)]
 struct EpochWrite {
     epoch: u64,
-    token: u64,
+    request_id: u64,
 }
 
 #[derive(Clone)]
@@ -227,14 +227,14 @@
 
     fn start_node(&self, at: usize, epoch: u64, born_at: Duration, lives: u64) -> Node {
         // Its ticks are far apart, and its clocks drift but never jump.
-        let times = Times {
+        let times = LeaseTiming {
             longest_step: Duration::MAX,
-            ..Times::new(SPAN, MARGIN)
+            ..LeaseTiming::new(SPAN, MARGIN)
         };
         let forgets = self.defect == LeaseDefect::GrantsAfterRestart && lives > 0;
         // A voter waits one span of its own clock, whatever time it starts at: so the broken one has none.
         let times = if forgets {
-            Times::new(Duration::ZERO, Duration::ZERO)
+            LeaseTiming::new(Duration::ZERO, Duration::ZERO)
         } else {
             times
         };
@@ -286,8 +286,8 @@
         let effects = Arc::make_mut(&mut world.nodes[at]).lease.step(clock, event);
         effects.into_iter().for_each(|effect| match effect {
             Effect::Send { to, body } => self.send(world, at, node_index(&to), body),
-            Effect::RaiseEpoch { epoch, token } => {
-                self.write(world, at, EpochWrite { epoch, token })
+            Effect::PersistLeaseEpoch { epoch, request_id } => {
+                self.write(world, at, EpochWrite { epoch, request_id })
             }
         });
         Arc::make_mut(&mut world.nodes[at]).renew_fingerprint();
@@ -297,7 +297,13 @@
     fn write(&self, world: &mut LeaseWorld, at: usize, write: EpochWrite) {
         Arc::make_mut(&mut world.nodes[at]).writes.push_back(write);
         if self.defect == LeaseDefect::AnswersBeforeSync {
-            self.step(world, at, Event::EpochKept { token: write.token });
+            self.step(
+                world,
+                at,
+                Event::LeaseEpochPersisted {
+                    request_id: write.request_id,
+                },
+            );
         }
     }
 
@@ -348,7 +354,13 @@
         node.epoch = node.epoch.max(write.epoch);
         node.renew_fingerprint();
         if self.defect != LeaseDefect::AnswersBeforeSync {
-            self.step(world, at, Event::EpochKept { token: write.token });
+            self.step(
+                world,
+                at,
+                Event::LeaseEpochPersisted {
+                    request_id: write.request_id,
+                },
+            );
         }
     }
 
@@ -357,7 +369,7 @@
         self.step(
             world,
             at,
-            Event::Voters {
+            Event::VotersChanged {
                 voter_set: world.voter_set(),
                 epoch,
             },
@@ -371,7 +383,7 @@
         self.step(
             world,
             at,
-            Event::Voters {
+            Event::VotersChanged {
                 voter_set: world.voter_set(),
                 epoch,
             },
@@ -417,7 +429,7 @@
                 node: at,
                 life: node.lives,
                 epoch,
-                founder: node.lease.is_founder(epoch),
+                founder: node.lease.is_first_holder(epoch),
             })
         };
         let holders: Vec<Holding> = (0..world.nodes.len()).filter_map(holding).collect();
--- a/crates/model-checker/src/register_model/mod.rs
+++ b/crates/model-checker/src/register_model/mod.rs
@@ -20,7 +20,7 @@
 use crate::network::Network;
 use crate::register_history::OrderFacts;
 use crate::traffic;
-use quorum_register::{Change, Event, Register, Start, VoterPhase};
+use quorum_register::{Change, Event, Register, RegisterConfig, VoterPhase};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -131,9 +131,9 @@
     }
 
     fn start_node(&self, at: usize, peers: usize, disk: Disk, now: Duration, lives: u64) -> Node {
-        let mut register = Register::new(Start {
+        let mut register = Register::new(RegisterConfig {
             me: node_name(at),
-            roster_size: self.scenario.voters,
+            initial_voter_count: self.scenario.voters,
             seed: fingerprint_of(&(at, lives)),
             durable: disk.durable.clone(),
             configurations: disk.configurations.clone(),
@@ -164,8 +164,8 @@
         self.step(
             &mut world,
             0,
-            Event::Ask {
-                token: u64::MAX,
+            Event::Submit {
+                request_id: u64::MAX,
                 change,
                 bytes,
             },
--- a/crates/model-checker/src/register_model/scenario.rs
+++ b/crates/model-checker/src/register_model/scenario.rs
@@ -3,7 +3,7 @@
 use super::order::Order;
 use super::{NEVER, TICK};
 use crate::network::Schedule;
-use quorum_register::Times;
+use quorum_register::RegisterTiming;
 
 /// How often each thing may happen on one way through the model.
 #[derive(Clone, Copy, Debug, Default, Hash)]
@@ -100,11 +100,11 @@
         }
     }
 
-    pub(super) fn times(&self) -> Times {
-        Times {
-            confirm_every: if self.reads_by_itself { TICK } else { NEVER },
-            phase: TICK,
-            patience: if self.impatient { TICK * 2 } else { NEVER },
+    pub(super) fn times(&self) -> RegisterTiming {
+        RegisterTiming {
+            confirm_interval: if self.reads_by_itself { TICK } else { NEVER },
+            phase_timeout: TICK,
+            change_timeout: if self.impatient { TICK * 2 } else { NEVER },
         }
     }
 }
--- a/crates/model-checker/src/register_model/steps.rs
+++ b/crates/model-checker/src/register_model/steps.rs
@@ -26,27 +26,36 @@
     pub(super) fn carry_out(&self, world: &mut RegisterWorld, at: usize, effect: Effect) {
         match effect {
             Effect::Send { to, body } => self.send(world, at, node_index(&to), body),
-            Effect::Keep { ticket, durable } => {
-                self.write(world, at, ticket, Content::State(durable))
+            Effect::Persist { write_id, durable } => {
+                self.write(world, at, write_id, Content::State(durable))
             }
             Effect::StoreConfiguration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             } => {
-                self.write(world, at, ticket, Content::Configuration { digest, bytes });
+                self.write(
+                    world,
+                    at,
+                    write_id,
+                    Content::Configuration { digest, bytes },
+                );
             }
             Effect::DeleteConfiguration { digest } => {
                 let content = Content::DroppedSetup { digest };
-                Arc::make_mut(&mut world.nodes[at])
-                    .writes
-                    .push_back(Write { ticket: 0, content });
+                Arc::make_mut(&mut world.nodes[at]).writes.push_back(Write {
+                    write_id: 0,
+                    content,
+                });
             }
-            Effect::Decided { token, decision } if token != u64::MAX => {
-                let order = token as usize;
+            Effect::Decided {
+                request_id,
+                decision,
+            } if request_id != u64::MAX => {
+                let order = request_id as usize;
                 world.record(|history, disks| history.decided(order, decision, &self.facts, disks));
             }
-            Effect::Adopted => {
+            Effect::StateChanged => {
                 let state = world.nodes[at].register.state().clone();
                 world.note(world.history.adopted(at, &state));
             }
@@ -58,14 +67,14 @@
         &self,
         world: &mut RegisterWorld,
         at: usize,
-        ticket: u64,
+        write_id: u64,
         content: Content,
     ) {
         Arc::make_mut(&mut world.nodes[at])
             .writes
-            .push_back(Write { ticket, content });
+            .push_back(Write { write_id, content });
         if self.defect == RegisterDefect::AnswersBeforeSync {
-            self.step(world, at, Event::Kept { ticket });
+            self.step(world, at, Event::WriteCompleted { write_id });
         }
     }
 
@@ -124,8 +133,8 @@
             self.step(
                 world,
                 at,
-                Event::Kept {
-                    ticket: write.ticket,
+                Event::WriteCompleted {
+                    write_id: write.write_id,
                 },
             );
         }
@@ -167,15 +176,15 @@
         let node = Arc::make_mut(&mut world.nodes[at]);
         let DurableState {
             disk,
-            roster,
-            endorsed,
+            initial_voters,
+            bootstrap_vote,
             ..
         } = std::mem::take(&mut node.disk).durable;
         if self.defect == RegisterDefect::KeepsMarkAfterWipe {
             node.disk.durable = DurableState {
                 disk,
-                roster,
-                endorsed,
+                initial_voters,
+                bootstrap_vote,
                 ..DurableState::default()
             };
         }
@@ -212,8 +221,8 @@
         self.step(
             world,
             at,
-            Event::Ask {
-                token: order as u64,
+            Event::Submit {
+                request_id: order as u64,
                 change,
                 bytes,
             },
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -188,10 +188,10 @@
     pub disk: u64,
     /// The voters when this disk was founded or recovered; empty before. Who votes now stands in the accepted state.
     #[prost(string, repeated, tag = "2")]
-    pub roster: Vec<String>,
+    pub initial_voters: Vec<String>,
     /// The one roster this voter endorsed while founding.
     #[prost(string, repeated, tag = "3")]
-    pub endorsed: Vec<String>,
+    pub bootstrap_vote: Vec<String>,
     #[prost(message, required, tag = "4")]
     pub promised: Ballot,
     #[prost(message, required, tag = "5")]
@@ -359,7 +359,7 @@
 pub struct BootstrapVote {
     /// The roster that the sender endorsed; empty while it endorsed none.
     #[prost(string, repeated, tag = "1")]
-    pub roster: Vec<String>,
+    pub initial_voters: Vec<String>,
     /// Drawn anew at each start of the sender; wants to be echoed.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -64,8 +64,8 @@
 pub fn durable_state() -> DurableState {
     DurableState {
         disk: 901,
-        roster: vec!["voter-1".into(), "voter-2".into()],
-        endorsed: vec!["voter-3".into(), "voter-4".into()],
+        initial_voters: vec!["voter-1".into(), "voter-2".into()],
+        bootstrap_vote: vec!["voter-3".into(), "voter-4".into()],
         promised: ballot(902),
         accepted_at: ballot(903),
         accepted: cluster_state(904),
@@ -268,7 +268,7 @@
             digest: "digest-281".into(),
         }),
         Payload::BootstrapVote(BootstrapVote {
-            roster: vec!["voter-291".into(), "voter-292".into()],
+            initial_voters: vec!["voter-291".into(), "voter-292".into()],
             incarnation: 293,
             echo: 294,
             inherits: "inherits-295".into(),
--- a/crates/quorum-register/src/bootstrap.rs
+++ b/crates/quorum-register/src/bootstrap.rs
@@ -48,14 +48,14 @@
     }
 
     pub(crate) fn endorse(&mut self, from: &str, endorse: BootstrapVote) {
-        if !self.synced.roster.is_empty() {
+        if !self.synced.initial_voters.is_empty() {
             if endorse.echo == 0 {
                 let voter_set = self.voter_set().clone();
                 self.send(from, Payload::Bootstrapped(Bootstrapped { voter_set }));
             }
             return;
         }
-        if matches!(self.phase, VoterPhase::Recovering(_) | VoterPhase::Out) {
+        if matches!(self.phase, VoterPhase::Recovering(_) | VoterPhase::Failed) {
             return;
         }
         if endorse.echo == 0 {
@@ -67,12 +67,14 @@
             return;
         }
         match &mut self.phase {
-            VoterPhase::Blank { unfounded } if endorse.echo == self.incarnation => {
-                unfounded.insert(from.to_owned());
+            VoterPhase::Blank { unbootstrapped } if endorse.echo == self.incarnation => {
+                unbootstrapped.insert(from.to_owned());
                 self.endorse_if_alone();
             }
-            VoterPhase::Bootstrapping { endorsed } if endorse.roster == self.synced.endorsed => {
-                endorsed.insert(from.to_owned());
+            VoterPhase::Bootstrapping { bootstrap_vote }
+                if endorse.initial_voters == self.synced.bootstrap_vote =>
+            {
+                bootstrap_vote.insert(from.to_owned());
                 self.settle_founding();
             }
             _ => {}
@@ -81,7 +83,7 @@
 
     fn endorsement(&self, echo: u64) -> BootstrapVote {
         BootstrapVote {
-            roster: self.synced.endorsed.clone(),
+            initial_voters: self.synced.bootstrap_vote.clone(),
             incarnation: self.incarnation,
             echo,
             inherits: self.inherits(),
@@ -100,48 +102,53 @@
 
     /// Everybody is there and nobody was founded: endorse this roster, once and for all.
     fn endorse_if_alone(&mut self) {
-        let VoterPhase::Blank { unfounded } = &self.phase else {
+        let VoterPhase::Blank { unbootstrapped } = &self.phase else {
             return;
         };
         let others = self.peers.iter().filter(|peer| **peer != self.me);
-        let full = self.peers.len() == self.roster_size && self.peers.contains(&self.me);
+        let full = self.peers.len() == self.initial_voter_count && self.peers.contains(&self.me);
         if full
-            && others.into_iter().all(|peer| unfounded.contains(peer))
-            && self.durable.endorsed.is_empty()
+            && others.into_iter().all(|peer| unbootstrapped.contains(peer))
+            && self.durable.bootstrap_vote.is_empty()
         {
-            self.durable.endorsed = self.peers.clone();
+            self.durable.bootstrap_vote = self.peers.clone();
             self.keep(Vec::new());
         }
     }
 
     /// After a sync: an endorsement starts the founding, everybody's endorsement ends it.
     pub(crate) fn settle_founding(&mut self) {
-        if matches!(self.phase, VoterPhase::Blank { .. }) && !self.synced.endorsed.is_empty() {
+        if matches!(self.phase, VoterPhase::Blank { .. }) && !self.synced.bootstrap_vote.is_empty()
+        {
             self.enter_phase(VoterPhase::Bootstrapping {
-                endorsed: BTreeSet::new(),
+                bootstrap_vote: BTreeSet::new(),
             });
         }
-        if matches!(self.phase, VoterPhase::Bootstrapping { .. }) && !self.synced.roster.is_empty()
+        if matches!(self.phase, VoterPhase::Bootstrapping { .. })
+            && !self.synced.initial_voters.is_empty()
         {
             return self.enter_phase(VoterPhase::Active);
         }
-        let VoterPhase::Bootstrapping { endorsed } = &self.phase else {
+        let VoterPhase::Bootstrapping { bootstrap_vote } = &self.phase else {
             return;
         };
         let others = self
             .synced
-            .endorsed
+            .bootstrap_vote
             .iter()
             .filter(|voter| **voter != self.me);
-        if others.into_iter().all(|voter| endorsed.contains(voter)) {
+        if others
+            .into_iter()
+            .all(|voter| bootstrap_vote.contains(voter))
+        {
             self.found();
         }
     }
 
     fn found(&mut self) {
-        if self.durable.roster.is_empty() {
-            self.durable.roster = self.durable.endorsed.clone();
-            self.durable.accepted.voter_set.voters = self.durable.endorsed.clone();
+        if self.durable.initial_voters.is_empty() {
+            self.durable.initial_voters = self.durable.bootstrap_vote.clone();
+            self.durable.accepted.voter_set.voters = self.durable.bootstrap_vote.clone();
             self.durable.disk = self.random.next_u64().max(1);
             let voter_set = self.durable.accepted.voter_set.clone();
             let tell = |voter: &String| {
@@ -155,7 +162,7 @@
             };
             let told = self
                 .durable
-                .roster
+                .initial_voters
                 .iter()
                 .filter(|voter| **voter != self.me)
                 .map(tell)
@@ -172,14 +179,14 @@
         }
         match &self.phase {
             VoterPhase::Bootstrapping { .. }
-                if self.synced.endorsed == voter_set.voters && !voter_set.is_joint() =>
+                if self.synced.bootstrap_vote == voter_set.voters && !voter_set.is_joint() =>
             {
                 self.found();
             }
-            VoterPhase::Bootstrapping { .. } if self.durable.roster.is_empty() => {
+            VoterPhase::Bootstrapping { .. } if self.durable.initial_voters.is_empty() => {
                 self.start_recovery(now, voter_set, ClusterState::default());
             }
-            VoterPhase::Blank { .. } if self.durable.endorsed.is_empty() => {
+            VoterPhase::Blank { .. } if self.durable.bootstrap_vote.is_empty() => {
                 self.start_recovery(now, voter_set, ClusterState::default());
             }
             _ => {}
@@ -287,12 +294,12 @@
             .max()
             .unwrap_or(0);
         let disk = self.random.next_u64().max(1);
-        let roster = accepted.voter_set.voters.clone();
+        let initial_voters = accepted.voter_set.voters.clone();
         let promised = recovery.ballot.clone();
         self.durable = DurableState {
             disk,
-            endorsed: roster.clone(),
-            roster,
+            bootstrap_vote: initial_voters.clone(),
+            initial_voters,
             promised,
             accepted_at,
             accepted,
--- a/crates/quorum-register/src/change.rs
+++ b/crates/quorum-register/src/change.rs
@@ -17,11 +17,11 @@
 /// By what an order is known when it comes again.
 ///
 /// ```
-/// # use quorum_register::OrderId;
-/// assert_eq!(OrderId::from("a"), OrderId { id: "a".into(), since: None });
+/// # use quorum_register::ChangeId;
+/// assert_eq!(ChangeId::from("a"), ChangeId { id: "a".into(), since: None });
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct OrderId {
+pub struct ChangeId {
     /// Drawn by the operator; empty where the order bears none.
     pub id: String,
     /// How many orders had been decided, as the operator knew it before it sent this one for the first time. It shows
@@ -29,13 +29,13 @@
     pub since: Option<u64>,
 }
 
-impl From<String> for OrderId {
+impl From<String> for ChangeId {
     fn from(id: String) -> Self {
-        OrderId { id, since: None }
+        ChangeId { id, since: None }
     }
 }
 
-impl From<&str> for OrderId {
+impl From<&str> for ChangeId {
     fn from(id: &str) -> Self {
         id.to_owned().into()
     }
@@ -47,7 +47,7 @@
     /// Put this setup in force; `base` is the edition it was made from, where that matters.
     /// With the operator's own number, one that is not above the number in force changes nothing.
     Configuration {
-        id: OrderId,
+        id: ChangeId,
         base: Option<u64>,
         number: Option<u64>,
         digest: String,
@@ -55,7 +55,7 @@
     /// Evacuate a locality, or take it back. An order without an id bears the edition that a majority confirmed after
     /// it came: where the locality changed since, it has been as the order wants it, and nothing is done.
     Evacuate {
-        id: OrderId,
+        id: ChangeId,
         locality: String,
         back: bool,
         seen: Option<u64>,
@@ -65,7 +65,7 @@
     /// Only the new voters vote from now on, where the joint voter set has this epoch.
     CompleteVoters { epoch: u64 },
     /// Change nothing: only bring a half-done round to its end.
-    Finish,
+    FinishRound,
 }
 
 /// What became of a change.
@@ -99,7 +99,7 @@
 pub fn apply(state: &mut ClusterState, change: &Change) -> Decision {
     let order = match change {
         Change::Configuration { id, .. } | Change::Evacuate { id, .. } => id,
-        Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::Finish => {
+        Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::FinishRound => {
             return Decision {
                 code: ResultCode::Success,
                 revision: state.revision,
@@ -151,7 +151,7 @@
     match change {
         Change::Configuration { base, digest, .. } => format!("{digest} {base:?}"),
         Change::Evacuate { locality, back, .. } => format!("{locality} {back}"),
-        Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::Finish => {
+        Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::FinishRound => {
             String::new()
         }
     }
@@ -178,7 +178,7 @@
 }
 
 /// True where an order that is not remembered cannot be told from one that was decided and forgotten.
-fn may_be_forgotten(state: &ClusterState, order: &OrderId, change: &Change) -> bool {
+fn may_be_forgotten(state: &ClusterState, order: &ChangeId, change: &Change) -> bool {
     let forgotten = state.decided.saturating_sub(state.submissions.len() as u64);
     if forgotten == 0
         || order
@@ -209,7 +209,7 @@
     }
 }
 
-fn remember(state: &mut ClusterState, order: &OrderId, change: &Change, code: ResultCode) {
+fn remember(state: &mut ClusterState, order: &ChangeId, change: &Change, code: ResultCode) {
     let (id, asked, revision) = (order.id.clone(), short(&asked(change)), state.revision);
     state.submissions.push(DecidedChange {
         id,
@@ -306,7 +306,7 @@
                 .extend(Some(locality.clone()).filter(|_| !back));
             remember_locality(state, locality);
         }
-        Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::Finish => {}
+        Change::BeginVoters { .. } | Change::CompleteVoters { .. } | Change::FinishRound => {}
     }
     state.revision += 1;
     ResultCode::Success
@@ -334,7 +334,7 @@
             (*epoch, state.voter_set.begin_change(voters.clone()))
         }
         Change::CompleteVoters { epoch } => (*epoch, state.voter_set.complete_change()),
-        Change::Configuration { .. } | Change::Evacuate { .. } | Change::Finish => {
+        Change::Configuration { .. } | Change::Evacuate { .. } | Change::FinishRound => {
             return ResultCode::Success;
         }
     };
--- a/crates/quorum-register/src/configurations.rs
+++ b/crates/quorum-register/src/configurations.rs
@@ -24,10 +24,10 @@
     /// Takes in a setup's bytes; they count as held once synced.
     pub(crate) fn store_configuration(&mut self, digest: String, bytes: Vec<u8>) {
         if !self.configurations.contains_key(&digest) && self.disk_is_free() {
-            self.ticket += 1;
-            let ticket = self.ticket;
+            self.write_id += 1;
+            let write_id = self.write_id;
             self.writes.push_back(Write {
-                ticket,
+                write_id,
                 durable: None,
                 digest: Some(digest.clone()),
                 then: Vec::new(),
@@ -35,7 +35,7 @@
             self.configurations.insert(digest.clone(), bytes.clone());
             self.arrivals.push_back(digest.clone());
             self.effects.push(Effect::StoreConfiguration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             });
@@ -60,9 +60,9 @@
     /// The bytes of the setup in force, as they travel.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// assert_eq!(Register::new(start).compressed_configuration(), None);
     /// ```
     pub fn compressed_configuration(&mut self) -> Option<Vec<u8>> {
@@ -114,12 +114,12 @@
     /// True where the state accepted here names a setup whose bytes this node lacks.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
-    /// assert!(!Register::new(start).lacks_accepted_configuration());
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
+    /// assert!(!Register::new(start).is_missing_accepted_configuration());
     /// ```
-    pub fn lacks_accepted_configuration(&self) -> bool {
+    pub fn is_missing_accepted_configuration(&self) -> bool {
         let digest = &self.durable.accepted.digest;
         !digest.is_empty() && !self.configurations.contains_key(digest)
     }
@@ -138,7 +138,7 @@
 
     /// A damaged or missing file is mended from the others.
     pub(crate) fn request_missing_configuration(&mut self) {
-        if self.lacks_accepted_configuration() {
+        if self.is_missing_accepted_configuration() {
             let digest = self.durable.accepted.digest.clone();
             self.send_all(Payload::ConfigurationRequest(ConfigurationRequest {
                 digest,
--- a/crates/quorum-register/src/disaster_recovery.rs
+++ b/crates/quorum-register/src/disaster_recovery.rs
@@ -11,84 +11,91 @@
 
 /// Why nothing can be settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unsettled {
-    NoTestament,
-    NeverFounded {
+pub enum RecoveryError {
+    NoSurvivors,
+    NotBootstrapped {
         node: String,
     },
-    OtherRoster {
+    VoterSetMismatch {
         node: String,
     },
-    NotInRoster {
+    NotAVoter {
         node: String,
     },
-    Twice {
+    NamedTwice {
         node: String,
     },
     /// Neither a survivor nor named as lost: it may live.
-    MayLive {
+    Unaccounted {
         node: String,
     },
     /// These can mend the others by themselves.
-    StillMajority {
+    QuorumSurvives {
         count: usize,
         of: usize,
     },
-    SetupMissing {
+    ConfigurationMissing {
         digest: String,
     },
 }
 
-impl fmt::Display for Unsettled {
+impl fmt::Display for RecoveryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unsettled::NoTestament => f.write_str("no survivor was given"),
-            Unsettled::NeverFounded { node } => write!(f, "{node}: its disk was never founded"),
-            Unsettled::OtherRoster { node } => {
+            RecoveryError::NoSurvivors => f.write_str("no survivor was given"),
+            RecoveryError::NotBootstrapped { node } => {
+                write!(f, "{node}: its disk was never founded")
+            }
+            RecoveryError::VoterSetMismatch { node } => {
                 write!(f, "{node}: its roster is not that of the others")
             }
-            Unsettled::NotInRoster { node } => write!(f, "{node}: is not in the roster"),
-            Unsettled::Twice { node } => {
+            RecoveryError::NotAVoter { node } => write!(f, "{node}: is not in the roster"),
+            RecoveryError::NamedTwice { node } => {
                 write!(f, "{node}: is named twice, or is both a survivor and lost")
             }
-            Unsettled::MayLive { node } => {
+            RecoveryError::Unaccounted { node } => {
                 write!(
                     f,
                     "{node}: is in the roster and may live; bring its survivor, or name it as lost"
                 )
             }
-            Unsettled::StillMajority { count, of } => {
+            RecoveryError::QuorumSurvives { count, of } => {
                 write!(
                     f,
                     "{count} of {of} voters survive: start them, and the others mend from them"
                 )
             }
-            Unsettled::SetupMissing { digest } => write!(f, "no survivor has the setup {digest}"),
+            RecoveryError::ConfigurationMissing { digest } => {
+                write!(f, "no survivor has the setup {digest}")
+            }
         }
     }
 }
 
-impl std::error::Error for Unsettled {}
+impl std::error::Error for RecoveryError {}
 
 /// Settles what the survivors' disks say into the state that every disk of a new founding starts from. Denied unless
 /// every voter is accounted for, and while the survivors could mend the others.
 ///
 /// ```
 /// use protocol::{Ballot, DurableState, SurvivorState, ClusterState};
-/// use quorum_register::{Unsettled, settle};
-/// let roster: Vec<String> = ["a", "b", "c", "d"].map(String::from).to_vec();
+/// use quorum_register::{RecoveryError, recover_from_survivors};
+/// let initial_voters: Vec<String> = ["a", "b", "c", "d"].map(String::from).to_vec();
 /// let state = ClusterState { revision: 7, digest: protocol::digest(b"{}"), ..ClusterState::default() };
 /// let accepted_at = Ballot { round: 3, ..Ballot::default() };
-/// let durable = DurableState { disk: 1, roster, accepted: state, accepted_at, ..DurableState::default() };
+/// let durable = DurableState { disk: 1, initial_voters, accepted: state, accepted_at, ..DurableState::default() };
 /// let one = |node: &str| SurvivorState { node: node.into(), durable: durable.clone(), configuration: b"{}".to_vec() };
 /// let lost: Vec<String> = ["b", "c", "d"].map(String::from).to_vec();
-/// let inheritance = settle(&[one("a")], &lost).unwrap();
+/// let inheritance = recover_from_survivors(&[one("a")], &lost).unwrap();
 /// assert!(inheritance.durable.accepted.revision > 7, "editions go on rising");
-/// assert_eq!(settle(&[one("a")], &lost[..2]), Err(Unsettled::MayLive { node: "d".into() }));
-/// assert_eq!(settle(&[one("a"), one("b"), one("c")], &lost[2..]), Err(Unsettled::StillMajority { count: 3, of: 4 }));
+/// assert_eq!(recover_from_survivors(&[one("a")], &lost[..2]), Err(RecoveryError::Unaccounted { node: "d".into() }));
+/// assert_eq!(recover_from_survivors(&[one("a"), one("b"), one("c")], &lost[2..]), Err(RecoveryError::QuorumSurvives { count: 3, of: 4 }));
 /// ```
-pub fn settle(survivors: &[SurvivorState], lost: &[String]) -> Result<SurvivorState, Unsettled> {
-    let first = survivors.first().ok_or(Unsettled::NoTestament)?;
+pub fn recover_from_survivors(
+    survivors: &[SurvivorState],
+    lost: &[String],
+) -> Result<SurvivorState, RecoveryError> {
+    let first = survivors.first().ok_or(RecoveryError::NoSurvivors)?;
     survivors.iter().try_for_each(was_founded)?;
     let newest = survivors
         .iter()
@@ -101,7 +108,7 @@
         .into_iter()
         .find(|bytes| accepted.digest.is_empty() || protocol::digest(bytes) == accepted.digest);
     let configuration = configuration
-        .ok_or(Unsettled::SetupMissing {
+        .ok_or(RecoveryError::ConfigurationMissing {
             digest: accepted.digest.clone(),
         })?
         .clone();
@@ -138,18 +145,20 @@
 /// The voters that a survivor's disk names. A disk of an earlier version names only those it was founded with.
 fn voters_of(survivor: &SurvivorState) -> VoterSet {
     let DurableState {
-        accepted, roster, ..
+        accepted,
+        initial_voters,
+        ..
     } = &survivor.durable;
     if accepted.voter_set.voters.is_empty() {
-        VoterSet::new(roster.clone())
+        VoterSet::new(initial_voters.clone())
     } else {
         accepted.voter_set.clone()
     }
 }
 
-fn was_founded(survivor: &SurvivorState) -> Result<(), Unsettled> {
-    let founded = survivor.durable.disk != 0 && !survivor.durable.roster.is_empty();
-    founded.then_some(()).ok_or(Unsettled::NeverFounded {
+fn was_founded(survivor: &SurvivorState) -> Result<(), RecoveryError> {
+    let founded = survivor.durable.disk != 0 && !survivor.durable.initial_voters.is_empty();
+    founded.then_some(()).ok_or(RecoveryError::NotBootstrapped {
         node: survivor.node.clone(),
     })
 }
@@ -160,7 +169,7 @@
     survivors: &[SurvivorState],
     lost: &[String],
     voter_set: &VoterSet,
-) -> Result<(), Unsettled> {
+) -> Result<(), RecoveryError> {
     let mut named = BTreeSet::new();
     survivors
         .iter()
@@ -170,22 +179,22 @@
             named
                 .insert(node)
                 .then_some(())
-                .ok_or(Unsettled::Twice { node: node.clone() })
+                .ok_or(RecoveryError::NamedTwice { node: node.clone() })
         })?;
     let stranger = lost.iter().find(|node| !voter_set.contains(node));
     stranger.map_or(Ok(()), |node| {
-        Err(Unsettled::NotInRoster { node: node.clone() })
+        Err(RecoveryError::NotAVoter { node: node.clone() })
     })?;
     survivors.iter().try_for_each(|survivor| {
         let theirs = voters_of(survivor);
         let agrees = theirs.epoch != voter_set.epoch || theirs == *voter_set;
-        agrees.then_some(()).ok_or(Unsettled::OtherRoster {
+        agrees.then_some(()).ok_or(RecoveryError::VoterSetMismatch {
             node: survivor.node.clone(),
         })
     })?;
     let open = voter_set.members().find(|voter| !named.contains(voter));
     open.map_or(Ok(()), |node| {
-        Err(Unsettled::MayLive { node: node.clone() })
+        Err(RecoveryError::Unaccounted { node: node.clone() })
     })?;
     let survives = |voter: &str| survivors.iter().any(|survivor| survivor.node == voter);
     let (count, of) = (
@@ -195,5 +204,5 @@
     let is_quorum = voter_set.is_quorum(survives);
     (!is_quorum)
         .then_some(())
-        .ok_or(Unsettled::StillMajority { count, of })
+        .ok_or(RecoveryError::QuorumSurvives { count, of })
 }
--- a/crates/quorum-register/src/inspect.rs
+++ b/crates/quorum-register/src/inspect.rs
@@ -1,6 +1,6 @@
 //! What a register tells of itself and of the others.
 
-use crate::register::{Register, Tally, VoterPhase};
+use crate::register::{Register, Statistics, VoterPhase};
 use protocol::{ClusterState, VoterSet};
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
     /// Where this voter stands.
     ///
     /// ```
-    /// # use quorum_register::{Event, Register, VoterPhase, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Event, Register, VoterPhase, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// let mut register = Register::new(start);
     /// register.step(Default::default(), Event::DiskFailed);
-    /// assert_eq!(*register.phase(), VoterPhase::Out);
+    /// assert_eq!(*register.phase(), VoterPhase::Failed);
     /// ```
     pub fn phase(&self) -> &VoterPhase {
         &self.phase
@@ -25,9 +25,9 @@
     /// The state in force here, once one is known to be chosen.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// assert_eq!(Register::new(start).state().revision, 0);
     /// ```
     pub fn state(&self) -> &ClusterState {
@@ -37,9 +37,9 @@
     /// The bytes of the setup in force.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// assert_eq!(Register::new(start).configuration(), None);
     /// ```
     pub fn configuration(&self) -> Option<&[u8]> {
@@ -51,9 +51,9 @@
     /// How long ago a majority confirmed the state; none before the first time.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// assert_eq!(Register::new(start).age(Default::default()), None);
     /// ```
     pub fn age(&self, now: Duration) -> Option<Duration> {
@@ -63,9 +63,9 @@
     /// True where a majority confirmed the state by answers to a question sent at this moment or later.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// assert!(!Register::new(start).is_confirmed_since(Default::default()));
     /// ```
     pub fn is_confirmed_since(&self, asked_at: Duration) -> bool {
@@ -75,21 +75,21 @@
     /// What it did since its start.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
-    /// assert_eq!(Register::new(start).tally().rounds, 0);
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
+    /// assert_eq!(Register::new(start).statistics().rounds_started, 0);
     /// ```
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn statistics(&self) -> Statistics {
+        self.statistics
     }
 
     /// Who votes, by the newest state known here; empty before the founding.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// assert_eq!(Register::new(start).voter_set().members().count(), 0);
     /// ```
     pub fn voter_set(&self) -> &VoterSet {
@@ -105,9 +105,9 @@
     /// True while this node votes.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// assert!(!Register::new(start).is_voter());
     /// ```
     pub fn is_voter(&self) -> bool {
@@ -117,13 +117,13 @@
     /// How long nothing came from a control node; the whole time since the start where nothing ever did.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
     /// # use std::time::Duration;
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
-    /// assert_eq!(Register::new(start).silent_for(Duration::from_secs(4), "b"), Duration::from_secs(4));
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
+    /// assert_eq!(Register::new(start).time_since_heard(Duration::from_secs(4), "b"), Duration::from_secs(4));
     /// ```
-    pub fn silent_for(&self, now: Duration, node: &str) -> Duration {
+    pub fn time_since_heard(&self, now: Duration, node: &str) -> Duration {
         now.saturating_sub(self.replicas.heard_at(node))
     }
 
@@ -131,9 +131,9 @@
     /// changes nobody tells of the newest in time; and a voter accepts no state that it doesn't hold.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// assert!(!Register::new(start).is_caught_up("b"));
     /// ```
     pub fn is_caught_up(&self, node: &str) -> bool {
@@ -146,24 +146,24 @@
     /// The last ballot that a node's disk surely holds, as far as it told.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
-    /// assert_eq!(Register::new(start).synced_round("b"), None);
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
+    /// assert_eq!(Register::new(start).persisted_round("b"), None);
     /// ```
-    pub fn synced_round(&self, node: &str) -> Option<u64> {
+    pub fn persisted_round(&self, node: &str) -> Option<u64> {
         self.replicas.synced_ballot(node).map(|ballot| ballot.round)
     }
 
     /// For how long the voter set in force is known here; none while a change of it is under way, or none is in force.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
-    /// assert_eq!(Register::new(start).voters_settled_for(Default::default()), None);
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
+    /// assert_eq!(Register::new(start).voter_set_stable_for(Default::default()), None);
     /// ```
-    pub fn voters_settled_for(&self, now: Duration) -> Option<Duration> {
+    pub fn voter_set_stable_for(&self, now: Duration) -> Option<Duration> {
         let settled = self.current.confirmed_at.is_some() && !self.voter_set().is_joint();
         settled.then(|| now.saturating_sub(self.voters_since))
     }
@@ -171,9 +171,9 @@
     /// The highest lease epoch that is safe on this disk.
     ///
     /// ```
-    /// # use quorum_register::{Register, Start, Times};
-    /// # let start = Start { me: "a".into(), roster_size: 3, seed: 1, durable: Default::default(),
-    /// #     configurations: Default::default(), times: Times::default() };
+    /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
+    /// # let start = RegisterConfig { me: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
+    /// #     configurations: Default::default(), times: RegisterTiming::default() };
     /// assert_eq!(Register::new(start).lease_epoch(), 0);
     /// ```
     pub fn lease_epoch(&self) -> u64 {
--- a/crates/quorum-register/src/lib.rs
+++ b/crates/quorum-register/src/lib.rs
@@ -15,6 +15,8 @@
 mod replicas;
 mod voter;
 
-pub use change::{Change, Decision, OrderId, apply, apply_to_voters};
-pub use disaster_recovery::{Unsettled, settle};
-pub use register::{Effect, Event, Register, Start, Tally, Times, VoterPhase};
+pub use change::{Change, ChangeId, Decision, apply, apply_to_voters};
+pub use disaster_recovery::{RecoveryError, recover_from_survivors};
+pub use register::{
+    Effect, Event, Register, RegisterConfig, RegisterTiming, Statistics, VoterPhase,
+};
--- a/crates/quorum-register/src/proposer.rs
+++ b/crates/quorum-register/src/proposer.rs
@@ -27,7 +27,7 @@
 /// A change that waits for its decision.
 #[derive(Clone, Hash)]
 pub(crate) struct PendingChange {
-    token: Option<u64>,
+    request_id: Option<u64>,
     change: Change,
     since: Duration,
     /// True once some voter may have accepted it.
@@ -35,9 +35,9 @@
 }
 
 impl PendingChange {
-    pub(crate) fn new(since: Duration, token: Option<u64>, change: Change) -> Self {
+    pub(crate) fn new(since: Duration, request_id: Option<u64>, change: Change) -> Self {
         PendingChange {
-            token,
+            request_id,
             change,
             since,
             tried: false,
@@ -105,7 +105,7 @@
     pub(crate) fn ask(
         &mut self,
         now: Duration,
-        token: u64,
+        request_id: u64,
         change: Change,
         bytes: Option<Vec<u8>>,
     ) {
@@ -119,10 +119,13 @@
                 code,
                 revision: self.current.state.revision,
             };
-            self.effects.push(Effect::Decided { token, decision });
+            self.effects.push(Effect::Decided {
+                request_id,
+                decision,
+            });
             return;
         }
-        self.push_change(PendingChange::new(now, Some(token), change));
+        self.push_change(PendingChange::new(now, Some(request_id), change));
         if let Some(bytes) = bytes {
             self.store_configuration(protocol::digest(&bytes), bytes);
         }
@@ -143,12 +146,14 @@
     }
 
     pub(crate) fn tick_round(&mut self, now: Duration) {
-        let phase = self.times.phase;
+        let phase_timeout = self.times.phase_timeout;
         match &self.round {
             Round::Idle if !self.pending.is_empty() => self.start_round(now),
             Round::BackingOff { until } if now >= *until => self.turn(Round::Idle),
-            Round::Preparing { asked_at, .. } if now >= *asked_at + phase => self.back_off(now),
-            Round::Accepting { since, .. } if now >= *since + phase => self.back_off(now),
+            Round::Preparing { asked_at, .. } if now >= *asked_at + phase_timeout => {
+                self.back_off(now)
+            }
+            Round::Accepting { since, .. } if now >= *since + phase_timeout => self.back_off(now),
             Round::Preparing { resend_at, .. } if now >= *resend_at => self.resend_prepares(now),
             Round::Accepting { resend_at, .. } if now >= *resend_at => self.resend_accepts(now),
             _ => {}
@@ -208,12 +213,12 @@
     }
 
     fn give_up_on_old(&mut self, now: Duration) {
-        let patience = self.times.patience;
+        let change_timeout = self.times.change_timeout;
         let revision = self.current.state.revision;
         let (old, rest): (Vec<PendingChange>, Vec<PendingChange>) = self
             .pending
             .drain(..)
-            .partition(|change| now >= change.since + patience);
+            .partition(|change| now >= change.since + change_timeout);
         self.pending.extend(rest);
         if old.is_empty() {
             return;
@@ -227,16 +232,16 @@
                 ResultCode::StaleView
             };
             let decision = Decision { code, revision };
-            self.effects.extend(
-                change
-                    .token
-                    .map(|token| Effect::Decided { token, decision }),
-            );
+            self.effects
+                .extend(change.request_id.map(|request_id| Effect::Decided {
+                    request_id,
+                    decision,
+                }));
         });
     }
 
     fn start_round(&mut self, now: Duration) {
-        self.tally.rounds += 1;
+        self.statistics.rounds_started += 1;
         self.seen_round += 1;
         let ballot = Ballot {
             round: self.seen_round,
@@ -273,7 +278,7 @@
     }
 
     fn back_off(&mut self, now: Duration) {
-        self.tally.lost += 1;
+        self.statistics.rounds_lost += 1;
         let most_ms = BACK_OFF_MS << self.lost_in_a_row.min(MAX_DOUBLINGS);
         self.lost_in_a_row += 1;
         let wait_ms = MIN_BACK_OFF_MS + self.random.below(most_ms);
@@ -376,7 +381,7 @@
         for pending in self.pending.iter_mut().take(MAX_AT_ONCE) {
             pending.tried = true;
             decisions.push((
-                pending.token,
+                pending.request_id,
                 apply_any(&mut state, &pending.change, &mut is_chosen),
             ));
         }
@@ -500,11 +505,14 @@
         self.pending.drain(..decisions.len());
         self.adopt(ballot.clone(), state.clone(), Some(asked_at));
         self.tell_chosen(ballot, state, decided_before, &disks);
-        let told = decisions
-            .into_iter()
-            .filter_map(|(token, decision)| token.map(|token| (token, decision)));
+        let told = decisions.into_iter().filter_map(|(request_id, decision)| {
+            request_id.map(|request_id| (request_id, decision))
+        });
         self.effects
-            .extend(told.map(|(token, decision)| Effect::Decided { token, decision }));
+            .extend(told.map(|(request_id, decision)| Effect::Decided {
+                request_id,
+                decision,
+            }));
     }
 }
 
@@ -526,7 +534,7 @@
                 revision: state.revision,
             }
         }
-        Change::Configuration { .. } | Change::Evacuate { .. } | Change::Finish => {
+        Change::Configuration { .. } | Change::Evacuate { .. } | Change::FinishRound => {
             apply(state, change)
         }
     }
--- a/crates/quorum-register/src/reading.rs
+++ b/crates/quorum-register/src/reading.rs
@@ -48,7 +48,7 @@
 
     fn start_reading(&mut self, now: Duration) {
         // Until the first confirmation nobody here can do anything: answers may have been lost for want of peers.
-        let every = self.times.confirm_every;
+        let every = self.times.confirm_interval;
         self.next_read = now
             + if self.current.confirmed_at.is_some() {
                 every
@@ -89,13 +89,13 @@
         if mine_to_do
             || (self.pending.is_empty() && self.reading_is_old(now) && self.random.below(4) == 0)
         {
-            self.push_change(PendingChange::new(now, None, Change::Finish));
+            self.push_change(PendingChange::new(now, None, Change::FinishRound));
         }
     }
 
     fn reading_is_old(&self, now: Duration) -> bool {
         self.age(now)
-            .is_none_or(|age| age > self.times.confirm_every * 2)
+            .is_none_or(|age| age > self.times.confirm_interval * 2)
     }
 
     pub(crate) fn read_back(&mut self, now: Duration, from: &str, back: ReadBack) {
--- a/crates/quorum-register/src/register.rs
+++ b/crates/quorum-register/src/register.rs
@@ -18,36 +18,36 @@
 
 /// The register's time values.
 #[derive(Clone, Copy, Debug, Hash)]
-pub struct Times {
+pub struct RegisterTiming {
     /// How often a majority confirms the state.
-    pub confirm_every: Duration,
+    pub confirm_interval: Duration,
     /// How long one phase of a round may take.
-    pub phase: Duration,
+    pub phase_timeout: Duration,
     /// How long a change may wait for its decision.
-    pub patience: Duration,
+    pub change_timeout: Duration,
 }
 
-impl Default for Times {
+impl Default for RegisterTiming {
     fn default() -> Self {
-        Times {
-            confirm_every: Duration::from_millis(500),
-            phase: Duration::from_millis(700),
-            patience: Duration::from_millis(2500),
+        RegisterTiming {
+            confirm_interval: Duration::from_millis(500),
+            phase_timeout: Duration::from_millis(700),
+            change_timeout: Duration::from_millis(2500),
         }
     }
 }
 
 /// What a voter starts from.
-pub struct Start {
+pub struct RegisterConfig {
     pub me: String,
     /// How many voters a founding needs.
-    pub roster_size: usize,
+    pub initial_voter_count: usize,
     pub seed: u64,
     /// What the disk holds; default on a blank disk.
     pub durable: DurableState,
     /// Undamaged setups found on the disk, by digest.
     pub configurations: BTreeMap<String, Vec<u8>>,
-    pub times: Times,
+    pub times: RegisterTiming,
 }
 
 /// What happens to a register.
@@ -61,8 +61,8 @@
     /// The postmasters that membership knows, this one included.
     Peers(Vec<String>),
     /// An operator's change, with the setup's bytes where it brings one.
-    Ask {
-        token: u64,
+    Submit {
+        request_id: u64,
         change: Change,
         bytes: Option<Vec<u8>>,
     },
@@ -71,15 +71,15 @@
     /// Somebody wants to read: confirm the state anew, from now.
     Confirm,
     /// The write with this ticket is synced.
-    Kept {
-        ticket: u64,
+    WriteCompleted {
+        write_id: u64,
     },
     /// The disk failed: this voter stays out from now on.
     DiskFailed,
-    /// Persist a lease epoch; answered by `EpochKept` with the token.
-    RaiseEpoch {
+    /// Persist a lease epoch; answered by `LeaseEpochPersisted` with the token.
+    PersistLeaseEpoch {
         epoch: u64,
-        token: u64,
+        request_id: u64,
     },
 }
 
@@ -90,14 +90,14 @@
         to: String,
         body: Payload,
     },
-    /// Sync this state, then tell `Kept`.
-    Keep {
-        ticket: u64,
+    /// Sync this state, then tell `WriteCompleted`.
+    Persist {
+        write_id: u64,
         durable: DurableState,
     },
-    /// Sync this setup, then tell `Kept`.
+    /// Sync this setup, then tell `WriteCompleted`.
     StoreConfiguration {
-        ticket: u64,
+        write_id: u64,
         digest: String,
         bytes: Vec<u8>,
     },
@@ -106,13 +106,13 @@
         digest: String,
     },
     Decided {
-        token: u64,
+        request_id: u64,
         decision: Decision,
     },
     /// The state in force changed.
-    Adopted,
-    EpochKept {
-        token: u64,
+    StateChanged,
+    LeaseEpochPersisted {
+        request_id: u64,
     },
 }
 
@@ -120,15 +120,15 @@
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub enum VoterPhase {
     /// Nothing on disk: asks whether a roster was founded.
-    Blank { unfounded: BTreeSet<String> },
+    Blank { unbootstrapped: BTreeSet<String> },
     /// Endorsed a roster, waits for the others.
-    Bootstrapping { endorsed: BTreeSet<String> },
+    Bootstrapping { bootstrap_vote: BTreeSet<String> },
     /// Lost its disk: gathers what the others promised and accepted.
     Recovering(Recovery),
     /// Has a state: answers, accepts, reads and proposes. Whether its answers count is told by the voter set.
     Active,
     /// The disk failed.
-    Out,
+    Failed,
 }
 
 /// What a blank disk gathers before it takes part.
@@ -146,7 +146,7 @@
 
 #[derive(Clone, Hash)]
 pub(crate) struct Write {
-    pub(crate) ticket: u64,
+    pub(crate) write_id: u64,
     pub(crate) durable: Option<DurableState>,
     pub(crate) digest: Option<String>,
     pub(crate) then: Vec<Effect>,
@@ -163,12 +163,12 @@
 
 /// What a voter did since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Tally {
+pub struct Statistics {
     /// Rounds begun here.
-    pub rounds: u64,
+    pub rounds_started: u64,
     /// Of them, those that lost a race or their time.
-    pub lost: u64,
-    pub writes: u64,
+    pub rounds_lost: u64,
+    pub disk_writes: u64,
 }
 
 /// A disk written before the voters were part of the state: those it was founded with are the first.
@@ -178,7 +178,7 @@
             .accepted
             .voter_set
             .voters
-            .clone_from(&durable.roster);
+            .clone_from(&durable.initial_voters);
     }
 }
 
@@ -187,8 +187,8 @@
 #[derive(Clone, Hash)]
 pub struct Register {
     pub(crate) me: String,
-    pub(crate) roster_size: usize,
-    pub(crate) times: Times,
+    pub(crate) initial_voter_count: usize,
+    pub(crate) times: RegisterTiming,
     pub(crate) random: Random,
     pub(crate) incarnation: u64,
     pub(crate) peers: Vec<String>,
@@ -223,9 +223,9 @@
     /// Rounds lost since the last that was won.
     pub(crate) lost_in_a_row: u32,
     pub(crate) writes: VecDeque<Write>,
-    pub(crate) ticket: u64,
+    pub(crate) write_id: u64,
     inbox: VecDeque<Payload>,
-    pub(crate) tally: Tally,
+    pub(crate) statistics: Statistics,
     pub(crate) effects: Vec<Effect>,
 }
 
@@ -233,29 +233,29 @@
     /// A register as its disk left it.
     ///
     /// ```
-    /// use quorum_register::{Register, VoterPhase, Start, Times};
-    /// let register = Register::new(Start {
-    ///     me: "pm-1".into(), roster_size: 1, seed: 7, durable: Default::default(),
-    ///     configurations: Default::default(), times: Times::default(),
+    /// use quorum_register::{Register, VoterPhase, RegisterConfig, RegisterTiming};
+    /// let register = Register::new(RegisterConfig {
+    ///     me: "pm-1".into(), initial_voter_count: 1, seed: 7, durable: Default::default(),
+    ///     configurations: Default::default(), times: RegisterTiming::default(),
     /// });
     /// assert!(matches!(register.phase(), VoterPhase::Blank { .. }));
     /// ```
-    pub fn new(mut start: Start) -> Self {
+    pub fn new(mut start: RegisterConfig) -> Self {
         let mut random = Random::new(start.seed);
         name_voters(&mut start.durable);
         let incarnation = random.next_u64();
-        let phase = match (start.durable.disk, start.durable.endorsed.is_empty()) {
+        let phase = match (start.durable.disk, start.durable.bootstrap_vote.is_empty()) {
             (0, true) => VoterPhase::Blank {
-                unfounded: BTreeSet::new(),
+                unbootstrapped: BTreeSet::new(),
             },
             (0, false) => VoterPhase::Bootstrapping {
-                endorsed: BTreeSet::new(),
+                bootstrap_vote: BTreeSet::new(),
             },
             _ => VoterPhase::Active,
         };
         Register {
             me: start.me,
-            roster_size: start.roster_size,
+            initial_voter_count: start.initial_voter_count,
             times: start.times,
             random,
             incarnation,
@@ -285,9 +285,9 @@
             next_tell: Duration::ZERO,
             lost_in_a_row: 0,
             writes: VecDeque::new(),
-            ticket: 0,
+            write_id: 0,
             inbox: VecDeque::new(),
-            tally: Tally::default(),
+            statistics: Statistics::default(),
             effects: Vec::new(),
         }
     }
@@ -295,17 +295,17 @@
     /// The one reducer: takes an event in, gives effects out.
     ///
     /// ```
-    /// use quorum_register::{Effect, Event, Register, VoterPhase, Start, Times};
+    /// use quorum_register::{Effect, Event, Register, VoterPhase, RegisterConfig, RegisterTiming};
     /// use std::time::Duration;
     /// // A roster of one founds itself once its endorsement and its mark are synced.
-    /// let mut register = Register::new(Start {
-    ///     me: "pm-1".into(), roster_size: 1, seed: 7, durable: Default::default(),
-    ///     configurations: Default::default(), times: Times::default(),
+    /// let mut register = Register::new(RegisterConfig {
+    ///     me: "pm-1".into(), initial_voter_count: 1, seed: 7, durable: Default::default(),
+    ///     configurations: Default::default(), times: RegisterTiming::default(),
     /// });
     /// let mut effects = register.step(Duration::ZERO, Event::Peers(vec!["pm-1".into()]));
     /// for turn in 1..9 {
     ///     let kept = effects.drain(..).filter_map(|effect| match effect {
-    ///         Effect::Keep { ticket, .. } => Some(Event::Kept { ticket }),
+    ///         Effect::Persist { write_id, .. } => Some(Event::WriteCompleted { write_id }),
     ///         _ => None,
     ///     });
     ///     let events: Vec<Event> = kept.chain([Event::Tick]).collect();
@@ -324,16 +324,16 @@
                 peers.dedup();
                 self.peers = peers;
             }
-            Event::Ask {
-                token,
+            Event::Submit {
+                request_id,
                 change,
                 bytes,
-            } => self.ask(now, token, change, bytes),
+            } => self.ask(now, request_id, change, bytes),
             Event::Propose(change) => self.propose(now, change),
             Event::Confirm => self.confirm(now),
-            Event::Kept { ticket } => self.kept(ticket),
-            Event::DiskFailed => self.enter_phase(VoterPhase::Out),
-            Event::RaiseEpoch { epoch, token } => self.raise_epoch(epoch, token),
+            Event::WriteCompleted { write_id } => self.kept(write_id),
+            Event::DiskFailed => self.enter_phase(VoterPhase::Failed),
+            Event::PersistLeaseEpoch { epoch, request_id } => self.raise_epoch(epoch, request_id),
         }
         while let Some(body) = self.inbox.pop_front() {
             let me = self.me.clone();
@@ -419,23 +419,23 @@
 
     /// Syncs the decided state and only then lets `then` out.
     pub(crate) fn keep(&mut self, then: Vec<Effect>) {
-        self.ticket += 1;
-        self.tally.writes += 1;
-        let (ticket, durable) = (self.ticket, self.durable.clone());
+        self.write_id += 1;
+        self.statistics.disk_writes += 1;
+        let (write_id, durable) = (self.write_id, self.durable.clone());
         self.writes.push_back(Write {
-            ticket,
+            write_id,
             durable: Some(durable.clone()),
             digest: None,
             then,
         });
-        self.effects.push(Effect::Keep { ticket, durable });
+        self.effects.push(Effect::Persist { write_id, durable });
     }
 
-    fn kept(&mut self, ticket: u64) {
+    fn kept(&mut self, write_id: u64) {
         while self
             .writes
             .front()
-            .is_some_and(|write| write.ticket <= ticket)
+            .is_some_and(|write| write.write_id <= write_id)
         {
             let write = self.writes.pop_front().into_iter();
             write.for_each(|write| {
@@ -454,11 +454,11 @@
         self.delete_unreferenced_configurations();
     }
 
-    fn raise_epoch(&mut self, epoch: u64, token: u64) {
+    fn raise_epoch(&mut self, epoch: u64, request_id: u64) {
         let able = self.phase == VoterPhase::Active && self.disk_is_free();
         if able && epoch >= self.durable.lease_epoch {
             self.durable.lease_epoch = epoch;
-            self.keep(vec![Effect::EpochKept { token }]);
+            self.keep(vec![Effect::LeaseEpochPersisted { request_id }]);
         }
     }
 
@@ -490,7 +490,7 @@
             confirmed_at,
         };
         if changed {
-            self.effects.push(Effect::Adopted);
+            self.effects.push(Effect::StateChanged);
         }
         self.confirm_by_known(self.now);
     }
--- a/crates/quorum-register/tests/arbitrary.rs
+++ b/crates/quorum-register/tests/arbitrary.rs
@@ -22,7 +22,7 @@
                 cluster.act(noise)?;
             }
             // Whole again: everybody comes to a state that nothing accepted is missing from.
-            cluster.settle();
+            cluster.recover_from_survivors();
             let revisions: Vec<u64> = cluster
                 .nodes
                 .iter()
@@ -89,7 +89,7 @@
     (1..80u64).for_each(|number| {
         arbtest(|noise| {
             let mut cluster = Cluster::blank(NODES, number);
-            cluster.settle();
+            cluster.recover_from_survivors();
             cluster.present = NODES;
             while !noise.is_empty() {
                 match noise.int_in_range(0..=99u8)? {
@@ -99,7 +99,7 @@
                     _ => cluster.act(noise)?,
                 }
             }
-            cluster.settle();
+            cluster.recover_from_survivors();
             let there = cluster.nodes.iter().filter(|node| !node.removed);
             let states: Vec<_> = there.map(|node| node.register.state()).collect();
             let told = cluster.accepted;
@@ -133,7 +133,7 @@
 fn a_state_is_confirmed_over_slow_links() {
     const ONE_WAY: Duration = Duration::from_millis(350);
     let mut cluster = Cluster::blank(VOTERS, 1);
-    cluster.settle();
+    cluster.recover_from_survivors();
     let mut on_the_way = VecDeque::new();
     let until = cluster.now + Duration::from_secs(6);
     while cluster.now < until {
--- a/crates/quorum-register/tests/changes.rs
+++ b/crates/quorum-register/tests/changes.rs
@@ -1,7 +1,7 @@
 //! What operators are told of their orders: numbers that are taken, and orders that come again.
 
 use protocol::{ClusterState, DecidedChange};
-use quorum_register::{Change, Decision, OrderId, apply};
+use quorum_register::{Change, ChangeId, Decision, apply};
 use result_code::ResultCode;
 
 const TAKEN: Option<ResultCode> = Some(ResultCode::VersionConflict);
@@ -159,7 +159,7 @@
 
 fn evacuation_since(id: &str, since: Option<u64>) -> Change {
     Change::Evacuate {
-        id: OrderId {
+        id: ChangeId {
             id: id.into(),
             since,
         },
@@ -304,7 +304,7 @@
 
 fn anonymous_evacuation(locality: &str, back: bool, seen: u64) -> Change {
     Change::Evacuate {
-        id: OrderId::default(),
+        id: ChangeId::default(),
         locality: locality.into(),
         back,
         seen: Some(seen),
--- a/crates/quorum-register/tests/cluster/mod.rs
+++ b/crates/quorum-register/tests/cluster/mod.rs
@@ -3,7 +3,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use protocol::{DurableState, Payload, VoterSet};
-use quorum_register::{Change, Effect, Event, Register, Start, Times};
+use quorum_register::{Change, Effect, Event, Register, RegisterConfig, RegisterTiming};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -52,13 +52,13 @@
     configurations: BTreeMap<String, Vec<u8>>,
     now: Duration,
 ) -> Node {
-    let start = Start {
+    let start = RegisterConfig {
         me: name(at),
-        roster_size: VOTERS,
+        initial_voter_count: VOTERS,
         seed,
         durable: durable.clone(),
         configurations: configurations.clone(),
-        times: Times::default(),
+        times: RegisterTiming::default(),
     };
     let register = Register::new(start);
     Node {
@@ -111,19 +111,19 @@
                     .expect("a voter");
                 self.wire.push((at, to, body));
             }
-            Effect::Keep { ticket, durable } => {
+            Effect::Persist { write_id, durable } => {
                 self.nodes[at]
                     .writes
-                    .push_back((ticket, Some(durable), None))
+                    .push_back((write_id, Some(durable), None))
             }
             Effect::StoreConfiguration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             } => {
                 self.nodes[at]
                     .writes
-                    .push_back((ticket, None, Some((digest, bytes))));
+                    .push_back((write_id, None, Some((digest, bytes))));
             }
             Effect::DeleteConfiguration { digest } => {
                 self.nodes[at]
@@ -166,7 +166,7 @@
         if self.nodes[at].removed {
             return;
         }
-        let Some((ticket, durable, configuration)) = self.nodes[at].writes.pop_front() else {
+        let Some((write_id, durable, configuration)) = self.nodes[at].writes.pop_front() else {
             return;
         };
         let node = &mut self.nodes[at];
@@ -182,8 +182,8 @@
             "{} lost the bytes of its state",
             name(at)
         );
-        if ticket > 0 {
-            self.step(at, Event::Kept { ticket });
+        if write_id > 0 {
+            self.step(at, Event::WriteCompleted { write_id });
         }
     }
 
@@ -256,8 +256,8 @@
                 };
                 self.step(
                     at,
-                    Event::Ask {
-                        token: self.submitted,
+                    Event::Submit {
+                        request_id: self.submitted,
                         change,
                         bytes: Some(bytes),
                     },
@@ -309,7 +309,7 @@
     }
 
     /// Everything arrives and is synced for a while: so long that all come to one state.
-    pub fn settle(&mut self) {
+    pub fn recover_from_survivors(&mut self) {
         self.calm(400);
     }
 
--- a/crates/quorum-register/tests/deltas.rs
+++ b/crates/quorum-register/tests/deltas.rs
@@ -106,8 +106,8 @@
     };
     cluster.step(
         number % VOTERS,
-        Event::Ask {
-            token: number as u64,
+        Event::Submit {
+            request_id: number as u64,
             change,
             bytes: None,
         },
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -48,7 +48,7 @@
         lease_epoch: number as u64,
         promised,
         accepted,
-        roster: padding,
+        initial_voters: padding,
         ..Default::default()
     }
 }
--- a/crates/storage/tests/failures.rs
+++ b/crates/storage/tests/failures.rs
@@ -18,11 +18,11 @@
 }
 
 fn state(number: u64) -> DurableState {
-    let roster = (0..number * 40).map(|at| format!("voter-{at}")).collect();
+    let initial_voters = (0..number * 40).map(|at| format!("voter-{at}")).collect();
     DurableState {
         disk: 1,
         lease_epoch: number,
-        roster,
+        initial_voters,
         ..Default::default()
     }
 }
--- a/crates/test-harness/src/changes.rs
+++ b/crates/test-harness/src/changes.rs
@@ -3,7 +3,7 @@
 
 use crate::hollow::Size;
 use protocol::{Envelope, Message, Payload};
-use quorum_register::{Change, Effect, Event, OrderId, Register, Start, Times};
+use quorum_register::{Change, ChangeId, Effect, Event, Register, RegisterConfig, RegisterTiming};
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -147,13 +147,13 @@
 }
 
 fn register(name: &str, trial: &Trial, seed: u64, contents: &Contents) -> Register {
-    Register::new(Start {
+    Register::new(RegisterConfig {
         me: name.to_owned(),
-        roster_size: trial.nodes,
+        initial_voter_count: trial.nodes,
         seed,
         durable: contents.durable.clone(),
         configurations: contents.configurations.clone(),
-        times: Times::default(),
+        times: RegisterTiming::default(),
     })
 }
 
@@ -256,17 +256,19 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, body } => self.send(at, &to, body),
-                Effect::Keep { ticket, durable } => self.write(at, Write::State(ticket, durable)),
+                Effect::Persist { write_id, durable } => {
+                    self.write(at, Write::State(write_id, durable))
+                }
                 Effect::StoreConfiguration {
-                    ticket,
+                    write_id,
                     digest,
                     bytes,
-                } => self.write(at, Write::Configuration(ticket, digest, bytes)),
+                } => self.write(at, Write::Configuration(write_id, digest, bytes)),
                 Effect::DeleteConfiguration { digest } => self.write(at, Write::Drop(digest)),
                 Effect::Decided { decision, .. } => {
                     self.accepted += usize::from(decision.code == result_code::ResultCode::Success);
                 }
-                Effect::Adopted | Effect::EpochKept { .. } => {}
+                Effect::StateChanged | Effect::LeaseEpochPersisted { .. } => {}
             }
         }
     }
@@ -309,13 +311,13 @@
         let Some(write) = node.writes.pop_front() else {
             return;
         };
-        let ticket = node.disk.apply(write);
+        let write_id = node.disk.apply(write);
         if !node.writes.is_empty() {
             self.at(self.now + SYNC, at, What::Disk);
         }
-        ticket
+        write_id
             .into_iter()
-            .for_each(|ticket| self.step(at, Event::Kept { ticket }));
+            .for_each(|write_id| self.step(at, Event::WriteCompleted { write_id }));
     }
 
     fn bytes_of_change(&self) -> Vec<u8> {
@@ -341,7 +343,7 @@
                 .collect();
             let node = up[1 % up.len()];
             let since = Some(self.nodes[node].register.state().decided);
-            let id = OrderId {
+            let id = ChangeId {
                 id: format!("change-{:012}", self.asked),
                 since,
             };
@@ -353,8 +355,8 @@
             };
             self.step(
                 node,
-                Event::Ask {
-                    token: self.asked as u64,
+                Event::Submit {
+                    request_id: self.asked as u64,
                     change,
                     bytes: Some(bytes),
                 },
@@ -421,7 +423,7 @@
             let node = &self.nodes[last];
             let there = node.register.state().revision >= wanted
                 && node.register.is_confirmed_since(begun_at)
-                && !node.register.lacks_accepted_configuration()
+                && !node.register.is_missing_accepted_configuration()
                 && node.register.configuration().is_some();
             took = there.then(|| self.now - begun_at);
         }
@@ -485,27 +487,27 @@
 impl Disk {
     fn apply(&mut self, write: Write) -> Option<u64> {
         match (self, write) {
-            (Disk::Memory(contents), Write::State(ticket, durable)) => {
+            (Disk::Memory(contents), Write::State(write_id, durable)) => {
                 contents.durable = durable;
-                Some(ticket)
+                Some(write_id)
             }
-            (Disk::Memory(contents), Write::Configuration(ticket, digest, bytes)) => {
+            (Disk::Memory(contents), Write::Configuration(write_id, digest, bytes)) => {
                 contents.configurations.insert(digest, bytes);
-                Some(ticket)
+                Some(write_id)
             }
             (Disk::Memory(contents), Write::Drop(digest)) => {
                 contents.configurations.remove(&digest);
                 None
             }
-            (Disk::Real(storage), Write::State(ticket, durable)) => {
+            (Disk::Real(storage), Write::State(write_id, durable)) => {
                 storage.keep(&durable).expect("the disk works");
-                Some(ticket)
+                Some(write_id)
             }
-            (Disk::Real(storage), Write::Configuration(ticket, digest, bytes)) => {
+            (Disk::Real(storage), Write::Configuration(write_id, digest, bytes)) => {
                 storage
                     .store_configuration(&digest, &bytes)
                     .expect("the disk works");
-                Some(ticket)
+                Some(write_id)
             }
             (Disk::Real(storage), Write::Drop(digest)) => {
                 storage
--- a/crates/test-harness/src/hollow/calls.rs
+++ b/crates/test-harness/src/hollow/calls.rs
@@ -71,19 +71,19 @@
         let Some(at) = at.or_else(|| self.some_control_node()) else {
             return;
         };
-        let token = self.token();
+        let request_id = self.request_id();
         self.calls.asked += 1;
-        self.calls.asked_at.insert(token, self.now);
+        self.calls.asked_at.insert(request_id, self.now);
         self.step_control(
             at,
             kind,
-            control_plane::Event::ControlRequest { token, ask },
+            control_plane::Event::ControlRequest { request_id, ask },
         );
     }
 
     /// True where the answer was one to such a call.
-    pub(super) fn answer_call(&mut self, token: u64, answer: &ControlResponse) -> bool {
-        let Some(asked_at) = self.calls.asked_at.remove(&token) else {
+    pub(super) fn answer_call(&mut self, request_id: u64, answer: &ControlResponse) -> bool {
+        let Some(asked_at) = self.calls.asked_at.remove(&request_id) else {
             return false;
         };
         match answer {
--- a/crates/test-harness/src/hollow/fleet.rs
+++ b/crates/test-harness/src/hollow/fleet.rs
@@ -174,7 +174,7 @@
         let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap_or_default();
         let seed = self.random.next_u64();
         let without_vote = self.nodes[at].role == Role::Replica;
-        let roster_size = self.size.postmasters;
+        let initial_voter_count = self.size.postmasters;
         let node = &mut self.nodes[at];
         node.life += 1;
         node.started_at = self.now;
@@ -203,7 +203,7 @@
             Core::ControlNode(Box::new(ControlNode::new(control_plane::Start {
                 me,
                 seeds,
-                roster_size,
+                initial_voter_count,
                 seed,
                 reader: Default::default(),
                 owners: Default::default(),
@@ -341,9 +341,9 @@
             Happening::Synced {
                 node,
                 life,
-                ticket,
+                write_id,
                 write,
-            } => self.synced(node, life, ticket, write),
+            } => self.synced(node, life, write_id, write),
             Happening::Beat { unit, life } => self.beat(unit, life),
             Happening::BeatComes {
                 node,
--- a/crates/test-harness/src/hollow/queue.rs
+++ b/crates/test-harness/src/hollow/queue.rs
@@ -26,7 +26,7 @@
     Synced {
         node: usize,
         life: u64,
-        ticket: u64,
+        write_id: u64,
         write: Write,
     },
     Beat {
--- a/crates/test-harness/src/hollow/sights.rs
+++ b/crates/test-harness/src/hollow/sights.rs
@@ -38,8 +38,8 @@
         let Some(at) = self.some_control_node() else {
             return;
         };
-        let token = self.token();
-        self.submitted.insert(token, (asked, bytes.clone()));
+        let request_id = self.request_id();
+        self.submitted.insert(request_id, (asked, bytes.clone()));
         let ask = ControlRequest::Submit {
             id: format!("setup-{asked}").into(),
             base: None,
@@ -53,13 +53,13 @@
         self.step_control(
             at,
             "submit",
-            control_plane::Event::ControlRequest { token, ask },
+            control_plane::Event::ControlRequest { request_id, ask },
         );
     }
 
-    pub(super) fn answered(&mut self, at: usize, token: u64, answer: ControlResponse) {
-        if !self.answer_beat(at, token, &answer) && !self.answer_call(token, &answer) {
-            let asked = self.submitted.remove(&token);
+    pub(super) fn answered(&mut self, at: usize, request_id: u64, answer: ControlResponse) {
+        if !self.answer_beat(at, request_id, &answer) && !self.answer_call(request_id, &answer) {
+            let asked = self.submitted.remove(&request_id);
             asked.into_iter().for_each(|(asked, _)| {
                 self.queue.push(
                     self.now,
--- a/crates/test-harness/src/hollow/steps.rs
+++ b/crates/test-harness/src/hollow/steps.rs
@@ -84,31 +84,35 @@
             control_plane::Effect::Datagram { address, body } => {
                 self.send(at, &address, body, false)
             }
-            control_plane::Effect::Keep { ticket, durable } => {
-                self.keep(at, ticket, Write::State(durable))
+            control_plane::Effect::Persist { write_id, durable } => {
+                self.keep(at, write_id, Write::State(durable))
             }
             control_plane::Effect::StoreConfiguration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             } => {
-                self.keep(at, ticket, Write::Configuration(digest, bytes));
+                self.keep(at, write_id, Write::Configuration(digest, bytes));
             }
-            control_plane::Effect::KeepDepartures { ticket, .. } => {
-                self.step_control(at, "kept", control_plane::Event::DeparturesKept { ticket });
+            control_plane::Effect::KeepDepartures { write_id, .. } => {
+                self.step_control(
+                    at,
+                    "kept",
+                    control_plane::Event::DeparturesKept { write_id },
+                );
             }
             control_plane::Effect::DeleteConfiguration { digest } => {
                 drop(self.nodes[at].configurations.remove(&digest))
             }
-            control_plane::Effect::ControlResponse { token, answer } => {
-                self.answered(at, token, answer)
+            control_plane::Effect::ControlResponse { request_id, answer } => {
+                self.answered(at, request_id, answer)
             }
             control_plane::Effect::Addresses(book) => self.look_up(at, &book),
             control_plane::Effect::Log(_) | control_plane::Effect::LogError(_) => {}
         });
     }
 
-    fn keep(&mut self, at: usize, ticket: u64, write: Write) {
+    fn keep(&mut self, at: usize, write_id: u64, write: Write) {
         let node = &mut self.nodes[at];
         node.synced_at = node.synced_at.max(self.now) + SYNC;
         let life = node.life;
@@ -117,13 +121,13 @@
             Happening::Synced {
                 node: at,
                 life,
-                ticket,
+                write_id,
                 write,
             },
         );
     }
 
-    pub(super) fn synced(&mut self, at: usize, life: u64, ticket: u64, write: Write) {
+    pub(super) fn synced(&mut self, at: usize, life: u64, write_id: u64, write: Write) {
         let node = &mut self.nodes[at];
         if node.life != life {
             return;
@@ -132,7 +136,11 @@
             Write::State(durable) => node.durable = durable,
             Write::Configuration(digest, bytes) => drop(node.configurations.insert(digest, bytes)),
         }
-        self.step_control(at, "synced", control_plane::Event::Kept { ticket });
+        self.step_control(
+            at,
+            "synced",
+            control_plane::Event::WriteCompleted { write_id },
+        );
     }
 
     /// Sends a message over a link, or as a datagram.
@@ -218,7 +226,7 @@
         up.get(self.random.below(up.len() as u64) as usize).copied()
     }
 
-    pub(super) fn token(&mut self) -> u64 {
+    pub(super) fn request_id(&mut self) -> u64 {
         self.tokens += 1;
         self.tokens
     }
--- a/crates/test-harness/src/hollow/units.rs
+++ b/crates/test-harness/src/hollow/units.rs
@@ -102,13 +102,13 @@
     }
 
     pub(super) fn beat_comes(&mut self, node: usize, unit: usize, life: u64, told: Upstream) {
-        let token = self.token();
-        self.beats.insert(token, (unit, life, told.beat));
+        let request_id = self.request_id();
+        self.beats.insert(request_id, (unit, life, told.beat));
         self.step_control(
             node,
             "beat",
             control_plane::Event::ControlRequest {
-                token,
+                request_id,
                 ask: ControlRequest::Beat(told),
             },
         );
@@ -118,10 +118,10 @@
     pub(super) fn answer_beat(
         &mut self,
         node: usize,
-        token: u64,
+        request_id: u64,
         answer: &ControlResponse,
     ) -> bool {
-        let Some((unit, life, beat)) = self.beats.remove(&token) else {
+        let Some((unit, life, beat)) = self.beats.remove(&request_id) else {
             return false;
         };
         let ControlResponse::Beat {
--- a/crates/test-harness/src/sim/breaking.rs
+++ b/crates/test-harness/src/sim/breaking.rs
@@ -486,7 +486,7 @@
         // A founding that was interrupted is no loss.
         if lost
             .iter()
-            .any(|at| !self.nodes[*at].disk.durable.endorsed.is_empty())
+            .any(|at| !self.nodes[*at].disk.durable.bootstrap_vote.is_empty())
         {
             return;
         }
@@ -505,7 +505,7 @@
         };
         let survivors: Vec<SurvivorState> = survivors.iter().map(survivor).collect();
         let lost: Vec<String> = lost.iter().map(|at| self.nodes[*at].name.clone()).collect();
-        quorum_register::settle(&survivors, &lost)
+        quorum_register::recover_from_survivors(&survivors, &lost)
             .into_iter()
             .for_each(|inheritance| {
                 self.note(Fact::Rescued);
--- a/crates/test-harness/src/sim/cuts.rs
+++ b/crates/test-harness/src/sim/cuts.rs
@@ -187,8 +187,8 @@
     }
 
     /// Notes what a node vouches for while it is cut off from all others.
-    pub(super) fn note_vouched(&mut self, at: usize, token: u64, answer: &ControlResponse) {
-        let Some((asked_at, what)) = self.asked.remove(&token) else {
+    pub(super) fn note_vouched(&mut self, at: usize, request_id: u64, answer: &ControlResponse) {
+        let Some((asked_at, what)) = self.asked.remove(&request_id) else {
             return;
         };
         let vouches = match answer {
@@ -214,7 +214,7 @@
     }
 
     /// Notes when a question came to a node that is cut off from all others.
-    pub(super) fn note_asked(&mut self, at: usize, token: u64, ask: &ControlRequest) {
+    pub(super) fn note_asked(&mut self, at: usize, request_id: u64, ask: &ControlRequest) {
         let what = match ask {
             ControlRequest::Submit { .. } | ControlRequest::Evacuate { .. } => Vouched::Order,
             ControlRequest::Beat(upstream) if upstream.condition == upstream_registry::READY => {
@@ -228,7 +228,7 @@
             _ => Vouched::Reading,
         };
         if self.isolated.contains(&at) {
-            self.asked.insert(token, (self.now, what));
+            self.asked.insert(request_id, (self.now, what));
         }
     }
 }
--- a/crates/test-harness/src/sim/disks.rs
+++ b/crates/test-harness/src/sim/disks.rs
@@ -16,14 +16,14 @@
 
 impl World {
     /// Departures are written beside all that waits for a sync.
-    pub(super) fn keep_departures(&mut self, at: usize, ticket: u64, departures: Vec<Departure>) {
+    pub(super) fn keep_departures(&mut self, at: usize, write_id: u64, departures: Vec<Departure>) {
         let life = self.nodes[at].life;
         self.after(
             UNSYNCED,
             Action::Departures {
                 node: at,
                 life,
-                ticket,
+                write_id,
                 departures,
             },
         );
@@ -33,7 +33,7 @@
         &mut self,
         at: usize,
         life: u64,
-        ticket: u64,
+        write_id: u64,
         departures: Vec<Departure>,
     ) {
         let now = self.now;
@@ -47,13 +47,13 @@
                 Action::Departures {
                     node: at,
                     life,
-                    ticket,
+                    write_id,
                     departures,
                 },
             );
         }
         node.disk.departures = Some((now, departures));
-        self.tell_disk(at, Event::DeparturesKept { ticket });
+        self.tell_disk(at, Event::DeparturesKept { write_id });
     }
 
     /// What a control node that starts now finds of departures.
--- a/crates/test-harness/src/sim/nodes.rs
+++ b/crates/test-harness/src/sim/nodes.rs
@@ -39,7 +39,7 @@
         body: Payload,
     },
     ControlRequest {
-        token: u64,
+        request_id: u64,
         ask: ControlRequest,
     },
     Lookup {
@@ -103,18 +103,18 @@
     /// Carries out one write; gives the ticket that it is confirmed by.
     fn apply(&mut self, write: Write) -> Option<u64> {
         match write {
-            Write::State(ticket, durable) => {
+            Write::State(write_id, durable) => {
                 if self.early.disk == 0 {
                     self.early = durable.clone();
                 }
                 self.durable = durable;
-                Some(ticket)
+                Some(write_id)
             }
-            Write::Configuration(ticket, digest, bytes) => {
+            Write::Configuration(write_id, digest, bytes) => {
                 if !self.drops_newest || self.configurations.len() < MAX_KEPT_BLINDLY {
                     self.configurations.insert(digest, bytes);
                 }
-                Some(ticket)
+                Some(write_id)
             }
             Write::Drop(digest) => {
                 self.configurations
@@ -295,7 +295,7 @@
             .collect();
         let seeds = self.seeds.clone().unwrap_or(seeds);
         let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap_or_default();
-        let roster_size = self.shape.disks;
+        let initial_voter_count = self.shape.disks;
         let reader = if self.weak.unnumbered {
             ConfigurationReader(read_unnumbered)
         } else {
@@ -344,7 +344,7 @@
             let start = control_plane::Start {
                 me,
                 seeds,
-                roster_size,
+                initial_voter_count,
                 seed,
                 reader,
                 owners: Default::default(),
@@ -468,8 +468,8 @@
 
     /// Steps a core with an event, or with a tick, and carries out its effects.
     fn step_node(&mut self, at: usize, event: Option<NodeEvent>) {
-        if let Some(NodeEvent::ControlRequest { token, ask }) = &event {
-            self.note_asked(at, *token, ask);
+        if let Some(NodeEvent::ControlRequest { request_id, ask }) = &event {
+            self.note_asked(at, *request_id, ask);
         }
         let now = self.now;
         let node = &mut self.nodes[at];
@@ -483,8 +483,8 @@
                     Some(NodeEvent::Datagram { address, body }) => {
                         Event::Datagram { address, body }
                     }
-                    Some(NodeEvent::ControlRequest { token, ask }) => {
-                        Event::ControlRequest { token, ask }
+                    Some(NodeEvent::ControlRequest { request_id, ask }) => {
+                        Event::ControlRequest { request_id, ask }
                     }
                     Some(_) => return,
                 };
@@ -545,24 +545,25 @@
         effects.into_iter().for_each(|effect| match effect {
             control_plane::Effect::Send { to, body } => self.send(at, &to, body),
             control_plane::Effect::Datagram { address, body } => self.datagram(at, &address, body),
-            control_plane::Effect::Keep { ticket, durable } => {
-                self.write(at, Write::State(ticket, durable))
+            control_plane::Effect::Persist { write_id, durable } => {
+                self.write(at, Write::State(write_id, durable))
             }
             control_plane::Effect::StoreConfiguration {
-                ticket,
+                write_id,
                 digest,
                 bytes,
             } => {
-                self.write(at, Write::Configuration(ticket, digest, bytes));
-            }
-            control_plane::Effect::KeepDepartures { ticket, departures } => {
-                self.keep_departures(at, ticket, departures)
+                self.write(at, Write::Configuration(write_id, digest, bytes));
             }
+            control_plane::Effect::KeepDepartures {
+                write_id,
+                departures,
+            } => self.keep_departures(at, write_id, departures),
             control_plane::Effect::DeleteConfiguration { digest } => {
                 self.write(at, Write::Drop(digest))
             }
-            control_plane::Effect::ControlResponse { token, answer } => {
-                self.control_answered(at, token, answer)
+            control_plane::Effect::ControlResponse { request_id, answer } => {
+                self.control_answered(at, request_id, answer)
             }
             control_plane::Effect::Addresses(_)
             | control_plane::Effect::Log(_)
@@ -611,7 +612,7 @@
         } else {
             node.disk
                 .apply(write)
-                .map(|ticket| control_plane::Event::Kept { ticket })
+                .map(|write_id| control_plane::Event::WriteCompleted { write_id })
         };
         if powerless.is_some() {
             return self.kill(at);
@@ -800,19 +801,19 @@
             NodeEvent::Request { request, .. } => {
                 self.reply_to(&request, Err(transport::CallError::NotConnected));
             }
-            NodeEvent::ControlRequest { token, .. } => {
+            NodeEvent::ControlRequest { request_id, .. } => {
                 let answer = ControlResponse::Verdict {
                     code: result_code::ResultCode::NoControlNode,
                     revision: 0,
                 };
-                self.asked(token, answer);
+                self.asked(request_id, answer);
             }
             _ => {}
         }
     }
 
-    fn control_answered(&mut self, at: usize, token: u64, answer: ControlResponse) {
-        self.note_vouched(at, token, &answer);
+    fn control_answered(&mut self, at: usize, request_id: u64, answer: ControlResponse) {
+        self.note_vouched(at, request_id, &answer);
         if matches!(
             answer,
             ControlResponse::Verdict {
@@ -822,6 +823,6 @@
         ) {
             self.spring_restart();
         }
-        self.asked(token, answer);
+        self.asked(request_id, answer);
     }
 }
