--- a/crates/test-harness/src/sim/operators.rs
+++ b/crates/test-harness/src/sim/operators.rs
@@ -8,7 +8,7 @@
 use crate::history::{Order, Reply};
 use crate::shapes::MARKS;
 use control_plane::{ControlRequest, ControlResponse};
-use quorum_register::OrderId;
+use quorum_register::ChangeId;
 use result_code::ResultCode;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -41,12 +41,12 @@
     }
 
     fn ask(&self) -> ControlRequest {
-        let id = OrderId {
+        let id = ChangeId {
             id: self.id.clone(),
             since: Some(self.since),
         };
         let id = if self.anonymous {
-            OrderId::default()
+            ChangeId::default()
         } else {
             id
         };
@@ -295,21 +295,21 @@
     }
 
     fn send_order_to(&mut self, at: usize, node: usize) {
-        let token = self.id();
-        self.operators.tokens.insert(token, (at, node));
+        let request_id = self.id();
+        self.operators.tokens.insert(request_id, (at, node));
         let mut ask = self.operators.submissions[at].ask();
         if let (true, ControlRequest::Submit { id, .. } | ControlRequest::Evacuate { id, .. }) =
             (self.weak.redoes_orders, &mut ask)
             && !id.id.is_empty()
         {
-            id.id = format!("{}-{token}", id.id);
+            id.id = format!("{}-{request_id}", id.id);
         }
         let takes = self.order_takes(at);
         self.after(
             takes,
             Action::Deliver {
                 node,
-                event: NodeEvent::ControlRequest { token, ask },
+                event: NodeEvent::ControlRequest { request_id, ask },
             },
         );
     }
@@ -320,11 +320,11 @@
     }
 
     /// An answer of a postmaster, by token.
-    pub(super) fn asked(&mut self, token: u64, answer: ControlResponse) {
-        if let Some(beat) = self.operators.beats.remove(&token) {
+    pub(super) fn asked(&mut self, request_id: u64, answer: ControlResponse) {
+        if let Some(beat) = self.operators.beats.remove(&request_id) {
             return self.beat_answered(beat, answer);
         }
-        if let Some((node, asked_at)) = self.operators.read_backs.remove(&token) {
+        if let Some((node, asked_at)) = self.operators.read_backs.remove(&request_id) {
             let read = match answer {
                 ControlResponse::Configuration { revision, bytes } => {
                     Some((revision, protocol::digest(&bytes)))
@@ -347,7 +347,7 @@
             });
             return;
         }
-        let submission = self.operators.tokens.remove(&token);
+        let submission = self.operators.tokens.remove(&request_id);
         let answer = match answer {
             ControlResponse::Verdict {
                 code: ResultCode::VersionConflict,
@@ -488,10 +488,12 @@
             if self.weak.reads_alone {
                 return self.read_alone(node);
             }
-            let token = self.id();
-            self.operators.read_backs.insert(token, (node, self.now));
+            let request_id = self.id();
+            self.operators
+                .read_backs
+                .insert(request_id, (node, self.now));
             let event = NodeEvent::ControlRequest {
-                token,
+                request_id,
                 ask: ControlRequest::ReadConfiguration,
             };
             self.after(Duration::from_millis(8), Action::Deliver { node, event });
--- a/crates/test-harness/src/sim/units.rs
+++ b/crates/test-harness/src/sim/units.rs
@@ -207,12 +207,12 @@
             .net
             .delay(&mut self.random, &place, &self.nodes[node].place);
         delay.into_iter().for_each(|delay| {
-            let token = self.id();
+            let request_id = self.id();
             self.operators
                 .beats
-                .insert(token, (at, life, beat, now, node));
+                .insert(request_id, (at, life, beat, now, node));
             let event = NodeEvent::ControlRequest {
-                token,
+                request_id,
                 ask: self.beat_or_sign_off(at, told.clone()),
             };
             self.after(delay, Action::Deliver { node, event });
--- a/crates/test-harness/src/sim/world.rs
+++ b/crates/test-harness/src/sim/world.rs
@@ -47,7 +47,7 @@
     Departures {
         node: usize,
         life: u64,
-        ticket: u64,
+        write_id: u64,
         departures: Vec<Departure>,
     },
     Beat {
@@ -510,9 +510,9 @@
             Action::Departures {
                 node,
                 life,
-                ticket,
+                write_id,
                 departures,
-            } => self.departures_kept(node, life, ticket, departures),
+            } => self.departures_kept(node, life, write_id, departures),
             Action::Beat { unit, life } => self.beat(unit, life),
             Action::BeatAgain { unit, life, beat } => self.beat_again(unit, life, beat),
             Action::BeatAnswer {
