--- a/crates/control-plane/src/api_adapter.rs
+++ b/crates/control-plane/src/api_adapter.rs
@@ -21,9 +21,9 @@
 /// How questions are read and answers written.
 pub struct ApiAdapter {
     /// What is asked.
-    pub ask: Box<Asking>,
+    pub read_request: Box<Asking>,
     /// An answer as it is written.
-    pub show: Box<dyn Fn(ControlResponse) -> Response<Full<Bytes>> + Send + Sync>,
+    pub write_response: Box<dyn Fn(ControlResponse) -> Response<Full<Bytes>> + Send + Sync>,
     /// How configurations are read.
     pub reader: ConfigurationReader,
 }
@@ -32,24 +32,26 @@
     /// The product's own interface, as docs/interface.md has it.
     ///
     /// ```
-    /// let answer = control_plane::ControlResponse::Verdict { code: result_code::ResultCode::Success, revision: 3 };
-    /// assert_eq!((control_plane::ApiAdapter::own().show)(answer).status(), 200);
+    /// let response = control_plane::ControlResponse::Outcome { code: result_code::ResultCode::Success, revision: 3 };
+    /// assert_eq!((control_plane::ApiAdapter::own().write_response)(response).status(), 200);
     /// ```
     pub fn own() -> ApiAdapter {
         ApiAdapter {
-            ask: Box::new(read_ask),
-            show: Box::new(show),
+            read_request: Box::new(read_request),
+            write_response: Box::new(write_response),
             reader: ConfigurationReader::default(),
         }
     }
 }
 
-fn read_ask(enquiry: &HttpRequest) -> Result<ControlRequest, (ResultCode, Vec<ValidationError>)> {
+fn read_request(
+    request: &HttpRequest,
+) -> Result<ControlRequest, (ResultCode, Vec<ValidationError>)> {
     let mut validation_errors = Vec::new();
-    let id = read_order_id(enquiry, &mut validation_errors);
-    let in_force = enquiry.query("wait") == "force";
+    let id = read_order_id(request, &mut validation_errors);
+    let in_force = request.query("wait") == "force";
     let needs_id = matches!(
-        (enquiry.method.as_str(), enquiry.path.as_str()),
+        (request.method.as_str(), request.path.as_str()),
         ("PUT", "/setup") | ("POST", "/evacuations")
     );
     if needs_id && !locality::is_valid_id(&id.id) {
@@ -59,9 +61,9 @@
             "a submission needs an id of 1 to 64 of a-z A-Z 0-9 - _ .",
         );
     }
-    let ask = match (enquiry.method.as_str(), enquiry.path.as_str()) {
+    let request = match (request.method.as_str(), request.path.as_str()) {
         ("PUT", "/setup") => {
-            let base = Some(enquiry.query("base"))
+            let base = Some(request.query("base"))
                 .filter(|base| !base.is_empty())
                 .map(str::parse::<u64>);
             if matches!(base, Some(Err(_))) {
@@ -71,19 +73,19 @@
                     "must be the edition that the setup was made from",
                 );
             }
-            ControlRequest::Submit {
+            ControlRequest::SubmitConfiguration {
                 id,
                 base: base.and_then(Result::ok),
-                bytes: enquiry.body.to_vec(),
+                bytes: request.body.to_vec(),
                 in_force,
             }
         }
         ("POST", "/evacuations") => {
-            let locality = enquiry.query("locality").to_owned();
+            let locality = request.query("locality").to_owned();
             if let Err(text) = locality.parse::<locality::Locality>() {
                 add_validation_error(&mut validation_errors, "locality", text);
             }
-            let back = enquiry.query("back") == "true";
+            let back = request.query("back") == "true";
             ControlRequest::Evacuate {
                 id,
                 locality,
@@ -93,7 +95,7 @@
         }
         ("POST", "/voters") => {
             let named =
-                |name: &str| Some(enquiry.query(name).to_owned()).filter(|node| !node.is_empty());
+                |name: &str| Some(request.query(name).to_owned()).filter(|node| !node.is_empty());
             let (add, remove) = (named("add"), named("remove"));
             let wrong = [&add, &remove]
                 .into_iter()
@@ -114,20 +116,20 @@
         ("GET", "/reservations") => ControlRequest::Reservations,
         ("GET", "/marks") => ControlRequest::Tombstones,
         ("POST", "/beats") => {
-            ControlRequest::Beat(read_beat(&enquiry.body, &mut validation_errors))
+            ControlRequest::Heartbeat(read_beat(&request.body, &mut validation_errors))
         }
         _ => return Err((ResultCode::NoSuchEndpoint, Vec::new())),
     };
     if validation_errors.is_empty() {
-        Ok(ask)
+        Ok(request)
     } else {
         Err((ResultCode::Malformed, validation_errors))
     }
 }
 
 /// The id of an order, and how many orders were decided before it was first sent.
-fn read_order_id(enquiry: &HttpRequest, validation_errors: &mut Vec<ValidationError>) -> ChangeId {
-    let since = Some(enquiry.query("since"))
+fn read_order_id(request: &HttpRequest, validation_errors: &mut Vec<ValidationError>) -> ChangeId {
+    let since = Some(request.query("since"))
         .filter(|since| !since.is_empty())
         .map(str::parse::<u64>);
     if matches!(since, Some(Err(_))) {
@@ -138,7 +140,7 @@
         );
     }
     ChangeId {
-        id: enquiry.query("id").to_owned(),
+        id: request.query("id").to_owned(),
         since: since.and_then(Result::ok),
     }
 }
@@ -228,22 +230,22 @@
     }
 }
 
-fn show(answer: ControlResponse) -> Response<Full<Bytes>> {
-    match answer {
+fn write_response(response: ControlResponse) -> Response<Full<Bytes>> {
+    match response {
         ControlResponse::Redirect { to } => transport::redirect(&to),
-        ControlResponse::JsonValue(json) => transport::json_response(ResultCode::Success, &json),
-        ControlResponse::Beat {
+        ControlResponse::Json(json) => transport::json_response(ResultCode::Success, &json),
+        ControlResponse::Heartbeat {
             holder,
             shares,
             span,
-        } => transport::json_response(ResultCode::Success, &beat_sheet(holder, shares, span)),
+        } => transport::json_response(ResultCode::Success, &heartbeat_json(holder, shares, span)),
         ControlResponse::Configuration { revision, bytes } => {
             let mut response =
                 transport::body_response(ResultCode::Success, "application/json", bytes.into());
             response.headers_mut().insert("x-edition", revision.into());
             response
         }
-        ControlResponse::Verdict { code, revision } => {
+        ControlResponse::Outcome { code, revision } => {
             let json = JsonValue::fields([
                 ("code", u64::from(code.number()).into()),
                 ("text", code.text().into()),
@@ -255,7 +257,7 @@
             }
             response
         }
-        ControlResponse::Denied {
+        ControlResponse::Rejected {
             code,
             validation_errors,
         } => {
@@ -278,10 +280,10 @@
 /// The answer to a beat in the product's own way.
 ///
 /// ```
-/// let json = control_plane::beat_sheet(3, None, std::time::Duration::ZERO);
+/// let json = control_plane::heartbeat_json(3, None, std::time::Duration::ZERO);
 /// assert_eq!(json.to_string(), r#"{"code":1000,"holder":3}"#);
 /// ```
-pub fn beat_sheet(holder: u64, shares: Option<Vec<KeyShare>>, span: Duration) -> JsonValue {
+pub fn heartbeat_json(holder: u64, shares: Option<Vec<KeyShare>>, span: Duration) -> JsonValue {
     let mut fields = vec![
         ("code", u64::from(ResultCode::Success.number()).into()),
         ("holder", holder.into()),
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -38,18 +38,18 @@
     }
 
     /// True where the answer would vouch for something, so that it needs contact with a majority.
-    pub(crate) fn needs_contact(ask: &ControlRequest) -> bool {
-        !matches!(ask, ControlRequest::Status)
+    pub(crate) fn needs_contact(request: &ControlRequest) -> bool {
+        !matches!(request, ControlRequest::Status)
     }
 
     /// The answer of a node that may not vouch for anything: nothing was done, and another node may be asked.
     pub(crate) fn refuse(&mut self, now: Duration, request_id: u64, code: ResultCode) {
         let revision = self.register.state().revision;
-        let answer = match self.address_in_contact(now) {
+        let response = match self.address_in_contact(now) {
             Some(to) => ControlResponse::Redirect { to },
-            None => ControlResponse::Verdict { code, revision },
+            None => ControlResponse::Outcome { code, revision },
         };
-        self.answer(request_id, answer);
+        self.respond(request_id, response);
     }
 
     /// Notes that a voter answered a question of this node.
@@ -121,12 +121,14 @@
         self.waiting_force
             .retain(|wait| !waiting.contains(&wait.request_id));
         waiting.into_iter().for_each(|request_id| {
-            let answer = ControlResponse::Verdict {
+            let response = ControlResponse::Outcome {
                 code: ResultCode::ChangeOutcomeUnknown,
                 revision,
             };
-            self.effects
-                .push_back(Effect::ControlResponse { request_id, answer });
+            self.effects.push_back(Effect::Respond {
+                request_id,
+                response,
+            });
         });
     }
 }
--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -119,7 +119,7 @@
         self.departures.being_kept = std::mem::take(&mut self.departures.to_keep);
         self.departures.write_id += 1;
         let (write_id, departures) = (self.departures.write_id, self.recent_departures(now));
-        self.effects.push_back(Effect::KeepDepartures {
+        self.effects.push_back(Effect::PersistDepartures {
             write_id,
             departures,
         });
@@ -319,16 +319,16 @@
         &mut self,
         now: Duration,
         from: String,
-        answer: DeparturesReadBack,
+        response: DeparturesReadBack,
     ) {
         self.note_answered(now, &from);
-        let dropped = answer
+        let dropped = response
             .departures
             .iter()
             .filter(|departure| !self.registry.depart(now, departure))
             .count();
         if dropped == 0 {
-            let body = Payload::ReadBack(answer.read_back);
+            let body = Payload::ReadBack(response.read_back);
             self.run_register(now, quorum_register::Event::Received { from, body });
         }
     }
--- a/crates/control-plane/src/gossip.rs
+++ b/crates/control-plane/src/gossip.rs
@@ -171,9 +171,9 @@
         }
     }
 
-    pub(crate) fn roll_asked(&mut self, now: Duration, from: String, ask: UpstreamsRequest) {
-        if !ask.marks.is_empty() {
-            let wanted = ask
+    pub(crate) fn roll_asked(&mut self, now: Duration, from: String, request: UpstreamsRequest) {
+        if !request.marks.is_empty() {
+            let wanted = request
                 .marks
                 .iter()
                 .take(MAX_WANTED)
@@ -198,7 +198,7 @@
                 upstreams: self.registry.all(now),
                 placement,
                 placed_by,
-                life: ask.life,
+                life: request.life,
             };
             self.effects.push_back(Effect::Send {
                 to: from,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -15,5 +15,5 @@
 mod updates;
 mod voters;
 
-pub use api_adapter::{ApiAdapter, RequestError, beat_sheet};
+pub use api_adapter::{ApiAdapter, RequestError, heartbeat_json};
 pub use node::{ControlNode, ControlRequest, ControlResponse, Effect, Event, Start, Times};
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -62,7 +62,7 @@
 /// What operators and upstreams ask over HTTP.
 #[derive(Clone, Debug)]
 pub enum ControlRequest {
-    Submit {
+    SubmitConfiguration {
         id: ChangeId,
         base: Option<u64>,
         bytes: Vec<u8>,
@@ -84,9 +84,9 @@
     Upstreams,
     Reservations,
     Tombstones,
-    Beat(Upstream),
+    Heartbeat(Upstream),
     /// An upstream says that it ends now.
-    SignOff {
+    Deregister {
         instance: String,
     },
 }
@@ -94,11 +94,11 @@
 /// An answer to an [`ControlRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlResponse {
-    Verdict {
+    Outcome {
         code: ResultCode,
         revision: u64,
     },
-    Denied {
+    Rejected {
         code: ResultCode,
         validation_errors: Vec<ValidationError>,
     },
@@ -108,12 +108,12 @@
     },
     /// To a beat: who holds the duty, and all that the upstream holds from now on, for this span. Without shares it
     /// learns nothing new.
-    Beat {
+    Heartbeat {
         holder: u64,
         shares: Option<Vec<KeyShare>>,
         span: Duration,
     },
-    JsonValue(JsonValue),
+    Json(JsonValue),
     /// This node is out of contact with a majority: the one at this address was lately in contact. Nothing was done.
     /// The core names host and port; what is shown is a whole URL.
     Redirect {
@@ -135,14 +135,14 @@
     },
     ControlRequest {
         request_id: u64,
-        ask: ControlRequest,
+        request: ControlRequest,
     },
     WriteCompleted {
         write_id: u64,
     },
     DiskFailed,
     /// The departures with this ticket outlive this process.
-    DeparturesKept {
+    DeparturesPersisted {
         write_id: u64,
     },
     /// A write failed, and the disk tries it again until it is done.
@@ -150,8 +150,8 @@
     /// The write that failed is done.
     DiskRecovered,
     /// The settings name other seeds.
-    Seeds(Vec<String>),
-    Close,
+    SeedsChanged(Vec<String>),
+    Shutdown,
 }
 
 /// What a postmaster wants done.
@@ -161,7 +161,7 @@
         to: String,
         body: Payload,
     },
-    Datagram {
+    SendDatagram {
         address: String,
         body: Payload,
     },
@@ -174,9 +174,9 @@
         digest: String,
         bytes: Vec<u8>,
     },
-    /// Write these departures, without a sync and without waiting for other writes, then tell `DeparturesKept`. They
+    /// Write these departures, without a sync and without waiting for other writes, then tell `DeparturesPersisted`. They
     /// take the place of those written before.
-    KeepDepartures {
+    PersistDepartures {
         write_id: u64,
         departures: Vec<Departure>,
     },
@@ -184,12 +184,12 @@
     DeleteConfiguration {
         digest: String,
     },
-    ControlResponse {
+    Respond {
         request_id: u64,
-        answer: ControlResponse,
+        response: ControlResponse,
     },
     /// Membership changed: node ids with their link addresses.
-    Addresses(Vec<(String, String)>),
+    UpdateAddresses(Vec<(String, String)>),
     /// Worth a line in the log.
     Log(String),
     /// Worth an operator's look.
@@ -198,7 +198,7 @@
 
 pub(crate) struct InForce {
     pub request_id: u64,
-    pub answer: ControlResponse,
+    pub response: ControlResponse,
     pub revision: u64,
     pub until: Duration,
 }
@@ -377,9 +377,9 @@
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// use control_plane::{ControlResponse, ControlRequest, Effect, Event, ControlNode};
     /// let mut control = ControlNode::new(start);
-    /// let ask = ControlRequest::Submit { id: "a".into(), base: None, bytes: b"{".to_vec(), in_force: false };
-    /// let effects = control.step(Default::default(), Event::ControlRequest { request_id: 7, ask });
-    /// assert!(matches!(&effects[0], Effect::ControlResponse { request_id: 7, answer: ControlResponse::Denied { .. } }));
+    /// let request = ControlRequest::SubmitConfiguration { id: "a".into(), base: None, bytes: b"{".to_vec(), in_force: false };
+    /// let effects = control.step(Default::default(), Event::ControlRequest { request_id: 7, request });
+    /// assert!(matches!(&effects[0], Effect::Respond { request_id: 7, response: ControlResponse::Rejected { .. } }));
     /// ```
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         self.grant_clock.advance(now);
@@ -396,16 +396,19 @@
             Event::ControlRequest { request_id, .. } if self.closing => {
                 self.refuse(now, request_id, ResultCode::ShuttingDown)
             }
-            Event::ControlRequest { request_id, ask } => self.ask(now, request_id, ask),
+            Event::ControlRequest {
+                request_id,
+                request,
+            } => self.handle_request(now, request_id, request),
             Event::WriteCompleted { write_id } => {
                 self.run_register(now, quorum_register::Event::WriteCompleted { write_id })
             }
-            Event::DeparturesKept { write_id } => self.departures_kept(now, write_id),
+            Event::DeparturesPersisted { write_id } => self.departures_kept(now, write_id),
             Event::DiskFailed => self.run_register(now, quorum_register::Event::DiskFailed),
             Event::DiskRetrying => self.disk_fails = true,
             Event::DiskRecovered => self.disk_fails = false,
-            Event::Seeds(seeds) => self.membership.learn_seeds(seeds),
-            Event::Close => self.close(now),
+            Event::SeedsChanged(seeds) => self.membership.learn_seeds(seeds),
+            Event::Shutdown => self.close(now),
         }
         self.answer_reads(now);
         self.go_on_with_anonymous(now);
@@ -489,18 +492,18 @@
             Payload::HeartbeatsAck(ack) => self.beats_taken(now, from, ack),
             Payload::Read(read) => self.read_asked(now, from, read, 0),
             Payload::DeparturesRead(asked) => self.read_asked(now, from, asked.read, asked.digest),
-            Payload::DeparturesReadBack(answer) => self.read_answered(now, from, answer),
+            Payload::DeparturesReadBack(response) => self.read_answered(now, from, response),
             Payload::HeartbeatDigest(alive) => self.alive_told(now, from, alive),
-            Payload::UpstreamsRequest(ask) => self.roll_asked(now, from, ask),
+            Payload::UpstreamsRequest(request) => self.roll_asked(now, from, request),
             Payload::UpstreamsReply(told) => self.roll_told(now, told),
             Payload::LeaseHolder(holder) => self.hear_holder(from, holder.epoch),
-            Payload::SharesRequest(ask) => self.shares_asked(now, from, ask),
+            Payload::SharesRequest(request) => self.shares_asked(now, from, request),
             Payload::SharesReply(given) => self.shares_given(&from, given),
             Payload::PlacementRequest(_) => self.placement_asked(from),
             Payload::Placement(placement) => self.take_placement(from, placement),
             Payload::VoterLeaving(_) => self.voter_leaving(now, from),
             Payload::KeyLoads(told) => self.count_keys(told.loads),
-            Payload::UpdateRequest(ask) => self.news_asked(now, from, ask),
+            Payload::UpdateRequest(request) => self.news_asked(now, from, request),
             Payload::UpdateAck(kept) => self.news_kept(&from, &kept),
             Payload::DataPlaneAck(kept) => self.carrier_kept(kept),
             other => {
@@ -516,7 +519,8 @@
         let changed = effects.contains(&membership::Effect::Changed);
         effects.into_iter().for_each(|effect| {
             if let membership::Effect::Send { address, body } = effect {
-                self.effects.push_back(Effect::Datagram { address, body });
+                self.effects
+                    .push_back(Effect::SendDatagram { address, body });
             }
         });
         if changed {
@@ -527,7 +531,8 @@
                 .members
                 .iter()
                 .map(|member| (member.node.clone(), member.link_address.clone()));
-            self.effects.push_back(Effect::Addresses(book.collect()));
+            self.effects
+                .push_back(Effect::UpdateAddresses(book.collect()));
         }
         let peers = self
             .members
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -17,20 +17,25 @@
 const BEAT_PATIENCE: Duration = Duration::from_millis(700);
 
 impl ControlNode {
-    pub(crate) fn ask(&mut self, now: Duration, request_id: u64, ask: ControlRequest) {
-        if Self::needs_contact(&ask) && !self.is_in_contact(now) {
-            return self.ask_out_of_contact(now, request_id, ask);
+    pub(crate) fn handle_request(
+        &mut self,
+        now: Duration,
+        request_id: u64,
+        request: ControlRequest,
+    ) {
+        if Self::needs_contact(&request) && !self.is_in_contact(now) {
+            return self.handle_request_out_of_contact(now, request_id, request);
         }
-        match ask {
-            ControlRequest::Submit {
+        match request {
+            ControlRequest::SubmitConfiguration {
                 id,
                 base,
                 bytes,
                 in_force,
             } => match (self.reader.0)(&bytes) {
-                Err(validation_errors) => self.answer(
+                Err(validation_errors) => self.respond(
                     request_id,
-                    ControlResponse::Denied {
+                    ControlResponse::Rejected {
                         code: ResultCode::InvalidConfiguration,
                         validation_errors,
                     },
@@ -86,9 +91,9 @@
                     });
                     self.run_register(now, quorum_register::Event::Confirm);
                 } else {
-                    self.answer(
+                    self.respond(
                         request_id,
-                        ControlResponse::Verdict {
+                        ControlResponse::Outcome {
                             code: ResultCode::TooManyPendingChanges,
                             revision: 0,
                         },
@@ -97,11 +102,11 @@
             }
             ControlRequest::Status => {
                 let json = self.status(now);
-                self.answer(request_id, ControlResponse::JsonValue(json));
+                self.respond(request_id, ControlResponse::Json(json));
             }
             ControlRequest::Upstreams => {
                 let json = self.registry.all(now).iter().map(upstream_sheet).collect();
-                self.answer(request_id, ControlResponse::JsonValue(json));
+                self.respond(request_id, ControlResponse::Json(json));
             }
             ControlRequest::Reservations => {
                 let json = self.placement.reservations.iter().map(|owned| {
@@ -113,7 +118,7 @@
                     ])
                 });
                 let json = json.collect();
-                self.answer(request_id, ControlResponse::JsonValue(json));
+                self.respond(request_id, ControlResponse::Json(json));
             }
             ControlRequest::Tombstones => {
                 let json = self.placement.tombstones.iter().map(|mark| {
@@ -125,10 +130,10 @@
                     ])
                 });
                 let json = json.collect();
-                self.answer(request_id, ControlResponse::JsonValue(json));
+                self.respond(request_id, ControlResponse::Json(json));
             }
-            ControlRequest::Beat(upstream) => self.beat(now, request_id, upstream),
-            ControlRequest::SignOff { instance } => {
+            ControlRequest::Heartbeat(upstream) => self.beat(now, request_id, upstream),
+            ControlRequest::Deregister { instance } => {
                 let gone = self.sign_off(now, instance);
                 self.tell_departure(now, request_id, gone);
             }
@@ -136,22 +141,27 @@
     }
 
     /// What an upstream says of itself is good to know, and to tell whom this node reaches. It is no acknowledgement.
-    fn ask_out_of_contact(&mut self, now: Duration, request_id: u64, ask: ControlRequest) {
-        match ask {
-            ControlRequest::Submit { bytes, .. } => {
+    fn handle_request_out_of_contact(
+        &mut self,
+        now: Duration,
+        request_id: u64,
+        request: ControlRequest,
+    ) {
+        match request {
+            ControlRequest::SubmitConfiguration { bytes, .. } => {
                 // What is wrong with it is wrong whoever decides.
                 if let Err(validation_errors) = (self.reader.0)(&bytes) {
-                    return self.answer(
+                    return self.respond(
                         request_id,
-                        ControlResponse::Denied {
+                        ControlResponse::Rejected {
                             code: ResultCode::InvalidConfiguration,
                             validation_errors,
                         },
                     );
                 }
             }
-            ControlRequest::Beat(upstream) => self.take_beat(now, &upstream),
-            ControlRequest::SignOff { instance } => {
+            ControlRequest::Heartbeat(upstream) => self.take_beat(now, &upstream),
+            ControlRequest::Deregister { instance } => {
                 let gone = self.sign_off(now, instance);
                 let (upstreams, nonce) = (vec![gone], 0);
                 self.tell_postmasters(Payload::Heartbeats(Heartbeats { upstreams, nonce }));
@@ -183,9 +193,9 @@
         done.into_iter().for_each(|wait| {
             let revision = self.register.state().revision;
             let confirmed = self.register.is_confirmed_since(wait.asked_at);
-            let answer = match self.register.configuration() {
+            let response = match self.register.configuration() {
                 _ if !confirmed => return self.refuse(now, wait.request_id, ResultCode::StaleView),
-                None => ControlResponse::Verdict {
+                None => ControlResponse::Outcome {
                     code: ResultCode::NoConfiguration,
                     revision,
                 },
@@ -194,26 +204,28 @@
                     bytes: bytes.to_vec(),
                 },
             };
-            self.answer(wait.request_id, answer);
+            self.respond(wait.request_id, response);
         });
     }
 
-    pub(crate) fn answer(&mut self, request_id: u64, answer: ControlResponse) {
-        self.effects
-            .push_back(Effect::ControlResponse { request_id, answer });
+    pub(crate) fn respond(&mut self, request_id: u64, response: ControlResponse) {
+        self.effects.push_back(Effect::Respond {
+            request_id,
+            response,
+        });
     }
 
     /// The operator wants to hear only once the change is in force everywhere that still serves.
     fn wait_for_force(&mut self, now: Duration, request_id: u64, in_force: bool) {
         if in_force {
-            let answer = ControlResponse::Verdict {
+            let response = ControlResponse::Outcome {
                 code: ResultCode::ChangeOutcomeUnknown,
                 revision: 0,
             };
             let until = now + self.times.register.change_timeout * 2;
             self.waiting_force.push(InForce {
                 request_id,
-                answer,
+                response,
                 revision: u64::MAX,
                 until,
             });
@@ -225,7 +237,7 @@
             return;
         }
         let Decision { code, revision } = decision;
-        let answer = ControlResponse::Verdict { code, revision };
+        let response = ControlResponse::Outcome { code, revision };
         if matches!(
             code,
             ResultCode::VersionConflict | ResultCode::ChangeForgotten
@@ -242,7 +254,7 @@
                 // Every view that was not told has aged out by then.
                 *waiting = InForce {
                     request_id,
-                    answer,
+                    response,
                     revision,
                     until: now + self.times.stale_after,
                 };
@@ -250,7 +262,7 @@
             None => {
                 self.waiting_force
                     .retain(|waiting| waiting.request_id != request_id);
-                self.answer(request_id, answer);
+                self.respond(request_id, response);
             }
         }
     }
@@ -261,7 +273,7 @@
             .partition(|waiting| now >= waiting.until || self.all_kept(waiting.revision));
         self.waiting_force = waiting;
         done.into_iter()
-            .for_each(|done| self.answer(done.request_id, done.answer));
+            .for_each(|done| self.respond(done.request_id, done.response));
         let late: Vec<u64> = self
             .beat_waits
             .iter()
@@ -279,7 +291,7 @@
     /// upstream finds its keys there. Else nobody gives any at present.
     fn answer_without_holder(&mut self, now: Duration, request_id: u64) {
         match self.address_in_contact(now) {
-            Some(to) => self.answer(request_id, ControlResponse::Redirect { to }),
+            Some(to) => self.respond(request_id, ControlResponse::Redirect { to }),
             None => self.answer_beat(request_id, 0, None),
         }
     }
@@ -326,18 +338,18 @@
         });
     }
 
-    pub(crate) fn shares_asked(&mut self, now: Duration, from: String, ask: SharesRequest) {
-        self.registry.take(now, ask.upstream.clone());
+    pub(crate) fn shares_asked(&mut self, now: Duration, from: String, request: SharesRequest) {
+        self.registry.take(now, request.upstream.clone());
         let Some(epoch) = self.lease.holds(now) else {
             return;
         };
-        let shares = self.give_shares(now, &ask.upstream);
+        let shares = self.give_shares(now, &request.upstream);
         let span_ms = shares
             .as_ref()
             .map(|_| self.times.share_span.as_millis() as u64)
             .unwrap_or(0);
         let given = SharesReply {
-            nonce: ask.nonce,
+            nonce: request.nonce,
             shares: shares.unwrap_or_default(),
             span_ms,
             holder: epoch,
@@ -369,9 +381,9 @@
         holder: u64,
         shares: Option<Vec<protocol::KeyShare>>,
     ) {
-        self.answer(
+        self.respond(
             request_id,
-            ControlResponse::Beat {
+            ControlResponse::Heartbeat {
                 holder,
                 shares,
                 span: self.times.share_span,
--- a/crates/control-plane/src/shell.rs
+++ b/crates/control-plane/src/shell.rs
@@ -238,8 +238,8 @@
         api_adapter,
     });
     let handler = shared.clone();
-    let server = tokio::spawn(transport::serve(http, closing, move |enquiry| {
-        serve(handler.clone(), enquiry)
+    let server = tokio::spawn(transport::serve(http, closing, move |request| {
+        serve(handler.clone(), request)
     }));
     let mut answers: HashMap<u64, oneshot::Sender<ControlResponse>> = HashMap::new();
     let mut tick = tokio::time::interval(TICK);
@@ -251,9 +251,9 @@
     while end_at.is_none_or(|end_at| clock.now() < end_at) {
         let event = tokio::select! {
             _ = tick.tick() => Event::Tick,
-            Some((event, answer)) = inbox.recv() => {
-                if let (Event::ControlRequest { request_id, .. }, Some(answer)) = (&event, answer) {
-                    answers.insert(*request_id, answer);
+            Some((event, response)) = inbox.recv() => {
+                if let (Event::ControlRequest { request_id, .. }, Some(response)) = (&event, response) {
+                    answers.insert(*request_id, response);
                 }
                 event
             }
@@ -267,12 +267,12 @@
                     None => continue,
                 }
             }
-            seeds = reload.seeds() => Event::Seeds(seeds),
+            seeds = reload.seeds() => Event::SeedsChanged(seeds),
             _ = &mut stop, if !stopping => {
                 log::info!("close: asked to stop");
                 shared.closing.store(true, Ordering::Relaxed);
                 stopping = true;
-                Event::Close
+                Event::Shutdown
             }
         };
         let now = clock.now();
@@ -285,7 +285,7 @@
             (&disk, &departure_log),
             &mut answers,
         );
-        if control.may_end() && end_at.is_none() {
+        if control.is_shut_down() && end_at.is_none() {
             // What is said now must still leave the process, and what was on its way be answered.
             end_at = Some(now + LAST_WORDS);
         }
@@ -293,7 +293,7 @@
             shared
                 .ready
                 .store(control.is_current(now), Ordering::Relaxed);
-            answers.retain(|_, answer| !answer.is_closed());
+            answers.retain(|_, response| !response.is_closed());
             if now >= next_told {
                 next_told = now + Duration::from_secs(5);
                 log::debug!("links: {:?}", links.sent_counts());
@@ -324,18 +324,21 @@
                 digest,
                 bytes,
             }),
-            Effect::KeepDepartures {
+            Effect::PersistDepartures {
                 write_id,
                 departures,
             } => departure_log.write(write_id, departures),
             Effect::DeleteConfiguration { digest } => {
                 disk.write(Write::DeleteConfiguration { digest })
             }
-            Effect::ControlResponse { request_id, answer } => {
+            Effect::Respond {
+                request_id,
+                response,
+            } => {
                 answers
                     .remove(&request_id)
                     .into_iter()
-                    .for_each(|waiting| drop(waiting.send(answer.clone())));
+                    .for_each(|waiting| drop(waiting.send(response.clone())));
             }
             other => carry(other, links, probe),
         });
@@ -344,8 +347,10 @@
     fn carry(effect: Effect, links: &Links, probe: &UdpSocket) {
         match effect {
             Effect::Send { to, body } => links.send(&to, body),
-            Effect::Datagram { address, body } => transport::send_datagram(probe, &address, body),
-            Effect::Addresses(book) => {
+            Effect::SendDatagram { address, body } => {
+                transport::send_datagram(probe, &address, body)
+            }
+            Effect::UpdateAddresses(book) => {
                 log::debug!("rounds: {} members", book.len());
                 links.set_addresses(book.into_iter().collect());
             }
@@ -377,7 +382,7 @@
 ) -> impl Fn(u64) -> bool {
     move |write_id| {
         events
-            .blocking_send((Event::DeparturesKept { write_id }, None))
+            .blocking_send((Event::DeparturesPersisted { write_id }, None))
             .is_ok()
     }
 }
@@ -411,9 +416,9 @@
     Ok(None)
 }
 
-async fn serve(shared: Arc<Shared>, enquiry: HttpRequest) -> Response<Full<Bytes>> {
+async fn serve(shared: Arc<Shared>, http_request: HttpRequest) -> Response<Full<Bytes>> {
     shared.asked.fetch_add(1, Ordering::Relaxed);
-    match (enquiry.method.as_str(), enquiry.path.as_str()) {
+    match (http_request.method.as_str(), http_request.path.as_str()) {
         ("GET", "/live") => transport::result_response(ResultCode::Success, None),
         ("GET", "/ready") if shared.closing.load(Ordering::Relaxed) => {
             transport::result_response(ResultCode::ShuttingDown, None)
@@ -442,22 +447,30 @@
             ]);
             transport::json_response(ResultCode::Success, &json)
         }
-        _ => match (shared.api_adapter.ask)(&enquiry) {
-            Ok(ask) => put(&shared, ask, &enquiry.target).await,
-            Err((code, validation_errors)) => (shared.api_adapter.show)(ControlResponse::Denied {
-                code,
-                validation_errors,
-            }),
+        _ => match (shared.api_adapter.read_request)(&http_request) {
+            Ok(request) => put(&shared, request, &http_request.target).await,
+            Err((code, validation_errors)) => {
+                (shared.api_adapter.write_response)(ControlResponse::Rejected {
+                    code,
+                    validation_errors,
+                })
+            }
         },
     }
 }
 
-async fn put(shared: &Shared, ask: ControlRequest, target: &str) -> Response<Full<Bytes>> {
+async fn put(shared: &Shared, request: ControlRequest, target: &str) -> Response<Full<Bytes>> {
     let request_id = shared.tokens.fetch_add(1, Ordering::Relaxed);
-    let (answer, answered) = oneshot::channel();
-    let event = (Event::ControlRequest { request_id, ask }, Some(answer));
+    let (response, answered) = oneshot::channel();
+    let event = (
+        Event::ControlRequest {
+            request_id,
+            request,
+        },
+        Some(response),
+    );
     if shared.events.try_send(event).is_err() {
-        return (shared.api_adapter.show)(ControlResponse::Verdict {
+        return (shared.api_adapter.write_response)(ControlResponse::Outcome {
             code: ResultCode::TooManyPendingChanges,
             revision: 0,
         });
@@ -466,7 +479,7 @@
         .await
         .ok()
         .and_then(Result::ok);
-    let answer = match answered.unwrap_or(ControlResponse::Verdict {
+    let response = match answered.unwrap_or(ControlResponse::Outcome {
         code: ResultCode::ChangeOutcomeUnknown,
         revision: 0,
     }) {
@@ -475,5 +488,5 @@
         },
         other => other,
     };
-    (shared.api_adapter.show)(answer)
+    (shared.api_adapter.write_response)(response)
 }
--- a/crates/control-plane/src/updates.rs
+++ b/crates/control-plane/src/updates.rs
@@ -47,8 +47,8 @@
 }
 
 impl ControlNode {
-    pub(crate) fn news_asked(&mut self, now: Duration, from: String, ask: UpdateRequest) {
-        self.count_keys(ask.loads);
+    pub(crate) fn news_asked(&mut self, now: Duration, from: String, request: UpdateRequest) {
+        self.count_keys(request.loads);
         if !self.is_current(now) {
             return;
         }
@@ -56,18 +56,20 @@
         self.tell_news(now);
         let settled = self.is_settled(now);
         let known = self.readers.get(&from).is_some_and(|reader| {
-            reader.stream == ask.stream && ask.number <= reader.number && reader.whole == settled
+            reader.stream == request.stream
+                && request.number <= reader.number
+                && reader.whole == settled
         });
         // Acknowledgements run behind by what is on the way; a real gap shows at the carrier, which then
         // asks with stream 0.
         if !known && self.readers.len() < MAX_READERS {
-            self.send_snapshot(now, &from, ask.nonce);
+            self.send_snapshot(now, &from, request.nonce);
         }
         let age_ms = self.confirmation_age_ms(now).unwrap_or(u64::MAX);
         if let Some(reader) = self.readers.get_mut(&from) {
             reader.asked_at = now;
             let fresh = Freshness {
-                nonce: ask.nonce,
+                nonce: request.nonce,
                 age_ms,
                 stream: reader.stream,
                 number: reader.number,
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -110,7 +110,7 @@
     ) {
         let revision = self.revision();
         match self.voters_after(now, add, remove) {
-            Err(code) => self.answer(request_id, ControlResponse::Verdict { code, revision }),
+            Err(code) => self.respond(request_id, ControlResponse::Outcome { code, revision }),
             Ok(voters) => {
                 let epoch = self.register.state().voter_set.epoch;
                 self.change(now, request_id, Change::BeginVoters { epoch, voters }, None);
@@ -268,11 +268,11 @@
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// let mut control = control_plane::ControlNode::new(start);
-    /// assert!(!control.may_end());
-    /// control.step(Default::default(), control_plane::Event::Close);
-    /// assert!(control.may_end());
+    /// assert!(!control.is_shut_down());
+    /// control.step(Default::default(), control_plane::Event::Shutdown);
+    /// assert!(control.is_shut_down());
     /// ```
-    pub fn may_end(&self) -> bool {
+    pub fn is_shut_down(&self) -> bool {
         self.closing && self.voter_changes.hand_over_until.is_none()
     }
 
--- a/crates/control-plane/tests/anonymous_orders.rs
+++ b/crates/control-plane/tests/anonymous_orders.rs
@@ -9,16 +9,19 @@
 
 /// The code of the answer to an order to evacuate, after a moment.
 fn evacuated(site: &mut Site, back: bool) -> Option<ResultCode> {
-    let ask = ControlRequest::Evacuate {
+    let request = ControlRequest::Evacuate {
         id: Default::default(),
         locality: "north/n1".into(),
         back,
         in_force: false,
     };
-    site.step(Event::ControlRequest { request_id: 1, ask });
+    site.step(Event::ControlRequest {
+        request_id: 1,
+        request,
+    });
     site.run(Duration::from_millis(100));
-    site.answers.pop().and_then(|answer| match answer {
-        ControlResponse::Verdict { code, .. } => Some(code),
+    site.answers.pop().and_then(|response| match response {
+        ControlResponse::Outcome { code, .. } => Some(code),
         _ => None,
     })
 }
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -96,7 +96,7 @@
                 },
                 &body,
             ),
-            Effect::Datagram {
+            Effect::SendDatagram {
                 address,
                 body: Payload::Probe(probe),
             } => {
@@ -119,16 +119,19 @@
                 self.queue
                     .push_back((self.now + 1, at, Event::WriteCompleted { write_id }));
             }
-            Effect::KeepDepartures {
+            Effect::PersistDepartures {
                 write_id,
                 departures,
             } => {
                 self.departures[at] = departures;
                 self.queue
-                    .push_back((self.now + 1, at, Event::DeparturesKept { write_id }));
+                    .push_back((self.now + 1, at, Event::DeparturesPersisted { write_id }));
             }
-            Effect::ControlResponse { request_id, answer } => {
-                self.answers.insert(request_id, (self.now, answer));
+            Effect::Respond {
+                request_id,
+                response,
+            } => {
+                self.answers.insert(request_id, (self.now, response));
             }
             _ => {}
         });
@@ -169,25 +172,35 @@
     }
 
     /// Asks a node; the token of the answer to come.
-    fn ask(&mut self, at: usize, ask: ControlRequest) -> u64 {
+    fn ask(&mut self, at: usize, request: ControlRequest) -> u64 {
         self.next_token += 1;
         let request_id = self.next_token;
-        self.step(at, Event::ControlRequest { request_id, ask });
+        self.step(
+            at,
+            Event::ControlRequest {
+                request_id,
+                request,
+            },
+        );
         request_id
     }
 
     /// What a caller hears within its patience.
-    fn answer(&mut self, at: usize, ask: ControlRequest) -> Option<ControlResponse> {
-        let request_id = self.ask(at, ask);
+    fn answer(&mut self, at: usize, request: ControlRequest) -> Option<ControlResponse> {
+        let request_id = self.ask(at, request);
         self.run_for(SILENCE);
-        self.answers.remove(&request_id).map(|(_, answer)| answer)
+        self.answers
+            .remove(&request_id)
+            .map(|(_, response)| response)
     }
 
     /// What a caller hears at once: before another node could have been asked.
-    fn answer_at_once(&mut self, at: usize, ask: ControlRequest) -> Option<ControlResponse> {
-        let request_id = self.ask(at, ask);
+    fn answer_at_once(&mut self, at: usize, request: ControlRequest) -> Option<ControlResponse> {
+        let request_id = self.ask(at, request);
         self.run_for(TICK);
-        self.answers.remove(&request_id).map(|(_, answer)| answer)
+        self.answers
+            .remove(&request_id)
+            .map(|(_, response)| response)
     }
 
     fn cut_off(&mut self, at: usize, hears: bool, speaks: bool) {
@@ -236,12 +249,12 @@
     /// vouches for nothing.
     fn followed(&mut self, at: usize, known: Upstream) -> Option<Vec<String>> {
         self.told_carrier.clear();
-        let ask = Payload::UpdateRequest(UpdateRequest::default());
+        let request = Payload::UpdateRequest(UpdateRequest::default());
         self.step(
             at,
             Event::Received {
                 from: CARRIER.into(),
-                body: ask,
+                body: request,
             },
         );
         let told = std::mem::take(&mut self.told_carrier);
@@ -267,8 +280,7 @@
 
     /// What a node knows of an instance.
     fn condition(&mut self, at: usize, instance: &str) -> Option<String> {
-        let Some(ControlResponse::JsonValue(json)) =
-            self.answer_at_once(at, ControlRequest::Upstreams)
+        let Some(ControlResponse::Json(json)) = self.answer_at_once(at, ControlRequest::Upstreams)
         else {
             return None;
         };
@@ -343,12 +355,12 @@
     }
 }
 
-fn acknowledged(answer: &Option<ControlResponse>) -> bool {
+fn acknowledged(response: &Option<ControlResponse>) -> bool {
     let fine = ResultCode::Success;
     matches!(
-        answer,
-        Some(ControlResponse::Beat { .. } | ControlResponse::Configuration { .. })
-    ) || matches!(answer, Some(ControlResponse::Verdict { code, .. }) if *code == fine || *code == ResultCode::NoConfiguration)
+        response,
+        Some(ControlResponse::Heartbeat { .. } | ControlResponse::Configuration { .. })
+    ) || matches!(response, Some(ControlResponse::Outcome { code, .. }) if *code == fine || *code == ResultCode::NoConfiguration)
 }
 
 /// Every question whose answer confirms, acknowledges or hands out something.
@@ -356,15 +368,15 @@
     vec![
         ControlRequest::ReadConfiguration,
         evacuate(&format!("order-{turn}")),
-        ControlRequest::Beat(beat(turn + 2, upstream_registry::READY)),
-        ControlRequest::Beat(Upstream {
+        ControlRequest::Heartbeat(beat(turn + 2, upstream_registry::READY)),
+        ControlRequest::Heartbeat(Upstream {
             instance: "leaver".into(),
             ..beat(turn + 2, upstream_registry::LEAVING)
         }),
-        ControlRequest::SignOff {
+        ControlRequest::Deregister {
             instance: "u".into(),
         },
-        ControlRequest::SignOff {
+        ControlRequest::Deregister {
             instance: "nobody-knows-it".into(),
         },
         ControlRequest::Upstreams,
@@ -377,12 +389,12 @@
 fn in_contact_every_question_is_answered_within_a_callers_patience() {
     let mut site = Site::settled();
     let at = site.bystander();
-    questions(1).into_iter().for_each(|ask| {
-        let told = format!("{ask:?}");
-        let answer = site.answer(at, ask);
+    questions(1).into_iter().for_each(|request| {
+        let told = format!("{request:?}");
+        let response = site.answer(at, request);
         assert!(
-            acknowledged(&answer) || matches!(answer, Some(ControlResponse::JsonValue(_))),
-            "{told}: {answer:?}"
+            acknowledged(&response) || matches!(response, Some(ControlResponse::Json(_))),
+            "{told}: {response:?}"
         );
     });
 }
@@ -394,7 +406,10 @@
         .for_each(|(hears, speaks)| {
             [true, false].into_iter().for_each(|holder| {
                 let mut site = Site::settled();
-                site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
+                site.answer(
+                    0,
+                    ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+                );
                 let at = if holder {
                     site.holder()
                 } else {
@@ -402,18 +417,18 @@
                 };
                 site.cut_off(at, hears, speaks);
                 site.run_for(2000);
-                questions(1).into_iter().for_each(|ask| {
-                    let told = format!("{ask:?}, hears {hears}, speaks {speaks}");
-                    let answer = site.answer_at_once(at, ask);
+                questions(1).into_iter().for_each(|request| {
+                    let told = format!("{request:?}, hears {hears}, speaks {speaks}");
+                    let response = site.answer_at_once(at, request);
                     assert!(
                         matches!(
-                            answer,
-                            Some(ControlResponse::Verdict {
+                            response,
+                            Some(ControlResponse::Outcome {
                                 code: ResultCode::StaleView,
                                 ..
                             })
                         ),
-                        "{told}: {answer:?}"
+                        "{told}: {response:?}"
                     );
                 });
             });
@@ -427,13 +442,13 @@
     let (holder, at) = (site.holder(), site.bystander());
     site.cut_off(at, true, false);
     site.run_for(2000);
-    questions(1).into_iter().for_each(|ask| {
-        let told = format!("{ask:?}");
-        let answer = site.answer_at_once(at, ask);
+    questions(1).into_iter().for_each(|request| {
+        let told = format!("{request:?}");
+        let response = site.answer_at_once(at, request);
         let to = format!("{}:80", NODES[holder]);
         assert!(
-            matches!(&answer, Some(ControlResponse::Redirect { to: told }) if *told == to),
-            "{told}: {answer:?}"
+            matches!(&response, Some(ControlResponse::Redirect { to: told }) if *told == to),
+            "{told}: {response:?}"
         );
     });
 }
@@ -444,30 +459,36 @@
         .into_iter()
         .for_each(|(hears, speaks)| {
             let mut site = Site::settled();
-            site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
+            site.answer(
+                0,
+                ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+            );
             let at = site.bystander();
             site.cut_off(at, hears, speaks);
             let asks = [
                 ControlRequest::ReadConfiguration,
                 evacuate("order"),
-                ControlRequest::Beat(beat(2, upstream_registry::LEAVING)),
-                ControlRequest::SignOff {
+                ControlRequest::Heartbeat(beat(2, upstream_registry::LEAVING)),
+                ControlRequest::Deregister {
                     instance: "u".into(),
                 },
-                ControlRequest::SignOff {
+                ControlRequest::Deregister {
                     instance: "nobody-knows-it".into(),
                 },
             ];
             let tokens: Vec<(String, u64)> = asks
                 .into_iter()
-                .map(|ask| (format!("{ask:?}"), site.ask(at, ask)))
+                .map(|request| (format!("{request:?}"), site.ask(at, request)))
                 .collect();
             site.run_for(20_000);
             tokens.into_iter().for_each(|(told, request_id)| {
-                let answer = site.answers.remove(&request_id).map(|(_, answer)| answer);
+                let response = site
+                    .answers
+                    .remove(&request_id)
+                    .map(|(_, response)| response);
                 assert!(
-                    answer.is_some() && !acknowledged(&answer),
-                    "{told}: {answer:?}"
+                    response.is_some() && !acknowledged(&response),
+                    "{told}: {response:?}"
                 );
             });
         });
@@ -481,7 +502,7 @@
     let asked_at = site.now;
     let request_id = site.ask(at, evacuate("order"));
     site.run_for(1500);
-    let (answered_at, answer) = site.answers.remove(&request_id).expect("it is answered");
+    let (answered_at, response) = site.answers.remove(&request_id).expect("it is answered");
     assert!(
         answered_at < asked_at + 1300,
         "after {} ms",
@@ -489,13 +510,13 @@
     );
     assert!(
         matches!(
-            answer,
-            ControlResponse::Verdict {
+            response,
+            ControlResponse::Outcome {
                 code: ResultCode::ChangeOutcomeUnknown,
                 ..
             }
         ),
-        "{answer:?}"
+        "{response:?}"
     );
 }
 
@@ -553,8 +574,12 @@
                     {
                         site.run_for(TICK);
                     }
-                    match site.answers.remove(&request_id).map(|(_, answer)| answer) {
-                        Some(ControlResponse::Verdict {
+                    match site
+                        .answers
+                        .remove(&request_id)
+                        .map(|(_, response)| response)
+                    {
+                        Some(ControlResponse::Outcome {
                             code: ResultCode::Success,
                             ..
                         }) => break site.now - asked_at,
@@ -583,7 +608,10 @@
 #[test]
 fn an_acknowledged_leaving_is_known_to_every_node_that_is_current() {
     let mut site = Site::settled();
-    site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
+    site.answer(
+        0,
+        ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+    );
     let other = |at: usize| (at + 1) % NODES.len();
     // What is said of upstreams between two nodes gets lost, both ways; confirmations don't.
     site.loses = |from, to, body| {
@@ -596,13 +624,13 @@
     let at = other(0);
     assert!(acknowledged(&site.answer(
         at,
-        ControlRequest::Beat(beat(2, upstream_registry::LEAVING))
+        ControlRequest::Heartbeat(beat(2, upstream_registry::LEAVING))
     )));
     site.run_for(600);
     assert_eq!(site.condition(3, "u").as_deref(), Some("leaving"));
     assert!(acknowledged(&site.answer(
         at,
-        ControlRequest::SignOff {
+        ControlRequest::Deregister {
             instance: "u".into()
         }
     )));
@@ -619,21 +647,24 @@
     site.cut_off(at, false, false);
     site.cuts.remove(&(at, reached));
     site.cuts.remove(&(reached, at));
-    let answer = site.answer(
+    let response = site.answer(
         at,
-        ControlRequest::Beat(beat(2, upstream_registry::LEAVING)),
+        ControlRequest::Heartbeat(beat(2, upstream_registry::LEAVING)),
+    );
+    assert!(
+        response.is_some() && !acknowledged(&response),
+        "{response:?}"
     );
-    assert!(answer.is_some() && !acknowledged(&answer), "{answer:?}");
     // It told whom it could, and that one gets it acknowledged.
     let request_id = site.ask(
         reached,
-        ControlRequest::Beat(beat(3, upstream_registry::LEAVING)),
+        ControlRequest::Heartbeat(beat(3, upstream_registry::LEAVING)),
     );
     let asked_at = site.now;
     site.run_for(200);
-    let (answered_at, answer) = site.answers.remove(&request_id).expect("an answer");
+    let (answered_at, response) = site.answers.remove(&request_id).expect("an answer");
     assert!(
-        acknowledged(&Some(answer)) && answered_at <= asked_at + 3 * DELAY,
+        acknowledged(&Some(response)) && answered_at <= asked_at + 3 * DELAY,
         "quick on a calm day"
     );
 }
@@ -644,11 +675,14 @@
     let mut site = Site::settled();
     assert!(acknowledged(&site.answer(
         0,
-        ControlRequest::SignOff {
+        ControlRequest::Deregister {
             instance: "u".into()
         }
     )));
-    site.answer(2, ControlRequest::Beat(beat(9, upstream_registry::READY)));
+    site.answer(
+        2,
+        ControlRequest::Heartbeat(beat(9, upstream_registry::READY)),
+    );
     site.run_for(600);
     (0..NODES.len()).for_each(|at| {
         let known = site.condition(at, "u");
@@ -664,12 +698,15 @@
 #[test]
 fn what_a_cut_off_node_was_told_is_known_once_it_is_back() {
     let mut site = Site::settled();
-    site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
+    site.answer(
+        0,
+        ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+    );
     let at = site.bystander();
     site.cut_off(at, false, false);
     assert!(!acknowledged(&site.answer(
         at,
-        ControlRequest::SignOff {
+        ControlRequest::Deregister {
             instance: "u".into()
         }
     )));
@@ -686,13 +723,19 @@
 /// those two that nobody else needs from the rest.
 fn departed_with_three_of_five(departure: ControlRequest) -> Site {
     let mut site = Site::settled();
-    site.answer(0, ControlRequest::Beat(beat(1, upstream_registry::READY)));
+    site.answer(
+        0,
+        ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+    );
     site.run_for(600);
     site.split(&[3, 4]);
     let request_id = site.ask(0, departure);
     site.run_for(3 * DELAY);
-    let answer = site.answers.remove(&request_id).map(|(_, answer)| answer);
-    assert!(acknowledged(&answer), "{answer:?}");
+    let response = site
+        .answers
+        .remove(&request_id)
+        .map(|(_, response)| response);
+    assert!(acknowledged(&response), "{response:?}");
     site.cuts.clear();
     site.split(&LATER_MAJORITY);
     site
@@ -700,12 +743,12 @@
 
 /// The ways to depart: with beats that go on, without any, and at a node that did not know the upstream.
 fn departures() -> [ControlRequest; 3] {
-    let unknown = ControlRequest::SignOff {
+    let unknown = ControlRequest::Deregister {
         instance: "unknown".into(),
     };
     [
-        ControlRequest::Beat(beat(2, upstream_registry::LEAVING)),
-        ControlRequest::SignOff {
+        ControlRequest::Heartbeat(beat(2, upstream_registry::LEAVING)),
+        ControlRequest::Deregister {
             instance: "u".into(),
         },
         unknown,
@@ -715,7 +758,7 @@
 /// What the carrier knows of the upstream of [`departures`].
 fn known_to_the_carrier(departure: &ControlRequest) -> Upstream {
     match departure {
-        ControlRequest::SignOff { instance } => Upstream {
+        ControlRequest::Deregister { instance } => Upstream {
             instance: instance.clone(),
             ..beat(1, upstream_registry::READY)
         },
--- a/crates/control-plane/tests/gossip.rs
+++ b/crates/control-plane/tests/gossip.rs
@@ -91,9 +91,9 @@
             } => Some((to, body)),
             Effect::Send {
                 to,
-                body: Payload::UpstreamsRequest(ask),
-            } if !ask.marks.is_empty() => Some((to, Payload::UpstreamsRequest(ask))),
-            Effect::Datagram {
+                body: Payload::UpstreamsRequest(request),
+            } if !request.marks.is_empty() => Some((to, Payload::UpstreamsRequest(request))),
+            Effect::SendDatagram {
                 address,
                 body: Payload::Probe(probe),
             } => {
@@ -122,7 +122,7 @@
         at,
         Event::ControlRequest {
             request_id: at,
-            ask: ControlRequest::Beat(upstream),
+            request: ControlRequest::Heartbeat(upstream),
         },
     )
 }
@@ -216,7 +216,7 @@
             body: Payload::HeartbeatDigest(alive.clone()),
         };
         let answers = said(near, at + 600, event);
-        let ask = answers
+        let request = answers
             .iter()
             .find(|(to, _)| to == "a")
             .expect("it asks")
@@ -233,7 +233,7 @@
             at + 601,
             Event::Received {
                 from: near_name.into(),
-                body: ask,
+                body: request,
             },
         )
         .remove(0)
@@ -247,7 +247,7 @@
             },
         );
         // The other one has it from there.
-        let ask = said(
+        let request = said(
             other,
             at + 603,
             Event::Received {
@@ -256,10 +256,10 @@
             },
         )
         .remove(0);
-        assert_eq!(ask.0, near_name);
+        assert_eq!(request.0, near_name);
         let event = Event::Received {
             from: other_name.into(),
-            body: ask.1,
+            body: request.1,
         };
         let record = said(near, at + 604, event).remove(0).1;
         let Payload::Heartbeats(beats) = &record else {
@@ -306,7 +306,7 @@
         2000,
         Event::ControlRequest {
             request_id: 2000,
-            ask: ControlRequest::SignOff {
+            request: ControlRequest::Deregister {
                 instance: "u".into(),
             },
         },
@@ -332,7 +332,7 @@
         2500,
         Event::ControlRequest {
             request_id: 2500,
-            ask: ControlRequest::Beat(unit(9, upstream_registry::READY)),
+            request: ControlRequest::Heartbeat(unit(9, upstream_registry::READY)),
         },
     );
     let answers = said(
@@ -348,7 +348,7 @@
             |(_, body)| matches!(body, Payload::HeartbeatDigest(on) if on.beats == gone.beats)
         )
     );
-    let ask = answers
+    let request = answers
         .into_iter()
         .find(|(to, _)| to == "a")
         .expect("it asks")
@@ -358,7 +358,7 @@
         2601,
         Event::Received {
             from: near_name.into(),
-            body: ask,
+            body: request,
         },
     )
     .remove(0)
@@ -406,12 +406,12 @@
     let asked = sent(&mut control, 1000, Event::Tick)
         .into_iter()
         .find_map(|body| match body {
-            Payload::UpstreamsRequest(ask) if ask.marks.is_empty() => Some(ask.life),
+            Payload::UpstreamsRequest(request) if request.marks.is_empty() => Some(request.life),
             _ => None,
         });
     let life = asked.expect("it asks the others");
     let settled = |control: &mut ControlNode| {
-        let ask = Payload::UpstreamsRequest(UpstreamsRequest {
+        let request = Payload::UpstreamsRequest(UpstreamsRequest {
             life: 9,
             ..UpstreamsRequest::default()
         });
@@ -420,7 +420,7 @@
             1100,
             Event::Received {
                 from: "b".into(),
-                body: ask,
+                body: request,
             },
         );
         told.iter()
--- a/crates/control-plane/tests/keys.rs
+++ b/crates/control-plane/tests/keys.rs
@@ -89,13 +89,16 @@
             trusts_jumps,
         };
         site.until_held();
-        let ask = ControlRequest::Submit {
+        let request = ControlRequest::SubmitConfiguration {
             id: "x".into(),
             base: None,
             bytes: SETUP.into(),
             in_force: false,
         };
-        site.step(Event::ControlRequest { request_id: 0, ask });
+        site.step(Event::ControlRequest {
+            request_id: 0,
+            request,
+        });
         site.wait(2000);
         assert_eq!(site.control.revision(), 1);
         site
@@ -129,16 +132,17 @@
                         self.configurations.insert(digest, bytes);
                         events.push(Event::WriteCompleted { write_id });
                     }
-                    Effect::KeepDepartures { write_id, .. } => {
-                        events.push(Event::DeparturesKept { write_id })
-                    }
-                    Effect::ControlResponse { request_id, answer } => {
-                        self.answers.push((request_id, answer))
+                    Effect::PersistDepartures { write_id, .. } => {
+                        events.push(Event::DeparturesPersisted { write_id })
                     }
+                    Effect::Respond {
+                        request_id,
+                        response,
+                    } => self.answers.push((request_id, response)),
                     Effect::Send {
-                        body: Payload::SharesRequest(ask),
+                        body: Payload::SharesRequest(request),
                         ..
-                    } => self.asked.push(ask),
+                    } => self.asked.push(request),
                     Effect::Send {
                         body: Payload::ViewUpdate(update),
                         ..
@@ -173,10 +177,10 @@
         let unit = unit(instance, beat, holds);
         self.step(Event::ControlRequest {
             request_id: self.request_id,
-            ask: ControlRequest::Beat(unit),
+            request: ControlRequest::Heartbeat(unit),
         });
         match self.answers.pop() {
-            Some((request_id, ControlResponse::Beat { shares, .. }))
+            Some((request_id, ControlResponse::Heartbeat { shares, .. }))
                 if request_id == self.request_id =>
             {
                 shares
@@ -315,7 +319,7 @@
         });
         site.step(Event::ControlRequest {
             request_id: 70,
-            ask: ControlRequest::Beat(unit("u", 1, &[])),
+            request: ControlRequest::Heartbeat(unit("u", 1, &[])),
         });
         site.asked.pop().expect("it asks the holder").nonce
     };
@@ -351,7 +355,7 @@
             &site.answers[..],
             [(
                 70,
-                ControlResponse::Beat {
+                ControlResponse::Heartbeat {
                     shares: Some(_),
                     ..
                 }
@@ -375,14 +379,14 @@
     );
     site.step(Event::ControlRequest {
         request_id: 99,
-        ask: ControlRequest::SignOff {
+        request: ControlRequest::Deregister {
             instance: "u".into(),
         },
     });
-    let (request_id, answer) = site.answers.pop().expect("the sign-off is answered");
+    let (request_id, response) = site.answers.pop().expect("the sign-off is answered");
     assert!(
-        request_id == 99 && matches!(answer, ControlResponse::Beat { .. }),
-        "{answer:?}"
+        request_id == 99 && matches!(response, ControlResponse::Heartbeat { .. }),
+        "{response:?}"
     );
     site.wait(waited_ms);
     keys(&site.beat("v", 1, &[]))
@@ -423,10 +427,10 @@
     });
     let begun_at = Instant::now();
     (0..CARRIERS).for_each(|carrier| {
-        let ask = Payload::UpdateRequest(UpdateRequest::default());
+        let request = Payload::UpdateRequest(UpdateRequest::default());
         site.step(Event::Received {
             from: format!("c-{carrier}"),
-            body: ask,
+            body: request,
         });
     });
     let spent = begun_at.elapsed();
--- a/crates/control-plane/tests/repair.rs
+++ b/crates/control-plane/tests/repair.rs
@@ -69,12 +69,12 @@
         now,
         Event::ControlRequest {
             request_id: 1,
-            ask: ControlRequest::Status,
+            request: ControlRequest::Status,
         },
     );
     let json = effects.into_iter().find_map(|effect| match effect {
-        Effect::ControlResponse {
-            answer: ControlResponse::JsonValue(json),
+        Effect::Respond {
+            response: ControlResponse::Json(json),
             ..
         } => Some(json),
         _ => None,
--- a/crates/control-plane/tests/site/mod.rs
+++ b/crates/control-plane/tests/site/mod.rs
@@ -54,10 +54,10 @@
             Effect::Persist { write_id, .. } | Effect::StoreConfiguration { write_id, .. } => {
                 self.step(Event::WriteCompleted { write_id })
             }
-            Effect::KeepDepartures { write_id, .. } => {
-                self.step(Event::DeparturesKept { write_id })
+            Effect::PersistDepartures { write_id, .. } => {
+                self.step(Event::DeparturesPersisted { write_id })
             }
-            Effect::ControlResponse { answer, .. } => self.answers.push(answer),
+            Effect::Respond { response, .. } => self.answers.push(response),
             Effect::Send {
                 body: Payload::ViewUpdate(update),
                 ..
@@ -74,12 +74,15 @@
         }
     }
 
-    pub fn order(&mut self, ask: ControlRequest) {
-        self.step(Event::ControlRequest { request_id: 1, ask });
+    pub fn order(&mut self, request: ControlRequest) {
+        self.step(Event::ControlRequest {
+            request_id: 1,
+            request,
+        });
         self.run(Duration::from_millis(100));
         let fine = matches!(
             self.answers.pop(),
-            Some(ControlResponse::Verdict {
+            Some(ControlResponse::Outcome {
                 code: ResultCode::Success,
                 ..
             })
@@ -111,7 +114,7 @@
 pub fn site() -> Site {
     let mut site = Site::new();
     site.run(Duration::from_secs(10));
-    site.order(ControlRequest::Submit {
+    site.order(ControlRequest::SubmitConfiguration {
         id: "first".into(),
         base: None,
         bytes: SETUP.into(),
--- a/crates/test-harness/src/hollow/calls.rs
+++ b/crates/test-harness/src/hollow/calls.rs
@@ -51,7 +51,7 @@
         self.call(
             at,
             "submit",
-            ControlRequest::Submit {
+            ControlRequest::SubmitConfiguration {
                 id,
                 base: None,
                 bytes,
@@ -64,7 +64,7 @@
     pub(crate) fn sign_off_unit(&mut self, at: usize) {
         let instance = format!("unit-{at}");
         self.crash_unit(at);
-        self.call(None, "sign off", ControlRequest::SignOff { instance });
+        self.call(None, "sign off", ControlRequest::Deregister { instance });
     }
 
     fn call(&mut self, at: Option<usize>, kind: &'static str, ask: ControlRequest) {
@@ -77,7 +77,10 @@
         self.step_control(
             at,
             kind,
-            control_plane::Event::ControlRequest { request_id, ask },
+            control_plane::Event::ControlRequest {
+                request_id,
+                request: ask,
+            },
         );
     }
 
@@ -87,14 +90,14 @@
             return false;
         };
         match answer {
-            ControlResponse::Verdict {
+            ControlResponse::Outcome {
                 code: result_code::ResultCode::Success,
                 revision,
             } => {
                 self.calls.taken_after.push(self.now - asked_at);
                 self.calls.awaited.push((*revision, asked_at));
             }
-            ControlResponse::Beat { .. } => self.calls.taken_after.push(self.now - asked_at),
+            ControlResponse::Heartbeat { .. } => self.calls.taken_after.push(self.now - asked_at),
             ControlResponse::Redirect { .. } => self.calls.redirected += 1,
             _ => self.calls.refused += 1,
         }
--- a/crates/test-harness/src/hollow/sights.rs
+++ b/crates/test-harness/src/hollow/sights.rs
@@ -40,7 +40,7 @@
         };
         let request_id = self.request_id();
         self.submitted.insert(request_id, (asked, bytes.clone()));
-        let ask = ControlRequest::Submit {
+        let ask = ControlRequest::SubmitConfiguration {
             id: format!("setup-{asked}").into(),
             base: None,
             bytes: bytes.clone(),
@@ -53,7 +53,10 @@
         self.step_control(
             at,
             "submit",
-            control_plane::Event::ControlRequest { request_id, ask },
+            control_plane::Event::ControlRequest {
+                request_id,
+                request: ask,
+            },
         );
     }
 
@@ -73,7 +76,7 @@
     }
 
     pub(super) fn verdict(&mut self, asked: u32, answer: &ControlResponse) {
-        if let ControlResponse::Verdict {
+        if let ControlResponse::Outcome {
             code: result_code::ResultCode::Success,
             revision,
         } = answer
--- a/crates/test-harness/src/hollow/steps.rs
+++ b/crates/test-harness/src/hollow/steps.rs
@@ -81,7 +81,7 @@
         self.ledger.stepped(node.role, at, kind, took);
         effects.into_iter().for_each(|effect| match effect {
             control_plane::Effect::Send { to, body } => self.send(at, &to, body, true),
-            control_plane::Effect::Datagram { address, body } => {
+            control_plane::Effect::SendDatagram { address, body } => {
                 self.send(at, &address, body, false)
             }
             control_plane::Effect::Persist { write_id, durable } => {
@@ -94,20 +94,21 @@
             } => {
                 self.keep(at, write_id, Write::Configuration(digest, bytes));
             }
-            control_plane::Effect::KeepDepartures { write_id, .. } => {
+            control_plane::Effect::PersistDepartures { write_id, .. } => {
                 self.step_control(
                     at,
                     "kept",
-                    control_plane::Event::DeparturesKept { write_id },
+                    control_plane::Event::DeparturesPersisted { write_id },
                 );
             }
             control_plane::Effect::DeleteConfiguration { digest } => {
                 drop(self.nodes[at].configurations.remove(&digest))
             }
-            control_plane::Effect::ControlResponse { request_id, answer } => {
-                self.answered(at, request_id, answer)
-            }
-            control_plane::Effect::Addresses(book) => self.look_up(at, &book),
+            control_plane::Effect::Respond {
+                request_id,
+                response: answer,
+            } => self.answered(at, request_id, answer),
+            control_plane::Effect::UpdateAddresses(book) => self.look_up(at, &book),
             control_plane::Effect::Log(_) | control_plane::Effect::LogError(_) => {}
         });
     }
--- a/crates/test-harness/src/hollow/units.rs
+++ b/crates/test-harness/src/hollow/units.rs
@@ -109,7 +109,7 @@
             "beat",
             control_plane::Event::ControlRequest {
                 request_id,
-                ask: ControlRequest::Beat(told),
+                request: ControlRequest::Heartbeat(told),
             },
         );
     }
@@ -124,7 +124,7 @@
         let Some((unit, life, beat)) = self.beats.remove(&request_id) else {
             return false;
         };
-        let ControlResponse::Beat {
+        let ControlResponse::Heartbeat {
             holder,
             shares,
             span,
@@ -132,7 +132,7 @@
         else {
             return true;
         };
-        let json = control_plane::beat_sheet(*holder, shares.clone(), *span);
+        let json = control_plane::heartbeat_json(*holder, shares.clone(), *span);
         let (from, to) = (self.nodes[node].zone, self.units[unit].zone);
         let (role, reach) = (self.nodes[node].role, self.reach(from, to));
         self.ledger.sent(
--- a/crates/test-harness/src/sim/cuts.rs
+++ b/crates/test-harness/src/sim/cuts.rs
@@ -94,7 +94,7 @@
             let local = self.nodes[at].local(self.now);
             match &mut self.nodes[at].core {
                 Core::ControlNode(control) => {
-                    drop(control.step(local, Event::Seeds(seeds.clone())))
+                    drop(control.step(local, Event::SeedsChanged(seeds.clone())))
                 }
                 Core::DataNode(carrier, _) => {
                     drop(carrier.step(local, data_plane::Event::Seeds(seeds.clone())))
@@ -192,15 +192,15 @@
             return;
         };
         let vouches = match answer {
-            ControlResponse::Verdict { code, .. } => {
+            ControlResponse::Outcome { code, .. } => {
                 matches!(
                     code,
                     ResultCode::Success | ResultCode::Superseded | ResultCode::NoConfiguration
                 )
             }
-            ControlResponse::Configuration { .. } | ControlResponse::Beat { .. } => true,
-            ControlResponse::Denied { .. }
-            | ControlResponse::JsonValue(_)
+            ControlResponse::Configuration { .. } | ControlResponse::Heartbeat { .. } => true,
+            ControlResponse::Rejected { .. }
+            | ControlResponse::Json(_)
             | ControlResponse::Redirect { .. } => false,
         };
         if vouches && self.isolated.contains(&at) {
@@ -216,15 +216,19 @@
     /// Notes when a question came to a node that is cut off from all others.
     pub(super) fn note_asked(&mut self, at: usize, request_id: u64, ask: &ControlRequest) {
         let what = match ask {
-            ControlRequest::Submit { .. } | ControlRequest::Evacuate { .. } => Vouched::Order,
-            ControlRequest::Beat(upstream) if upstream.condition == upstream_registry::READY => {
+            ControlRequest::SubmitConfiguration { .. } | ControlRequest::Evacuate { .. } => {
+                Vouched::Order
+            }
+            ControlRequest::Heartbeat(upstream)
+                if upstream.condition == upstream_registry::READY =>
+            {
                 Vouched::Heartbeat
             }
             // One that was told already that all know goes on beating.
-            ControlRequest::Beat(upstream) if self.is_taken(&upstream.instance) => {
+            ControlRequest::Heartbeat(upstream) if self.is_taken(&upstream.instance) => {
                 Vouched::Heartbeat
             }
-            ControlRequest::Beat(_) | ControlRequest::SignOff { .. } => Vouched::Leaving,
+            ControlRequest::Heartbeat(_) | ControlRequest::Deregister { .. } => Vouched::Leaving,
             _ => Vouched::Reading,
         };
         if self.isolated.contains(&at) {
--- a/crates/test-harness/src/sim/disks.rs
+++ b/crates/test-harness/src/sim/disks.rs
@@ -53,7 +53,7 @@
             );
         }
         node.disk.departures = Some((now, departures));
-        self.tell_disk(at, Event::DeparturesKept { write_id });
+        self.tell_disk(at, Event::DeparturesPersisted { write_id });
     }
 
     /// What a control node that starts now finds of departures.
--- a/crates/test-harness/src/sim/nodes.rs
+++ b/crates/test-harness/src/sim/nodes.rs
@@ -406,7 +406,7 @@
         let local = self.nodes[at].local(self.now);
         match &mut self.nodes[at].core {
             Core::ControlNode(control) => {
-                let effects = control.step(local, control_plane::Event::Close);
+                let effects = control.step(local, control_plane::Event::Shutdown);
                 self.run_control(at, effects);
                 self.end_if_done(at);
             }
@@ -420,7 +420,7 @@
 
     /// A control node ends once it has handed over; a carrier that denies, with the last request under way.
     fn end_if_done(&mut self, at: usize) {
-        if matches!(&self.nodes[at].core, Core::ControlNode(control) if control.may_end()) {
+        if matches!(&self.nodes[at].core, Core::ControlNode(control) if control.is_shut_down()) {
             return self.kill(at);
         }
         let denies = self.nodes[at]
@@ -483,9 +483,10 @@
                     Some(NodeEvent::Datagram { address, body }) => {
                         Event::Datagram { address, body }
                     }
-                    Some(NodeEvent::ControlRequest { request_id, ask }) => {
-                        Event::ControlRequest { request_id, ask }
-                    }
+                    Some(NodeEvent::ControlRequest { request_id, ask }) => Event::ControlRequest {
+                        request_id,
+                        request: ask,
+                    },
                     Some(_) => return,
                 };
                 let effects = control.step(local, event);
@@ -544,7 +545,9 @@
     pub(super) fn run_control(&mut self, at: usize, effects: Vec<control_plane::Effect>) {
         effects.into_iter().for_each(|effect| match effect {
             control_plane::Effect::Send { to, body } => self.send(at, &to, body),
-            control_plane::Effect::Datagram { address, body } => self.datagram(at, &address, body),
+            control_plane::Effect::SendDatagram { address, body } => {
+                self.datagram(at, &address, body)
+            }
             control_plane::Effect::Persist { write_id, durable } => {
                 self.write(at, Write::State(write_id, durable))
             }
@@ -555,17 +558,18 @@
             } => {
                 self.write(at, Write::Configuration(write_id, digest, bytes));
             }
-            control_plane::Effect::KeepDepartures {
+            control_plane::Effect::PersistDepartures {
                 write_id,
                 departures,
             } => self.keep_departures(at, write_id, departures),
             control_plane::Effect::DeleteConfiguration { digest } => {
                 self.write(at, Write::Drop(digest))
             }
-            control_plane::Effect::ControlResponse { request_id, answer } => {
-                self.control_answered(at, request_id, answer)
-            }
-            control_plane::Effect::Addresses(_)
+            control_plane::Effect::Respond {
+                request_id,
+                response,
+            } => self.control_answered(at, request_id, response),
+            control_plane::Effect::UpdateAddresses(_)
             | control_plane::Effect::Log(_)
             | control_plane::Effect::LogError(_) => {}
         });
@@ -802,7 +806,7 @@
                 self.reply_to(&request, Err(transport::CallError::NotConnected));
             }
             NodeEvent::ControlRequest { request_id, .. } => {
-                let answer = ControlResponse::Verdict {
+                let answer = ControlResponse::Outcome {
                     code: result_code::ResultCode::NoControlNode,
                     revision: 0,
                 };
@@ -816,7 +820,7 @@
         self.note_vouched(at, request_id, &answer);
         if matches!(
             answer,
-            ControlResponse::Verdict {
+            ControlResponse::Outcome {
                 code: result_code::ResultCode::Success,
                 ..
             }
--- a/crates/test-harness/src/sim/operators.rs
+++ b/crates/test-harness/src/sim/operators.rs
@@ -51,13 +51,13 @@
             id
         };
         match self.what.clone() {
-            What::Configuration { bytes, base, .. } => ControlRequest::Submit {
+            What::Configuration { bytes, base, .. } => ControlRequest::SubmitConfiguration {
                 id,
                 base,
                 bytes: bytes.into_bytes(),
                 in_force: false,
             },
-            What::Numbered { bytes, .. } => ControlRequest::Submit {
+            What::Numbered { bytes, .. } => ControlRequest::SubmitConfiguration {
                 id,
                 base: None,
                 bytes: bytes.into_bytes(),
@@ -268,7 +268,7 @@
         self.send_order_to(at, node);
         self.send_stray_copy(at);
         // No answer at all: ask again with the same id, elsewhere.
-        let unknown = ControlResponse::Verdict {
+        let unknown = ControlResponse::Outcome {
             code: ResultCode::ChangeOutcomeUnknown,
             revision: 0,
         };
@@ -298,8 +298,10 @@
         let request_id = self.id();
         self.operators.tokens.insert(request_id, (at, node));
         let mut ask = self.operators.submissions[at].ask();
-        if let (true, ControlRequest::Submit { id, .. } | ControlRequest::Evacuate { id, .. }) =
-            (self.weak.redoes_orders, &mut ask)
+        if let (
+            true,
+            ControlRequest::SubmitConfiguration { id, .. } | ControlRequest::Evacuate { id, .. },
+        ) = (self.weak.redoes_orders, &mut ask)
             && !id.id.is_empty()
         {
             id.id = format!("{}-{request_id}", id.id);
@@ -330,7 +332,7 @@
                     Some((revision, protocol::digest(&bytes)))
                 }
                 // 'Nothing was ever accepted' is an answer too.
-                ControlResponse::Verdict {
+                ControlResponse::Outcome {
                     code: ResultCode::NoConfiguration,
                     revision,
                 } => Some((revision, String::new())),
@@ -349,10 +351,10 @@
         }
         let submission = self.operators.tokens.remove(&request_id);
         let answer = match answer {
-            ControlResponse::Verdict {
+            ControlResponse::Outcome {
                 code: ResultCode::VersionConflict,
                 revision,
-            } if self.weak.confirms_taken => ControlResponse::Verdict {
+            } if self.weak.confirms_taken => ControlResponse::Outcome {
                 code: ResultCode::Success,
                 revision,
             },
@@ -372,7 +374,7 @@
                 .into_iter()
                 .for_each(|node| self.ask_submission_at(at, node));
         }
-        let ControlResponse::Verdict { code, revision } = answer else {
+        let ControlResponse::Outcome { code, revision } = answer else {
             return;
         };
         let is_final = matches!(
--- a/crates/test-harness/src/sim/signing_off.rs
+++ b/crates/test-harness/src/sim/signing_off.rs
@@ -29,11 +29,11 @@
     pub(super) fn beat_or_sign_off(&self, at: usize, told: Upstream) -> ControlRequest {
         let unit = &self.units[at];
         match (unit.signed_off, unit.taken_at) {
-            (false, _) => ControlRequest::Beat(told),
-            (true, None) => ControlRequest::SignOff {
+            (false, _) => ControlRequest::Heartbeat(told),
+            (true, None) => ControlRequest::Deregister {
                 instance: told.instance,
             },
-            (true, Some(_)) => ControlRequest::Beat(Upstream {
+            (true, Some(_)) => ControlRequest::Heartbeat(Upstream {
                 holds: Vec::new(),
                 ..told
             }),
--- a/crates/test-harness/src/sim/units.rs
+++ b/crates/test-harness/src/sim/units.rs
@@ -229,7 +229,7 @@
         if let ControlResponse::Redirect { to } = &answer {
             self.units[unit].leaves_by = self.units[unit].leaves_by.and(self.named(to));
         }
-        let ControlResponse::Beat {
+        let ControlResponse::Heartbeat {
             holder,
             shares,
             span,
@@ -246,7 +246,7 @@
         if self.units[unit].work.numbered {
             return self.ranges_answered(from, shares, span);
         }
-        let json = control_plane::beat_sheet(holder, shares, span);
+        let json = control_plane::heartbeat_json(holder, shares, span);
         let delay = self.net.delay(
             &mut self.random,
             &self.nodes[node].place,
