--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -207,7 +207,7 @@
         }
         ["inherit", file, folder] => return Err(done(rescue::inherit(file, folder))),
         ["check", file] => {
-            let validation_errors = Configuration::read(&read(file)?).err().unwrap_or_default();
+            let validation_errors = Configuration::parse(&read(file)?).err().unwrap_or_default();
             let fine = validation_errors.is_empty();
             let text = validation_errors
                 .iter()
@@ -399,7 +399,7 @@
         )
         .await
         .ok()?;
-    JsonValue::read(&String::from_utf8_lossy(&status.body))
+    JsonValue::parse(&String::from_utf8_lossy(&status.body))
         .ok()?
         .count("decided")
 }
@@ -418,7 +418,7 @@
         )
         .await
         .ok()?;
-    let json = JsonValue::read(&String::from_utf8_lossy(&status.body)).ok()?;
+    let json = JsonValue::parse(&String::from_utf8_lossy(&status.body)).ok()?;
     let proxies = json
         .list("members")
         .iter()
@@ -446,7 +446,7 @@
         .parse()
         .ok()
         .and_then(ResultCode::from_number);
-    JsonValue::read(&text)
+    JsonValue::parse(&text)
         .ok()
         .iter()
         .flat_map(|json| json.list("complaints").to_vec())
--- a/crates/cli/src/manifest.rs
+++ b/crates/cli/src/manifest.rs
@@ -1,7 +1,7 @@
 //! Manifests in the manner of the Gateway API, turned into a setup. What a setup can't express is denied with its
 //! path, never left out in silence.
 
-use config::{Configuration, Fields, JsonValue, ValidationError, add_validation_error};
+use config::{Configuration, JsonValue, ObjectReader, ValidationError, add_validation_error};
 use std::collections::{BTreeMap, BTreeSet};
 use yaml_rust2::{Yaml, YamlLoader};
 
@@ -32,7 +32,7 @@
     };
     let documents =
         YamlLoader::load_from_str(manifests).map_err(|failed| one("/", failed.to_string()))?;
-    let described = JsonValue::read(services).map_err(|text| one("services", text))?;
+    let described = JsonValue::parse(services).map_err(|text| one("services", text))?;
     let mut desk = Desk::default();
     let sheets: Vec<JsonValue> = documents
         .iter()
@@ -71,13 +71,13 @@
         return Err(desk.validation_errors);
     }
     let list = |items: &[JsonValue]| items.iter().cloned().collect::<JsonValue>();
-    let configuration = JsonValue::fields([
+    let configuration = JsonValue::object([
         ("services", list(described.list("services"))),
         ("routes", list(&desk.routes)),
         ("aliases", list(&desk.aliases)),
     ])
     .to_string();
-    Configuration::read(configuration.as_bytes())?;
+    Configuration::parse(configuration.as_bytes())?;
     Ok((configuration, desk.remarks))
 }
 
@@ -86,15 +86,15 @@
     fn json(&mut self, yaml: &Yaml, path: &str) -> JsonValue {
         match yaml {
             Yaml::Null => JsonValue::Null,
-            Yaml::Boolean(truth) => JsonValue::Truth(*truth),
+            Yaml::Boolean(truth) => JsonValue::Bool(*truth),
             Yaml::String(text) => JsonValue::from(text.as_str()),
-            Yaml::Integer(number) if *number >= 0 => JsonValue::Count(*number as u64),
+            Yaml::Integer(number) if *number >= 0 => JsonValue::Integer(*number as u64),
             Yaml::Array(items) => items
                 .iter()
                 .enumerate()
                 .map(|(at, item)| self.json(item, &format!("{path}/{at}")))
                 .collect(),
-            Yaml::Hash(fields) => JsonValue::Fields(
+            Yaml::Hash(fields) => JsonValue::Object(
                 fields
                     .iter()
                     .map(|(name, value)| {
@@ -116,13 +116,13 @@
     }
 
     fn document(&mut self, json: &JsonValue, path: &str) {
-        let mut fields = Fields::open(json, path, &mut self.validation_errors);
+        let mut fields = ObjectReader::new(json, path, &mut self.validation_errors);
         let (version, kind) = (fields.text("apiVersion"), fields.text("kind"));
         let (metadata, spec) = (
-            fields.part("metadata").cloned(),
-            fields.part("spec").cloned(),
+            fields.value("metadata").cloned(),
+            fields.value("spec").cloned(),
         );
-        fields.close();
+        fields.finish();
         if version.is_some_and(|version| version != GROUP) {
             add_validation_error(
                 &mut self.validation_errors,
@@ -130,13 +130,13 @@
                 format!("must be {GROUP}"),
             );
         }
-        let mut fields = Fields::open(
+        let mut fields = ObjectReader::new(
             metadata.as_ref().unwrap_or(&JsonValue::Null),
             &format!("{path}/metadata"),
             &mut self.validation_errors,
         );
         let name = fields.id("name").unwrap_or_default();
-        fields.close();
+        fields.finish();
         let spec = spec.unwrap_or(JsonValue::Null);
         match kind.as_deref() {
             Some("Gateway") => self.gateway(&name, &spec, &format!("{path}/spec")),
@@ -151,10 +151,10 @@
 
     fn gateway(&mut self, name: &str, spec: &JsonValue, path: &str) {
         self.gateways.insert(name.to_owned());
-        let mut fields = Fields::open(spec, path, &mut self.validation_errors);
+        let mut fields = ObjectReader::new(spec, path, &mut self.validation_errors);
         let class = fields.text("gatewayClassName");
         let listeners = fields.list("listeners");
-        fields.close();
+        fields.finish();
         if class.is_some_and(|class| class != CLASS) {
             add_validation_error(
                 &mut self.validation_errors,
@@ -164,11 +164,11 @@
         }
         listeners.iter().enumerate().for_each(|(at, listener)| {
             let path = format!("{path}/listeners/{at}");
-            let mut fields = Fields::open(listener, &path, &mut self.validation_errors);
+            let mut fields = ObjectReader::new(listener, &path, &mut self.validation_errors);
             fields.id("name");
             let port = fields.count("port", 1..=65_535, None);
             let protocol = fields.text("protocol");
-            fields.close();
+            fields.finish();
             if protocol.is_some_and(|protocol| protocol != "HTTP") {
                 add_validation_error(&mut self.validation_errors, &format!("{path}/protocol"), "must be HTTP");
             }
@@ -179,18 +179,18 @@
     }
 
     fn route(&mut self, name: &str, spec: &JsonValue, path: &str) {
-        let mut fields = Fields::open(spec, path, &mut self.validation_errors);
+        let mut fields = ObjectReader::new(spec, path, &mut self.validation_errors);
         let (parents, hosts, rules) = (
             fields.list("parentRefs"),
             fields.list("hostnames"),
             fields.list("rules"),
         );
-        fields.close();
+        fields.finish();
         parents.iter().enumerate().for_each(|(at, parent)| {
             let path = format!("{path}/parentRefs/{at}");
-            let mut fields = Fields::open(parent, &path, &mut self.validation_errors);
+            let mut fields = ObjectReader::new(parent, &path, &mut self.validation_errors);
             let gateway = fields.id("name").unwrap_or_default();
-            fields.close();
+            fields.finish();
             if !self.gateways.contains(&gateway) {
                 add_validation_error(
                     &mut self.validation_errors,
@@ -203,7 +203,7 @@
             .iter()
             .enumerate()
             .filter_map(|(at, host)| match host {
-                JsonValue::Text(host) if locality::is_valid_id(host) => Some(host.as_str()),
+                JsonValue::String(host) if locality::is_valid_id(host) => Some(host.as_str()),
                 _ => {
                     let text = "must be a whole host name; patterns can't be expressed";
                     add_validation_error(
@@ -225,9 +225,9 @@
         let mut count = 0;
         rules.iter().enumerate().for_each(|(at, rule)| {
             let path = format!("{path}/rules/{at}");
-            let mut fields = Fields::open(rule, &path, &mut self.validation_errors);
+            let mut fields = ObjectReader::new(rule, &path, &mut self.validation_errors);
             let (matches, backends) = (fields.list("matches"), fields.list("backendRefs"));
-            fields.close();
+            fields.finish();
             let service = self.backend(backends, &format!("{path}/backendRefs"));
             if matches.is_empty() {
                 let text = "must match one path at least: a route has a path";
@@ -241,7 +241,7 @@
                 let place = self.path(matched, &format!("{path}/matches/{at}"));
                 count += 1;
                 let id = format!("{name}-{count}");
-                self.routes.push(JsonValue::fields([
+                self.routes.push(JsonValue::object([
                     ("id", id.into()),
                     ("name", (*first).into()),
                     ("path", place.into()),
@@ -250,7 +250,7 @@
             });
         });
         let links = others.iter().map(|other| {
-            JsonValue::fields([
+            JsonValue::object([
                 ("alias", (*other).into()),
                 ("to", format!("{name}-1").into()),
             ])
@@ -269,13 +269,13 @@
         let first = backends
             .first()
             .cloned()
-            .unwrap_or(JsonValue::Fields(Vec::new()));
+            .unwrap_or(JsonValue::Object(Vec::new()));
         let path = format!("{path}/0");
-        let mut fields = Fields::open(&first, &path, &mut self.validation_errors);
+        let mut fields = ObjectReader::new(&first, &path, &mut self.validation_errors);
         let service = fields.id("name").unwrap_or_default();
         // Upstreams report their own addresses; a port says nothing here.
-        let port = fields.part("port").cloned();
-        fields.close();
+        let port = fields.value("port").cloned();
+        fields.finish();
         self.remarks.extend(port.map(|port| {
             format!("{path}/port: {port} is no part of a setup; upstreams report theirs")
         }));
@@ -284,15 +284,16 @@
     }
 
     fn path(&mut self, matched: &JsonValue, path: &str) -> String {
-        let mut fields = Fields::open(matched, path, &mut self.validation_errors);
-        let place = fields.part("path").cloned().unwrap_or(JsonValue::Null);
-        fields.close();
-        let mut fields = Fields::open(&place, &format!("{path}/path"), &mut self.validation_errors);
+        let mut fields = ObjectReader::new(matched, path, &mut self.validation_errors);
+        let place = fields.value("path").cloned().unwrap_or(JsonValue::Null);
+        fields.finish();
+        let mut fields =
+            ObjectReader::new(&place, &format!("{path}/path"), &mut self.validation_errors);
         let (kind, value) = (
             fields.text("type"),
             fields.text("value").unwrap_or_default(),
         );
-        fields.close();
+        fields.finish();
         if kind.is_some_and(|kind| kind != "Exact") {
             add_validation_error(
                 &mut self.validation_errors,
@@ -341,14 +342,14 @@
         );
         let (configuration, remarks) = turn(&manifests, SERVICES).expect("it can be expressed");
         let configuration =
-            config::Configuration::read(configuration.as_bytes()).expect("a whole setup");
+            config::Configuration::parse(configuration.as_bytes()).expect("a whole setup");
         assert_eq!(
             configuration.resolve("booking.example"),
             Some("book.example")
         );
         assert_eq!(
             configuration
-                .route("book.example", "/book")
+                .find_route("book.example", "/book")
                 .map(|route| route.service.as_str()),
             Some("slots")
         );
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -23,7 +23,7 @@
         .call(address, "GET", page, &[], Vec::new().into(), WITHIN, false)
         .await;
     let reply = called.ok().filter(|reply| reply.status == 200)?;
-    JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok()
+    JsonValue::parse(&String::from_utf8_lossy(&reply.body)).ok()
 }
 
 async fn ask_all(members: &[JsonValue]) -> Vec<Told> {
@@ -87,7 +87,7 @@
             .count("syncedRound")
             .map(|round| format!(", synced round {round}"))
             .unwrap_or_default();
-        let caught_up = member.get("caughtUp") == Some(&JsonValue::Truth(true));
+        let caught_up = member.get("caughtUp") == Some(&JsonValue::Bool(true));
         let behind = if caught_up { "" } else { ", behind" };
         lines.push(format!(
             "{role} {node}: heard {silent_ms} ms ago{synced}{behind}"
@@ -105,7 +105,7 @@
     upstreams: Option<&JsonValue>,
 ) -> (Vec<String>, Vec<String>) {
     let (mut lines, mut wrong) = (Vec::new(), Vec::new());
-    let truth = |json: &JsonValue, name: &str| json.get(name) == Some(&JsonValue::Truth(true));
+    let truth = |json: &JsonValue, name: &str| json.get(name) == Some(&JsonValue::Bool(true));
     let revision = status.count("edition").unwrap_or(0);
     let age_ms = status
         .count("ageMs")
@@ -214,7 +214,7 @@
         });
     let mut services: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
     let listed = upstreams.map(|json| {
-        if let JsonValue::List(all) = json {
+        if let JsonValue::Array(all) = json {
             all.as_slice()
         } else {
             &[]
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -38,44 +38,44 @@
 /// Reads the fields of one object; whatever nobody asked for is complained of at the end.
 ///
 /// ```
-/// use config::{Fields, JsonValue};
-/// let json = JsonValue::read(r#"{"name": "a b", "size": 9, "colour": 1}"#).unwrap();
+/// use config::{ObjectReader, JsonValue};
+/// let json = JsonValue::parse(r#"{"name": "a b", "size": 9, "colour": 1}"#).unwrap();
 /// let mut validation_errors = Vec::new();
-/// let mut fields = Fields::open(&json, "/x", &mut validation_errors);
+/// let mut fields = ObjectReader::new(&json, "/x", &mut validation_errors);
 /// fields.id("name");
 /// fields.count("size", 0..=5, None);
-/// fields.close();
+/// fields.finish();
 /// let said: Vec<String> = validation_errors.iter().map(|c| c.path.clone()).collect();
 /// assert_eq!(said, ["/x/name", "/x/size", "/x/colour"]);
 /// ```
-pub struct Fields<'a, 'c> {
+pub struct ObjectReader<'a, 'c> {
     fields: &'a [(String, JsonValue)],
     path: String,
     asked: Vec<&'static str>,
     validation_errors: &'c mut Vec<ValidationError>,
 }
 
-impl<'a, 'c> Fields<'a, 'c> {
+impl<'a, 'c> ObjectReader<'a, 'c> {
     /// Opens a sheet that must be an object.
     ///
     /// ```
     /// let mut validation_errors = Vec::new();
-    /// config::Fields::open(&config::JsonValue::Null, "/x", &mut validation_errors).close();
+    /// config::ObjectReader::new(&config::JsonValue::Null, "/x", &mut validation_errors).finish();
     /// assert_eq!(validation_errors[0].text, "must be an object");
     /// ```
-    pub fn open(
+    pub fn new(
         json: &'a JsonValue,
         path: &str,
         validation_errors: &'c mut Vec<ValidationError>,
     ) -> Self {
         let fields = match json {
-            JsonValue::Fields(fields) => fields.as_slice(),
+            JsonValue::Object(fields) => fields.as_slice(),
             _ => {
                 add_validation_error(validation_errors, path, "must be an object");
                 &[]
             }
         };
-        Fields {
+        ObjectReader {
             fields,
             path: path.to_owned(),
             asked: Vec::new(),
@@ -86,13 +86,13 @@
     /// A field of any shape, where it is there.
     ///
     /// ```
-    /// let json = config::JsonValue::read(r#"{"spec": {}}"#).unwrap();
+    /// let json = config::JsonValue::parse(r#"{"spec": {}}"#).unwrap();
     /// let mut validation_errors = Vec::new();
-    /// let mut fields = config::Fields::open(&json, "", &mut validation_errors);
-    /// assert!(fields.part("spec").is_some());
-    /// assert!(fields.part("status").is_none());
+    /// let mut fields = config::ObjectReader::new(&json, "", &mut validation_errors);
+    /// assert!(fields.value("spec").is_some());
+    /// assert!(fields.value("status").is_none());
     /// ```
-    pub fn part(&mut self, name: &'static str) -> Option<&'a JsonValue> {
+    pub fn value(&mut self, name: &'static str) -> Option<&'a JsonValue> {
         self.ask(name)
     }
 
@@ -113,14 +113,14 @@
     /// A text that must be there.
     ///
     /// ```
-    /// let (json, mut validation_errors) = (config::JsonValue::read("{}").unwrap(), Vec::new());
-    /// let mut fields = config::Fields::open(&json, "", &mut validation_errors);
+    /// let (json, mut validation_errors) = (config::JsonValue::parse("{}").unwrap(), Vec::new());
+    /// let mut fields = config::ObjectReader::new(&json, "", &mut validation_errors);
     /// assert_eq!(fields.text("name"), None);
     /// assert_eq!(validation_errors[0].text, "is missing");
     /// ```
     pub fn text(&mut self, name: &'static str) -> Option<String> {
         match self.ask(name) {
-            Some(JsonValue::Text(text)) => Some(text.clone()),
+            Some(JsonValue::String(text)) => Some(text.clone()),
             Some(_) => self.add_validation_error(name, "must be a text"),
             None => self.add_validation_error(name, "is missing"),
         }
@@ -129,8 +129,8 @@
     /// An id that must be there.
     ///
     /// ```
-    /// let (json, mut validation_errors) = (config::JsonValue::read(r#"{"id":"a-1"}"#).unwrap(), Vec::new());
-    /// assert_eq!(config::Fields::open(&json, "", &mut validation_errors).id("id").as_deref(), Some("a-1"));
+    /// let (json, mut validation_errors) = (config::JsonValue::parse(r#"{"id":"a-1"}"#).unwrap(), Vec::new());
+    /// assert_eq!(config::ObjectReader::new(&json, "", &mut validation_errors).id("id").as_deref(), Some("a-1"));
     /// ```
     pub fn id(&mut self, name: &'static str) -> Option<String> {
         self.text(name).and_then(|text| {
@@ -148,8 +148,8 @@
     /// A whole number within a range; `fallback` where it may be left out.
     ///
     /// ```
-    /// let (json, mut validation_errors) = (config::JsonValue::read("{}").unwrap(), Vec::new());
-    /// let mut fields = config::Fields::open(&json, "", &mut validation_errors);
+    /// let (json, mut validation_errors) = (config::JsonValue::parse("{}").unwrap(), Vec::new());
+    /// let mut fields = config::ObjectReader::new(&json, "", &mut validation_errors);
     /// assert_eq!(fields.count("size", 1..=9, Some(4)), Some(4));
     /// ```
     pub fn count(
@@ -160,7 +160,7 @@
     ) -> Option<u64> {
         let (least, most) = (*allowed.start(), *allowed.end());
         match self.ask(name) {
-            Some(JsonValue::Count(count)) if allowed.contains(count) => Some(*count),
+            Some(JsonValue::Integer(count)) if allowed.contains(count) => Some(*count),
             Some(json) => {
                 let text = format!("{json} is not a whole number from {least} to {most}");
                 self.add_validation_error(name, text)
@@ -172,12 +172,12 @@
     /// A truth that may be left out.
     ///
     /// ```
-    /// let (json, mut validation_errors) = (config::JsonValue::read(r#"{"keyed":true}"#).unwrap(), Vec::new());
-    /// assert!(config::Fields::open(&json, "", &mut validation_errors).truth("keyed", false));
+    /// let (json, mut validation_errors) = (config::JsonValue::parse(r#"{"keyed":true}"#).unwrap(), Vec::new());
+    /// assert!(config::ObjectReader::new(&json, "", &mut validation_errors).boolean("keyed", false));
     /// ```
-    pub fn truth(&mut self, name: &'static str, fallback: bool) -> bool {
+    pub fn boolean(&mut self, name: &'static str, fallback: bool) -> bool {
         match self.ask(name) {
-            Some(JsonValue::Truth(truth)) => *truth,
+            Some(JsonValue::Bool(truth)) => *truth,
             Some(_) => self
                 .add_validation_error(name, "must be true or false")
                 .unwrap_or(fallback),
@@ -188,12 +188,12 @@
     /// A list; empty where it is left out.
     ///
     /// ```
-    /// let (json, mut validation_errors) = (config::JsonValue::read(r#"{"x":[1,2]}"#).unwrap(), Vec::new());
-    /// assert_eq!(config::Fields::open(&json, "", &mut validation_errors).list("x").len(), 2);
+    /// let (json, mut validation_errors) = (config::JsonValue::parse(r#"{"x":[1,2]}"#).unwrap(), Vec::new());
+    /// assert_eq!(config::ObjectReader::new(&json, "", &mut validation_errors).list("x").len(), 2);
     /// ```
     pub fn list(&mut self, name: &'static str) -> &'a [JsonValue] {
         match self.ask(name) {
-            Some(JsonValue::List(items)) => items,
+            Some(JsonValue::Array(items)) => items,
             Some(_) => self
                 .add_validation_error(name, "must be a list")
                 .unwrap_or(&[]),
@@ -204,13 +204,13 @@
     /// Complains of fields that nobody asked for, and of fields that came twice.
     ///
     /// ```
-    /// let (json, mut validation_errors) = (config::JsonValue::read(r#"{"x":1,"x":2}"#).unwrap(), Vec::new());
-    /// let mut fields = config::Fields::open(&json, "", &mut validation_errors);
+    /// let (json, mut validation_errors) = (config::JsonValue::parse(r#"{"x":1,"x":2}"#).unwrap(), Vec::new());
+    /// let mut fields = config::ObjectReader::new(&json, "", &mut validation_errors);
     /// fields.count("x", 0..=9, None);
-    /// fields.close();
+    /// fields.finish();
     /// assert_eq!(validation_errors[0].to_string(), "/x: comes twice");
     /// ```
-    pub fn close(self) {
+    pub fn finish(self) {
         self.fields.iter().enumerate().for_each(|(at, (name, _))| {
             let path = format!("{}/{name}", self.path);
             if self.fields[..at].iter().any(|(earlier, _)| earlier == name) {
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,6 +1,6 @@
 //! The operators' setup: services, routes and aliases.
 
-use crate::check::{Fields, ValidationError, add_validation_error};
+use crate::check::{ObjectReader, ValidationError, add_validation_error};
 use crate::json_value::JsonValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,32 +17,32 @@
 pub struct Service {
     pub name: String,
     /// True where a request may run more than once without harm.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// True where keys are divided among the upstreams.
     pub keyed: bool,
     /// True where keys are whole numbers of `key_space::KEY_COUNT`, divided as they are; else they are hashed into slots.
-    pub numbered: bool,
+    pub numeric_keys: bool,
     /// First sends a second that one cold upstream may get, over all proxies together.
     pub warm_up_per_second: u64,
     /// The only regions where its work may go; empty means anywhere.
     pub home_regions: Vec<String>,
     /// The largest request body.
-    pub most_bytes: u64,
+    pub max_body_bytes: u64,
     /// Requests that one proxy serves at a time for this service.
-    pub concurrency: u64,
+    pub max_concurrency: u64,
 }
 
 impl Service {
     /// The place of a key in the space that this service's upstreams divide; none where it can't be one.
     ///
     /// ```
-    /// let service = config::Service { numbered: true, ..Default::default() };
-    /// assert_eq!(service.place("65535"), Some(65_535));
-    /// assert_eq!(service.place("65536"), None);
-    /// assert_eq!(config::Service::default().place("any"), Some(key_space::slot_of_key("any")));
+    /// let service = config::Service { numeric_keys: true, ..Default::default() };
+    /// assert_eq!(service.key_position("65535"), Some(65_535));
+    /// assert_eq!(service.key_position("65536"), None);
+    /// assert_eq!(config::Service::default().key_position("any"), Some(key_space::slot_of_key("any")));
     /// ```
-    pub fn place(&self, key: &str) -> Option<u32> {
-        if self.numbered {
+    pub fn key_position(&self, key: &str) -> Option<u32> {
+        if self.numeric_keys {
             return key
                 .parse::<u32>()
                 .ok()
@@ -56,28 +56,28 @@
     fn default() -> Self {
         Service {
             name: String::new(),
-            repeatable: false,
+            idempotent: false,
             keyed: false,
-            numbered: false,
+            numeric_keys: false,
             warm_up_per_second: 5,
             home_regions: Vec::new(),
-            most_bytes: 65_536,
-            concurrency: 256,
+            max_body_bytes: 65_536,
+            max_concurrency: 256,
         }
     }
 }
 
 /// What a route says of the requests on it, where it says anything.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Terms {
+pub struct RoutePolicy {
     /// Whether a request may run more than once; else its service says it.
-    pub repeatable: Option<bool>,
+    pub idempotent: Option<bool>,
     /// The longest that a request is held.
     pub timeout: Option<Duration>,
     /// An answer within it earns its full worth.
-    pub target: Option<Duration>,
+    pub latency_target: Option<Duration>,
     /// The most upstreams that one try may be sent to.
-    pub attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// Its rank; zero is the highest.
     pub priority: u32,
     /// The only regions where its work may go, beside what its service says; empty means anywhere.
@@ -95,7 +95,7 @@
     pub service: String,
     /// Services with their weights; empty where there is one only.
     pub split: Vec<(String, u64)>,
-    pub terms: Terms,
+    pub policy: RoutePolicy,
 }
 
 impl Route {
@@ -116,9 +116,9 @@
     /// ```
     /// let split = vec![("a".to_owned(), 0), ("b".to_owned(), 3)];
     /// let route = config::Route { split, ..Default::default() };
-    /// assert_eq!(route.pick("try-1"), "b");
+    /// assert_eq!(route.select_service("try-1"), "b");
     /// ```
-    pub fn pick(&self, salt: &str) -> &str {
+    pub fn select_service(&self, salt: &str) -> &str {
         let sum: u64 = self.split.iter().map(|(_, weight)| weight).sum();
         let mut at = random::stable_hash(salt).checked_rem(sum).unwrap_or(0);
         let picked = self.split.iter().find(|(_, weight)| {
@@ -142,8 +142,8 @@
 /// A whole, checked setup.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Configuration {
-    /// The operator's own number of it, where there is one.
-    pub number: Option<u64>,
+    /// The operator's own version number, where there is one.
+    pub version: Option<u64>,
     pub services: BTreeMap<String, Arc<Service>>,
     pub routes: BTreeMap<String, Arc<Route>>,
     pub aliases: BTreeMap<String, Alias>,
@@ -156,17 +156,17 @@
     ///
     /// ```
     /// use config::Configuration;
-    /// let configuration = Configuration::read(br#"{
+    /// let configuration = Configuration::parse(br#"{
     ///   "services": [{"name": "slots", "work": "once", "warmUpPerSecond": 5}],
     ///   "routes": [{"id": "r1", "name": "book", "path": "/book", "service": "slots"}],
     ///   "aliases": [{"alias": "book.example", "to": "r1"}]
     /// }"#).unwrap();
     /// assert_eq!(configuration.resolve("book.example"), Some("book"));
-    /// let validation_errors = Configuration::read(br#"{"routes": [{"id": "r1", "name": "a", "path": "b", "service": "c"}]}"#)
+    /// let validation_errors = Configuration::parse(br#"{"routes": [{"id": "r1", "name": "a", "path": "b", "service": "c"}]}"#)
     ///     .unwrap_err();
     /// assert_eq!(validation_errors.len(), 2);
     /// ```
-    pub fn read(bytes: &[u8]) -> Result<Configuration, Vec<ValidationError>> {
+    pub fn parse(bytes: &[u8]) -> Result<Configuration, Vec<ValidationError>> {
         let whole = |text: String| {
             vec![ValidationError {
                 path: "/".into(),
@@ -181,20 +181,20 @@
         }
         let json = std::str::from_utf8(bytes)
             .map_err(|_| "this is not UTF-8".to_owned())
-            .and_then(JsonValue::read)
+            .and_then(JsonValue::parse)
             .map_err(whole)?;
         let mut validation_errors = Vec::new();
-        let mut fields = Fields::open(&json, "", &mut validation_errors);
-        let numbered = fields.part("number").is_some();
-        let number = fields
+        let mut fields = ObjectReader::new(&json, "", &mut validation_errors);
+        let has_version = fields.value("number").is_some();
+        let version = fields
             .count("number", 1..=u64::MAX, Some(1))
-            .filter(|_| numbered);
+            .filter(|_| has_version);
         let (services, routes, aliases) = (
             fields.list("services"),
             fields.list("routes"),
             fields.list("aliases"),
         );
-        fields.close();
+        fields.finish();
         let most = [services.len(), routes.len(), aliases.len()]
             .into_iter()
             .max()
@@ -208,7 +208,7 @@
             return Err(validation_errors);
         }
         let mut configuration = Configuration {
-            number,
+            version,
             ..Configuration::default()
         };
         services
@@ -238,16 +238,16 @@
         validation_errors: &mut Vec<ValidationError>,
     ) {
         let path = format!("/services/{at}");
-        let mut fields = Fields::open(json, &path, validation_errors);
+        let mut fields = ObjectReader::new(json, &path, validation_errors);
         let name = fields.id("name");
         let work = fields.text("work");
-        let keyed = fields.truth("keyed", false);
-        let numbered = fields.truth("numbered", false);
+        let keyed = fields.boolean("keyed", false);
+        let numeric_keys = fields.boolean("numbered", false);
         let warm_up_per_second = fields.count("warmUpPerSecond", 1..=100_000, Some(5));
-        let most_bytes = fields.count("mostBytes", 1..=1_048_576, Some(65_536));
-        let concurrency = fields.count("concurrency", 1..=10_000, Some(256));
+        let max_body_bytes = fields.count("mostBytes", 1..=1_048_576, Some(65_536));
+        let max_concurrency = fields.count("concurrency", 1..=10_000, Some(256));
         let regions = fields.list("homeRegions");
-        fields.close();
+        fields.finish();
         let home_regions: Vec<String> = regions.iter().filter_map(region).collect();
         if home_regions.len() != regions.len() {
             add_validation_error(
@@ -256,27 +256,28 @@
                 "must be a list of region ids",
             );
         }
-        let repeatable = work
+        let idempotent = work
             .as_deref()
-            .and_then(|work| repeatable(work, &path, validation_errors));
+            .and_then(|work| idempotent(work, &path, validation_errors));
         let service = name
-            .zip(repeatable)
+            .zip(idempotent)
             .zip(warm_up_per_second)
-            .zip(most_bytes.zip(concurrency));
-        if let Some((((name, repeatable), warm_up_per_second), (most_bytes, concurrency))) = service
+            .zip(max_body_bytes.zip(max_concurrency));
+        if let Some((((name, idempotent), warm_up_per_second), (max_body_bytes, max_concurrency))) =
+            service
         {
             let known = name.clone();
             let service = Service {
                 name,
-                repeatable,
+                idempotent,
                 keyed,
-                numbered,
+                numeric_keys,
                 warm_up_per_second,
                 home_regions,
-                most_bytes,
-                concurrency,
+                max_body_bytes,
+                max_concurrency,
             };
-            if !self.put_service(service) {
+            if !self.insert_service(service) {
                 add_validation_error(
                     validation_errors,
                     &format!("{path}/name"),
@@ -290,10 +291,10 @@
     ///
     /// ```
     /// let mut configuration = config::Configuration::default();
-    /// assert!(configuration.put_service(config::Service { name: "s".into(), ..Default::default() }));
-    /// assert!(!configuration.put_service(config::Service { name: "s".into(), ..Default::default() }));
+    /// assert!(configuration.insert_service(config::Service { name: "s".into(), ..Default::default() }));
+    /// assert!(!configuration.insert_service(config::Service { name: "s".into(), ..Default::default() }));
     /// ```
-    pub fn put_service(&mut self, service: Service) -> bool {
+    pub fn insert_service(&mut self, service: Service) -> bool {
         self.services
             .insert(service.name.clone(), Arc::new(service))
             .is_none()
@@ -305,11 +306,11 @@
     /// let (mut configuration, mut validation_errors) = (config::Configuration::default(), Vec::new());
     /// let route = config::Route { id: "r".into(), name: "book".into(), path: "/a/".into(), prefix: true,
     ///     ..Default::default() };
-    /// configuration.put_route(route, "/routes/0", &mut validation_errors);
-    /// assert_eq!(configuration.route("book", "/a/b/c").map(|route| route.id.as_str()), Some("r"));
-    /// assert!(configuration.route("book", "/b").is_none());
+    /// configuration.insert_route(route, "/routes/0", &mut validation_errors);
+    /// assert_eq!(configuration.find_route("book", "/a/b/c").map(|route| route.id.as_str()), Some("r"));
+    /// assert!(configuration.find_route("book", "/b").is_none());
     /// ```
-    pub fn put_route(
+    pub fn insert_route(
         &mut self,
         route: Route,
         path: &str,
@@ -350,10 +351,10 @@
         validation_errors: &mut Vec<ValidationError>,
     ) {
         let path = format!("/routes/{at}");
-        let mut fields = Fields::open(json, &path, validation_errors);
+        let mut fields = ObjectReader::new(json, &path, validation_errors);
         let ids = fields.id("id").zip(fields.id("name"));
         let to = fields.text("path");
-        let prefix = fields.truth("prefix", false);
+        let prefix = fields.boolean("prefix", false);
         let split = fields.list("split");
         let service = if split.is_empty() {
             fields.id("service")
@@ -361,7 +362,7 @@
             Some(String::new())
         };
         let work = fields
-            .part("work")
+            .value("work")
             .map(|_| fields.text("work").unwrap_or_default());
         let mut span = |name| {
             fields
@@ -369,14 +370,14 @@
                 .filter(|ms| *ms > 0)
                 .map(Duration::from_millis)
         };
-        let (timeout, target) = (span("timeoutMs"), span("targetMs"));
-        let attempts = fields
+        let (timeout, latency_target) = (span("timeoutMs"), span("targetMs"));
+        let max_attempts = fields
             .count("attempts", 0..=100, Some(0))
             .filter(|most| *most > 0)
             .map(|most| most as u32);
         let priority = fields.count("priority", 0..=100, Some(0)).unwrap_or(0) as u32;
         let regions = fields.list("homeRegions");
-        fields.close();
+        fields.finish();
         let home_regions: Vec<String> = regions.iter().filter_map(region).collect();
         if home_regions.len() != regions.len() {
             add_validation_error(
@@ -385,13 +386,14 @@
                 "must be a list of region ids",
             );
         }
-        let repeatable = work.and_then(|work| repeatable(&work, &path, validation_errors));
+        let idempotent = work.and_then(|work| idempotent(&work, &path, validation_errors));
         let split = split.iter().enumerate().filter_map(|(part, json)| {
-            let mut fields = Fields::open(json, &format!("{path}/split/{part}"), validation_errors);
+            let mut fields =
+                ObjectReader::new(json, &format!("{path}/split/{part}"), validation_errors);
             let share = fields
                 .id("service")
                 .zip(fields.count("weight", 0..=1_000_000, None));
-            fields.close();
+            fields.finish();
             share
         });
         let split: Vec<(String, u64)> = split.collect();
@@ -402,11 +404,11 @@
                 "the weights sum to 0",
             );
         }
-        let terms = Terms {
-            repeatable,
+        let policy = RoutePolicy {
+            idempotent,
             timeout,
-            target,
-            attempts,
+            latency_target,
+            max_attempts,
             priority,
             home_regions,
         };
@@ -421,9 +423,9 @@
                     prefix,
                     service,
                     split,
-                    terms: terms.clone(),
+                    policy: policy.clone(),
                 };
-                self.put_route(route, &path, validation_errors);
+                self.insert_route(route, &path, validation_errors);
             });
     }
 
@@ -434,9 +436,9 @@
         validation_errors: &mut Vec<ValidationError>,
     ) {
         let path = format!("/aliases/{at}");
-        let mut fields = Fields::open(json, &path, validation_errors);
+        let mut fields = ObjectReader::new(json, &path, validation_errors);
         let link = fields.id("alias").zip(fields.id("to"));
-        fields.close();
+        fields.finish();
         link.into_iter().for_each(|(alias, to)| {
             if self
                 .aliases
@@ -519,9 +521,9 @@
     /// The route that serves a path under a name: the very path, or else the longest prefix that begins it.
     ///
     /// ```
-    /// assert!(config::Configuration::default().route("book", "/book").is_none());
+    /// assert!(config::Configuration::default().find_route("book", "/book").is_none());
     /// ```
-    pub fn route(&self, name: &str, path: &str) -> Option<&Arc<Route>> {
+    pub fn find_route(&self, name: &str, path: &str) -> Option<&Arc<Route>> {
         let by_path = self.places.get(name)?;
         let find = |path: &str| by_path.get(path).and_then(|id| self.routes.get(id));
         find(path).or_else(|| {
@@ -533,19 +535,19 @@
     /// The services behind one name, once for each of its routes.
     ///
     /// ```
-    /// assert_eq!(config::Configuration::default().services_of("book").count(), 0);
+    /// assert_eq!(config::Configuration::default().services_of_name("book").count(), 0);
     /// ```
-    pub fn services_of(&self, name: &str) -> impl Iterator<Item = &Arc<Service>> {
-        let services = self.routes_of(name).flat_map(|route| route.services());
+    pub fn services_of_name(&self, name: &str) -> impl Iterator<Item = &Arc<Service>> {
+        let services = self.routes_of_name(name).flat_map(|route| route.services());
         services.filter_map(|service| self.services.get(service))
     }
 
     /// The routes of one name.
     ///
     /// ```
-    /// assert_eq!(config::Configuration::default().routes_of("book").count(), 0);
+    /// assert_eq!(config::Configuration::default().routes_of_name("book").count(), 0);
     /// ```
-    pub fn routes_of(&self, name: &str) -> impl Iterator<Item = &Arc<Route>> {
+    pub fn routes_of_name(&self, name: &str) -> impl Iterator<Item = &Arc<Route>> {
         let ids = self.places.get(name).into_iter().flat_map(BTreeMap::values);
         ids.filter_map(|id| self.routes.get(id))
     }
@@ -557,7 +559,7 @@
     /// ```
     pub fn names(&self) -> BTreeMap<&str, BTreeSet<&str>> {
         let services = |name: &str| {
-            self.routes_of(name)
+            self.routes_of_name(name)
                 .flat_map(|route| route.services())
                 .collect()
         };
@@ -568,7 +570,7 @@
     }
 }
 
-fn repeatable(
+fn idempotent(
     work: &str,
     path: &str,
     validation_errors: &mut Vec<ValidationError>,
@@ -586,7 +588,7 @@
 
 fn region(json: &JsonValue) -> Option<String> {
     match json {
-        JsonValue::Text(text) if locality::is_valid_id(text) => Some(text.clone()),
+        JsonValue::String(text) if locality::is_valid_id(text) => Some(text.clone()),
         _ => None,
     }
 }
--- a/crates/config/src/json_value.rs
+++ b/crates/config/src/json_value.rs
@@ -12,30 +12,30 @@
 ///
 /// ```
 /// use config::JsonValue;
-/// let json = JsonValue::read(r#"{"a": [1, "two"], "a": null}"#).unwrap();
-/// let JsonValue::Fields(fields) = &json else { panic!() };
+/// let json = JsonValue::parse(r#"{"a": [1, "two"], "a": null}"#).unwrap();
+/// let JsonValue::Object(fields) = &json else { panic!() };
 /// assert_eq!(fields.len(), 2);
 /// assert_eq!(json.to_string(), r#"{"a":[1,"two"],"a":null}"#);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub enum JsonValue {
     Null,
-    Truth(bool),
-    Count(u64),
-    Number(f64),
-    Text(String),
-    List(Vec<JsonValue>),
-    Fields(Vec<(String, JsonValue)>),
+    Bool(bool),
+    Integer(u64),
+    Float(f64),
+    String(String),
+    Array(Vec<JsonValue>),
+    Object(Vec<(String, JsonValue)>),
 }
 
 impl JsonValue {
     /// Reads JSON; broken or absurdly deep text is denied with a sentence.
     ///
     /// ```
-    /// assert!(config::JsonValue::read("{").is_err());
-    /// assert!(config::JsonValue::read(&"[".repeat(100_000)).is_err());
+    /// assert!(config::JsonValue::parse("{").is_err());
+    /// assert!(config::JsonValue::parse(&"[".repeat(100_000)).is_err());
     /// ```
-    pub fn read(text: &str) -> std::result::Result<JsonValue, String> {
+    pub fn parse(text: &str) -> std::result::Result<JsonValue, String> {
         if depth(text) > MAX_DEPTH {
             return Err(format!("nested deeper than {MAX_DEPTH}"));
         }
@@ -45,13 +45,13 @@
     /// The first field with this name.
     ///
     /// ```
-    /// let json = config::JsonValue::read(r#"{"a": 1}"#).unwrap();
-    /// assert_eq!(json.get("a"), Some(&config::JsonValue::Count(1)));
+    /// let json = config::JsonValue::parse(r#"{"a": 1}"#).unwrap();
+    /// assert_eq!(json.get("a"), Some(&config::JsonValue::Integer(1)));
     /// assert_eq!(json.get("b"), None);
     /// ```
     pub fn get(&self, name: &str) -> Option<&JsonValue> {
         match self {
-            JsonValue::Fields(fields) => fields
+            JsonValue::Object(fields) => fields
                 .iter()
                 .find(|(field, _)| field == name)
                 .map(|(_, json)| json),
@@ -62,11 +62,11 @@
     /// The text under a field name, where it is one.
     ///
     /// ```
-    /// assert_eq!(config::JsonValue::read(r#"{"a": "b"}"#).unwrap().text("a"), Some("b"));
+    /// assert_eq!(config::JsonValue::parse(r#"{"a": "b"}"#).unwrap().text("a"), Some("b"));
     /// ```
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name).and_then(|json| match json {
-            JsonValue::Text(text) => Some(text.as_str()),
+            JsonValue::String(text) => Some(text.as_str()),
             _ => None,
         })
     }
@@ -74,11 +74,11 @@
     /// The whole number under a field name, where it is one.
     ///
     /// ```
-    /// assert_eq!(config::JsonValue::read(r#"{"a": 7}"#).unwrap().count("a"), Some(7));
+    /// assert_eq!(config::JsonValue::parse(r#"{"a": 7}"#).unwrap().count("a"), Some(7));
     /// ```
     pub fn count(&self, name: &str) -> Option<u64> {
         self.get(name).and_then(|json| match json {
-            JsonValue::Count(count) => Some(*count),
+            JsonValue::Integer(count) => Some(*count),
             _ => None,
         })
     }
@@ -86,12 +86,12 @@
     /// The items under a field name; none where it is no list.
     ///
     /// ```
-    /// assert_eq!(config::JsonValue::read(r#"{"a": [1]}"#).unwrap().list("a").len(), 1);
+    /// assert_eq!(config::JsonValue::parse(r#"{"a": [1]}"#).unwrap().list("a").len(), 1);
     /// ```
     pub fn list(&self, name: &str) -> &[JsonValue] {
         self.get(name)
             .and_then(|json| match json {
-                JsonValue::List(items) => Some(items.as_slice()),
+                JsonValue::Array(items) => Some(items.as_slice()),
                 _ => None,
             })
             .unwrap_or(&[])
@@ -101,10 +101,10 @@
     ///
     /// ```
     /// use config::JsonValue;
-    /// assert_eq!(JsonValue::fields([("a", 1u64.into())]).to_string(), r#"{"a":1}"#);
+    /// assert_eq!(JsonValue::object([("a", 1u64.into())]).to_string(), r#"{"a":1}"#);
     /// ```
-    pub fn fields<const N: usize>(fields: [(&str, JsonValue); N]) -> JsonValue {
-        JsonValue::Fields(
+    pub fn object<const N: usize>(fields: [(&str, JsonValue); N]) -> JsonValue {
+        JsonValue::Object(
             fields
                 .into_iter()
                 .map(|(name, json)| (name.to_owned(), json))
@@ -134,37 +134,37 @@
 
 impl From<&str> for JsonValue {
     fn from(text: &str) -> Self {
-        JsonValue::Text(text.to_owned())
+        JsonValue::String(text.to_owned())
     }
 }
 
 impl From<String> for JsonValue {
     fn from(text: String) -> Self {
-        JsonValue::Text(text)
+        JsonValue::String(text)
     }
 }
 
 impl From<u64> for JsonValue {
     fn from(count: u64) -> Self {
-        JsonValue::Count(count)
+        JsonValue::Integer(count)
     }
 }
 
 impl From<bool> for JsonValue {
     fn from(truth: bool) -> Self {
-        JsonValue::Truth(truth)
+        JsonValue::Bool(truth)
     }
 }
 
 impl From<Vec<JsonValue>> for JsonValue {
     fn from(items: Vec<JsonValue>) -> Self {
-        JsonValue::List(items)
+        JsonValue::Array(items)
     }
 }
 
 impl FromIterator<JsonValue> for JsonValue {
     fn from_iter<I: IntoIterator<Item = JsonValue>>(items: I) -> Self {
-        JsonValue::List(items.into_iter().collect())
+        JsonValue::Array(items.into_iter().collect())
     }
 }
 
@@ -178,12 +178,12 @@
     fn begin(&self) -> Fragment<'_> {
         match self {
             JsonValue::Null => Fragment::Null,
-            JsonValue::Truth(truth) => Fragment::Bool(*truth),
-            JsonValue::Count(count) => Fragment::U64(*count),
-            JsonValue::Number(number) => Fragment::F64(*number),
-            JsonValue::Text(text) => Fragment::Str(Cow::Borrowed(text)),
-            JsonValue::List(items) => Fragment::Seq(Box::new(Items(items.iter()))),
-            JsonValue::Fields(fields) => Fragment::Map(Box::new(Entries(fields.iter()))),
+            JsonValue::Bool(truth) => Fragment::Bool(*truth),
+            JsonValue::Integer(count) => Fragment::U64(*count),
+            JsonValue::Float(number) => Fragment::F64(*number),
+            JsonValue::String(text) => Fragment::Str(Cow::Borrowed(text)),
+            JsonValue::Array(items) => Fragment::Seq(Box::new(Items(items.iter()))),
+            JsonValue::Object(fields) => Fragment::Map(Box::new(Entries(fields.iter()))),
         }
     }
 }
@@ -220,23 +220,23 @@
     }
 
     fn boolean(&mut self, truth: bool) -> Result<()> {
-        self.put(JsonValue::Truth(truth))
+        self.put(JsonValue::Bool(truth))
     }
 
     fn string(&mut self, text: &str) -> Result<()> {
-        self.put(JsonValue::Text(text.to_owned()))
+        self.put(JsonValue::String(text.to_owned()))
     }
 
     fn negative(&mut self, number: i64) -> Result<()> {
-        self.put(JsonValue::Number(number as f64))
+        self.put(JsonValue::Float(number as f64))
     }
 
     fn nonnegative(&mut self, count: u64) -> Result<()> {
-        self.put(JsonValue::Count(count))
+        self.put(JsonValue::Integer(count))
     }
 
     fn float(&mut self, number: f64) -> Result<()> {
-        self.put(JsonValue::Number(number))
+        self.put(JsonValue::Float(number))
     }
 
     fn seq(&mut self) -> Result<Box<dyn Seq + '_>> {
@@ -278,7 +278,7 @@
 
     fn finish(&mut self) -> Result<()> {
         self.items.extend(self.item.take());
-        *self.out = Some(JsonValue::List(std::mem::take(&mut self.items)));
+        *self.out = Some(JsonValue::Array(std::mem::take(&mut self.items)));
         Ok(())
     }
 }
@@ -305,7 +305,7 @@
 
     fn finish(&mut self) -> Result<()> {
         self.shift();
-        *self.out = Some(JsonValue::Fields(std::mem::take(&mut self.fields)));
+        *self.out = Some(JsonValue::Object(std::mem::take(&mut self.fields)));
         Ok(())
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,7 +5,9 @@
 mod json_value;
 mod settings;
 
-pub use check::{Fields, ValidationError, add_validation_error};
-pub use configuration::{Alias, Configuration, MAX_CONFIGURATION_BYTES, Route, Service, Terms};
+pub use check::{ObjectReader, ValidationError, add_validation_error};
+pub use configuration::{
+    Alias, Configuration, MAX_CONFIGURATION_BYTES, Route, RoutePolicy, Service,
+};
 pub use json_value::JsonValue;
-pub use settings::{Setting, Settings, Shape, TIMES, check_times};
+pub use settings::{Setting, SettingType, Settings, TIME_SETTINGS, validate_times};
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -8,7 +8,7 @@
 
 /// What a setting may hold.
 #[derive(Clone, Copy, Debug)]
-pub enum Shape {
+pub enum SettingType {
     Id,
     Locality,
     /// An IP number and a port.
@@ -17,10 +17,10 @@
     Addresses,
     /// Localities, with commas.
     Localities,
-    Folder,
+    Directory,
     /// Milliseconds, from least to most.
-    Span(u64, u64),
-    Count(u64, u64),
+    DurationMs(u64, u64),
+    Integer(u64, u64),
     OneOf(&'static [&'static str]),
     /// Some of these, with commas.
     SomeOf(&'static [&'static str]),
@@ -30,13 +30,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
     pub name: &'static str,
-    pub shape: Shape,
-    pub fallback: Option<&'static str>,
+    pub kind: SettingType,
+    pub default: Option<&'static str>,
     pub help: &'static str,
 }
 
 /// The design's time values, the same for both daemons.
-pub const TIMES: &[Setting] = &[
+pub const TIME_SETTINGS: &[Setting] = &[
     span(
         "address-lifetime-ms",
         "2000",
@@ -125,15 +125,15 @@
 
 const fn span(
     name: &'static str,
-    fallback: &'static str,
+    default: &'static str,
     least: u64,
     most: u64,
     help: &'static str,
 ) -> Setting {
     Setting {
         name,
-        shape: Shape::Span(least, most),
-        fallback: Some(fallback),
+        kind: SettingType::DurationMs(least, most),
+        default: Some(default),
         help,
     }
 }
@@ -141,17 +141,17 @@
 /// Checks time values against each other.
 ///
 /// ```
-/// use config::{Settings, TIMES, check_times};
+/// use config::{Settings, TIME_SETTINGS, validate_times};
 /// let flags = vec![("stale-after-ms".to_owned(), "3000".to_owned()),
 ///                  ("address-lifetime-ms".to_owned(), "2500".to_owned())];
-/// let settings = Settings::read(&[TIMES], None, &flags).unwrap();
-/// let validation_errors = check_times(&settings);
+/// let settings = Settings::parse(&[TIME_SETTINGS], None, &flags).unwrap();
+/// let validation_errors = validate_times(&settings);
 /// assert_eq!(validation_errors[0].path, "address-lifetime-ms");
-/// assert!(check_times(&Settings::read(&[TIMES], None, &[]).unwrap()).is_empty());
+/// assert!(validate_times(&Settings::parse(&[TIME_SETTINGS], None, &[]).unwrap()).is_empty());
 /// ```
-pub fn check_times(settings: &Settings) -> Vec<ValidationError> {
+pub fn validate_times(settings: &Settings) -> Vec<ValidationError> {
     let mut validation_errors = Vec::new();
-    let ms = |name| settings.span(name).as_millis() as u64;
+    let ms = |name| settings.duration(name).as_millis() as u64;
     let mut must = |held: bool, name: &str, text: &str| {
         if !held {
             add_validation_error(
@@ -197,15 +197,15 @@
     /// Reads a settings file's text and flags against tables of settings; every complaint at once.
     ///
     /// ```
-    /// use config::{Settings, TIMES};
+    /// use config::{Settings, TIME_SETTINGS};
     /// let file = Some(r#"{"probe-every-ms": 100, "colour": "red"}"#);
-    /// let validation_errors = Settings::read(&[TIMES], file, &[]).unwrap_err();
+    /// let validation_errors = Settings::parse(&[TIME_SETTINGS], file, &[]).unwrap_err();
     /// assert_eq!(validation_errors[0].path, "colour");
     /// let flags = [("probe-every-ms".to_owned(), "250".to_owned())];
-    /// let settings = Settings::read(&[TIMES], Some(r#"{"probe-every-ms": 100}"#), &flags).unwrap();
+    /// let settings = Settings::parse(&[TIME_SETTINGS], Some(r#"{"probe-every-ms": 100}"#), &flags).unwrap();
     /// assert_eq!(settings.get("probe-every-ms"), "250");
     /// ```
-    pub fn read(
+    pub fn parse(
         tables: &[&[Setting]],
         file: Option<&str>,
         flags: &[(String, String)],
@@ -213,8 +213,8 @@
         let mut validation_errors = Vec::new();
         let mut given = BTreeMap::new();
         file.into_iter()
-            .for_each(|text| match JsonValue::read(text) {
-                Ok(JsonValue::Fields(fields)) => fields.into_iter().for_each(|(name, json)| {
+            .for_each(|text| match JsonValue::parse(text) {
+                Ok(JsonValue::Object(fields)) => fields.into_iter().for_each(|(name, json)| {
                     if given.insert(name.clone(), plain(&json)).is_some() {
                         add_validation_error(
                             &mut validation_errors,
@@ -248,14 +248,14 @@
             match given
                 .get(setting.name)
                 .map(String::as_str)
-                .or(setting.fallback)
+                .or(setting.default)
             {
                 None => add_validation_error(
                     &mut validation_errors,
                     setting.name,
                     format!("must be given: {}", setting.help),
                 ),
-                Some(value) => match fits(setting.shape, value) {
+                Some(value) => match fits(setting.kind, value) {
                     Ok(()) => {
                         settings.insert(setting.name, value.to_owned());
                     }
@@ -277,7 +277,7 @@
     /// The text of a setting; empty where the tables have no such name.
     ///
     /// ```
-    /// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
+    /// let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap();
     /// assert_eq!(settings.get("claim-span-ms"), "1500");
     /// ```
     pub fn get(&self, name: &str) -> &str {
@@ -287,17 +287,17 @@
     /// A setting in milliseconds as a span.
     ///
     /// ```
-    /// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
-    /// assert_eq!(settings.span("claim-span-ms").as_millis(), 1500);
+    /// let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap();
+    /// assert_eq!(settings.duration("claim-span-ms").as_millis(), 1500);
     /// ```
-    pub fn span(&self, name: &str) -> Duration {
+    pub fn duration(&self, name: &str) -> Duration {
         Duration::from_millis(self.count(name))
     }
 
     /// A setting that is a whole number.
     ///
     /// ```
-    /// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
+    /// let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap();
     /// assert_eq!(settings.count("claim-span-ms"), 1500);
     /// ```
     pub fn count(&self, name: &str) -> u64 {
@@ -320,13 +320,13 @@
 
 fn plain(json: &JsonValue) -> String {
     match json {
-        JsonValue::Text(text) => text.clone(),
-        JsonValue::List(items) => items.iter().map(plain).collect::<Vec<_>>().join(","),
+        JsonValue::String(text) => text.clone(),
+        JsonValue::Array(items) => items.iter().map(plain).collect::<Vec<_>>().join(","),
         other => other.to_string(),
     }
 }
 
-fn fits(shape: Shape, value: &str) -> Result<(), String> {
+fn fits(kind: SettingType, value: &str) -> Result<(), String> {
     let number = |least: u64, most: u64, unit: &str| {
         value
             .parse::<u64>()
@@ -336,41 +336,41 @@
             .ok_or_else(|| format!("must be a whole number from {least} to {most}{unit}"))
     };
     let truth = |held: bool, text: &str| if held { Ok(()) } else { Err(text.to_owned()) };
-    match shape {
-        Shape::Id => truth(
+    match kind {
+        SettingType::Id => truth(
             locality::is_valid_id(value),
             "must be 1 to 64 of a-z A-Z 0-9 - _ .",
         ),
-        Shape::Locality => value
+        SettingType::Locality => value
             .parse::<locality::Locality>()
             .map(drop)
             .map_err(|_| "must be region/zone".into()),
-        Shape::Address => value
+        SettingType::Address => value
             .parse::<SocketAddr>()
             .map(drop)
             .map_err(|_| "must be an IP number and a port".into()),
-        Shape::Addresses => {
+        SettingType::Addresses => {
             let parts: Vec<&str> = value.split(',').filter(|part| !part.is_empty()).collect();
             truth(
                 parts.len() <= 3 && parts.iter().all(|part| part.parse::<SocketAddr>().is_ok()),
                 "must be up to three of IP:port, with commas",
             )
         }
-        Shape::Localities => truth(
+        SettingType::Localities => truth(
             value
                 .split(',')
                 .filter(|part| !part.is_empty())
                 .all(|part| part.parse::<locality::Locality>().is_ok()),
             "must be localities (region/zone), with commas",
         ),
-        Shape::Folder => truth(!value.is_empty(), "must be a folder"),
-        Shape::Span(least, most) => number(least, most, " (milliseconds)"),
-        Shape::Count(least, most) => number(least, most, ""),
-        Shape::OneOf(allowed) => truth(
+        SettingType::Directory => truth(!value.is_empty(), "must be a folder"),
+        SettingType::DurationMs(least, most) => number(least, most, " (milliseconds)"),
+        SettingType::Integer(least, most) => number(least, most, ""),
+        SettingType::OneOf(allowed) => truth(
             allowed.contains(&value),
             &format!("must be one of {}", allowed.join(", ")),
         ),
-        Shape::SomeOf(allowed) => truth(
+        SettingType::SomeOf(allowed) => truth(
             !value.is_empty() && value.split(',').all(|part| allowed.contains(&part)),
             &format!("must be some of {}, with commas", allowed.join(", ")),
         ),
--- a/crates/config/tests/denials.rs
+++ b/crates/config/tests/denials.rs
@@ -121,7 +121,7 @@
         ("too large", " ".repeat(MAX_CONFIGURATION_BYTES + 1), "/"),
     ];
     cases.into_iter().for_each(|(what, text, path)| {
-        let validation_errors = Configuration::read(text.as_bytes()).expect_err(what);
+        let validation_errors = Configuration::parse(text.as_bytes()).expect_err(what);
         assert!(
             validation_errors
                 .iter()
@@ -129,9 +129,9 @@
             "{what}: {validation_errors:?}"
         );
     });
-    assert!(Configuration::read(b"\xff\xfe").is_err());
+    assert!(Configuration::parse(b"\xff\xfe").is_err());
     assert!(
-        Configuration::read(configuration(SERVICE, &fine, &alias("a", "r")).as_bytes()).is_ok()
+        Configuration::parse(configuration(SERVICE, &fine, &alias("a", "r")).as_bytes()).is_ok()
     );
 }
 
@@ -139,8 +139,9 @@
 fn a_setup_may_have_a_number_of_its_own() {
     let plain = configuration(SERVICE, "", "");
     let numbered = |number: u64| plain.replacen('{', &format!("{{\"number\": {number}, "), 1);
-    let read =
-        |text: &str| Configuration::read(text.as_bytes()).map(|configuration| configuration.number);
+    let read = |text: &str| {
+        Configuration::parse(text.as_bytes()).map(|configuration| configuration.version)
+    };
     assert_eq!(read(&plain), Ok(None));
     [1, 7, u64::MAX]
         .into_iter()
@@ -154,7 +155,7 @@
         &route("r", "a b", "p", "moon"),
         &alias("a", "b"),
     );
-    let paths: Vec<String> = Configuration::read(text.as_bytes())
+    let paths: Vec<String> = Configuration::parse(text.as_bytes())
         .unwrap_err()
         .into_iter()
         .map(|c| c.path)
@@ -188,7 +189,7 @@
             while !noise.is_empty() {
                 text += noise.choose(&words)?;
             }
-            let _ = Configuration::read(text.as_bytes());
+            let _ = Configuration::parse(text.as_bytes());
             Ok(())
         })
         .seed(number << 32 | 24);
--- a/crates/control-plane/src/api_adapter.rs
+++ b/crates/control-plane/src/api_adapter.rs
@@ -3,10 +3,10 @@
 
 use crate::node::{ControlRequest, ControlResponse};
 use bytes::Bytes;
-use config::{Fields, JsonValue, ValidationError, add_validation_error};
+use config::{JsonValue, ObjectReader, ValidationError, add_validation_error};
 use http_body_util::Full;
 use hyper::Response;
-use name_directory::ConfigurationReader;
+use name_directory::ConfigurationParser;
 use protocol::{KeyShare, Upstream};
 use quorum_register::ChangeId;
 use result_code::ResultCode;
@@ -25,7 +25,7 @@
     /// An answer as it is written.
     pub write_response: Box<dyn Fn(ControlResponse) -> Response<Full<Bytes>> + Send + Sync>,
     /// How configurations are read.
-    pub reader: ConfigurationReader,
+    pub reader: ConfigurationParser,
 }
 
 impl ApiAdapter {
@@ -39,7 +39,7 @@
         ApiAdapter {
             read_request: Box::new(read_request),
             write_response: Box::new(write_response),
-            reader: ConfigurationReader::default(),
+            reader: ConfigurationParser::default(),
         }
     }
 }
@@ -148,30 +148,30 @@
 fn read_beat(body: &[u8], validation_errors: &mut Vec<ValidationError>) -> Upstream {
     let json = std::str::from_utf8(body)
         .map_err(|_| "this is not UTF-8".to_owned())
-        .and_then(JsonValue::read);
+        .and_then(JsonValue::parse);
     let json = json.unwrap_or_else(|text| {
         add_validation_error(validation_errors, "/", text);
         JsonValue::Null
     });
-    let mut fields = Fields::open(&json, "", validation_errors);
+    let mut fields = ObjectReader::new(&json, "", validation_errors);
     let ids = fields.id("service").zip(fields.id("instance"));
     let place = fields.text("address").zip(fields.text("locality"));
     let numbers = fields
         .count("freeSlots", 0..=100_000, None)
         .zip(fields.count("beat", 1..=u64::MAX, None));
-    let warm = fields.truth("warm", false);
+    let warm = fields.boolean("warm", false);
     let condition = fields.text("condition").unwrap_or_default();
     let holds = fields.list("holds").to_vec();
     let holder = fields.count("holder", 0..=u64::MAX, Some(0)).unwrap_or(0);
-    fields.close();
+    fields.finish();
     let holds = holds.iter().enumerate().filter_map(|(at, hold)| {
-        let mut fields = Fields::open(hold, &format!("/holds/{at}"), validation_errors);
+        let mut fields = ObjectReader::new(hold, &format!("/holds/{at}"), validation_errors);
         let most = u64::from(key_space::SLOT_COUNT);
         let run = fields
             .count("from", 0..=most, None)
             .zip(fields.count("until", 0..=most, None));
         let epoch = fields.count("epoch", 0..=u64::MAX, None);
-        fields.close();
+        fields.finish();
         run.zip(epoch).map(|((from, until), epoch)| KeyShare {
             from: from as u32,
             until: until as u32,
@@ -183,15 +183,15 @@
     let holds = holds.collect();
     let condition = match condition.as_str() {
         "ready" => upstream_registry::READY,
-        "leaving" => upstream_registry::LEAVING,
-        "gone" => upstream_registry::GONE,
+        "leaving" => upstream_registry::DRAINING,
+        "gone" => upstream_registry::DEREGISTERED,
         other => {
             add_validation_error(
                 validation_errors,
                 "/condition",
                 format!("'{other}' is none of ready, leaving, gone"),
             );
-            upstream_registry::GONE
+            upstream_registry::DEREGISTERED
         }
     };
     let ((service, instance), (address, locality)) = ids.zip(place).unwrap_or_default();
@@ -246,7 +246,7 @@
             response
         }
         ControlResponse::Outcome { code, revision } => {
-            let json = JsonValue::fields([
+            let json = JsonValue::object([
                 ("code", u64::from(code.number()).into()),
                 ("text", code.text().into()),
                 ("edition", revision.into()),
@@ -262,12 +262,12 @@
             validation_errors,
         } => {
             let told = validation_errors.iter().map(|complaint| {
-                JsonValue::fields([
+                JsonValue::object([
                     ("path", complaint.path.as_str().into()),
                     ("text", complaint.text.as_str().into()),
                 ])
             });
-            let json = JsonValue::fields([
+            let json = JsonValue::object([
                 ("code", u64::from(code.number()).into()),
                 ("text", code.text().into()),
                 ("complaints", told.collect()),
@@ -290,7 +290,7 @@
     ];
     shares.into_iter().for_each(|shares| {
         let run = |share: KeyShare| {
-            JsonValue::fields([
+            JsonValue::object([
                 ("from", u64::from(share.from).into()),
                 ("until", u64::from(share.until).into()),
                 ("epoch", share.epoch.into()),
@@ -299,7 +299,7 @@
         fields.push(("shares", shares.into_iter().map(run).collect()));
         fields.push(("spanMs", (span.as_millis() as u64).into()));
     });
-    JsonValue::Fields(
+    JsonValue::Object(
         fields
             .into_iter()
             .map(|(name, json)| (name.to_owned(), json))
--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -13,7 +13,7 @@
 use result_code::ResultCode;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use upstream_registry::{GONE, READY};
+use upstream_registry::{DEREGISTERED, READY};
 
 /// How long an acknowledgement may take: within the second that callers wait for one.
 const PATIENCE: Duration = Duration::from_millis(700);
@@ -201,9 +201,9 @@
             .filter(|upstream| upstream.condition != READY)
             .map(departure);
         if !upstream.service.is_empty() {
-            self.registry.take(now, upstream);
+            self.registry.apply_heartbeat(now, upstream);
         }
-        departure.is_none_or(|departure| self.registry.depart(now, &departure))
+        departure.is_none_or(|departure| self.registry.record_departure(now, &departure))
     }
 
     pub(crate) fn beats_taken(&mut self, now: Duration, from: String, ack: HeartbeatsAck) {
@@ -269,7 +269,7 @@
     /// upstream as silent since, or heard of it in a batch.
     fn recent_departures(&self, now: Duration) -> Vec<Departure> {
         self.registry
-            .departures(now, self.times.upstream_silent + BATCH_EVERY * 3)
+            .recent_departures(now, self.times.upstream_silent + BATCH_EVERY * 3)
     }
 
     /// A message of the register to another voter: with a reading goes a digest of the departures known here, with the
@@ -325,7 +325,7 @@
         let dropped = response
             .departures
             .iter()
-            .filter(|departure| !self.registry.depart(now, departure))
+            .filter(|departure| !self.registry.record_departure(now, departure))
             .count();
         if dropped == 0 {
             let body = Payload::ReadBack(response.read_back);
@@ -358,7 +358,7 @@
         ..Upstream::default()
     });
     Upstream {
-        condition: GONE,
+        condition: DEREGISTERED,
         beat: u64::MAX,
         ..known
     }
--- a/crates/control-plane/src/gossip.rs
+++ b/crates/control-plane/src/gossip.rs
@@ -13,7 +13,7 @@
 impl ControlNode {
     /// Takes in a beat that came here; false where a newer one is known.
     pub(crate) fn record_beat(&mut self, now: Duration, upstream: &Upstream) -> bool {
-        let newer = self.registry.take(now, upstream.clone());
+        let newer = self.registry.apply_heartbeat(now, upstream.clone());
         if newer {
             self.heard_here.insert(
                 (upstream.service.clone(), upstream.instance.clone()),
@@ -27,14 +27,14 @@
     pub(crate) fn take_beat(&mut self, now: Duration, upstream: &Upstream) {
         let before = self
             .registry
-            .one(now, upstream)
-            .map(|known| upstream_registry::mark(&known));
+            .get(now, upstream)
+            .map(|known| upstream_registry::digest(&known));
         if !self.record_beat(now, upstream) {
             return;
         }
         // With its age as it is known here: this beat may have lain in a frozen process.
-        let known = self.registry.one(now, upstream);
-        let news = known.filter(|known| Some(upstream_registry::mark(known)) != before);
+        let known = self.registry.get(now, upstream);
+        let news = known.filter(|known| Some(upstream_registry::digest(known)) != before);
         // Which keys it holds is worth telling only while no placement says so.
         let unplaced = self.placement.epoch == 0;
         news.into_iter().for_each(|mut known| {
@@ -109,13 +109,15 @@
                 ..Upstream::default()
             };
             // A newer beat went elsewhere, and is told from there.
-            self.registry
-                .one(now, &id)
-                .filter(|known| known.beat == *beat && known.condition != upstream_registry::GONE)
+            self.registry.get(now, &id).filter(|known| {
+                known.beat == *beat && known.condition != upstream_registry::DEREGISTERED
+            })
         });
-        let told: Vec<Upstream> = heard.chain(self.registry.farewells(now)).collect();
+        let told: Vec<Upstream> = heard
+            .chain(self.registry.recently_deregistered(now))
+            .collect();
         HeartbeatDigest {
-            marks: told.iter().map(upstream_registry::mark).collect(),
+            marks: told.iter().map(upstream_registry::digest).collect(),
             beats: told.iter().map(told_beat).collect(),
             ages_ms: told.iter().map(|upstream| upstream.age_ms).collect(),
             tell_on: false,
@@ -131,7 +133,7 @@
             let beat = meant_beat(*mark, *told_beat);
             if self
                 .registry
-                .marked(now, *mark)
+                .find_by_digest(now, *mark)
                 .is_none_or(|known| known.beat < beat)
             {
                 new.marks.push(*mark);
@@ -140,7 +142,7 @@
             }
             if !self
                 .registry
-                .keeps_beating(now, *mark, beat, Duration::from_millis(*age_ms))
+                .refresh_from_digest(now, *mark, beat, Duration::from_millis(*age_ms))
             {
                 wanted.push(*mark);
             }
@@ -177,7 +179,7 @@
                 .marks
                 .iter()
                 .take(MAX_WANTED)
-                .filter_map(|mark| self.registry.marked(now, *mark));
+                .filter_map(|mark| self.registry.find_by_digest(now, *mark));
             let upstreams = wanted
                 .map(|known| Upstream {
                     holds: Vec::new(),
@@ -195,7 +197,7 @@
         } else if self.is_settled(now) {
             let (placement, placed_by) = (self.placement.clone(), self.placed_by.clone());
             let told = UpstreamsReply {
-                upstreams: self.registry.all(now),
+                upstreams: self.registry.snapshot(now),
                 placement,
                 placed_by,
                 life: request.life,
@@ -211,13 +213,14 @@
 /// An upstream's last beat as a batch tells it. One that signed off has the last beat there can be, a long number on the
 /// wire; its mark says that it is gone, so it goes as none.
 fn told_beat(upstream: &Upstream) -> u64 {
-    let signed_off = upstream.condition == upstream_registry::GONE && upstream.beat == u64::MAX;
+    let signed_off =
+        upstream.condition == upstream_registry::DEREGISTERED && upstream.beat == u64::MAX;
     if signed_off { 0 } else { upstream.beat }
 }
 
 /// The beat that a batch means. Of an upstream that is gone it decides only whether its record is asked for.
 fn meant_beat(mark: u64, told: u64) -> u64 {
-    if told == 0 && upstream_registry::is_gone_mark(mark) {
+    if told == 0 && upstream_registry::is_deregistered_digest(mark) {
         u64::MAX
     } else {
         told
--- a/crates/control-plane/src/keys.rs
+++ b/crates/control-plane/src/keys.rs
@@ -7,7 +7,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use upstream_registry::{Heartbeat, Load, READY, Ranges, Released, Row, Terms};
+use upstream_registry::{
+    Heartbeat, HeldKeyRange, KeyLeaseTerms, KeyRangeAssigner, LoadHistogram, READY,
+    ReleasedKeyRange,
+};
 
 /// An upstream that heard no answer for so long asks elsewhere, and takes a later one for nothing.
 const ANSWER_WITHIN: Duration = Duration::from_secs(1);
@@ -67,14 +70,14 @@
     }
 
     /// How a service's requests lie over its keys.
-    fn load(&self, service: &str) -> Load {
+    fn load(&self, service: &str) -> LoadHistogram {
         let counts = self.0.get(service);
         let count = |part| {
             counts
                 .and_then(|counts| counts.get(&part))
                 .map_or(0, |count| (count * FINE) as u64)
         };
-        Load::new(
+        LoadHistogram::new(
             KEY_COUNT,
             &(0..LOAD_BUCKET_COUNT).map(count).collect::<Vec<u64>>(),
         )
@@ -115,10 +118,11 @@
             .configuration
             .services
             .values()
-            .filter(|service| service.keyed && service.numbered);
+            .filter(|service| service.keyed && service.numeric_keys);
         let of = |name: &str| {
             let heard = self.registry.heard_within(name, now, self.times.share_span);
-            let live = heard.filter(|upstream| upstream.condition != upstream_registry::GONE);
+            let live =
+                heard.filter(|upstream| upstream.condition != upstream_registry::DEREGISTERED);
             let rows = live.flat_map(|upstream| {
                 upstream.holds.iter().map(|share| KeyShare {
                     instance: upstream.instance.clone(),
@@ -142,17 +146,17 @@
         epoch: u64,
     ) -> Option<Vec<KeyShare>> {
         let held_at = self.grant_clock.now();
-        let terms = Terms {
-            hold: self.times.share_span,
-            answer_within: ANSWER_WITHIN,
+        let terms = KeyLeaseTerms {
+            lease_duration: self.times.share_span,
+            response_timeout: ANSWER_WITHIN,
             margin: self.times.lease.margin + MARGIN,
-            settle: SETTLE,
-            late_answers: false,
+            rebalance_interval: SETTLE,
+            accepts_late_responses: false,
         };
         // Whoever else may be given keys is known well enough for a while; of this one the newest counts.
         let me = self
             .registry
-            .one(now, upstream)
+            .get(now, upstream)
             .filter(|me| self.may_hold(me));
         let duty = self.duty.as_ref().filter(|duty| duty.epoch == epoch)?;
         let known = duty.inputs.get(&upstream.service);
@@ -168,9 +172,10 @@
             ..
         } = self.duty.as_mut()?;
         all_inputs.insert(upstream.service.clone(), inputs.clone());
-        let new = || Ranges::new(*since, terms, KEY_COUNT, epoch, *founding);
+        let new = || KeyRangeAssigner::new(*since, terms, KEY_COUNT, epoch, *founding);
         let ranges = ranges.entry(upstream.service.clone()).or_insert_with(new);
-        let grants = ranges.beat(held_at, &heartbeat(upstream), &inputs.ready, &inputs.load)?;
+        let grants =
+            ranges.handle_heartbeat(held_at, &heartbeat(upstream), &inputs.ready, &inputs.load)?;
         let share = |grant: upstream_registry::Grant| KeyShare {
             from: grant.from,
             until: grant.to + 1,
@@ -208,7 +213,7 @@
     read_at: Duration,
     /// Who may be given keys, and their capacity.
     ready: BTreeMap<String, u32>,
-    load: Load,
+    load: LoadHistogram,
 }
 
 impl DivisionInputs {
@@ -220,12 +225,12 @@
 
 /// What a beat says of numeric keys.
 fn heartbeat(upstream: &Upstream) -> Heartbeat {
-    let row = |share: &KeyShare| Row {
+    let row = |share: &KeyShare| HeldKeyRange {
         from: share.from,
         to: share.until.saturating_sub(1),
         fence: share.epoch,
     };
-    let released = |share: &KeyShare| Released {
+    let released = |share: &KeyShare| ReleasedKeyRange {
         from: share.from,
         to: share.until.saturating_sub(1),
         handover: share.handover.clone(),
@@ -249,13 +254,13 @@
 }
 
 /// Who holds which keys of a service, as shares to be told on.
-pub(crate) fn held(ranges: &Ranges, now: Duration) -> Vec<KeyShare> {
-    let share = |holding: upstream_registry::Holding| KeyShare {
+pub(crate) fn held(ranges: &KeyRangeAssigner, now: Duration) -> Vec<KeyShare> {
+    let share = |holding: upstream_registry::KeyAssignment| KeyShare {
         from: holding.from,
         until: holding.to + 1,
         epoch: holding.fence,
         instance: holding.instance,
         handover: String::new(),
     };
-    ranges.all(now).into_iter().map(share).collect()
+    ranges.assignments(now).into_iter().map(share).collect()
 }
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -12,7 +12,7 @@
 use lease::BoundedStepClock;
 use lease::Lease;
 use membership::Membership;
-use name_directory::{ConfigurationReader, OwnershipMode};
+use name_directory::{ConfigurationParser, OwnershipMode};
 use protocol::{
     Departure, DurableState, KeyShare, Member, Payload, Placement, Upstream, UpstreamsReply,
     UpstreamsRequest,
@@ -34,7 +34,7 @@
     pub register: quorum_register::RegisterTiming,
     pub membership: membership::Times,
     pub lease: lease::LeaseTiming,
-    pub placement: name_directory::Times,
+    pub placement: name_directory::PlacementTimes,
     pub share_span: Duration,
     pub upstream_silent: Duration,
     pub stale_after: Duration,
@@ -49,7 +49,7 @@
     pub initial_voter_count: usize,
     pub seed: u64,
     /// How configurations are read.
-    pub reader: ConfigurationReader,
+    pub reader: ConfigurationParser,
     /// Who owns a name.
     pub owners: OwnershipMode,
     pub durable: DurableState,
@@ -233,7 +233,7 @@
     /// Tells this life of the process from earlier ones of the same name.
     life: u64,
     pub(crate) times: Times,
-    pub(crate) reader: ConfigurationReader,
+    pub(crate) reader: ConfigurationParser,
     pub(crate) owners: OwnershipMode,
     pub(crate) random: Random,
     pub(crate) register: Register,
@@ -283,7 +283,7 @@
     /// A postmaster as its disk left it.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     ///     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert_eq!(control_plane::ControlNode::new(start).revision(), 0);
@@ -305,7 +305,7 @@
         } = start;
         let mut registry = UpstreamRegistry::default();
         departures.iter().for_each(|departure| {
-            registry.depart(Duration::ZERO, departure);
+            registry.record_departure(Duration::ZERO, departure);
         });
         let register = Register::new(quorum_register::RegisterConfig {
             me: me.node.clone(),
@@ -360,7 +360,7 @@
     /// The edition in force here.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert_eq!(control_plane::ControlNode::new(start).revision(), 0);
@@ -372,7 +372,7 @@
     /// The one reducer: takes an event in, gives effects out.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// use control_plane::{ControlResponse, ControlRequest, Effect, Event, ControlNode};
@@ -428,7 +428,7 @@
             self.next_sweep = now + BATCH_EVERY;
             // What others hear of comes with their next batch.
             self.registry
-                .sweep(now, self.times.upstream_silent + BATCH_EVERY);
+                .expire_silent(now, self.times.upstream_silent + BATCH_EVERY);
             if !self.is_settled(now) {
                 let life = self.life;
                 self.tell_postmasters(Payload::UpstreamsRequest(UpstreamsRequest {
@@ -652,7 +652,7 @@
             return;
         }
         told.upstreams.into_iter().for_each(|upstream| {
-            self.registry.take(now, upstream);
+            self.registry.apply_heartbeat(now, upstream);
         });
         self.take_placement(told.placed_by, told.placement);
         self.roll_told = true;
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -3,14 +3,14 @@
 use crate::keys::{DivisionInputs, KeyCounts};
 use crate::node::{ControlNode, Effect};
 use config::Configuration;
-use name_directory::{Needs, OwnershipMode, ZoneAssigner};
+use name_directory::{OwnershipMode, PlacementInputs, ZoneAssigner};
 use protocol::{
     KeyShare, LeaseHolder, Payload, Placement, PlacementRequest, ServiceKeyShares, Upstream,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use upstream_registry::{GONE, Ranges, Shares};
+use upstream_registry::{DEREGISTERED, KeyRangeAssigner, SlotAssigner};
 
 /// How long a new holder listens before it decides, so that beats and the last placement can reach it.
 const LISTEN: Duration = Duration::from_millis(1200);
@@ -27,12 +27,12 @@
     /// Requests by key.
     pub(crate) counts: KeyCounts,
     /// By service, where keys are numbers.
-    pub(crate) ranges: BTreeMap<String, Ranges>,
+    pub(crate) ranges: BTreeMap<String, KeyRangeAssigner>,
     /// By the same services.
     pub(crate) inputs: BTreeMap<String, Arc<DivisionInputs>>,
     listen_until: Duration,
     assigner: Option<ZoneAssigner>,
-    shares: BTreeMap<String, Shares>,
+    shares: BTreeMap<String, SlotAssigner>,
     told: Vec<ServiceKeyShares>,
     next_decide: Duration,
     next_tell: Duration,
@@ -42,7 +42,7 @@
     /// True while this node holds the placement duty.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert!(!control_plane::ControlNode::new(start).holds_placement(Default::default()));
@@ -107,16 +107,16 @@
             .iter()
             .filter(|member| member.roles.contains("proxy"));
         let served: BTreeSet<String> = served.map(|member| member.locality.clone()).collect();
-        let upstreams = self.registry.all(now);
+        let upstreams = self.registry.snapshot(now);
         let evacuated = &self.register.state().evacuated;
         // Where each caller's zone has its own owner, no name has one for everybody.
         let (nothing, all) = (Configuration::default(), self.configuration.as_ref());
-        let configuration = if self.owners == OwnershipMode::One {
+        let configuration = if self.owners == OwnershipMode::SingleZone {
             all
         } else {
             &nothing
         };
-        let needs = Needs {
+        let needs = PlacementInputs {
             configuration,
             evacuated,
             upstreams: &upstreams,
@@ -130,9 +130,9 @@
                 .filter(|service| service.keyed)
         };
         duty.shares
-            .retain(|name, _| keyed(name).is_some_and(|service| !service.numbered));
+            .retain(|name, _| keyed(name).is_some_and(|service| !service.numeric_keys));
         duty.ranges
-            .retain(|name, _| keyed(name).is_some_and(|service| service.numbered));
+            .retain(|name, _| keyed(name).is_some_and(|service| service.numeric_keys));
         duty.inputs.retain(|name, _| duty.ranges.contains_key(name));
         duty.counts.fade(DECIDE_EVERY);
         let shares = self.told_shares(now, duty);
@@ -162,7 +162,8 @@
         }
         self.counts.placements_told += 1;
         let placement = assigner.placement(now, shares.to_vec());
-        let change = name_directory::change(&self.placement, &placement).filter(|_| ageless);
+        let change =
+            name_directory::placement_delta(&self.placement, &placement).filter(|_| ageless);
         self.tell_postmasters(Payload::Placement(
             change.unwrap_or_else(|| placement.clone()),
         ));
@@ -187,12 +188,16 @@
         let told = keyed.map(|service| {
             let name = &service.name;
             let known = match (duty.ranges.get(name), duty.shares.get(name)) {
-                (Some(ranges), _) => {
-                    Some((crate::keys::held(ranges, held_at), ranges.is_quiet(held_at)))
-                }
-                (None, shares) => {
-                    shares.map(|shares| (shares.all(held_at), shares.is_quiet(held_at)))
-                }
+                (Some(ranges), _) => Some((
+                    crate::keys::held(ranges, held_at),
+                    ranges.awaits_earlier_leases(held_at),
+                )),
+                (None, shares) => shares.map(|shares| {
+                    (
+                        shares.assignments(held_at),
+                        shares.awaits_earlier_leases(held_at),
+                    )
+                }),
             };
             let (known, quiet) = known.unwrap_or((Vec::new(), true));
             let told = self.placement.shares.iter().chain(&heard);
@@ -220,7 +225,7 @@
         if !placement.partial {
             self.placement = placement;
         } else if (placement.epoch, placement.after) == known {
-            name_directory::take_change(&mut self.placement.shares, &placement.shares);
+            name_directory::apply_share_changes(&mut self.placement.shares, &placement.shares);
             self.placement.number = placement.number;
         } else {
             self.effects.push_back(Effect::Send {
@@ -253,7 +258,7 @@
         upstream: &Upstream,
     ) -> Option<Vec<KeyShare>> {
         let epoch = self.lease.holds(now)?;
-        if upstream.condition == GONE {
+        if upstream.condition == DEREGISTERED {
             // A sign-off lists nothing and proves nothing: its sender may serve on, so its holds run out by themselves.
             return None;
         }
@@ -261,7 +266,7 @@
             .configuration
             .services
             .get(&upstream.service)
-            .is_some_and(|service| service.numbered)
+            .is_some_and(|service| service.numeric_keys)
         {
             return self.give_ranges(now, upstream, epoch);
         }
@@ -275,7 +280,7 @@
         let shares = duty
             .shares
             .entry(upstream.service.clone())
-            .or_insert_with(|| Shares::new(held_at, span, epoch));
-        shares.beat(held_at, upstream, &ready)
+            .or_insert_with(|| SlotAssigner::new(held_at, span, epoch));
+        shares.handle_heartbeat(held_at, upstream, &ready)
     }
 }
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -41,7 +41,7 @@
                     },
                 ),
                 Ok(configuration) => {
-                    let number = configuration.number;
+                    let number = configuration.version;
                     let digest = protocol::digest(&bytes);
                     self.wait_for_force(now, request_id, in_force);
                     self.change(
@@ -105,12 +105,17 @@
                 self.respond(request_id, ControlResponse::Json(json));
             }
             ControlRequest::Upstreams => {
-                let json = self.registry.all(now).iter().map(upstream_sheet).collect();
+                let json = self
+                    .registry
+                    .snapshot(now)
+                    .iter()
+                    .map(upstream_sheet)
+                    .collect();
                 self.respond(request_id, ControlResponse::Json(json));
             }
             ControlRequest::Reservations => {
                 let json = self.placement.reservations.iter().map(|owned| {
-                    JsonValue::fields([
+                    JsonValue::object([
                         ("name", owned.name.as_str().into()),
                         ("locality", owned.locality.as_str().into()),
                         ("epoch", owned.epoch.into()),
@@ -122,7 +127,7 @@
             }
             ControlRequest::Tombstones => {
                 let json = self.placement.tombstones.iter().map(|mark| {
-                    JsonValue::fields([
+                    JsonValue::object([
                         ("name", mark.name.as_str().into()),
                         ("from", mark.from.as_str().into()),
                         ("to", mark.to.as_str().into()),
@@ -175,7 +180,7 @@
     fn sign_off(&mut self, now: Duration, instance: String) -> Upstream {
         let known = self
             .registry
-            .all(now)
+            .snapshot(now)
             .into_iter()
             .find(|upstream| upstream.instance == instance);
         let gone = signed_off(instance, known);
@@ -308,7 +313,7 @@
 
     /// The answer to a beat that was taken in: with the keys that the upstream holds from now on, where it has any.
     pub(crate) fn answer_taken_beat(&mut self, now: Duration, request_id: u64, upstream: Upstream) {
-        let may_hold = upstream.condition != upstream_registry::GONE;
+        let may_hold = upstream.condition != upstream_registry::DEREGISTERED;
         let keyed = may_hold
             && self
                 .configuration
@@ -339,7 +344,7 @@
     }
 
     pub(crate) fn shares_asked(&mut self, now: Duration, from: String, request: SharesRequest) {
-        self.registry.take(now, request.upstream.clone());
+        self.registry.apply_heartbeat(now, request.upstream.clone());
         let Some(epoch) = self.lease.holds(now) else {
             return;
         };
@@ -401,7 +406,7 @@
             VoterPhase::Failed => "out",
         };
         let members = self.members.iter().map(|member| {
-            JsonValue::fields([
+            JsonValue::object([
                 ("node", member.node.as_str().into()),
                 ("roles", member.roles.as_str().into()),
                 ("locality", member.locality.as_str().into()),
@@ -418,13 +423,13 @@
             ])
         });
         let readers = self.readers.iter().map(|(node, reader)| {
-            JsonValue::fields([
+            JsonValue::object([
                 ("node", node.as_str().into()),
                 ("edition", reader.revision.into()),
             ])
         });
         let state = self.register.state();
-        JsonValue::fields([
+        JsonValue::object([
             ("node", self.me.node.as_str().into()),
             ("standing", phase.into()),
             (
@@ -475,7 +480,7 @@
 impl ControlNode {
     fn show_counts(&self) -> JsonValue {
         let (statistics, counts) = (self.register.statistics(), &self.counts);
-        JsonValue::fields([
+        JsonValue::object([
             ("rounds", statistics.rounds_started.into()),
             ("roundsLost", statistics.rounds_lost.into()),
             ("writes", statistics.disk_writes.into()),
@@ -492,10 +497,10 @@
 fn upstream_sheet(upstream: &Upstream) -> JsonValue {
     let condition = match upstream.condition {
         upstream_registry::READY => "ready",
-        upstream_registry::LEAVING => "leaving",
+        upstream_registry::DRAINING => "leaving",
         _ => "gone",
     };
-    JsonValue::fields([
+    JsonValue::object([
         ("service", upstream.service.as_str().into()),
         ("instance", upstream.instance.as_str().into()),
         ("address", upstream.address.as_str().into()),
--- a/crates/control-plane/src/shell.rs
+++ b/crates/control-plane/src/shell.rs
@@ -5,7 +5,7 @@
 use crate::disk::{Disk, DiskCounts, DiskReport, RetryBackoff, Write};
 use crate::node::{ControlNode, ControlRequest, ControlResponse, Effect, Event, Start, Times};
 use bytes::Bytes;
-use config::{JsonValue, Setting, Settings, Shape};
+use config::{JsonValue, Setting, SettingType, Settings};
 use error_stack::{Report, ResultExt};
 use http_body_util::Full;
 use hyper::Response;
@@ -32,72 +32,72 @@
 pub const SETTINGS: &[Setting] = &[
     setting(
         "node",
-        Shape::Id,
+        SettingType::Id,
         None,
         "this process's id, unlike all others",
     ),
-    setting("locality", Shape::Locality, None, "where it stands"),
+    setting("locality", SettingType::Locality, None, "where it stands"),
     setting(
         "http",
-        Shape::Address,
+        SettingType::Address,
         None,
         "where operators and upstreams call (HTTP)",
     ),
     setting(
         "link",
-        Shape::Address,
+        SettingType::Address,
         None,
         "where other processes connect (TCP) and probe (UDP)",
     ),
     setting(
         "told",
-        Shape::Addresses,
+        SettingType::Addresses,
         Some(""),
         "the link address that others use, where it is not 'link' itself",
     ),
     setting(
         "seeds",
-        Shape::Addresses,
+        SettingType::Addresses,
         Some(""),
         "addresses of other processes, to find them all by",
     ),
     setting(
         "seed-port",
-        Shape::Count(0, 65_535),
+        SettingType::Integer(0, 65_535),
         Some("0"),
         "the port of their links, where 'seeds' names others",
     ),
     setting(
         "roster-size",
-        Shape::Count(0, 31),
+        SettingType::Integer(0, 31),
         Some("6"),
         "how many vote; a founding needs them all; 0: one a locality",
     ),
     setting(
         "localities",
-        Shape::Localities,
+        SettingType::Localities,
         Some(""),
         "the site's localities",
     ),
     setting(
         "owners",
-        Shape::OneOf(&["one", "by-caller"]),
+        SettingType::OneOf(&["one", "by-caller"]),
         Some("one"),
         "who owns a name: one locality, or one for each",
     ),
-    setting("data", Shape::Folder, None, "the data folder"),
+    setting("data", SettingType::Directory, None, "the data folder"),
 ];
 
 const fn setting(
     name: &'static str,
-    shape: Shape,
-    fallback: Option<&'static str>,
+    kind: SettingType,
+    default: Option<&'static str>,
     help: &'static str,
 ) -> Setting {
     Setting {
         name,
-        shape,
-        fallback,
+        kind,
+        default,
         help,
     }
 }
@@ -106,37 +106,37 @@
 pub const PROGRAM: Program = Program {
     name: "control-plane",
     about: "The control plane of mothspindle: keeps the operator's state and tells the carriers.",
-    tables: &[SETTINGS, config::TIMES],
+    tables: &[SETTINGS, config::TIME_SETTINGS],
     check: |_| Vec::new(),
 };
 
 /// The time values in the settings.
 ///
 /// ```
-/// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
+/// let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap();
 /// assert_eq!(control_plane::shell::times(&settings).lease.span.as_millis(), 1500);
 /// ```
 pub fn times(settings: &Settings) -> Times {
     Times {
         register: quorum_register::RegisterTiming {
-            confirm_interval: settings.span("confirm-every-ms"),
+            confirm_interval: settings.duration("confirm-every-ms"),
             ..Default::default()
         },
         membership: membership::Times {
-            probe_every: settings.span("probe-every-ms"),
-            suspect_for: settings.span("suspect-for-ms"),
+            probe_every: settings.duration("probe-every-ms"),
+            suspect_for: settings.duration("suspect-for-ms"),
         },
         lease: lease::LeaseTiming::new(
-            settings.span("claim-span-ms"),
-            settings.span("claim-margin-ms"),
+            settings.duration("claim-span-ms"),
+            settings.duration("claim-margin-ms"),
         ),
-        placement: name_directory::Times {
-            least_stay: settings.span("least-stay-ms"),
-            mark_lifetime: settings.span("mark-lifetime-ms"),
+        placement: name_directory::PlacementTimes {
+            min_residence: settings.duration("least-stay-ms"),
+            tombstone_lifetime: settings.duration("mark-lifetime-ms"),
         },
-        share_span: settings.span("share-span-ms"),
-        upstream_silent: settings.span("upstream-silent-ms"),
-        stale_after: settings.span("stale-after-ms"),
+        share_span: settings.duration("share-span-ms"),
+        upstream_silent: settings.duration("upstream-silent-ms"),
+        stale_after: settings.duration("stale-after-ms"),
         longest_step: lease::MAX_STEP,
     }
 }
@@ -202,9 +202,9 @@
         seed: transport::random_seed(),
         reader: api_adapter.reader,
         owners: if settings.get("owners") == "one" {
-            OwnershipMode::One
+            OwnershipMode::SingleZone
         } else {
-            OwnershipMode::ByCaller
+            OwnershipMode::PerClientZone
         },
         durable: contents.durable,
         configurations: contents.configurations,
@@ -431,7 +431,7 @@
         }
         ("GET", "/counters") => {
             let count = |counter: &AtomicU64| JsonValue::from(counter.load(Ordering::Relaxed));
-            let json = JsonValue::fields([
+            let json = JsonValue::object([
                 ("asked", count(&shared.asked)),
                 ("parcels", count(&shared.parcels)),
                 ("diskWrites", count(&shared.disk.writes)),
--- a/crates/control-plane/src/updates.rs
+++ b/crates/control-plane/src/updates.rs
@@ -39,8 +39,9 @@
             return change.clone();
         }
         let change = Some(self.new).filter(|new| ***new != **old);
-        let change = change
-            .map(|new| name_directory::change(old, new).unwrap_or_else(|| Placement::clone(new)));
+        let change = change.map(|new| {
+            name_directory::placement_delta(old, new).unwrap_or_else(|| Placement::clone(new))
+        });
         self.known.push((old.clone(), change.clone()));
         change
     }
@@ -94,7 +95,7 @@
         let (placement, revision, whole) =
             (Arc::new(self.bare_placement(now)), 0, self.is_settled(now));
         // What it keeps of before must not hold those that departed meanwhile.
-        let departed = self.registry.departed().filter(|_| !whole);
+        let departed = self.registry.departed_without_entry().filter(|_| !whole);
         let snapshot = ViewUpdate {
             stream,
             number: 0,
@@ -102,7 +103,7 @@
             state: Some(state.clone()),
             upstreams: self
                 .registry
-                .all(now)
+                .snapshot(now)
                 .into_iter()
                 .chain(departed)
                 .map(plain)
@@ -138,7 +139,12 @@
     }
 
     fn tell_news(&mut self, now: Duration) {
-        let changed: Vec<Upstream> = self.registry.changes(now).into_iter().map(plain).collect();
+        let changed: Vec<Upstream> = self
+            .registry
+            .drain_changes(now)
+            .into_iter()
+            .map(plain)
+            .collect();
         let current = &self.register.state().digest;
         let wanted = self
             .readers
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -264,7 +264,7 @@
     /// True once a node that was told to end owes nobody anything: its place is taken, or cannot be.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// let mut control = control_plane::ControlNode::new(start);
@@ -279,7 +279,7 @@
     /// Who votes, as far as this node knows.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert!(control_plane::ControlNode::new(start).voters().is_empty());
@@ -323,7 +323,7 @@
             } else {
                 self.register.persisted_round(node)
             };
-            JsonValue::fields([
+            JsonValue::object([
                 ("node", node.as_str().into()),
                 ("role", role(node).into()),
                 ("silentMs", silent_ms.into()),
@@ -334,7 +334,7 @@
                 ("caughtUp", self.has_caught_up(node).into()),
             ])
         });
-        JsonValue::fields([
+        JsonValue::object([
             ("epoch", voter_set.epoch.into()),
             ("members", rows.collect()),
         ])
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -266,11 +266,11 @@
             upstreams: vec![known],
             ..ViewUpdate::default()
         };
-        view.take(before, true).expect("no setup");
+        view.apply_update(before, true).expect("no setup");
         told.into_iter().for_each(|body| {
             if let Payload::ViewUpdate(update) = body {
                 let image = update.number == 0;
-                view.take(update, image).expect("no setup");
+                view.apply_update(update, image).expect("no setup");
             }
         });
         let upstreams = view.upstreams.values().flat_map(|service| service.values());
@@ -284,7 +284,7 @@
         else {
             return None;
         };
-        let config::JsonValue::List(rows) = json else {
+        let config::JsonValue::Array(rows) = json else {
             return None;
         };
         let row = rows
@@ -308,7 +308,7 @@
 }
 
 fn control(node: &str, departures: Vec<Departure>) -> ControlNode {
-    let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
+    let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).expect("no flags");
     let initial_voters: Vec<String> = NODES.iter().map(|node| (*node).to_owned()).collect();
     let accepted = ClusterState {
         voter_set: VoterSet::new(initial_voters.clone()),
@@ -371,7 +371,7 @@
         ControlRequest::Heartbeat(beat(turn + 2, upstream_registry::READY)),
         ControlRequest::Heartbeat(Upstream {
             instance: "leaver".into(),
-            ..beat(turn + 2, upstream_registry::LEAVING)
+            ..beat(turn + 2, upstream_registry::DRAINING)
         }),
         ControlRequest::Deregister {
             instance: "u".into(),
@@ -468,7 +468,7 @@
             let asks = [
                 ControlRequest::ReadConfiguration,
                 evacuate("order"),
-                ControlRequest::Heartbeat(beat(2, upstream_registry::LEAVING)),
+                ControlRequest::Heartbeat(beat(2, upstream_registry::DRAINING)),
                 ControlRequest::Deregister {
                     instance: "u".into(),
                 },
@@ -624,7 +624,7 @@
     let at = other(0);
     assert!(acknowledged(&site.answer(
         at,
-        ControlRequest::Heartbeat(beat(2, upstream_registry::LEAVING))
+        ControlRequest::Heartbeat(beat(2, upstream_registry::DRAINING))
     )));
     site.run_for(600);
     assert_eq!(site.condition(3, "u").as_deref(), Some("leaving"));
@@ -649,7 +649,7 @@
     site.cuts.remove(&(reached, at));
     let response = site.answer(
         at,
-        ControlRequest::Heartbeat(beat(2, upstream_registry::LEAVING)),
+        ControlRequest::Heartbeat(beat(2, upstream_registry::DRAINING)),
     );
     assert!(
         response.is_some() && !acknowledged(&response),
@@ -658,7 +658,7 @@
     // It told whom it could, and that one gets it acknowledged.
     let request_id = site.ask(
         reached,
-        ControlRequest::Heartbeat(beat(3, upstream_registry::LEAVING)),
+        ControlRequest::Heartbeat(beat(3, upstream_registry::DRAINING)),
     );
     let asked_at = site.now;
     site.run_for(200);
@@ -747,7 +747,7 @@
         instance: "unknown".into(),
     };
     [
-        ControlRequest::Heartbeat(beat(2, upstream_registry::LEAVING)),
+        ControlRequest::Heartbeat(beat(2, upstream_registry::DRAINING)),
         ControlRequest::Deregister {
             instance: "u".into(),
         },
--- a/crates/control-plane/tests/gossip.rs
+++ b/crates/control-plane/tests/gossip.rs
@@ -23,7 +23,7 @@
 
 /// A postmaster that knows one other in its zone, and two in another region.
 fn control(node: &str) -> ControlNode {
-    let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
+    let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).expect("no flags");
     let all = [
         ("a", "north/n1"),
         ("b", "north/n1"),
@@ -180,7 +180,7 @@
             .all(|(_, body)| matches!(body, Payload::HeartbeatDigest(_))),
         "nothing in full"
     );
-    let told: Vec<String> = beat(&mut a, 2500, unit(3, upstream_registry::GONE))
+    let told: Vec<String> = beat(&mut a, 2500, unit(3, upstream_registry::DEREGISTERED))
         .into_iter()
         .map(|(to, _)| to)
         .collect();
@@ -192,8 +192,8 @@
     let (mut a, mut c, mut d) = (control("a"), control("c"), control("d"));
     [
         (1, upstream_registry::READY),
-        (2, upstream_registry::LEAVING),
-        (3, upstream_registry::GONE),
+        (2, upstream_registry::DRAINING),
+        (3, upstream_registry::DEREGISTERED),
     ]
     .into_iter()
     .for_each(|(number, condition)| {
@@ -368,7 +368,7 @@
     };
     assert_eq!(
         (beats.upstreams[0].beat, beats.upstreams[0].condition),
-        (u64::MAX, upstream_registry::GONE)
+        (u64::MAX, upstream_registry::DEREGISTERED)
     );
     said(
         near,
--- a/crates/control-plane/tests/keys.rs
+++ b/crates/control-plane/tests/keys.rs
@@ -38,7 +38,7 @@
     seed: u64,
     trusts_jumps: bool,
 ) -> ControlNode {
-    let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
+    let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).expect("no flags");
     let me = Member {
         node: "a".into(),
         locality: "n/n1".into(),
--- a/crates/control-plane/tests/repair.rs
+++ b/crates/control-plane/tests/repair.rs
@@ -30,7 +30,7 @@
         accepted,
         ..Default::default()
     };
-    let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
+    let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap();
     let me = Member {
         node: "pm-1".into(),
         roles: "postmaster".into(),
@@ -90,7 +90,7 @@
     assert_eq!(alarms(&effects), 1);
     assert_eq!(
         status(&mut control, ms(2)).get("setupMissing"),
-        Some(&JsonValue::Truth(true))
+        Some(&JsonValue::Bool(true))
     );
     let digest = protocol::digest(SETUP);
     let asks = |effect: &&Effect| matches!(effect, Effect::Send { body: Payload::ConfigurationRequest(ConfigurationRequest { digest: asked }), .. } if *asked == digest);
@@ -122,7 +122,7 @@
     assert_eq!(repairs(&effects), 1);
     assert_eq!(
         status(&mut control, ms(1001)).get("setupMissing"),
-        Some(&JsonValue::Truth(false))
+        Some(&JsonValue::Bool(false))
     );
 }
 
@@ -133,7 +133,7 @@
     assert_eq!(alarms(&effects), 0);
     assert_eq!(
         status(&mut control, Duration::from_millis(2)).get("setupMissing"),
-        Some(&JsonValue::Truth(false))
+        Some(&JsonValue::Bool(false))
     );
 }
 
--- a/crates/control-plane/tests/site/mod.rs
+++ b/crates/control-plane/tests/site/mod.rs
@@ -18,7 +18,8 @@
 
 impl Site {
     pub fn new() -> Site {
-        let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
+        let settings =
+            config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).expect("no flags");
         let me = Member {
             node: "a".into(),
             locality: "north/n1".into(),
--- a/crates/data-plane/src/api_adapter.rs
+++ b/crates/data-plane/src/api_adapter.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::{HeaderMap, Response};
 use locality::Locality;
-use name_directory::{ConfigurationReader, LookupAnswer};
+use name_directory::{ConfigurationParser, LookupAnswer};
 use protocol::KeyShare;
 use request_routing::{CallOutcome, Load, RequestInfo};
 use result_code::ResultCode;
@@ -91,7 +91,7 @@
     /// Where a name lives.
     pub listing: Box<Telling>,
     /// How configurations are read.
-    pub reader: ConfigurationReader,
+    pub reader: ConfigurationParser,
     /// How many addresses a directory answer names at most.
     pub most_addresses: usize,
 }
@@ -126,7 +126,7 @@
                     .iter()
                     .map(|address| JsonValue::from(address.as_str()))
                     .collect();
-                let json = JsonValue::fields([
+                let json = JsonValue::object([
                     ("code", u64::from(ResultCode::Success.number()).into()),
                     ("name", listing.name.into()),
                     ("locality", listing.locality.into()),
@@ -136,7 +136,7 @@
                 ]);
                 transport::json_response(ResultCode::Success, &json)
             }),
-            reader: ConfigurationReader::default(),
+            reader: ConfigurationParser::default(),
             most_addresses: 3,
         }
     }
--- a/crates/data-plane/src/core.rs
+++ b/crates/data-plane/src/core.rs
@@ -3,7 +3,7 @@
 use crate::pending_loads::PendingLoads;
 use locality::Locality;
 use membership::Membership;
-use name_directory::{ConfigurationReader, Proxy, View};
+use name_directory::{ConfigurationParser, Proxy, View};
 use protocol::{Freshness, KeyLoad, Member, Payload, UpdateAck, UpdateRequest, ViewUpdate};
 use random::Random;
 use std::sync::Arc;
@@ -45,7 +45,7 @@
     pub seeds: Vec<String>,
     pub seed: u64,
     /// How configurations are read.
-    pub reader: ConfigurationReader,
+    pub reader: ConfigurationParser,
     pub times: Times,
 }
 
@@ -161,7 +161,7 @@
     /// A carrier that knows nothing yet.
     ///
     /// ```
-    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = data_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
     /// assert_eq!(data_plane::DataNode::new(start).view().revision, 0);
     /// ```
@@ -208,7 +208,7 @@
     /// The view to publish.
     ///
     /// ```
-    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = data_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
     /// assert_eq!(data_plane::DataNode::new(start).view().as_of, None);
     /// ```
@@ -219,7 +219,7 @@
     /// Whether it serves, closes or denies.
     ///
     /// ```
-    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = data_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
     /// use data_plane::{Event, Phase};
     /// use std::time::Duration;
@@ -243,7 +243,7 @@
     /// Postmasters that membership knows, the one followed first.
     ///
     /// ```
-    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = data_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
     /// assert!(data_plane::DataNode::new(start).postmasters().is_empty());
     /// ```
@@ -260,7 +260,7 @@
     /// The one reducer: takes an event in, gives effects out.
     ///
     /// ```
-    /// # let times = data_plane::shell::times(&config::Settings::read(&[config::TIMES], None, &[]).unwrap());
+    /// # let times = data_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = data_plane::Start { me: Default::default(), seeds: vec![], seed: 1, reader: Default::default(), times };
     /// let mut carrier = data_plane::DataNode::new(start);
     /// assert!(carrier.step(Default::default(), data_plane::Event::Tick).is_empty(), "nobody to ask");
@@ -337,7 +337,7 @@
             })
             .collect();
         self.view.proxies = Arc::new(proxies);
-        self.view.settle_senders(now);
+        self.view.update_senders(now);
         self.postmasters = members
             .into_iter()
             .filter(|member| member.roles == "postmaster")
@@ -533,7 +533,7 @@
             configuration: configuration.flatten(),
             ..news
         };
-        if let Err(validation_errors) = self.view.take(news, image) {
+        if let Err(validation_errors) = self.view.apply_update(news, image) {
             let notes = validation_errors
                 .iter()
                 .map(|complaint| Effect::Log(format!("news denied: {complaint}")));
@@ -542,7 +542,7 @@
         }
         // An image replaces what was known: the view is as old as it, also where what another source told was newer.
         self.view.as_of = as_of;
-        self.view.settle_senders(now);
+        self.view.update_senders(now);
         (self.stream, self.number) = (stream, number);
         let revision = self.view.revision;
         if revision != before {
--- a/crates/data-plane/src/node.rs
+++ b/crates/data-plane/src/node.rs
@@ -182,7 +182,7 @@
             return self.deny(ResultCode::Malformed, None, "");
         };
         let listed = if self.site.may_use(&view, self.clock.now()) {
-            name_directory::list(
+            name_directory::lookup(
                 &view,
                 name,
                 &origin,
@@ -216,7 +216,7 @@
         codes.sort_by(|a, b| a.0.cmp(&b.0));
         let now = self.clock.now();
         let services = self.board.tallies(now).into_iter().map(|tally| {
-            JsonValue::fields([
+            JsonValue::object([
                 ("service", tally.service.into()),
                 ("serving", tally.serving.into()),
                 ("waiting", tally.waiting.into()),
@@ -230,7 +230,7 @@
             .load()
             .as_of
             .map(|as_of| (now.saturating_sub(as_of).as_millis() as u64).into());
-        let json = JsonValue::fields([
+        let json = JsonValue::object([
             ("listings", count(&self.counters.listings)),
             ("forwarded", count(&self.counters.forwarded)),
             ("viewAgeMs", age_ms.unwrap_or(JsonValue::Null)),
@@ -243,7 +243,7 @@
                     .map(JsonValue::from)
                     .collect(),
             ),
-            ("codes", JsonValue::Fields(codes)),
+            ("codes", JsonValue::Object(codes)),
         ]);
         transport::json_response(ResultCode::Success, &json)
     }
@@ -258,7 +258,7 @@
             .proxies
             .iter()
             .map(|proxy| JsonValue::from(proxy.node.as_str()));
-        let json = JsonValue::fields([
+        let json = JsonValue::object([
             ("node", self.site.node.as_str().into()),
             ("locality", self.site.locality.to_string().into()),
             ("roles", self.roles.as_str().into()),
@@ -297,7 +297,7 @@
     }
 
     fn show_notes(&self, try_id: &str, notes: Vec<String>) -> Response<Full<Bytes>> {
-        let json = JsonValue::fields([
+        let json = JsonValue::object([
             ("code", u64::from(ResultCode::Success.number()).into()),
             ("node", self.site.node.as_str().into()),
             ("tryId", try_id.into()),
--- a/crates/data-plane/src/shell.rs
+++ b/crates/data-plane/src/shell.rs
@@ -3,7 +3,7 @@
 use crate::api_adapter::{ApiAdapter, ListenerKind};
 use crate::core::{DataNode, Effect, Event, Phase, Start, Times};
 use crate::node::{Node, NodeTerms};
-use config::{Setting, Settings, Shape};
+use config::{Setting, SettingType, Settings};
 use error_stack::{Report, ResultExt};
 use locality::Locality;
 use name_directory::OwnershipMode;
@@ -26,86 +26,86 @@
 pub const SETTINGS: &[Setting] = &[
     setting(
         "node",
-        Shape::Id,
+        SettingType::Id,
         None,
         "this process's id, unlike all others",
     ),
-    setting("locality", Shape::Locality, None, "where it stands"),
+    setting("locality", SettingType::Locality, None, "where it stands"),
     setting(
         "http",
-        Shape::Address,
+        SettingType::Address,
         None,
         "where origins, upstreams and operators call (HTTP)",
     ),
     setting(
         "link",
-        Shape::Address,
+        SettingType::Address,
         None,
         "where other processes connect (TCP) and probe (UDP)",
     ),
     setting(
         "told",
-        Shape::Addresses,
+        SettingType::Addresses,
         Some(""),
         "the link address that others use, where it is not 'link' itself",
     ),
     setting(
         "seeds",
-        Shape::Addresses,
+        SettingType::Addresses,
         Some(""),
         "addresses of other processes, to find them all by",
     ),
     setting(
         "seed-port",
-        Shape::Count(0, 65_535),
+        SettingType::Integer(0, 65_535),
         Some("0"),
         "the port of their links, where 'seeds' names others",
     ),
     setting(
         "directory",
-        Shape::Addresses,
+        SettingType::Addresses,
         Some(""),
         "where origins ask for names, where it is not 'http' itself",
     ),
     setting(
         "readiness",
-        Shape::Addresses,
+        SettingType::Addresses,
         Some(""),
         "where readiness is asked for, where it is not 'http' itself",
     ),
     setting(
         "owners",
-        Shape::OneOf(&["one", "by-caller"]),
+        SettingType::OneOf(&["one", "by-caller"]),
         Some("one"),
         "who owns a name: one locality, or one for each",
     ),
     setting(
         "out-of-touch",
-        Shape::OneOf(&["stop", "serve"]),
+        SettingType::OneOf(&["stop", "serve"]),
         Some("stop"),
         "what to do with a view that is too old",
     ),
     setting(
         "keep-connections",
-        Shape::OneOf(&["no", "yes"]),
+        SettingType::OneOf(&["no", "yes"]),
         Some("no"),
         "whether connections to upstreams are reused",
     ),
     setting(
         "far-zone-ms",
-        Shape::Count(0, 10_000),
+        SettingType::Integer(0, 10_000),
         Some("20"),
         "what another zone costs beside an upstream's work",
     ),
     setting(
         "far-region-ms",
-        Shape::Count(0, 10_000),
+        SettingType::Integer(0, 10_000),
         Some("60"),
         "what another region costs beside its work",
     ),
     setting(
         "serve",
-        Shape::SomeOf(&["proxy", "directory"]),
+        SettingType::SomeOf(&["proxy", "directory"]),
         Some("proxy,directory"),
         "its roles",
     ),
@@ -113,14 +113,14 @@
 
 const fn setting(
     name: &'static str,
-    shape: Shape,
-    fallback: Option<&'static str>,
+    kind: SettingType,
+    default: Option<&'static str>,
     help: &'static str,
 ) -> Setting {
     Setting {
         name,
-        shape,
-        fallback,
+        kind,
+        default,
         help,
     }
 }
@@ -129,23 +129,23 @@
 pub const PROGRAM: Program = Program {
     name: "data-plane",
     about: "The data plane of mothspindle: answers where names live and carries requests.",
-    tables: &[SETTINGS, config::TIMES],
+    tables: &[SETTINGS, config::TIME_SETTINGS],
     check: |_| Vec::new(),
 };
 
 /// The time values in the settings.
 ///
 /// ```
-/// let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap();
+/// let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap();
 /// assert_eq!(data_plane::shell::times(&settings).ask_every.as_millis(), 500);
 /// ```
 pub fn times(settings: &Settings) -> Times {
-    let ask_every = settings.span("confirm-every-ms");
+    let ask_every = settings.duration("confirm-every-ms");
     let membership = membership::Times {
-        probe_every: settings.span("probe-every-ms"),
-        suspect_for: settings.span("suspect-for-ms"),
+        probe_every: settings.duration("probe-every-ms"),
+        suspect_for: settings.duration("suspect-for-ms"),
     };
-    let lifetime = settings.span("address-lifetime-ms");
+    let lifetime = settings.duration("address-lifetime-ms");
     Times {
         membership,
         ask_every,
@@ -185,17 +185,17 @@
         me.node,
         me.roles
     );
-    let lifetime = settings.span("address-lifetime-ms");
+    let lifetime = settings.duration("address-lifetime-ms");
     let mut site = ProxyContext::new(
         &me.node,
         locality,
-        settings.span("stale-after-ms"),
-        settings.span("wait-ms"),
+        settings.duration("stale-after-ms"),
+        settings.duration("wait-ms"),
     );
     site.owners = if settings.get("owners") == "one" {
-        OwnershipMode::One
+        OwnershipMode::SingleZone
     } else {
-        OwnershipMode::ByCaller
+        OwnershipMode::PerClientZone
     };
     site.serves_on = settings.get("out-of-touch") == "serve";
     site.far_ms = (
--- a/crates/data-plane/tests/following.rs
+++ b/crates/data-plane/tests/following.rs
@@ -24,7 +24,7 @@
 
 /// A carrier in north/n1 that knows three postmasters.
 fn carrier() -> DataNode {
-    let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
+    let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).expect("no flags");
     let me = member("c", "north/n1", "proxy,directory");
     let mut carrier = DataNode::new(Start {
         me,
--- a/crates/name-directory/src/answer.rs
+++ b/crates/name-directory/src/answer.rs
@@ -1,6 +1,6 @@
 //! A directory node's answer: the owning locality's proxies, for a short lifetime.
 
-use crate::view::{Proxy, View, is_home, is_within};
+use crate::view::{Proxy, View, is_allowed_in, is_in_regions};
 use locality::Locality;
 use result_code::ResultCode;
 use std::collections::BTreeMap;
@@ -21,9 +21,9 @@
 pub enum OwnershipMode {
     /// One locality for everybody; the placement duty decides which.
     #[default]
-    One,
+    SingleZone,
     /// One for the callers of each zone: their own where it can serve, else the nearest that can.
-    ByCaller,
+    PerClientZone,
 }
 
 /// Answers a directory question. Aliases go through the id form; the owner's own proxies come first, and
@@ -34,10 +34,10 @@
 /// use name_directory::OwnershipMode;
 /// use std::time::Duration;
 /// let view = name_directory::View::default();
-/// let asked = name_directory::list(&view, "book", &"north/n1".parse().unwrap(), Duration::from_secs(2), (OwnershipMode::One, 3));
+/// let asked = name_directory::lookup(&view, "book", &"north/n1".parse().unwrap(), Duration::from_secs(2), (OwnershipMode::SingleZone, 3));
 /// assert_eq!(asked, Err(ResultCode::NoSuchName));
 /// ```
-pub fn list(
+pub fn lookup(
     view: &View,
     asked: &str,
     origin: &Locality,
@@ -49,7 +49,7 @@
         .resolve(asked)
         .ok_or(ResultCode::NoSuchName)?;
     let (owner, epoch) = match owners {
-        OwnershipMode::One => {
+        OwnershipMode::SingleZone => {
             let owned = view.reservations.get(name);
             let owned = owned
                 .filter(|owned| !view.evacuated.contains(&owned.locality))
@@ -59,7 +59,7 @@
                 owned.epoch,
             )
         }
-        OwnershipMode::ByCaller => (
+        OwnershipMode::PerClientZone => (
             owner_for(view, name, origin).ok_or(ResultCode::NoOwner)?,
             view.revision,
         ),
@@ -102,17 +102,19 @@
 
 /// The proxies that may carry a name's work: not evacuated, and at home for all of its services.
 fn able<'a>(view: &'a View, name: &'a str) -> impl Iterator<Item = &'a Proxy> {
-    let services: Vec<_> = view.configuration.services_of(name).collect();
+    let services: Vec<_> = view.configuration.services_of_name(name).collect();
     let regions: Vec<_> = view
         .configuration
-        .routes_of(name)
-        .map(|route| &route.terms.home_regions)
+        .routes_of_name(name)
+        .map(|route| &route.policy.home_regions)
         .collect();
     view.proxies.iter().filter(move |proxy| {
         let place = proxy.locality.to_string();
         !view.evacuated.contains(&place)
-            && services.iter().all(|service| is_home(service, &place))
-            && regions.iter().all(|regions| is_within(regions, &place))
+            && services
+                .iter()
+                .all(|service| is_allowed_in(service, &place))
+            && regions.iter().all(|regions| is_in_regions(regions, &place))
     })
 }
 
--- a/crates/name-directory/src/lib.rs
+++ b/crates/name-directory/src/lib.rs
@@ -5,7 +5,11 @@
 mod placement;
 mod view;
 
-pub use answer::{LookupAnswer, OwnershipMode, list};
-pub use patch::{change, latest_grants, patch, patched, take_change, uncovered};
-pub use placement::{Needs, Times, ZoneAssigner};
-pub use view::{ConfigurationReader, Proxy, Senders, Upstreams, View, is_home, is_within};
+pub use answer::{LookupAnswer, OwnershipMode, lookup};
+pub use patch::{
+    apply_share_changes, apply_share_delta, latest_grants, placement_delta, share_delta, uncovered,
+};
+pub use placement::{PlacementInputs, PlacementTimes, ZoneAssigner};
+pub use view::{
+    ConfigurationParser, Proxy, ServiceSenders, Upstreams, View, is_allowed_in, is_in_regions,
+};
--- a/crates/name-directory/src/patch.rs
+++ b/crates/name-directory/src/patch.rs
@@ -133,10 +133,10 @@
 /// use protocol::KeyShare;
 /// let share = |from, until, who: &str| KeyShare { from, until, instance: who.into(), ..Default::default() };
 /// let (old, new) = ([share(0, 9, "a")], [share(0, 4, "a"), share(6, 9, "b")]);
-/// let patch = name_directory::patch(&old, &new);
-/// assert_eq!(name_directory::patched(&old, &patch), new);
+/// let patch = name_directory::share_delta(&old, &new);
+/// assert_eq!(name_directory::apply_share_delta(&old, &patch), new);
 /// ```
-pub fn patch(old: &[KeyShare], new: &[KeyShare]) -> Vec<KeyShare> {
+pub fn share_delta(old: &[KeyShare], new: &[KeyShare]) -> Vec<KeyShare> {
     let mut known: BTreeMap<u32, Vec<&KeyShare>> = BTreeMap::new();
     old.iter()
         .for_each(|row| known.entry(row.from).or_default().push(row));
@@ -155,9 +155,9 @@
 /// The shares after a patch, in the order of their keys.
 ///
 /// ```
-/// assert!(name_directory::patched(&[], &[]).is_empty());
+/// assert!(name_directory::apply_share_delta(&[], &[]).is_empty());
 /// ```
-pub fn patched(old: &[KeyShare], patch: &[KeyShare]) -> Vec<KeyShare> {
+pub fn apply_share_delta(old: &[KeyShare], patch: &[KeyShare]) -> Vec<KeyShare> {
     let kept = uncovered(old, patch);
     let rows = patch.iter().filter(|row| !row.instance.is_empty()).cloned();
     let mut shares: Vec<KeyShare> = kept.into_iter().chain(rows).collect();
@@ -171,10 +171,10 @@
 /// use protocol::Placement;
 /// let old = Placement { epoch: 3, number: 1, ..Default::default() };
 /// let new = Placement { number: 2, ..old.clone() };
-/// assert_eq!(name_directory::change(&old, &new).map(|change| (change.partial, change.after)), Some((true, 1)));
-/// assert!(name_directory::change(&old, &Placement { epoch: 4, ..new }).is_none());
+/// assert_eq!(name_directory::placement_delta(&old, &new).map(|change| (change.partial, change.after)), Some((true, 1)));
+/// assert!(name_directory::placement_delta(&old, &Placement { epoch: 4, ..new }).is_none());
 /// ```
-pub fn change(old: &Placement, new: &Placement) -> Option<Placement> {
+pub fn placement_delta(old: &Placement, new: &Placement) -> Option<Placement> {
     if old.epoch != new.epoch
         || old.reservations != new.reservations
         || old.tombstones != new.tombstones
@@ -198,7 +198,7 @@
     services.dedup();
     let shares = services.into_iter().map(|service| ServiceKeyShares {
         service: service.to_owned(),
-        shares: patch(&of(old, service), &of(new, service)),
+        shares: share_delta(&of(old, service), &of(new, service)),
     });
     let shares = shares
         .filter(|service| !service.shares.is_empty())
@@ -217,19 +217,19 @@
 ///
 /// ```
 /// let mut shares = vec![];
-/// name_directory::take_change(&mut shares, &[protocol::ServiceKeyShares { service: "s".into(), shares: vec![] }]);
+/// name_directory::apply_share_changes(&mut shares, &[protocol::ServiceKeyShares { service: "s".into(), shares: vec![] }]);
 /// assert_eq!(shares.len(), 1);
 /// ```
-pub fn take_change(shares: &mut Vec<ServiceKeyShares>, changes: &[ServiceKeyShares]) {
+pub fn apply_share_changes(shares: &mut Vec<ServiceKeyShares>, changes: &[ServiceKeyShares]) {
     changes.iter().for_each(|change| {
         match shares
             .iter_mut()
             .find(|known| known.service == change.service)
         {
-            Some(known) => known.shares = patched(&known.shares, &change.shares),
+            Some(known) => known.shares = apply_share_delta(&known.shares, &change.shares),
             None => shares.push(ServiceKeyShares {
                 service: change.service.clone(),
-                shares: patched(&[], &change.shares),
+                shares: apply_share_delta(&[], &change.shares),
             }),
         }
     });
--- a/crates/name-directory/src/placement.rs
+++ b/crates/name-directory/src/placement.rs
@@ -1,6 +1,6 @@
 //! The placement duty: which locality owns each name, derived from beats, evacuations and editions.
 
-use crate::view::is_home;
+use crate::view::is_allowed_in;
 use config::Configuration;
 use protocol::{Placement, Reservation, ServiceKeyShares, Tombstone, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,13 +8,13 @@
 
 /// Placement's time values.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
-    pub least_stay: Duration,
-    pub mark_lifetime: Duration,
+pub struct PlacementTimes {
+    pub min_residence: Duration,
+    pub tombstone_lifetime: Duration,
 }
 
 /// What placement decides from.
-pub struct Needs<'a> {
+pub struct PlacementInputs<'a> {
     pub configuration: &'a Configuration,
     pub evacuated: &'a [String],
     pub upstreams: &'a [Upstream],
@@ -39,7 +39,7 @@
     lease_epoch: u64,
     number: u64,
     epoch: u64,
-    times: Times,
+    times: PlacementTimes,
     owned: BTreeMap<String, Owned>,
     /// By name and the locality left.
     left: BTreeMap<(String, String), Left>,
@@ -50,11 +50,11 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let times = name_directory::Times { least_stay: Duration::from_secs(4), mark_lifetime: Duration::from_secs(60) };
+    /// let times = name_directory::PlacementTimes { min_residence: Duration::from_secs(4), tombstone_lifetime: Duration::from_secs(60) };
     /// let assigner = name_directory::ZoneAssigner::new(Duration::ZERO, 3, &Default::default(), times);
     /// assert!(assigner.placement(Duration::ZERO, vec![]).reservations.is_empty());
     /// ```
-    pub fn new(now: Duration, lease_epoch: u64, last: &Placement, times: Times) -> Self {
+    pub fn new(now: Duration, lease_epoch: u64, last: &Placement, times: PlacementTimes) -> Self {
         let at = |age_ms: u64| now.saturating_sub(Duration::from_millis(age_ms));
         let owned = last.reservations.iter().map(|known| {
             let Reservation {
@@ -103,11 +103,11 @@
     /// Decides anew; true where something moved.
     ///
     /// ```
-    /// use name_directory::{Needs, ZoneAssigner, Times};
+    /// use name_directory::{PlacementInputs, ZoneAssigner, PlacementTimes};
     /// use protocol::Upstream;
     /// use std::time::Duration;
-    /// let times = Times { least_stay: Duration::from_secs(4), mark_lifetime: Duration::from_secs(60) };
-    /// let configuration = config::Configuration::read(br#"{"services": [{"name": "s", "work": "once", "homeRegions": ["n"]}],
+    /// let times = PlacementTimes { min_residence: Duration::from_secs(4), tombstone_lifetime: Duration::from_secs(60) };
+    /// let configuration = config::Configuration::parse(br#"{"services": [{"name": "s", "work": "once", "homeRegions": ["n"]}],
     ///     "routes": [{"id": "r", "name": "book", "path": "/", "service": "s"}]}"#).unwrap();
     /// let unit = |name: &str, place: &str| Upstream { service: "s".into(), instance: name.into(),
     ///     locality: place.into(), free_slots: 4, warm: true, ..Default::default() };
@@ -115,7 +115,7 @@
     ///     unit("f", "s/1")];
     /// let served = ["n/1".to_owned(), "n/2".to_owned(), "s/1".to_owned()].into_iter().collect();
     /// let mut assigner = ZoneAssigner::new(Duration::ZERO, 1, &Default::default(), times);
-    /// let needs = |evacuated| Needs { configuration: &configuration, evacuated, upstreams: &upstreams, served: &served };
+    /// let needs = |evacuated| PlacementInputs { configuration: &configuration, evacuated, upstreams: &upstreams, served: &served };
     /// assert!(assigner.decide(Duration::ZERO, &needs(&[])));
     /// assert_eq!(assigner.placement(Duration::ZERO, vec![]).reservations[0].locality, "n/1");
     /// let (one, both) = (["n/1".to_owned()], ["n/1".to_owned(), "n/2".to_owned()]);
@@ -126,12 +126,12 @@
     /// assigner.decide(Duration::ZERO, &needs(&both));
     /// assert!(assigner.placement(Duration::ZERO, vec![]).reservations.is_empty(), "never outside the home regions");
     /// ```
-    pub fn decide(&mut self, now: Duration, needs: &Needs) -> bool {
+    pub fn decide(&mut self, now: Duration, needs: &PlacementInputs) -> bool {
         let names = needs.configuration.names();
         let before = self.owned.len() + self.left.len();
         self.owned
             .retain(|name, _| names.contains_key(name.as_str()));
-        let lifetime = self.times.mark_lifetime;
+        let lifetime = self.times.tombstone_lifetime;
         self.left.retain(|(name, _), left| {
             names.contains_key(name.as_str()) && now < left.since + lifetime
         });
@@ -145,7 +145,7 @@
     }
 
     /// Ready upstreams by service and locality: warm ones count for much, cold ones for little.
-    fn capacity<'a>(needs: &Needs<'a>) -> BTreeMap<(&'a str, &'a str), u64> {
+    fn capacity<'a>(needs: &PlacementInputs<'a>) -> BTreeMap<(&'a str, &'a str), u64> {
         needs
             .upstreams
             .iter()
@@ -161,7 +161,7 @@
     /// The localities that may own a name of these services, with what they weigh. One that has no proxy
     /// alive counts only where no other is left.
     fn scores(
-        needs: &Needs,
+        needs: &PlacementInputs,
         capacity: &BTreeMap<(&str, &str), u64>,
         services: &BTreeSet<&str>,
     ) -> BTreeMap<String, u64> {
@@ -177,7 +177,7 @@
                         .evacuated
                         .iter()
                         .any(|evacuated| evacuated == locality)
-                    && homes.iter().all(|home| is_home(home, locality))
+                    && homes.iter().all(|home| is_allowed_in(home, locality))
             })
             .fold(
                 BTreeMap::new(),
@@ -206,7 +206,7 @@
             let here = scores.get(&owned.locality).copied().unwrap_or(0);
             let most = best.map(|(_, weight)| *weight).unwrap_or(0);
             let forced = here == 0;
-            let worth = now >= owned.since + self.times.least_stay && most > here + here / 2;
+            let worth = now >= owned.since + self.times.min_residence && most > here + here / 2;
             !forced && !worth
         });
         if stays || (owned.is_none() && best.is_none()) {
@@ -248,7 +248,7 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// # let times = name_directory::Times { least_stay: Duration::ZERO, mark_lifetime: Duration::ZERO };
+    /// # let times = name_directory::PlacementTimes { min_residence: Duration::ZERO, tombstone_lifetime: Duration::ZERO };
     /// let mut assigner = name_directory::ZoneAssigner::new(Duration::ZERO, 3, &Default::default(), times);
     /// assigner.count();
     /// assert_eq!(assigner.placement(Duration::ZERO, vec![]).number, 1);
@@ -282,7 +282,7 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// # let times = name_directory::Times { least_stay: Duration::ZERO, mark_lifetime: Duration::ZERO };
+    /// # let times = name_directory::PlacementTimes { min_residence: Duration::ZERO, tombstone_lifetime: Duration::ZERO };
     /// let mut assigner = name_directory::ZoneAssigner::new(Duration::ZERO, 3, &Default::default(), times);
     /// assert_eq!(assigner.placement(Duration::ZERO, vec![]).number, 0);
     /// assigner.count();
--- a/crates/name-directory/src/view.rs
+++ b/crates/name-directory/src/view.rs
@@ -22,20 +22,20 @@
 
 /// Who sends to the upstreams of each service.
 #[derive(Clone, Debug, Default)]
-pub struct Senders {
+pub struct ServiceSenders {
     /// Proxies (node ids, in order) by service.
     by_service: BTreeMap<String, Vec<String>>,
     /// Since when these are they: until the others' views have caught up, more may send than are named here.
     pub since: Duration,
 }
 
-impl Senders {
+impl ServiceSenders {
     /// How many proxies send to this service's upstreams, and this one's rank among them.
     ///
     /// ```
-    /// assert_eq!(name_directory::Senders::default().of("s", "proxy-1"), None);
+    /// assert_eq!(name_directory::ServiceSenders::default().rank_of("s", "proxy-1"), None);
     /// ```
-    pub fn of(&self, service: &str, proxy: &str) -> Option<(usize, usize)> {
+    pub fn rank_of(&self, service: &str, proxy: &str) -> Option<(usize, usize)> {
         let senders = self.by_service.get(service)?;
         senders
             .iter()
@@ -46,11 +46,11 @@
 
 /// How a configuration's bytes are read and checked.
 #[derive(Clone, Copy)]
-pub struct ConfigurationReader(pub fn(&[u8]) -> Result<Configuration, Vec<ValidationError>>);
+pub struct ConfigurationParser(pub fn(&[u8]) -> Result<Configuration, Vec<ValidationError>>);
 
-impl Default for ConfigurationReader {
+impl Default for ConfigurationParser {
     fn default() -> Self {
-        ConfigurationReader(Configuration::read)
+        ConfigurationParser(Configuration::parse)
     }
 }
 
@@ -58,7 +58,7 @@
 #[derive(Clone, Default)]
 pub struct View {
     /// How configurations are read here.
-    pub reader: ConfigurationReader,
+    pub reader: ConfigurationParser,
     pub revision: u64,
     pub digest: String,
     pub configuration: Arc<Configuration>,
@@ -70,10 +70,10 @@
     pub tombstones: Arc<BTreeMap<(String, String), Tombstone>>,
     /// By service.
     pub shares: Arc<BTreeMap<String, Vec<KeyShare>>>,
-    pub placement_at: (u64, u64),
+    pub placement_version: (u64, u64),
     pub proxies: Arc<Vec<Proxy>>,
     /// Which proxies send to a service's upstreams: those where its names are owned.
-    pub senders: Arc<Senders>,
+    pub senders: Arc<ServiceSenders>,
     /// The moment that this view is surely no older than: its own ask, less the age it was told.
     pub as_of: Option<Duration>,
 }
@@ -99,12 +99,16 @@
     /// use protocol::{ViewUpdate, Upstream};
     /// let mut view = name_directory::View::default();
     /// let ready = Upstream { service: "s".into(), instance: "a".into(), ..Default::default() };
-    /// view.take(ViewUpdate { upstreams: vec![ready.clone()], ..Default::default() }, true).unwrap();
+    /// view.apply_update(ViewUpdate { upstreams: vec![ready.clone()], ..Default::default() }, true).unwrap();
     /// assert_eq!(view.upstreams["s"].len(), 1);
-    /// view.take(ViewUpdate { upstreams: vec![Upstream { condition: 2, ..ready }], ..Default::default() }, false).unwrap();
+    /// view.apply_update(ViewUpdate { upstreams: vec![Upstream { condition: 2, ..ready }], ..Default::default() }, false).unwrap();
     /// assert!(view.upstreams["s"].is_empty());
     /// ```
-    pub fn take(&mut self, news: ViewUpdate, image: bool) -> Result<(), Vec<ValidationError>> {
+    pub fn apply_update(
+        &mut self,
+        news: ViewUpdate,
+        image: bool,
+    ) -> Result<(), Vec<ValidationError>> {
         let configuration = news
             .configuration
             .map(|bytes| (self.reader.0)(&bytes).map(Arc::new))
@@ -149,15 +153,15 @@
     /// A placement of a lower claim epoch, or an earlier one of the same, is dropped.
     fn place(&mut self, placement: Placement) {
         let at = (placement.epoch, placement.number);
-        if at < self.placement_at {
+        if at < self.placement_version {
             return;
         }
-        self.placement_at = at;
+        self.placement_version = at;
         if placement.partial {
             let shares = Arc::make_mut(&mut self.shares);
             placement.shares.into_iter().for_each(|change| {
                 let known = shares.entry(change.service).or_default();
-                *known = crate::patch::patched(known, &change.shares);
+                *known = crate::patch::apply_share_delta(known, &change.shares);
             });
             return;
         }
@@ -185,10 +189,10 @@
     /// ```
     /// use std::time::Duration;
     /// let mut view = name_directory::View::default();
-    /// view.settle_senders(Duration::from_secs(1));
+    /// view.update_senders(Duration::from_secs(1));
     /// assert_eq!(view.senders.since, Duration::ZERO, "nothing changed");
     /// ```
-    pub fn settle_senders(&mut self, now: Duration) {
+    pub fn update_senders(&mut self, now: Duration) {
         let owners = self.configuration.routes.values().flat_map(|route| {
             let owned = self.reservations.get(&route.name);
             owned.into_iter().flat_map(|owned| {
@@ -208,7 +212,7 @@
         });
         by_service.values_mut().for_each(|senders| senders.sort());
         if by_service != self.senders.by_service {
-            self.senders = Arc::new(Senders {
+            self.senders = Arc::new(ServiceSenders {
                 by_service,
                 since: now,
             });
@@ -221,20 +225,20 @@
 /// ```
 /// use config::Service;
 /// let service = Service { home_regions: vec!["north".into()], ..Default::default() };
-/// assert!(name_directory::is_home(&service, "north/n1"));
-/// assert!(!name_directory::is_home(&service, "south/s1"));
+/// assert!(name_directory::is_allowed_in(&service, "north/n1"));
+/// assert!(!name_directory::is_allowed_in(&service, "south/s1"));
 /// ```
-pub fn is_home(service: &Service, locality: &str) -> bool {
-    is_within(&service.home_regions, locality)
+pub fn is_allowed_in(service: &Service, locality: &str) -> bool {
+    is_in_regions(&service.home_regions, locality)
 }
 
 /// True where a locality (text form: region/zone) lies in one of these regions, or none are named.
 ///
 /// ```
-/// assert!(name_directory::is_within(&[], "north/n1"));
-/// assert!(!name_directory::is_within(&["south".to_owned()], "north/n1"));
+/// assert!(name_directory::is_in_regions(&[], "north/n1"));
+/// assert!(!name_directory::is_in_regions(&["south".to_owned()], "north/n1"));
 /// ```
-pub fn is_within(regions: &[String], locality: &str) -> bool {
+pub fn is_in_regions(regions: &[String], locality: &str) -> bool {
     let region = locality.split('/').next().unwrap_or_default();
     regions.is_empty() || regions.iter().any(|home| home == region)
 }
--- a/crates/name-directory/tests/patches.rs
+++ b/crates/name-directory/tests/patches.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
-use name_directory::{latest_grants, patch, patched, uncovered};
+use name_directory::{apply_share_delta, latest_grants, share_delta, uncovered};
 use protocol::KeyShare;
 use std::time::{Duration, Instant};
 
@@ -30,8 +30,12 @@
     (1..400u64).for_each(|number| {
         arbtest(|noise| {
             let (old, new) = (rows(noise)?, rows(noise)?);
-            assert_eq!(patched(&old, &patch(&old, &new)), new, "{old:?}");
-            assert!(patch(&new, &new).is_empty(), "nothing changed");
+            assert_eq!(
+                apply_share_delta(&old, &share_delta(&old, &new)),
+                new,
+                "{old:?}"
+            );
+            assert!(share_delta(&new, &new).is_empty(), "nothing changed");
             Ok(())
         })
         .seed(number << 32 | 400);
@@ -107,7 +111,7 @@
         .map(|at| (row(at, "one"), row(at, "another")))
         .unzip();
     let begun_at = Instant::now();
-    assert_eq!(patched(&old, &patch(&old, &new)), new);
+    assert_eq!(apply_share_delta(&old, &share_delta(&old, &new)), new);
     assert!(
         begun_at.elapsed() < Duration::from_secs(1),
         "{:?}",
--- a/crates/request-routing/src/calls.rs
+++ b/crates/request-routing/src/calls.rs
@@ -213,18 +213,21 @@
         self.doubt = self
             .doubt
             .or(Some(code).filter(|code| code.kind() == Execution::Unknown));
-        let said = self.route.as_ref().and_then(|route| route.terms.repeatable);
-        let repeatable = said.unwrap_or_else(|| {
+        let said = self
+            .route
+            .as_ref()
+            .and_then(|route| route.policy.idempotent);
+        let idempotent = said.unwrap_or_else(|| {
             self.service
                 .as_ref()
-                .is_some_and(|service| service.repeatable)
+                .is_some_and(|service| service.idempotent)
         });
         let attempts = self
             .route
             .as_ref()
-            .and_then(|route| route.terms.attempts)
+            .and_then(|route| route.policy.max_attempts)
             .unwrap_or(MAX_CALLS);
-        let safe = repeatable || code.kind() == Execution::NotExecuted;
+        let safe = idempotent || code.kind() == Execution::NotExecuted;
         let proxies = view.proxies.len();
         // Where no connection came up, nothing was sent: going elsewhere is no resend.
         let again = safe
--- a/crates/request-routing/src/choosing.rs
+++ b/crates/request-routing/src/choosing.rs
@@ -120,7 +120,7 @@
             .key
             .as_deref()
             .filter(|_| service.keyed)
-            .and_then(|key| service.place(key))?;
+            .and_then(|key| service.key_position(key))?;
         let shares = view.shares.get(&service.name)?;
         shares
             .iter()
@@ -211,7 +211,7 @@
         let target = self
             .route
             .as_ref()
-            .and_then(|route| route.terms.target)
+            .and_then(|route| route.policy.latency_target)
             .unwrap_or(self.order.remaining);
         let spent = now.saturating_sub(self.order.arrived_at);
         target
@@ -235,7 +235,7 @@
                 view.evacuated.contains(&upstream.locality)
             }),
             (RejectReason::OutsideHomes, &|| {
-                !self.is_home(service, &upstream.locality)
+                !self.is_allowed_in(service, &upstream.locality)
             }),
             (RejectReason::OtherHolder, &|| {
                 share.is_some_and(|share| share.instance != upstream.instance)
@@ -246,7 +246,7 @@
 
     /// Among how many proxies an upstream's room is divided, and which of them this one is.
     fn division(&self, now: Duration, view: &View, service: &Service) -> (u32, u32) {
-        let senders = view.senders.of(&service.name, &self.site.node);
+        let senders = view.senders.rank_of(&service.name, &self.site.node);
         let settled = senders.filter(|_| now >= view.senders.since + SENDERS_SETTLE);
         let anyone = || {
             let rank = view
--- a/crates/request-routing/src/proxy_context.rs
+++ b/crates/request-routing/src/proxy_context.rs
@@ -37,7 +37,7 @@
             locality,
             stale_after,
             wait_for,
-            owners: OwnershipMode::One,
+            owners: OwnershipMode::SingleZone,
             serves_on: false,
             far_ms: (20.0, 60.0),
         }
--- a/crates/request-routing/src/request_state.rs
+++ b/crates/request-routing/src/request_state.rs
@@ -158,7 +158,7 @@
     }
 
     pub(crate) fn left(&self, now: Duration) -> Duration {
-        let timeout = self.route.as_ref().and_then(|route| route.terms.timeout);
+        let timeout = self.route.as_ref().and_then(|route| route.policy.timeout);
         let given = timeout.map_or(self.order.remaining, |timeout| {
             timeout.min(self.order.remaining)
         });
--- a/crates/request-routing/src/routing.rs
+++ b/crates/request-routing/src/routing.rs
@@ -6,7 +6,7 @@
 use crate::steps::{NextStep, RequestStage};
 use crate::trace::TraceEvent;
 use config::{Route, Service};
-use name_directory::{OwnershipMode, View, is_home, is_within};
+use name_directory::{OwnershipMode, View, is_allowed_in, is_in_regions};
 use result_code::ResultCode;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -32,11 +32,11 @@
             return self.answer(now, ResultCode::StaleView);
         }
         let name = view.configuration.resolve(&self.order.name);
-        let route = name.and_then(|name| view.configuration.route(name, &self.order.path));
+        let route = name.and_then(|name| view.configuration.find_route(name, &self.order.path));
         let service = |route: &Arc<Route>| {
             view.configuration
                 .services
-                .get(route.pick(&self.order.try_id))
+                .get(route.select_service(&self.order.try_id))
         };
         let found = route.and_then(|route| service(route).map(|service| (route, service)));
         let Some((route, service)) = found else {
@@ -49,15 +49,15 @@
             revision: view.revision,
         });
         self.route = Some(route.clone());
-        if self.order.body_bytes > service.most_bytes {
+        if self.order.body_bytes > service.max_body_bytes {
             return self.answer(now, ResultCode::TooLarge);
         }
         if service.keyed && self.order.key.is_none() {
             return self.answer(now, ResultCode::MissingKey);
         }
         match self.site.owners {
-            OwnershipMode::ByCaller => self.serve(now, view, board, service),
-            OwnershipMode::One => self.serve_or_forward(now, view, board, route, service),
+            OwnershipMode::PerClientZone => self.serve(now, view, board, service),
+            OwnershipMode::SingleZone => self.serve_or_forward(now, view, board, route, service),
         }
     }
 
@@ -81,7 +81,7 @@
             locality: reservation.locality.clone(),
             epoch: reservation.epoch,
         });
-        let home = self.is_home(service, &here) && !view.evacuated.contains(&here);
+        let home = self.is_allowed_in(service, &here) && !view.evacuated.contains(&here);
         let mark = view.tombstones.get(&(route.name.clone(), here.clone()));
         self.notes.extend(mark.map(|mark| TraceEvent::Tombstone {
             to: mark.to.clone(),
@@ -95,12 +95,12 @@
     }
 
     /// True where its work may go there: both its service's and its route's home regions bind.
-    pub(crate) fn is_home(&self, service: &Service, place: &str) -> bool {
+    pub(crate) fn is_allowed_in(&self, service: &Service, place: &str) -> bool {
         let route = self
             .route
             .as_ref()
-            .is_none_or(|route| is_within(&route.terms.home_regions, place));
-        route && is_home(service, place)
+            .is_none_or(|route| is_in_regions(&route.policy.home_regions, place));
+        route && is_allowed_in(service, place)
     }
 
     /// Served by this proxy.
@@ -112,7 +112,7 @@
         service: &Arc<Service>,
     ) -> NextStep {
         let desk = board.desk(&service.name);
-        if desk.serving.fetch_add(1, Ordering::AcqRel) >= service.concurrency {
+        if desk.serving.fetch_add(1, Ordering::AcqRel) >= service.max_concurrency {
             desk.serving.fetch_sub(1, Ordering::AcqRel);
             return self.answer(now, ResultCode::Overloaded);
         }
@@ -122,8 +122,12 @@
         if !self.opened && !board.open_try(&self.order.try_id, now, self.left(now) + TRY_LIFE) {
             return self.answer(now, ResultCode::Duplicate);
         }
-        if !self.opened && service.numbered {
-            let key = self.order.key.as_deref().and_then(|key| service.place(key));
+        if !self.opened && service.numeric_keys {
+            let key = self
+                .order
+                .key
+                .as_deref()
+                .and_then(|key| service.key_position(key));
             key.zip(self.desk.as_ref())
                 .into_iter()
                 .for_each(|(key, desk)| desk.count_key(key));
@@ -138,7 +142,8 @@
         if self.order.forwarded || self.doubt.is_some() {
             return self.answer(now, ResultCode::Misdirected);
         }
-        let able = |place: &str| self.is_home(service, place) && !view.evacuated.contains(place);
+        let able =
+            |place: &str| self.is_allowed_in(service, place) && !view.evacuated.contains(place);
         let places = view.proxies.iter().map(|proxy| {
             (
                 proxy.locality.to_string(),
--- a/crates/request-routing/tests/unsent.rs
+++ b/crates/request-routing/tests/unsent.rs
@@ -32,7 +32,7 @@
         as_of: Some(NOW),
         ..View::default()
     };
-    view.take(news, true).expect("the setup is fine");
+    view.apply_update(news, true).expect("the setup is fine");
     view
 }
 
@@ -43,7 +43,7 @@
         Duration::from_secs(9),
         Duration::ZERO,
     );
-    site.owners = OwnershipMode::ByCaller;
+    site.owners = OwnershipMode::PerClientZone;
     let order = RequestInfo {
         try_id: "t-1".into(),
         name: "book".into(),
@@ -96,7 +96,7 @@
         condition: 2,
         ..Upstream::default()
     };
-    view.take(
+    view.apply_update(
         ViewUpdate {
             upstreams: vec![gone],
             ..ViewUpdate::default()
--- a/crates/test-harness/src/hollow/fleet.rs
+++ b/crates/test-harness/src/hollow/fleet.rs
@@ -171,7 +171,8 @@
             .take(3)
             .map(|at| self.member(at).probe_address)
             .collect();
-        let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap_or_default();
+        let settings =
+            config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap_or_default();
         let seed = self.random.next_u64();
         let without_vote = self.nodes[at].role == Role::Replica;
         let initial_voter_count = self.size.postmasters;
--- a/crates/test-harness/src/hollow/request.rs
+++ b/crates/test-harness/src/hollow/request.rs
@@ -47,12 +47,12 @@
             &view.proxies[at % view.proxies.len()].locality,
         );
         let watch = Stopwatch::start();
-        let listed = name_directory::list(
+        let listed = name_directory::lookup(
             &view,
             &name,
             origin,
             Duration::from_secs(2),
-            (name_directory::OwnershipMode::One, 3),
+            (name_directory::OwnershipMode::SingleZone, 3),
         );
         assert!(black_box(listed).is_ok(), "{name} has an owner");
         watch.took()
@@ -74,7 +74,7 @@
     spread(
         &mut figures,
         "settle-senders",
-        times(|| moved.settle_senders(NOW)),
+        times(|| moved.update_senders(NOW)),
     );
     // A beat that tells of other room, while requests hold the view before it.
     let change = || ViewUpdate {
@@ -84,7 +84,7 @@
     let took = (0..20).map(|_| {
         let (held, news) = (view.clone(), change());
         let watch = Stopwatch::start();
-        let taken = view.take(news, false);
+        let taken = view.apply_update(news, false);
         let took = watch.took();
         assert!(taken.is_ok(), "no setup to misread");
         drop(held);
@@ -206,7 +206,8 @@
         placement: Some(placement(size)),
         ..ViewUpdate::default()
     };
-    view.take(news, true).expect("the setup is well-formed");
+    view.apply_update(news, true)
+        .expect("the setup is well-formed");
     let proxies = (0..size.nodes).map(|at| Proxy {
         node: format!("carrier-{at}"),
         locality: size.locality(size.zone(at)).parse().unwrap_or_default(),
@@ -214,7 +215,7 @@
         suspect: false,
     });
     view.proxies = Arc::new(proxies.collect());
-    view.settle_senders(Duration::from_secs(1));
+    view.update_senders(Duration::from_secs(1));
     view.as_of = Some(NOW);
     view
 }
--- a/crates/test-harness/src/hollow/size.rs
+++ b/crates/test-harness/src/hollow/size.rs
@@ -106,7 +106,7 @@
     /// A setup with a name for each route; `extra` adds routes.
     ///
     /// ```
-    /// let configuration = config::Configuration::read(test_harness::hollow::TODAY.configuration(1).as_bytes()).unwrap();
+    /// let configuration = config::Configuration::parse(test_harness::hollow::TODAY.configuration(1).as_bytes()).unwrap();
     /// assert_eq!(configuration.routes.len(), 21);
     /// ```
     pub fn configuration(&self, extra: usize) -> String {
--- a/crates/test-harness/src/hollow/units.rs
+++ b/crates/test-harness/src/hollow/units.rs
@@ -181,13 +181,13 @@
 /// A beat's body as upstreams write it.
 fn described(told: &Upstream) -> JsonValue {
     let runs = told.holds.iter().map(|share| {
-        JsonValue::fields([
+        JsonValue::object([
             ("from", u64::from(share.from).into()),
             ("until", u64::from(share.until).into()),
             ("epoch", share.epoch.into()),
         ])
     });
-    JsonValue::fields([
+    JsonValue::object([
         ("service", told.service.as_str().into()),
         ("instance", told.instance.as_str().into()),
         ("address", told.address.as_str().into()),
--- a/crates/test-harness/src/measure.rs
+++ b/crates/test-harness/src/measure.rs
@@ -124,7 +124,7 @@
             locality: "north/north-1".into(),
             ..Upstream::default()
         });
-        view.take(
+        view.apply_update(
             ViewUpdate {
                 upstreams: upstreams.collect(),
                 ..ViewUpdate::default()
@@ -253,7 +253,7 @@
                         .call(node, "GET", "/node", &[], Bytes::new(), LIMIT, true)
                         .await;
                     let json = called.ok().and_then(|reply| {
-                        JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok()
+                        JsonValue::parse(&String::from_utf8_lossy(&reply.body)).ok()
                     });
                     if json
                         .and_then(|json| json.count("edition"))
--- a/crates/test-harness/src/origins.rs
+++ b/crates/test-harness/src/origins.rs
@@ -263,12 +263,12 @@
             )
             .await;
         let reply = called.ok().filter(|reply| reply.status == 200)?;
-        let json = JsonValue::read(std::str::from_utf8(&reply.body).ok()?).ok()?;
+        let json = JsonValue::parse(std::str::from_utf8(&reply.body).ok()?).ok()?;
         let proxies: Vec<String> = json
             .list("proxies")
             .iter()
             .filter_map(|proxy| match proxy {
-                JsonValue::Text(address) => Some(address.clone()),
+                JsonValue::String(address) => Some(address.clone()),
                 _ => None,
             })
             .collect();
--- a/crates/test-harness/src/plans.rs
+++ b/crates/test-harness/src/plans.rs
@@ -348,10 +348,10 @@
                 false,
             );
             let reply = called.await.ok().filter(|reply| reply.status == 200);
-            let json =
-                reply.and_then(|reply| JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok());
+            let json = reply
+                .and_then(|reply| JsonValue::parse(&String::from_utf8_lossy(&reply.body)).ok());
             if let Some(json) =
-                json.filter(|json| json.get("current") == Some(&JsonValue::Truth(true)))
+                json.filter(|json| json.get("current") == Some(&JsonValue::Bool(true)))
             {
                 return Ok(json);
             }
@@ -627,7 +627,7 @@
                 )
                 .await;
             let reply = called.map_err(|e| format!("evacuation: {e:?}"))?;
-            let json = JsonValue::read(&String::from_utf8_lossy(&reply.body))?;
+            let json = JsonValue::parse(&String::from_utf8_lossy(&reply.body))?;
             if reply.status != 200 {
                 return Err(format!("evacuation: {json}"));
             }
--- a/crates/test-harness/src/runs.rs
+++ b/crates/test-harness/src/runs.rs
@@ -213,7 +213,7 @@
         );
         let reply = called.await.ok();
         let json =
-            reply.and_then(|reply| JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok());
+            reply.and_then(|reply| JsonValue::parse(&String::from_utf8_lossy(&reply.body)).ok());
         let code = json.as_ref().and_then(|json| json.count("code"));
         if code == Some(u64::from(ResultCode::Success.number())) {
             let revision = json.and_then(|json| json.count("edition")).unwrap_or(0);
@@ -342,8 +342,8 @@
                 .await;
             let json = called
                 .ok()
-                .and_then(|reply| JsonValue::read(&String::from_utf8_lossy(&reply.body)).ok());
-            let serving = json.filter(|json| json.get("ready") == Some(&JsonValue::Truth(true)));
+                .and_then(|reply| JsonValue::parse(&String::from_utf8_lossy(&reply.body)).ok());
+            let serving = json.filter(|json| json.get("ready") == Some(&JsonValue::Bool(true)));
             serving
                 .and_then(|json| json.count("edition"))
                 .into_iter()
--- a/crates/test-harness/src/scripted/clients.rs
+++ b/crates/test-harness/src/scripted/clients.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use data_plane::{ApiAdapter, ListenerKind, Node, NodeTerms};
 use http_body_util::BodyExt;
-use name_directory::{ConfigurationReader, OwnershipMode, View};
+use name_directory::{ConfigurationParser, OwnershipMode, View};
 use protocol::{ClusterState, Upstream, ViewUpdate};
 use request_routing::ProxyContext;
 use result_code::{Execution, ResultCode};
@@ -20,7 +20,7 @@
 pub struct Manner {
     pub api_adapter: fn() -> ApiAdapter,
     /// How its configurations are read.
-    pub reader: ConfigurationReader,
+    pub reader: ConfigurationParser,
     /// A configuration with the services `once` and `again`, one of each kind of work.
     pub configuration: &'static str,
     /// The header that names the try in a request to an upstream.
@@ -39,7 +39,7 @@
     /// The product's own interface.
     pub const OWN: Manner = Manner {
         api_adapter: ApiAdapter::own,
-        reader: ConfigurationReader(config::Configuration::read),
+        reader: ConfigurationParser(config::Configuration::parse),
         configuration: r#"{"services": [{"name": "once", "work": "once", "mostBytes": 1048576},
                                 {"name": "again", "work": "repeatable", "mostBytes": 1048576}],
                    "routes": [{"id": "r1", "name": "once", "path": "/x", "service": "once"},
@@ -127,7 +127,7 @@
     pub fn start(manner: &'static Manner, peers: &[Peer], facts: Facts, takes: Takes) -> Proxy {
         let mut site =
             ProxyContext::new("p", "n/1".parse().unwrap_or_default(), LONG, Duration::ZERO);
-        (site.owners, site.serves_on) = (OwnershipMode::ByCaller, true);
+        (site.owners, site.serves_on) = (OwnershipMode::PerClientZone, true);
         let terms = NodeTerms {
             clock: Clock::default(),
             keeps_connections: true,
@@ -220,7 +220,8 @@
         as_of: Some(Duration::ZERO),
         ..View::default()
     };
-    view.take(news, true).expect("the configuration is fine");
+    view.apply_update(news, true)
+        .expect("the configuration is fine");
     view
 }
 
--- a/crates/test-harness/src/shapes.rs
+++ b/crates/test-harness/src/shapes.rs
@@ -193,7 +193,7 @@
     /// `probe` leads to.
     ///
     /// ```
-    /// assert!(config::Configuration::read(test_harness::shapes::KALAM.configuration(3).as_bytes()).is_ok());
+    /// assert!(config::Configuration::parse(test_harness::shapes::KALAM.configuration(3).as_bytes()).is_ok());
     /// ```
     pub fn configuration(&self, extra: usize) -> String {
         self.written(extra, None)
@@ -203,7 +203,7 @@
     ///
     /// ```
     /// let configuration = test_harness::shapes::KALAM.numbered_setup(3, 7);
-    /// assert_eq!(config::Configuration::read(configuration.as_bytes()).unwrap().number, Some(7));
+    /// assert_eq!(config::Configuration::parse(configuration.as_bytes()).unwrap().number, Some(7));
     /// ```
     pub fn numbered_setup(&self, extra: usize, number: u64) -> String {
         self.written(extra, Some(number))
--- a/crates/test-harness/src/sim/breaking.rs
+++ b/crates/test-harness/src/sim/breaking.rs
@@ -421,7 +421,7 @@
             Fault::Release(units) | Fault::SignOffFirst(units) => {
                 units.into_iter().for_each(|unit| {
                     let unit = self.unit(unit);
-                    if self.units[unit].condition == upstream_registry::LEAVING {
+                    if self.units[unit].condition == upstream_registry::DRAINING {
                         self.crash_unit(unit);
                         let work = self.units[unit].work;
                         self.replace_unit(unit, work, true);
@@ -543,7 +543,7 @@
         self.units[unit].condition = if self.weak.leaves_quietly {
             upstream_registry::READY
         } else {
-            upstream_registry::LEAVING
+            upstream_registry::DRAINING
         };
         let instance = self.units[unit].instance.clone();
         self.note(Fact::Leaving { instance });
--- a/crates/test-harness/src/sim/cuts.rs
+++ b/crates/test-harness/src/sim/cuts.rs
@@ -156,7 +156,7 @@
         let ready: Vec<usize> = (0..self.units.len()).filter(ready).collect();
         (0..LEAVERS.min(ready.len())).for_each(|_| {
             let unit = ready[self.random.below(ready.len() as u64) as usize];
-            self.units[unit].condition = upstream_registry::LEAVING;
+            self.units[unit].condition = upstream_registry::DRAINING;
             self.units[unit].leaves_by = Some(node);
             self.beat_once(unit);
         });
--- a/crates/test-harness/src/sim/nodes.rs
+++ b/crates/test-harness/src/sim/nodes.rs
@@ -7,7 +7,7 @@
 use control_plane::{ControlNode, ControlRequest, ControlResponse};
 use data_plane::DataNode;
 use locality::Locality;
-use name_directory::ConfigurationReader;
+use name_directory::ConfigurationParser;
 use protocol::{
     Departure, DurableState, Envelope, HeartbeatsAck, Member, Message, Payload, ReadBack,
     ViewUpdate,
@@ -180,8 +180,8 @@
 
 /// A configuration whose number is lost.
 fn read_unnumbered(bytes: &[u8]) -> Result<Configuration, Vec<ValidationError>> {
-    Configuration::read(bytes).map(|mut configuration| {
-        configuration.number = None;
+    Configuration::parse(bytes).map(|mut configuration| {
+        configuration.version = None;
         configuration
     })
 }
@@ -294,12 +294,13 @@
             .map(|node| node.name.clone())
             .collect();
         let seeds = self.seeds.clone().unwrap_or(seeds);
-        let settings = config::Settings::read(&[config::TIMES], None, &[]).unwrap_or_default();
+        let settings =
+            config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap_or_default();
         let initial_voter_count = self.shape.disks;
         let reader = if self.weak.unnumbered {
-            ConfigurationReader(read_unnumbered)
+            ConfigurationParser(read_unnumbered)
         } else {
-            ConfigurationReader::default()
+            ConfigurationParser::default()
         };
         let now = self.now;
         let departures = self.departures_found(at);
--- a/crates/test-harness/src/sim/path.rs
+++ b/crates/test-harness/src/sim/path.rs
@@ -303,12 +303,12 @@
         let view = node.carrier().map(|carrier| carrier.view());
         let fresh = view.filter(|view| view.is_fresh(node.local(self.now), stale_after));
         let listing = fresh.and_then(|view| {
-            name_directory::list(
+            name_directory::lookup(
                 view,
                 name,
                 &origin,
                 lifetime,
-                (name_directory::OwnershipMode::One, 3),
+                (name_directory::OwnershipMode::SingleZone, 3),
             )
             .ok()
         });
--- a/crates/test-harness/src/sim/signing_off.rs
+++ b/crates/test-harness/src/sim/signing_off.rs
@@ -13,7 +13,7 @@
         if !unit.up || unit.condition != upstream_registry::READY {
             return;
         }
-        unit.condition = upstream_registry::LEAVING;
+        unit.condition = upstream_registry::DRAINING;
         unit.leaves_by = Some(first);
         unit.signed_off = true;
         self.beat_once(at);
--- a/crates/test-harness/src/sim/units.rs
+++ b/crates/test-harness/src/sim/units.rs
@@ -284,7 +284,7 @@
     fn leaving_taken(&mut self, unit: usize, life: u64) {
         let unit = &mut self.units[unit];
         if unit.life == life
-            && unit.condition == upstream_registry::LEAVING
+            && unit.condition == upstream_registry::DRAINING
             && unit.taken_at.is_none()
         {
             unit.taken_at = Some(self.now);
--- a/crates/test-harness/src/upstreams.rs
+++ b/crates/test-harness/src/upstreams.rs
@@ -61,7 +61,7 @@
 /// The slots, with their epochs, that the answer to a beat names.
 ///
 /// ```
-/// let json = config::JsonValue::read(r#"{"shares": [{"from": 3, "until": 5, "epoch": 7}]}"#).unwrap();
+/// let json = config::JsonValue::parse(r#"{"shares": [{"from": 3, "until": 5, "epoch": 7}]}"#).unwrap();
 /// assert_eq!(test_harness::upstreams::given_slots(&json).into_iter().collect::<Vec<_>>(), [(3, 7), (4, 7)]);
 /// ```
 pub fn given_slots(json: &JsonValue) -> BTreeMap<u32, u64> {
@@ -192,7 +192,7 @@
         let json = reply
             .as_ref()
             .and_then(|reply| std::str::from_utf8(&reply.body).ok())
-            .and_then(|text| JsonValue::read(text).ok());
+            .and_then(|text| JsonValue::parse(text).ok());
         json.iter().for_each(|json| self.take_shares(sent_at, json));
         reply.is_some()
     }
@@ -221,14 +221,14 @@
             ),
         ];
         let runs = self.held(now).into_iter().map(|share| {
-            JsonValue::fields([
+            JsonValue::object([
                 ("from", u64::from(share.from).into()),
                 ("until", u64::from(share.until).into()),
                 ("epoch", share.epoch.into()),
             ])
         });
         fields.push(("holds".to_owned(), runs.collect()));
-        JsonValue::Fields(fields)
+        JsonValue::Object(fields)
     }
 
     fn held(&self, now: Duration) -> Vec<KeyShare> {
--- a/crates/test-harness/tests/site.rs
+++ b/crates/test-harness/tests/site.rs
@@ -165,7 +165,7 @@
     )
     .await;
     assert_eq!(code(&bad), Some(ResultCode::InvalidConfiguration));
-    let told = JsonValue::read(&String::from_utf8_lossy(&bad.body))
+    let told = JsonValue::parse(&String::from_utf8_lossy(&bad.body))
         .expect("JSON")
         .list("complaints")
         .len();
@@ -233,7 +233,7 @@
     assert_eq!(asked(&nodes[0]).await, Some(ResultCode::NoSuchName));
     // A founding may be quicker than the first claim, which voters grant a span after their start.
     let placed = || async { call(node, "GET", "/status", &[], "").await.body };
-    while JsonValue::read(&String::from_utf8_lossy(&placed().await))
+    while JsonValue::parse(&String::from_utf8_lossy(&placed().await))
         .unwrap()
         .text("placement")
         == Some("")
--- a/crates/transport/src/http_server.rs
+++ b/crates/transport/src/http_server.rs
@@ -84,7 +84,7 @@
 /// assert_eq!(response.headers()["x-code"], "1201");
 /// ```
 pub fn result_response(code: ResultCode, retry_after: Option<Duration>) -> Response<Full<Bytes>> {
-    let body = JsonValue::fields([
+    let body = JsonValue::object([
         ("code", u64::from(code.number()).into()),
         ("text", code.text().into()),
     ]);
--- a/crates/transport/src/listeners.rs
+++ b/crates/transport/src/listeners.rs
@@ -40,11 +40,11 @@
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// use config::{Setting, Settings, Shape};
+    /// use config::{Setting, Settings, SettingType};
     /// const ADDRESS: fn(&'static str) -> Setting =
-    ///     |name| Setting { name, shape: Shape::Address, fallback: Some("127.0.0.1:0"), help: "" };
+    ///     |name| Setting { name, kind: SettingType::Address, default: Some("127.0.0.1:0"), help: "" };
     /// let table = [ADDRESS("http"), ADDRESS("link")];
-    /// let settings = Settings::read(&[&table], None, &[]).unwrap();
+    /// let settings = Settings::parse(&[&table], None, &[]).unwrap();
     /// assert!(transport::Listeners::open(&settings).await.is_ok());
     /// # });
     /// ```
@@ -64,9 +64,9 @@
 ///
 /// ```
 /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-/// use config::{Setting, Settings, Shape};
-/// let table = [Setting { name: "http", shape: Shape::Address, fallback: Some("127.0.0.1:0"), help: "" }];
-/// let settings = Settings::read(&[&table], None, &[]).unwrap();
+/// use config::{Setting, Settings, SettingType};
+/// let table = [Setting { name: "http", kind: SettingType::Address, default: Some("127.0.0.1:0"), help: "" }];
+/// let settings = Settings::parse(&[&table], None, &[]).unwrap();
 /// assert!(transport::listen(&settings, "http").await.is_ok());
 /// # });
 /// ```
--- a/crates/transport/src/reload.rs
+++ b/crates/transport/src/reload.rs
@@ -18,7 +18,7 @@
 /// ```
 /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
 /// const PROGRAM: transport::Program =
-///     transport::Program { name: "data-plane", about: "", tables: &[config::TIMES], check: |_| Vec::new() };
+///     transport::Program { name: "data-plane", about: "", tables: &[config::TIME_SETTINGS], check: |_| Vec::new() };
 /// let mut reload = transport::reload_signal(&PROGRAM, &Default::default());
 /// let waiting = tokio::time::timeout(std::time::Duration::from_millis(1), reload.seeds());
 /// assert!(waiting.await.is_err(), "nobody sent one");
--- a/crates/transport/src/start.rs
+++ b/crates/transport/src/start.rs
@@ -1,6 +1,6 @@
 //! Starting a daemon: flags, settings file, logs and the clock.
 
-use config::{Setting, Settings, Shape, ValidationError, check_times};
+use config::{Setting, SettingType, Settings, ValidationError, validate_times};
 use log::LevelFilter;
 use random::Random;
 use simplelog::{Config, ConfigBuilder, SimpleLogger};
@@ -69,7 +69,7 @@
 /// Reads flags and settings, sets up the log; ends the process where it was only asked or told wrongly.
 ///
 /// ```no_run
-/// let program = transport::Program { name: "data-plane", about: "The data plane.", tables: &[config::TIMES],
+/// let program = transport::Program { name: "data-plane", about: "The data plane.", tables: &[config::TIME_SETTINGS],
 ///     check: |_| Vec::new() };
 /// let settings = transport::parse_settings_or_exit(&program);
 /// ```
@@ -154,8 +154,8 @@
             _ => flags.push((name, value)),
         }
     }
-    let settings = Settings::read(program.tables, file.as_deref(), &flags)?;
-    let mut validation_errors = check_times(&settings);
+    let settings = Settings::parse(program.tables, file.as_deref(), &flags)?;
+    let mut validation_errors = validate_times(&settings);
     validation_errors.extend((program.check)(&settings));
     if !validation_errors.is_empty() {
         return Err(validation_errors);
@@ -190,24 +190,24 @@
         .iter()
         .flat_map(|table| table.iter())
         .for_each(|setting| {
-            let allowed = match setting.shape {
-                Shape::Span(least, most) => format!("{least} to {most} ms"),
-                Shape::Count(least, most) => format!("{least} to {most}"),
-                Shape::OneOf(allowed) => allowed.join(" or "),
-                Shape::SomeOf(allowed) => format!("some of {}", allowed.join(",")),
-                Shape::Id => "an id".into(),
-                Shape::Locality => "region/zone".into(),
-                Shape::Address => "IP:port".into(),
-                Shape::Addresses => "up to three IP:port, with commas".into(),
-                Shape::Localities => "some of region/zone, with commas".into(),
-                Shape::Folder => "a folder".into(),
+            let allowed = match setting.kind {
+                SettingType::DurationMs(least, most) => format!("{least} to {most} ms"),
+                SettingType::Integer(least, most) => format!("{least} to {most}"),
+                SettingType::OneOf(allowed) => allowed.join(" or "),
+                SettingType::SomeOf(allowed) => format!("some of {}", allowed.join(",")),
+                SettingType::Id => "an id".into(),
+                SettingType::Locality => "region/zone".into(),
+                SettingType::Address => "IP:port".into(),
+                SettingType::Addresses => "up to three IP:port, with commas".into(),
+                SettingType::Localities => "some of region/zone, with commas".into(),
+                SettingType::Directory => "a folder".into(),
             };
-            let fallback = setting
-                .fallback
+            let default = setting
+                .default
                 .map(|value| format!("default {value}"))
                 .unwrap_or("required".into());
             println!(
-                "  --{:<20} {} ({allowed}; {fallback})",
+                "  --{:<20} {} ({allowed}; {default})",
                 setting.name, setting.help
             );
         });
@@ -217,12 +217,12 @@
 /// Where other processes are reached at first: the seeds, each with the port of links where one is set.
 ///
 /// ```
-/// use config::{Setting, Settings, Shape};
+/// use config::{Setting, Settings, SettingType};
 /// let table = [
-///     Setting { name: "seeds", shape: Shape::Addresses, fallback: Some("127.0.0.1:1,127.0.0.2:1"), help: "" },
-///     Setting { name: "seed-port", shape: Shape::Count(0, 65_535), fallback: Some("7"), help: "" },
+///     Setting { name: "seeds", kind: SettingType::Addresses, default: Some("127.0.0.1:1,127.0.0.2:1"), help: "" },
+///     Setting { name: "seed-port", kind: SettingType::Integer(0, 65_535), default: Some("7"), help: "" },
 /// ];
-/// assert_eq!(transport::seed_addresses(&Settings::read(&[&table], None, &[]).unwrap()), ["127.0.0.1:7", "127.0.0.2:7"]);
+/// assert_eq!(transport::seed_addresses(&Settings::parse(&[&table], None, &[]).unwrap()), ["127.0.0.1:7", "127.0.0.2:7"]);
 /// ```
 pub fn seed_addresses(settings: &Settings) -> Vec<String> {
     let port = settings.get("seed-port");
--- a/crates/upstream-registry/src/fair.rs
+++ b/crates/upstream-registry/src/fair.rs
@@ -1,6 +1,6 @@
 //! How keys are divided: by load and capacity, with few moves.
 
-use crate::load::Load;
+use crate::load::LoadHistogram;
 use crate::runs::{Run, join_runs};
 use crate::table::{State, Table};
 use std::collections::{BTreeMap, VecDeque};
@@ -20,7 +20,7 @@
 type Loads<'a> = BTreeMap<&'a str, f64>;
 
 /// What each carries, but for keys that were asked back.
-fn carried<'a>(table: &Table, active: &BTreeMap<&'a str, u32>, load: &Load) -> Loads<'a> {
+fn carried<'a>(table: &Table, active: &BTreeMap<&'a str, u32>, load: &LoadHistogram) -> Loads<'a> {
     let mut loads: Loads = active.keys().map(|name| (*name, 0.0)).collect();
     table.iter().for_each(|(from, to, state)| {
         let kept = state.held().filter(|held| !held.asked_back);
@@ -114,7 +114,7 @@
 pub(crate) fn reserve<'a>(
     table: &Table,
     active: &BTreeMap<&'a str, u32>,
-    load: &Load,
+    load: &LoadHistogram,
 ) -> Vec<Reservation<'a>> {
     let mut runs = free_runs(table, load);
     let free = runs
@@ -192,7 +192,7 @@
 }
 
 /// The free keys that nobody is to take yet, with their neighbours.
-fn free_runs(table: &Table, load: &Load) -> Vec<FreeRun> {
+fn free_runs(table: &Table, load: &LoadHistogram) -> Vec<FreeRun> {
     let entries: Vec<_> = table.iter().collect();
     let owner = |at: Option<usize>| {
         let (_, _, state) = entries.get(at?)?;
@@ -219,7 +219,7 @@
     open.collect()
 }
 
-fn free_pieces(load: &Load, from: u32, to: u32) -> VecDeque<FreePiece> {
+fn free_pieces(load: &LoadHistogram, from: u32, to: u32) -> VecDeque<FreePiece> {
     let weighed = |(from, to)| FreePiece {
         from,
         to,
@@ -229,7 +229,7 @@
 }
 
 /// A range cut at the load's edges.
-fn pieces(load: &Load, from: u32, to: u32) -> Spans {
+fn pieces(load: &LoadHistogram, from: u32, to: u32) -> Spans {
     let edges = load.edges(from, to);
     let lefts = std::iter::once(from).chain(edges.iter().copied());
     let rights = edges.iter().map(|edge| edge - 1).chain(std::iter::once(to));
@@ -237,7 +237,12 @@
 }
 
 /// The keys to be asked back: from those with too much, as much as others lack.
-pub(crate) fn moves(table: &Table, active: &BTreeMap<&str, u32>, load: &Load, keys: u32) -> Spans {
+pub(crate) fn moves(
+    table: &Table,
+    active: &BTreeMap<&str, u32>,
+    load: &LoadHistogram,
+    keys: u32,
+) -> Spans {
     let mut loads = carried(table, active, load);
     let (mut asked, mut left) = (Vec::new(), (keys / STEP).max(1));
     // Each round asks of the most loaded, or leaves it out of account, because what it has can't be divided.
@@ -259,7 +264,7 @@
         }
         let run = edge_run(table, giver, over.min(-under), load, left, &asked);
         let worth = run.filter(|(from, to, weight)| {
-            let thin = THIN * load.whole() * f64::from(to - from + 1) / f64::from(keys);
+            let thin = THIN * load.total_weight() * f64::from(to - from + 1) / f64::from(keys);
             *weight >= LEAST * fair(taker) && *weight >= thin
         });
         match worth {
@@ -281,7 +286,7 @@
     table: &Table,
     giver: &str,
     amount: f64,
-    load: &Load,
+    load: &LoadHistogram,
     most_keys: u32,
     asked: &[(u32, u32)],
 ) -> Option<(u32, u32, f64)> {
--- a/crates/upstream-registry/src/grants.rs
+++ b/crates/upstream-registry/src/grants.rs
@@ -3,23 +3,28 @@
 use crate::fair;
 use crate::heartbeat::Grant;
 use crate::holds::{Spans, surely};
-use crate::load::Load;
-use crate::ranges::{FENCE_BITS, Ranges};
+use crate::load::LoadHistogram;
+use crate::ranges::{FENCE_BITS, KeyRangeAssigner};
 use crate::runs::{Run, join_runs};
 use crate::table::{Held, State};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-impl Ranges {
+impl KeyRangeAssigner {
     /// Asks keys back where one has too many and another too few.
-    pub(crate) fn balance(&mut self, now: Duration, active: &BTreeMap<&str, u32>, load: &Load) {
+    pub(crate) fn balance(
+        &mut self,
+        now: Duration,
+        active: &BTreeMap<&str, u32>,
+        load: &LoadHistogram,
+    ) {
         let moving = |state: &State| state.held().is_none_or(|held| held.asked_back);
         if now < self.next_move || self.table.iter().any(|(_, _, state)| moving(state)) {
             return;
         }
         let moves = fair::moves(&self.table, active, load, self.keys);
         if !moves.is_empty() {
-            self.next_move = now + self.terms.settle;
+            self.next_move = now + self.terms.rebalance_interval;
         }
         moves.into_iter().for_each(|(from, to)| {
             self.table
@@ -41,7 +46,7 @@
     }
 
     /// Decides who is to take the free keys that nobody is to take yet; all of them where others are active than before.
-    fn reserve(&mut self, active: &BTreeMap<&str, u32>, load: &Load) {
+    fn reserve(&mut self, active: &BTreeMap<&str, u32>, load: &LoadHistogram) {
         // Capacities change with each request, and what is reserved stays: it would pass by those already heard.
         if !self
             .reserved_among
@@ -100,7 +105,7 @@
         now: Duration,
         me: &str,
         active: &BTreeMap<&str, u32>,
-        load: &Load,
+        load: &LoadHistogram,
     ) {
         self.reserve(active, load);
         let stays_away = |passed: usize| passed > active.len();
@@ -125,7 +130,7 @@
         }
         self.counter += 1;
         let fence = (self.lease_epoch << FENCE_BITS) + self.counter;
-        let until = now + surely(self.terms.hold, self.terms.margin);
+        let until = now + surely(self.terms.lease_duration, self.terms.margin);
         parts.into_iter().for_each(|(from, to)| {
             self.table
                 .within(from, to)
@@ -151,7 +156,7 @@
     }
 
     pub(crate) fn renew(&mut self, now: Duration, me: &str) {
-        let until = now + surely(self.terms.hold, self.terms.margin);
+        let until = now + surely(self.terms.lease_duration, self.terms.margin);
         self.table.each(|state| match state {
             State::Held(held) if held.owner == me && !held.asked_back => {
                 held.until = until;
--- a/crates/upstream-registry/src/heartbeat.rs
+++ b/crates/upstream-registry/src/heartbeat.rs
@@ -1,11 +1,11 @@
 //! What upstreams with numeric keys say in a heartbeat, and what they are answered.
 
 /// A longer handover token is dropped, and its keys start cold.
-pub const MAX_HANDOVER: usize = 1024;
+pub const MAX_HANDOVER_TOKEN_BYTES: usize = 1024;
 
 /// Keys and the fence they were given under.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct HeldKeyRange {
     pub from: u32,
     pub to: u32,
     pub fence: u64,
@@ -13,7 +13,7 @@
 
 /// Keys let go, and the token that makes them warm elsewhere.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Released {
+pub struct ReleasedKeyRange {
     pub from: u32,
     pub to: u32,
     pub handover: String,
@@ -25,9 +25,9 @@
     pub instance: String,
     pub sequence: u64,
     /// What it holds or still works on.
-    pub holdings: Vec<Row>,
+    pub holdings: Vec<HeldKeyRange>,
     /// What it let go since its last acknowledged heartbeat.
-    pub released: Vec<Released>,
+    pub released: Vec<ReleasedKeyRange>,
 }
 
 /// Keys an upstream is to hold.
@@ -42,7 +42,7 @@
 
 /// Keys and who holds them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Holding {
+pub struct KeyAssignment {
     pub from: u32,
     pub to: u32,
     pub fence: u64,
--- a/crates/upstream-registry/src/holds.rs
+++ b/crates/upstream-registry/src/holds.rs
@@ -1,14 +1,14 @@
 //! Holds of keys: what a heartbeat confirms or lets go, what runs out, and what a new lease holder adopts.
 
-use crate::heartbeat::{Heartbeat, MAX_HANDOVER, Row};
-use crate::ranges::{FENCE_BITS, Ranges};
+use crate::heartbeat::{Heartbeat, HeldKeyRange, MAX_HANDOVER_TOKEN_BYTES};
+use crate::ranges::{FENCE_BITS, KeyRangeAssigner};
 use crate::table::{Held, State};
 use std::time::Duration;
 
 /// Ranges of keys, both ends included.
 pub(crate) type Spans = Vec<(u32, u32)>;
 
-impl Ranges {
+impl KeyRangeAssigner {
     pub(crate) fn run_out(&mut self, now: Duration) {
         self.table.each(|state| {
             let over = state.held().filter(|held| now >= held.until);
@@ -51,10 +51,10 @@
 
     /// What becomes of keys that their owner doesn't list.
     fn left(&self, now: Duration, held: Held) -> State {
-        let took_by = held.given + surely(self.terms.answer_within, self.terms.margin);
-        if !self.terms.late_answers {
+        let took_by = held.given + surely(self.terms.response_timeout, self.terms.margin);
+        if !self.terms.accepts_late_responses {
             // A grant that was never taken keeps its token, unless it may have been taken and have run out since.
-            let young = now + self.terms.hold / 2 < held.until;
+            let young = now + self.terms.lease_duration / 2 < held.until;
             freed(&held, young)
         } else if !held.confirmed && now < took_by {
             State::Held(held)
@@ -75,7 +75,7 @@
             .iter()
             .filter(|row| row.from <= row.to && row.to < self.keys);
         sound
-            .filter(|row| row.handover.len() <= MAX_HANDOVER)
+            .filter(|row| row.handover.len() <= MAX_HANDOVER_TOKEN_BYTES)
             .for_each(|row| {
                 self.table
                     .within(row.from, row.to)
@@ -120,7 +120,7 @@
                 owner: beat.instance.clone(),
                 fence: row.fence,
                 given: now,
-                until: now + surely(self.terms.hold, self.terms.margin),
+                until: now + surely(self.terms.lease_duration, self.terms.margin),
                 confirmed: true,
                 asked_back: false,
                 dropped: false,
@@ -155,7 +155,7 @@
 }
 
 /// The parts of a range that rows list under its fence, and those that they don't.
-fn divide(from: u32, to: u32, fence: u64, rows: &[Row]) -> (Spans, Spans) {
+fn divide(from: u32, to: u32, fence: u64, rows: &[HeldKeyRange]) -> (Spans, Spans) {
     let touching = rows
         .iter()
         .filter(|row| row.fence == fence && row.from <= row.to && row.from <= to && row.to >= from);
--- a/crates/upstream-registry/src/lib.rs
+++ b/crates/upstream-registry/src/lib.rs
@@ -11,9 +11,13 @@
 mod shares;
 mod table;
 
-pub use heartbeat::{Grant, Heartbeat, Holding, MAX_HANDOVER, Released, Row};
-pub use load::Load;
-pub use ranges::{MAX_INSTANCES, MAX_ROWS, Ranges, Terms};
-pub use registry::{GONE, LEAVING, READY, UpstreamRegistry, is_gone_mark, mark};
-pub use shares::Shares;
+pub use heartbeat::{
+    Grant, Heartbeat, HeldKeyRange, KeyAssignment, MAX_HANDOVER_TOKEN_BYTES, ReleasedKeyRange,
+};
+pub use load::LoadHistogram;
+pub use ranges::{KeyLeaseTerms, KeyRangeAssigner, MAX_INSTANCES, MAX_RANGES_PER_HEARTBEAT};
+pub use registry::{
+    DEREGISTERED, DRAINING, READY, UpstreamRegistry, digest, is_deregistered_digest,
+};
+pub use shares::SlotAssigner;
 pub use table::MAX_RANGES;
--- a/crates/upstream-registry/src/load.rs
+++ b/crates/upstream-registry/src/load.rs
@@ -3,7 +3,7 @@
 /// Request counts over equal parts of the key space, with a sixteenth of all spread evenly on top, so that idle
 /// keys weigh something too. Keys are only ever divided at the edges of these parts.
 #[derive(Clone)]
-pub struct Load {
+pub struct LoadHistogram {
     keys: u32,
     /// Summed weight up to each edge, and the whole at the end.
     sums: Vec<f64>,
@@ -12,12 +12,12 @@
 /// As many parts, where nothing was counted yet.
 const EVEN_PARTS: u32 = 4096;
 
-impl Load {
+impl LoadHistogram {
     /// The counts of equal parts of `keys` keys. More parts than keys are cut off; none, or only zeros, weigh evenly.
     ///
     /// ```
-    /// use upstream_registry::Load;
-    /// let load = Load::new(100, &[15, 0]);
+    /// use upstream_registry::LoadHistogram;
+    /// let load = LoadHistogram::new(100, &[15, 0]);
     /// assert_eq!(load.weight(0, 49), 15.5);
     /// assert_eq!(load.weight(50, 99), 0.5);
     /// ```
@@ -25,7 +25,7 @@
         let counts = &counts[..counts.len().min(keys as usize)];
         let all = counts.iter().map(|count| *count as f64).sum::<f64>();
         if all == 0.0 {
-            return Self::even(keys);
+            return Self::uniform(keys);
         }
         // A whole of 16 counted parts gets one more, evenly.
         let base = (all / 15.0).max(1.0) / counts.len() as f64;
@@ -34,7 +34,7 @@
             sum += *count as f64 + base;
             sum
         });
-        Load {
+        LoadHistogram {
             keys,
             sums: [0.0].into_iter().chain(sums).collect(),
         }
@@ -43,10 +43,10 @@
     /// All keys alike.
     ///
     /// ```
-    /// assert_eq!(upstream_registry::Load::even(65536).weight(0, 32767), 2048.0);
+    /// assert_eq!(upstream_registry::LoadHistogram::uniform(65536).weight(0, 32767), 2048.0);
     /// ```
-    pub fn even(keys: u32) -> Self {
-        Load {
+    pub fn uniform(keys: u32) -> Self {
+        LoadHistogram {
             keys,
             sums: (0..=EVEN_PARTS.min(keys.max(1))).map(f64::from).collect(),
         }
@@ -79,7 +79,7 @@
     /// The weight of the keys from `from` to `to`, both counted.
     ///
     /// ```
-    /// assert_eq!(upstream_registry::Load::new(4, &[0, 30, 0, 0]).weight(1, 1), 30.5);
+    /// assert_eq!(upstream_registry::LoadHistogram::new(4, &[0, 30, 0, 0]).weight(1, 1), 30.5);
     /// ```
     pub fn weight(&self, from: u32, to: u32) -> f64 {
         self.below(to.saturating_add(1)) - self.below(from)
@@ -88,9 +88,9 @@
     /// The weight of all keys.
     ///
     /// ```
-    /// assert_eq!(upstream_registry::Load::new(4, &[0, 30, 0, 0]).whole(), 32.0);
+    /// assert_eq!(upstream_registry::LoadHistogram::new(4, &[0, 30, 0, 0]).total_weight(), 32.0);
     /// ```
-    pub fn whole(&self) -> f64 {
+    pub fn total_weight(&self) -> f64 {
         self.sums[self.parts() as usize]
     }
 
