--- a/crates/upstream-registry/src/ranges.rs
+++ b/crates/upstream-registry/src/ranges.rs
@@ -4,16 +4,16 @@
 //! here from the answer plus a margin, has run out. A sign-off frees nothing: its sender may serve on. What a new
 //! holder of the lease may take for granted, and why, stands in `docs/design/keys.md`.
 
-use crate::heartbeat::{Grant, Heartbeat, Holding};
+use crate::heartbeat::{Grant, Heartbeat, KeyAssignment};
 use crate::holds::surely;
-use crate::load::Load;
+use crate::load::LoadHistogram;
 use crate::runs::{Run, join_runs};
 use crate::table::{State, Table};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// A heartbeat that lists more is no answer's worth.
-pub const MAX_ROWS: usize = 1024;
+pub const MAX_RANGES_PER_HEARTBEAT: usize = 1024;
 /// Beyond so many instances, those that hold nothing and aren't ready are forgotten.
 pub const MAX_INSTANCES: usize = 1024;
 /// Grants of one lease are counted in so many bits of the fence, below its epoch.
@@ -24,18 +24,18 @@
 
 /// The times both sides go by.
 #[derive(Clone, Copy)]
-pub struct Terms {
+pub struct KeyLeaseTerms {
     /// How long a hold lasts, from when the heartbeat was sent, by the upstream's clock.
-    pub hold: Duration,
+    pub lease_duration: Duration,
     /// An answer that comes later after its heartbeat's sending has no effect.
-    pub answer_within: Duration,
+    pub response_timeout: Duration,
     /// Added to every span that is waited out, beyond the 3 % for clocks.
     pub margin: Duration,
     /// Least time between two moves for balance.
-    pub settle: Duration,
+    pub rebalance_interval: Duration,
     /// An upstream may still take the answer to a heartbeat after it sent a newer one. Then its letting go proves
     /// nothing, and keys move only once their hold has run out.
-    pub late_answers: bool,
+    pub accepts_late_responses: bool,
 }
 
 pub(crate) struct Heard {
@@ -44,8 +44,8 @@
 }
 
 /// Who holds which keys of one service.
-pub struct Ranges {
-    pub(crate) terms: Terms,
+pub struct KeyRangeAssigner {
+    pub(crate) terms: KeyLeaseTerms,
     pub(crate) keys: u32,
     pub(crate) lease_epoch: u64,
     pub(crate) counter: u64,
@@ -60,34 +60,43 @@
     pub(crate) reserved_among: BTreeSet<String>,
 }
 
-impl Ranges {
+impl KeyRangeAssigner {
     /// A new holder of the lease, at `now`, when no earlier holder gives any more; keys are `0..keys`. `founding`
     /// says that nothing was ever given before.
     ///
     /// ```
-    /// use upstream_registry::{Heartbeat, Load, Ranges, Row, Terms};
+    /// use upstream_registry::{Heartbeat, LoadHistogram, KeyRangeAssigner, HeldKeyRange, KeyLeaseTerms};
     /// use std::time::Duration;
     /// let (second, margin) = (Duration::from_secs(1), Duration::from_millis(50));
-    /// let terms = Terms { hold: 3 * second, answer_within: second, margin, settle: 2 * second, late_answers: false };
+    /// let terms = KeyLeaseTerms { lease_duration: 3 * second, response_timeout: second, margin, rebalance_interval: 2 * second, accepts_late_responses: false };
     /// let ready = [("a".to_owned(), 1), ("b".to_owned(), 3)].into();
-    /// let load = Load::even(65536);
+    /// let load = LoadHistogram::uniform(65536);
     /// let a = Heartbeat { instance: "a".into(), sequence: 1, ..Heartbeat::default() };
-    /// let mut ranges = Ranges::new(second, terms, 65536, 1, true);
-    /// let given = ranges.beat(second, &a, &ready, &load).unwrap();
+    /// let mut ranges = KeyRangeAssigner::new(second, terms, 65536, 1, true);
+    /// let given = ranges.handle_heartbeat(second, &a, &ready, &load).unwrap();
     /// assert_eq!((given[0].from, given[0].to, given.len()), (0, 16383, 1), "a quarter");
     ///
-    /// let mut next = Ranges::new(second, terms, 65536, 2, false);
-    /// assert_eq!(next.beat(second, &a, &ready, &load), None, "an earlier answer may still be under way");
-    /// let held = Row { from: 0, to: 16383, fence: given[0].fence };
+    /// let mut next = KeyRangeAssigner::new(second, terms, 65536, 2, false);
+    /// assert_eq!(next.handle_heartbeat(second, &a, &ready, &load), None, "an earlier answer may still be under way");
+    /// let held = HeldKeyRange { from: 0, to: 16383, fence: given[0].fence };
     /// let a = Heartbeat { sequence: 2, holdings: vec![held], ..a };
-    /// assert_eq!(next.beat(3 * second, &a, &ready, &load), Some(given), "it keeps what it has");
+    /// assert_eq!(next.handle_heartbeat(3 * second, &a, &ready, &load), Some(given), "it keeps what it has");
     /// ```
-    pub fn new(now: Duration, terms: Terms, keys: u32, lease_epoch: u64, founding: bool) -> Self {
+    pub fn new(
+        now: Duration,
+        terms: KeyLeaseTerms,
+        keys: u32,
+        lease_epoch: u64,
+        founding: bool,
+    ) -> Self {
         let after = |span: Duration| if founding { now } else { now + span };
-        let quiet_from = after(surely(terms.answer_within, terms.margin));
+        let quiet_from = after(surely(terms.response_timeout, terms.margin));
         // Holds count from the sending of a heartbeat, so the answer's way adds nothing.
-        let free_from = after(surely(terms.hold.max(terms.answer_within), terms.margin));
-        Ranges {
+        let free_from = after(surely(
+            terms.lease_duration.max(terms.response_timeout),
+            terms.margin,
+        ));
+        KeyRangeAssigner {
             terms,
             keys,
             lease_epoch,
@@ -106,22 +115,22 @@
     /// bounds, or comes too soon after the start.
     ///
     /// ```
-    /// # use upstream_registry::{Heartbeat, Load, Ranges, Row, Terms};
+    /// # use upstream_registry::{Heartbeat, LoadHistogram, KeyRangeAssigner, HeldKeyRange, KeyLeaseTerms};
     /// # use std::time::Duration;
     /// # let (second, margin) = (Duration::from_secs(1), Duration::from_millis(50));
-    /// # let terms = Terms { hold: 3 * second, answer_within: second, margin, settle: 2 * second, late_answers: false };
-    /// let mut ranges = Ranges::new(second, terms, 100, 1, true);
-    /// let (load, one) = (Load::even(100), [("a".to_owned(), 1)].into());
+    /// # let terms = KeyLeaseTerms { lease_duration: 3 * second, response_timeout: second, margin, rebalance_interval: 2 * second, accepts_late_responses: false };
+    /// let mut ranges = KeyRangeAssigner::new(second, terms, 100, 1, true);
+    /// let (load, one) = (LoadHistogram::uniform(100), [("a".to_owned(), 1)].into());
     /// let beat = |sequence| Heartbeat { instance: "a".into(), sequence, ..Heartbeat::default() };
-    /// assert_eq!(ranges.beat(second, &beat(2), &one, &load).unwrap()[0].to, 99);
-    /// assert_eq!(ranges.beat(second, &beat(1), &one, &load), None, "overtaken");
+    /// assert_eq!(ranges.handle_heartbeat(second, &beat(2), &one, &load).unwrap()[0].to, 99);
+    /// assert_eq!(ranges.handle_heartbeat(second, &beat(1), &one, &load), None, "overtaken");
     /// ```
-    pub fn beat(
+    pub fn handle_heartbeat(
         &mut self,
         now: Duration,
         beat: &Heartbeat,
         ready: &BTreeMap<String, u32>,
-        load: &Load,
+        load: &LoadHistogram,
     ) -> Option<Vec<Grant>> {
         self.hear(now, beat, ready)?;
         if now < self.quiet_from {
@@ -169,7 +178,8 @@
     ) -> Option<()> {
         let me = &beat.instance;
         let last = self.heard.get(me).and_then(|heard| heard.sequence);
-        let sound = beat.holdings.len() <= MAX_ROWS && beat.released.len() <= MAX_ROWS;
+        let sound = beat.holdings.len() <= MAX_RANGES_PER_HEARTBEAT
+            && beat.released.len() <= MAX_RANGES_PER_HEARTBEAT;
         if last.is_some_and(|last| beat.sequence <= last) || !sound {
             return None;
         }
@@ -202,28 +212,28 @@
     /// True while what an earlier lease holder gave may not have run out.
     ///
     /// ```
-    /// # use upstream_registry::{Ranges, Terms};
+    /// # use upstream_registry::{KeyRangeAssigner, KeyLeaseTerms};
     /// # use std::time::Duration;
     /// # let (second, margin) = (Duration::from_secs(1), Duration::from_millis(50));
-    /// # let terms = Terms { hold: 3 * second, answer_within: second, margin, settle: 2 * second, late_answers: false };
-    /// let ranges = Ranges::new(second, terms, 100, 2, false);
-    /// assert!(ranges.is_quiet(4 * second));
-    /// assert!(!ranges.is_quiet(5 * second));
+    /// # let terms = KeyLeaseTerms { lease_duration: 3 * second, response_timeout: second, margin, rebalance_interval: 2 * second, accepts_late_responses: false };
+    /// let ranges = KeyRangeAssigner::new(second, terms, 100, 2, false);
+    /// assert!(ranges.awaits_earlier_leases(4 * second));
+    /// assert!(!ranges.awaits_earlier_leases(5 * second));
     /// ```
-    pub fn is_quiet(&self, now: Duration) -> bool {
+    pub fn awaits_earlier_leases(&self, now: Duration) -> bool {
         now < self.free_from
     }
 
     /// Everything that is given out, by key; what was asked back is in it until it is let go.
     ///
     /// ```
-    /// # use upstream_registry::{Ranges, Terms};
+    /// # use upstream_registry::{KeyRangeAssigner, KeyLeaseTerms};
     /// # use std::time::Duration;
     /// # let (second, margin) = (Duration::from_secs(1), Duration::from_millis(50));
-    /// # let terms = Terms { hold: 3 * second, answer_within: second, margin, settle: 2 * second, late_answers: false };
-    /// assert!(Ranges::new(second, terms, 100, 2, false).all(second).is_empty());
+    /// # let terms = KeyLeaseTerms { lease_duration: 3 * second, response_timeout: second, margin, rebalance_interval: 2 * second, accepts_late_responses: false };
+    /// assert!(KeyRangeAssigner::new(second, terms, 100, 2, false).assignments(second).is_empty());
     /// ```
-    pub fn all(&self, now: Duration) -> Vec<Holding> {
+    pub fn assignments(&self, now: Duration) -> Vec<KeyAssignment> {
         let held = self.table.iter().filter_map(|(from, to, state)| {
             let held = state
                 .held()
@@ -232,7 +242,7 @@
         });
         let holding = |(from, to, (fence, owner)): Run<(u64, &str)>| {
             let instance = owner.to_owned();
-            Holding {
+            KeyAssignment {
                 from,
                 to,
                 fence,
--- a/crates/upstream-registry/src/registry.rs
+++ b/crates/upstream-registry/src/registry.rs
@@ -8,9 +8,9 @@
 /// Takes work.
 pub const READY: u32 = 0;
 /// Said that it will go: no new work.
-pub const LEAVING: u32 = 1;
+pub const DRAINING: u32 = 1;
 /// Signed off, or its address was taken over.
-pub const GONE: u32 = 2;
+pub const DEREGISTERED: u32 = 2;
 
 /// How long a gone instance is remembered, so that a late beat does not bring it back.
 const REMEMBERED: Duration = Duration::from_secs(60);
@@ -58,11 +58,11 @@
 /// ```
 /// let warm = protocol::Upstream { instance: "a".into(), warm: true, beat: 3, ..Default::default() };
 /// let cold = protocol::Upstream { warm: false, ..warm.clone() };
-/// assert_eq!(upstream_registry::mark(&warm), upstream_registry::mark(&protocol::Upstream { beat: 4, ..warm.clone() }));
-/// assert_ne!(upstream_registry::mark(&warm), upstream_registry::mark(&cold));
-/// assert_eq!(upstream_registry::mark(&warm) >> 32, upstream_registry::mark(&cold) >> 32);
+/// assert_eq!(upstream_registry::digest(&warm), upstream_registry::digest(&protocol::Upstream { beat: 4, ..warm.clone() }));
+/// assert_ne!(upstream_registry::digest(&warm), upstream_registry::digest(&cold));
+/// assert_eq!(upstream_registry::digest(&warm) >> 32, upstream_registry::digest(&cold) >> 32);
 /// ```
-pub fn mark(upstream: &Upstream) -> u64 {
+pub fn digest(upstream: &Upstream) -> u64 {
     let who = stable_hash_parts([upstream.service.as_str(), "/", &upstream.instance]) >> 32;
     let numbers = format!(
         "/{}/{}/{}",
@@ -70,7 +70,7 @@
     );
     let what = match upstream.condition {
         // How it was before its end no longer matters.
-        GONE => 0,
+        DEREGISTERED => 0,
         _ => {
             stable_hash_parts([upstream.address.as_str(), "/", &upstream.locality, &numbers]) >> 32
         }
@@ -81,11 +81,11 @@
 /// True for the mark of an upstream that is gone.
 ///
 /// ```
-/// let gone = protocol::Upstream { condition: upstream_registry::GONE, ..Default::default() };
-/// assert!(upstream_registry::is_gone_mark(upstream_registry::mark(&gone)));
-/// assert!(!upstream_registry::is_gone_mark(upstream_registry::mark(&protocol::Upstream::default())));
+/// let gone = protocol::Upstream { condition: upstream_registry::DEREGISTERED, ..Default::default() };
+/// assert!(upstream_registry::is_deregistered_digest(upstream_registry::digest(&gone)));
+/// assert!(!upstream_registry::is_deregistered_digest(upstream_registry::digest(&protocol::Upstream::default())));
 /// ```
-pub fn is_gone_mark(mark: u64) -> bool {
+pub fn is_deregistered_digest(mark: u64) -> bool {
     mark & u64::from(u32::MAX) == 0
 }
 
@@ -93,7 +93,7 @@
     /// Takes in a beat, direct or told on; true where it was news.
     ///
     /// ```
-    /// use upstream_registry::{GONE, LEAVING, READY, UpstreamRegistry};
+    /// use upstream_registry::{DEREGISTERED, DRAINING, READY, UpstreamRegistry};
     /// use protocol::Upstream;
     /// use std::time::Duration;
     /// let beat = |instance: &str, beat, condition| Upstream {
@@ -101,22 +101,22 @@
     ///     beat, condition, ..Default::default()
     /// };
     /// let (mut registry, now) = (UpstreamRegistry::default(), Duration::from_secs(9));
-    /// assert!(registry.take(now, beat("a", 1, READY)));
-    /// assert!(registry.take(now, beat("a", 2, LEAVING)));
-    /// assert!(!registry.take(now, beat("a", 1, READY)), "an older beat changes nothing");
-    /// registry.take(now, beat("a", 3, READY));
-    /// assert_eq!(registry.all(now)[0].condition, LEAVING, "leaving is for good");
-    /// registry.take(now + Duration::from_secs(1), beat("b", 1, READY));
-    /// assert_eq!(registry.all(now)[0].condition, GONE, "its address has a new tenant");
+    /// assert!(registry.apply_heartbeat(now, beat("a", 1, READY)));
+    /// assert!(registry.apply_heartbeat(now, beat("a", 2, DRAINING)));
+    /// assert!(!registry.apply_heartbeat(now, beat("a", 1, READY)), "an older beat changes nothing");
+    /// registry.apply_heartbeat(now, beat("a", 3, READY));
+    /// assert_eq!(registry.snapshot(now)[0].condition, DRAINING, "leaving is for good");
+    /// registry.apply_heartbeat(now + Duration::from_secs(1), beat("b", 1, READY));
+    /// assert_eq!(registry.snapshot(now)[0].condition, DEREGISTERED, "its address has a new tenant");
     /// ```
-    pub fn take(&mut self, now: Duration, told: Upstream) -> bool {
+    pub fn apply_heartbeat(&mut self, now: Duration, told: Upstream) -> bool {
         let id = (told.service.clone(), told.instance.clone());
         let born_at_ms = now.as_millis() as i64 - told.born_ms.min(i64::MAX as u64 / 2) as i64;
         let heard_at = now.saturating_sub(Duration::from_millis(told.age_ms));
         let back = self.comes_back(now, &id, &told);
         let known = self.entries.get(&id);
         if known.is_some_and(|entry| {
-            (entry.upstream.condition == GONE && !back) || told.beat <= entry.upstream.beat
+            (entry.upstream.condition == DEREGISTERED && !back) || told.beat <= entry.upstream.beat
         }) || (known.is_none() && self.entries.len() >= MAX_UPSTREAMS)
         {
             return false;
@@ -150,12 +150,12 @@
             .addresses
             .get(&upstream.address)
             .is_some_and(|tenant| *tenant != id);
-        let condition = if lost { GONE } else { condition };
+        let condition = if lost { DEREGISTERED } else { condition };
         let upstream = Upstream {
             condition,
             ..upstream
         };
-        self.marked.insert(mark(&upstream) >> 32, id.clone());
+        self.marked.insert(digest(&upstream) >> 32, id.clone());
         let departing_since = Some(departing_since).filter(|_| condition != READY && !lost);
         self.departed.remove(&id);
         self.entries.insert(
@@ -181,15 +181,21 @@
     /// use std::time::Duration;
     /// let (ms, mut registry) = (Duration::from_millis, UpstreamRegistry::default());
     /// let told = protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() };
-    /// let mark = upstream_registry::mark(&told);
-    /// assert!(!registry.keeps_beating(ms(1000), mark, 1, ms(0)), "nobody knows it");
-    /// registry.take(ms(1000), told);
-    /// assert!(registry.keeps_beating(ms(3000), mark, 2, ms(200)));
-    /// assert_eq!((registry.all(ms(3000))[0].beat, registry.all(ms(3000))[0].age_ms), (2, 200));
-    /// assert!(!registry.keeps_beating(ms(3500), mark ^ 1, 3, ms(0)), "something about it changed");
-    /// assert!(registry.keeps_beating(ms(3500), mark ^ 1, 2, ms(0)), "what is known is no older");
+    /// let mark = upstream_registry::digest(&told);
+    /// assert!(!registry.refresh_from_digest(ms(1000), mark, 1, ms(0)), "nobody knows it");
+    /// registry.apply_heartbeat(ms(1000), told);
+    /// assert!(registry.refresh_from_digest(ms(3000), mark, 2, ms(200)));
+    /// assert_eq!((registry.snapshot(ms(3000))[0].beat, registry.snapshot(ms(3000))[0].age_ms), (2, 200));
+    /// assert!(!registry.refresh_from_digest(ms(3500), mark ^ 1, 3, ms(0)), "something about it changed");
+    /// assert!(registry.refresh_from_digest(ms(3500), mark ^ 1, 2, ms(0)), "what is known is no older");
     /// ```
-    pub fn keeps_beating(&mut self, now: Duration, told: u64, beat: u64, age: Duration) -> bool {
+    pub fn refresh_from_digest(
+        &mut self,
+        now: Duration,
+        told: u64,
+        beat: u64,
+        age: Duration,
+    ) -> bool {
         let Some(entry) = self
             .marked
             .get(&(told >> 32))
@@ -200,10 +206,10 @@
         if beat <= entry.upstream.beat {
             return true;
         }
-        if mark(&entry.upstream) != told {
+        if digest(&entry.upstream) != told {
             return false;
         }
-        if entry.upstream.condition != GONE {
+        if entry.upstream.condition != DEREGISTERED {
             entry.upstream.beat = beat;
             entry.heard_at = now.saturating_sub(age).max(entry.heard_at);
         }
@@ -213,9 +219,9 @@
     /// The upstream that a mark stands for, with its ages.
     ///
     /// ```
-    /// assert_eq!(upstream_registry::UpstreamRegistry::default().marked(std::time::Duration::ZERO, 7), None);
+    /// assert_eq!(upstream_registry::UpstreamRegistry::default().find_by_digest(std::time::Duration::ZERO, 7), None);
     /// ```
-    pub fn marked(&self, now: Duration, mark: u64) -> Option<Upstream> {
+    pub fn find_by_digest(&self, now: Duration, mark: u64) -> Option<Upstream> {
         let entry = self
             .marked
             .get(&(mark >> 32))
@@ -237,18 +243,18 @@
         let silent = tenant
             .and_then(|tenant| self.entries.get(tenant))
             .is_none_or(|tenant| {
-                tenant.upstream.condition == GONE || now >= tenant.heard_at + TENANT_SILENT
+                tenant.upstream.condition == DEREGISTERED || now >= tenant.heard_at + TENANT_SILENT
             });
-        evicted && silent && told.condition != GONE
+        evicted && silent && told.condition != DEREGISTERED
     }
 
     /// One upstream as it is known here, with its ages.
     ///
     /// ```
     /// let upstream = protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() };
-    /// assert_eq!(upstream_registry::UpstreamRegistry::default().one(std::time::Duration::ZERO, &upstream), None);
+    /// assert_eq!(upstream_registry::UpstreamRegistry::default().get(std::time::Duration::ZERO, &upstream), None);
     /// ```
-    pub fn one(&self, now: Duration, upstream: &Upstream) -> Option<Upstream> {
+    pub fn get(&self, now: Duration, upstream: &Upstream) -> Option<Upstream> {
         let id = (upstream.service.clone(), upstream.instance.clone());
         self.entries.get(&id).map(|entry| Self::aged(entry, now))
     }
@@ -275,12 +281,12 @@
             .as_ref()
             .and_then(|tenant| self.entries.get(tenant))
             .is_none_or(|entry| {
-                entry.upstream.condition == GONE
+                entry.upstream.condition == DEREGISTERED
                     || self.entries.get(id).is_some_and(|mine| mine.evicted)
                     || (entry.born_at_ms, entry.upstream.instance.as_str())
                         < (born_at_ms, id.1.as_str())
             });
-        let older = older && (upstream.condition != GONE || tenant.is_none());
+        let older = older && (upstream.condition != DEREGISTERED || tenant.is_none());
         if older {
             self.addresses.insert(upstream.address.clone(), id.clone());
         }
@@ -291,9 +297,9 @@
         if let Some(entry) = self
             .entries
             .get_mut(id)
-            .filter(|entry| entry.upstream.condition != GONE)
+            .filter(|entry| entry.upstream.condition != DEREGISTERED)
         {
-            entry.upstream.condition = GONE;
+            entry.upstream.condition = DEREGISTERED;
             entry.evicted = true;
             entry.departing_since = None;
             self.changed.insert(id.clone());
@@ -306,14 +312,14 @@
     /// use upstream_registry::UpstreamRegistry;
     /// use std::time::Duration;
     /// let mut registry = UpstreamRegistry::default();
-    /// registry.take(Duration::ZERO, protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() });
-    /// registry.sweep(Duration::from_secs(4), Duration::from_secs(3));
-    /// assert!(registry.all(Duration::from_secs(4)).is_empty());
-    /// assert_eq!(registry.changes(Duration::from_secs(4))[0].condition, upstream_registry::GONE);
+    /// registry.apply_heartbeat(Duration::ZERO, protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() });
+    /// registry.expire_silent(Duration::from_secs(4), Duration::from_secs(3));
+    /// assert!(registry.snapshot(Duration::from_secs(4)).is_empty());
+    /// assert_eq!(registry.drain_changes(Duration::from_secs(4))[0].condition, upstream_registry::DEREGISTERED);
     /// ```
-    pub fn sweep(&mut self, now: Duration, silent_for: Duration) {
+    pub fn expire_silent(&mut self, now: Duration, silent_for: Duration) {
         let over = |entry: &Entry| {
-            let patience = if entry.upstream.condition == GONE {
+            let patience = if entry.upstream.condition == DEREGISTERED {
                 REMEMBERED
             } else {
                 silent_for
@@ -334,7 +340,7 @@
                 self.marked.retain(|_, marked| *marked != id);
                 let departed = entry
                     .departing_since
-                    .filter(|_| entry.upstream.condition != GONE);
+                    .filter(|_| entry.upstream.condition != DEREGISTERED);
                 departed.into_iter().for_each(|known_since| {
                     let Upstream {
                         condition, beat, ..
@@ -348,7 +354,7 @@
                         },
                     );
                 });
-                if entry.upstream.condition != GONE {
+                if entry.upstream.condition != DEREGISTERED {
                     self.changed.insert(id);
                 }
             }
@@ -359,9 +365,9 @@
     ///
     /// ```
     /// let mut registry = upstream_registry::UpstreamRegistry::default();
-    /// assert!(registry.changes(std::time::Duration::ZERO).is_empty());
+    /// assert!(registry.drain_changes(std::time::Duration::ZERO).is_empty());
     /// ```
-    pub fn changes(&mut self, now: Duration) -> Vec<Upstream> {
+    pub fn drain_changes(&mut self, now: Duration) -> Vec<Upstream> {
         std::mem::take(&mut self.changed)
             .into_iter()
             .map(|id| {
@@ -374,9 +380,9 @@
     /// Everything known, with ages.
     ///
     /// ```
-    /// assert!(upstream_registry::UpstreamRegistry::default().all(std::time::Duration::ZERO).is_empty());
+    /// assert!(upstream_registry::UpstreamRegistry::default().snapshot(std::time::Duration::ZERO).is_empty());
     /// ```
-    pub fn all(&self, now: Duration) -> Vec<Upstream> {
+    pub fn snapshot(&self, now: Duration) -> Vec<Upstream> {
         self.entries
             .values()
             .map(|entry| Self::aged(entry, now))
@@ -390,7 +396,7 @@
     /// let mut registry = upstream_registry::UpstreamRegistry::default();
     /// [("a", "1"), ("b", "2"), ("c", "3")].into_iter().for_each(|(service, instance)| {
     ///     let (service, instance, address) = (service.into(), instance.into(), instance.into());
-    ///     registry.take(Default::default(), Upstream { service, instance, address, beat: 1, ..Upstream::default() });
+    ///     registry.apply_heartbeat(Default::default(), Upstream { service, instance, address, beat: 1, ..Upstream::default() });
     /// });
     /// assert_eq!(registry.of_service("b").map(|upstream| upstream.instance.as_str()).collect::<Vec<_>>(), ["2"]);
     /// ```
@@ -410,7 +416,7 @@
     /// use std::time::Duration;
     /// let (mut registry, second) = (upstream_registry::UpstreamRegistry::default(), Duration::from_secs(1));
     /// let upstream = Upstream { service: "s".into(), instance: "a".into(), beat: 1, ..Upstream::default() };
-    /// registry.take(second, upstream);
+    /// registry.apply_heartbeat(second, upstream);
     /// assert_eq!(registry.heard_within("s", 2 * second, 3 * second).count(), 1);
     /// assert_eq!(registry.heard_within("s", 4 * second, 3 * second).count(), 0);
     /// ```
@@ -432,11 +438,12 @@
     /// Those that will not come back, heard of lately: told again, since they tell themselves no more.
     ///
     /// ```
-    /// assert!(upstream_registry::UpstreamRegistry::default().farewells(std::time::Duration::ZERO).is_empty());
+    /// assert!(upstream_registry::UpstreamRegistry::default().recently_deregistered(std::time::Duration::ZERO).is_empty());
     /// ```
-    pub fn farewells(&self, now: Duration) -> Vec<Upstream> {
+    pub fn recently_deregistered(&self, now: Duration) -> Vec<Upstream> {
         let fresh = |entry: &&Entry| {
-            entry.upstream.condition == GONE && now < entry.heard_at + Duration::from_secs(8)
+            entry.upstream.condition == DEREGISTERED
+                && now < entry.heard_at + Duration::from_secs(8)
         };
         self.entries
             .values()
@@ -449,22 +456,22 @@
     /// one that is not known here. Without a service it is whoever has this instance id, now or later.
     ///
     /// ```
-    /// use upstream_registry::{GONE, READY, UpstreamRegistry};
+    /// use upstream_registry::{DEREGISTERED, READY, UpstreamRegistry};
     /// use protocol::{Departure, Upstream};
     /// use std::time::Duration;
     /// let (mut registry, now) = (UpstreamRegistry::default(), Duration::from_secs(9));
-    /// assert!(registry.depart(now, &Departure { instance: "a".into(), condition: GONE, beat: 7, ..Default::default() }));
-    /// registry.take(now, Upstream { service: "s".into(), instance: "a".into(), beat: 7, ..Default::default() });
-    /// assert_eq!(registry.all(now)[0].condition, GONE, "a late beat brings nobody back");
+    /// assert!(registry.record_departure(now, &Departure { instance: "a".into(), condition: DEREGISTERED, beat: 7, ..Default::default() }));
+    /// registry.apply_heartbeat(now, Upstream { service: "s".into(), instance: "a".into(), beat: 7, ..Default::default() });
+    /// assert_eq!(registry.snapshot(now)[0].condition, DEREGISTERED, "a late beat brings nobody back");
     /// ```
-    pub fn depart(&mut self, now: Duration, departure: &Departure) -> bool {
+    pub fn record_departure(&mut self, now: Duration, departure: &Departure) -> bool {
         let Departure {
             service,
             instance,
             condition,
             beat,
         } = departure;
-        if *condition == READY || *condition > GONE {
+        if *condition == READY || *condition > DEREGISTERED {
             return true;
         }
         let named = (service.clone(), instance.clone());
@@ -511,7 +518,7 @@
         entry.upstream.beat = beat;
         entry.upstream.condition = condition;
         entry.departing_since = Some(now);
-        if condition == GONE {
+        if condition == DEREGISTERED {
             entry.heard_at = now;
         }
         self.changed.insert(id.clone());
@@ -524,7 +531,8 @@
         let known = [id, &nameless]
             .into_iter()
             .filter_map(|id| self.departed.get(id));
-        let known = known.filter(|departed| departed.condition == LEAVING || beat <= departed.beat);
+        let known =
+            known.filter(|departed| departed.condition == DRAINING || beat <= departed.beat);
         known
             .map(|departed| departed.condition)
             .max()
@@ -536,11 +544,11 @@
     ///
     /// ```
     /// let (mut registry, now) = (upstream_registry::UpstreamRegistry::default(), std::time::Duration::ZERO);
-    /// registry.depart(now, &protocol::Departure { instance: "a".into(), condition: 1, ..Default::default() });
-    /// assert_eq!(registry.departed().map(|gone| gone.condition).collect::<Vec<_>>(), [upstream_registry::GONE]);
-    /// assert_eq!(registry.changes(now).len(), 1);
+    /// registry.record_departure(now, &protocol::Departure { instance: "a".into(), condition: 1, ..Default::default() });
+    /// assert_eq!(registry.departed_without_entry().map(|gone| gone.condition).collect::<Vec<_>>(), [upstream_registry::DEREGISTERED]);
+    /// assert_eq!(registry.drain_changes(now).len(), 1);
     /// ```
-    pub fn departed(&self) -> impl Iterator<Item = Upstream> {
+    pub fn departed_without_entry(&self) -> impl Iterator<Item = Upstream> {
         self.departed.keys().map(Self::forgotten)
     }
 
@@ -550,7 +558,7 @@
         Upstream {
             service,
             instance,
-            condition: GONE,
+            condition: DEREGISTERED,
             ..Upstream::default()
         }
     }
@@ -560,12 +568,12 @@
     /// ```
     /// use std::time::Duration;
     /// let (mut registry, at) = (upstream_registry::UpstreamRegistry::default(), Duration::from_secs(9));
-    /// let leaves = protocol::Upstream { beat: 1, condition: upstream_registry::LEAVING, ..Default::default() };
-    /// registry.take(at, leaves);
-    /// assert_eq!(registry.departures(at, Duration::from_secs(5)).len(), 1);
-    /// assert!(registry.departures(at + Duration::from_secs(5), Duration::from_secs(5)).is_empty());
+    /// let leaves = protocol::Upstream { beat: 1, condition: upstream_registry::DRAINING, ..Default::default() };
+    /// registry.apply_heartbeat(at, leaves);
+    /// assert_eq!(registry.recent_departures(at, Duration::from_secs(5)).len(), 1);
+    /// assert!(registry.recent_departures(at + Duration::from_secs(5), Duration::from_secs(5)).is_empty());
     /// ```
-    pub fn departures(&self, now: Duration, within: Duration) -> Vec<Departure> {
+    pub fn recent_departures(&self, now: Duration, within: Duration) -> Vec<Departure> {
         let known = self.entries.iter().filter_map(|(id, entry)| {
             let since = entry.departing_since?;
             Some((id, entry.upstream.condition, entry.upstream.beat, since))
@@ -613,16 +621,19 @@
             born_ms,
             ..Upstream::default()
         };
-        let (old, new) = (told("unit-3", GONE, 90_000), told("unit-27", READY, 40_000));
+        let (old, new) = (
+            told("unit-3", DEREGISTERED, 90_000),
+            told("unit-27", READY, 40_000),
+        );
         [[old.clone(), new.clone()], [new.clone(), old.clone()]]
             .into_iter()
             .for_each(|order| {
                 let mut registry = UpstreamRegistry::default();
                 order.into_iter().for_each(|upstream| {
-                    registry.take(Duration::from_secs(1), upstream);
+                    registry.apply_heartbeat(Duration::from_secs(1), upstream);
                 });
                 let live = registry
-                    .all(Duration::from_secs(1))
+                    .snapshot(Duration::from_secs(1))
                     .into_iter()
                     .find(|upstream| upstream.instance == "unit-27");
                 assert_eq!(live.map(|upstream| upstream.condition), Some(READY));
@@ -641,31 +652,31 @@
         };
         let ms = Duration::from_millis;
         let mut registry = UpstreamRegistry::default();
-        registry.take(ms(1000), told("new", 1));
-        registry.take(ms(1200), told("old", 9));
+        registry.apply_heartbeat(ms(1000), told("new", 1));
+        registry.apply_heartbeat(ms(1200), told("old", 9));
         assert_eq!(
             registry
-                .one(ms(1200), &told("new", 0))
+                .get(ms(1200), &told("new", 0))
                 .map(|new| new.condition),
-            Some(GONE),
+            Some(DEREGISTERED),
             "it seems the older"
         );
         assert!(
-            !registry.take(ms(1500), told("new", 2)),
+            !registry.apply_heartbeat(ms(1500), told("new", 2)),
             "for a moment it can't be known"
         );
-        assert!(registry.take(ms(3000), told("new", 5)));
+        assert!(registry.apply_heartbeat(ms(3000), told("new", 5)));
         assert_eq!(
             registry
-                .one(ms(3000), &told("new", 0))
+                .get(ms(3000), &told("new", 0))
                 .map(|new| new.condition),
             Some(READY)
         );
         assert_eq!(
             registry
-                .one(ms(3000), &told("old", 0))
+                .get(ms(3000), &told("old", 0))
                 .map(|old| old.condition),
-            Some(GONE)
+            Some(DEREGISTERED)
         );
     }
 
@@ -681,10 +692,10 @@
             ..Upstream::default()
         };
         let mut registry = UpstreamRegistry::default();
-        registry.take(Duration::from_secs(1), told("a-younger", 40_000));
-        registry.take(Duration::from_secs(1), told("b-older", 90_000));
+        registry.apply_heartbeat(Duration::from_secs(1), told("a-younger", 40_000));
+        registry.apply_heartbeat(Duration::from_secs(1), told("b-older", 90_000));
         let ready: Vec<String> = registry
-            .all(Duration::from_secs(1))
+            .snapshot(Duration::from_secs(1))
             .into_iter()
             .filter(|upstream| upstream.condition == READY)
             .map(|upstream| upstream.instance)
--- a/crates/upstream-registry/src/shares.rs
+++ b/crates/upstream-registry/src/shares.rs
@@ -24,7 +24,7 @@
 }
 
 /// Who holds which slots of one service.
-pub struct Shares {
+pub struct SlotAssigner {
     /// Nothing free is given before this: what an earlier holder of the duty gave must have run out.
     quiet_until: Duration,
     lease_epoch: u64,
@@ -35,27 +35,27 @@
     beats: BTreeMap<String, u64>,
 }
 
-impl Shares {
+impl SlotAssigner {
     /// A new holder of the duty, at `now`, under its claim's epoch.
     ///
     /// ```
-    /// use upstream_registry::Shares;
+    /// use upstream_registry::SlotAssigner;
     /// use protocol::Upstream;
     /// use std::time::Duration;
     /// let span = Duration::from_secs(3);
-    /// let mut shares = Shares::new(Duration::ZERO, span, 1);
+    /// let mut shares = SlotAssigner::new(Duration::ZERO, span, 1);
     /// let unit = |name: &str, beat| Upstream { instance: name.into(), beat, ..Default::default() };
     /// let ready = ["a".to_owned(), "b".to_owned()].into_iter().collect();
-    /// assert_eq!(shares.beat(Duration::from_secs(1), &unit("a", 1), &ready), None, "quiet at first");
+    /// assert_eq!(shares.handle_heartbeat(Duration::from_secs(1), &unit("a", 1), &ready), None, "quiet at first");
     /// let held = protocol::KeyShare { from: 3, until: 5, epoch: 9, instance: "b".into(), ..Default::default() };
     /// let heard = Upstream { holder: 1, holds: vec![held.clone()], ..unit("b", 1) };
-    /// assert_eq!(shares.beat(Duration::from_secs(1), &heard, &ready), Some(vec![held]), "but it keeps what it has");
+    /// assert_eq!(shares.handle_heartbeat(Duration::from_secs(1), &heard, &ready), Some(vec![held]), "but it keeps what it has");
     /// let now = Duration::from_secs(4);
-    /// let given = shares.beat(now, &unit("a", 2), &ready).unwrap();
+    /// let given = shares.handle_heartbeat(now, &unit("a", 2), &ready).unwrap();
     /// assert_eq!(given.iter().map(|share| share.until - share.from).sum::<u32>(), key_space::SLOT_COUNT / 2);
     /// ```
     pub fn new(now: Duration, span: Duration, lease_epoch: u64) -> Self {
-        Shares {
+        SlotAssigner {
             quiet_until: now + span + span / 6,
             lease_epoch,
             span,
@@ -69,25 +69,25 @@
     /// No answer to a beat that was overtaken by a later one.
     ///
     /// ```
-    /// use upstream_registry::Shares;
+    /// use upstream_registry::SlotAssigner;
     /// use protocol::{KeyShare, Upstream};
     /// use std::time::Duration;
     /// let (span, now) = (Duration::from_secs(3), Duration::from_secs(4));
-    /// let mut shares = Shares::new(Duration::ZERO, span, 1);
+    /// let mut shares = SlotAssigner::new(Duration::ZERO, span, 1);
     /// let unit = |name: &str, beat, holds: &[KeyShare]| Upstream {
     ///     instance: name.into(), beat, holds: holds.to_vec(), ..Default::default()
     /// };
     /// let one = ["a".to_owned()].into_iter().collect();
     /// let both = ["a".to_owned(), "b".to_owned()].into_iter().collect();
-    /// let first = shares.beat(now, &unit("a", 1, &[]), &one).unwrap();
-    /// assert_eq!(shares.beat(now, &unit("b", 1, &[]), &both), Some(vec![]), "all are taken");
-    /// let less = shares.beat(now, &unit("a", 2, &first), &both).unwrap();
-    /// assert_eq!(shares.beat(now, &unit("b", 2, &[]), &both), Some(vec![]), "asked back, not let go yet");
-    /// shares.beat(now, &unit("a", 3, &less), &both);
-    /// assert_ne!(shares.beat(now, &unit("b", 3, &[]), &both), Some(vec![]), "let go");
-    /// assert_eq!(shares.beat(now, &unit("a", 2, &[]), &both), None, "an overtaken beat lets nothing go");
+    /// let first = shares.handle_heartbeat(now, &unit("a", 1, &[]), &one).unwrap();
+    /// assert_eq!(shares.handle_heartbeat(now, &unit("b", 1, &[]), &both), Some(vec![]), "all are taken");
+    /// let less = shares.handle_heartbeat(now, &unit("a", 2, &first), &both).unwrap();
+    /// assert_eq!(shares.handle_heartbeat(now, &unit("b", 2, &[]), &both), Some(vec![]), "asked back, not let go yet");
+    /// shares.handle_heartbeat(now, &unit("a", 3, &less), &both);
+    /// assert_ne!(shares.handle_heartbeat(now, &unit("b", 3, &[]), &both), Some(vec![]), "let go");
+    /// assert_eq!(shares.handle_heartbeat(now, &unit("a", 2, &[]), &both), None, "an overtaken beat lets nothing go");
     /// ```
-    pub fn beat(
+    pub fn handle_heartbeat(
         &mut self,
         now: Duration,
         upstream: &Upstream,
@@ -183,11 +183,11 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// let shares = upstream_registry::Shares::new(Duration::ZERO, Duration::from_secs(3), 1);
-    /// assert!(shares.is_quiet(Duration::from_secs(1)));
-    /// assert!(!shares.is_quiet(Duration::from_secs(9)));
+    /// let shares = upstream_registry::SlotAssigner::new(Duration::ZERO, Duration::from_secs(3), 1);
+    /// assert!(shares.awaits_earlier_leases(Duration::from_secs(1)));
+    /// assert!(!shares.awaits_earlier_leases(Duration::from_secs(9)));
     /// ```
-    pub fn is_quiet(&self, now: Duration) -> bool {
+    pub fn awaits_earlier_leases(&self, now: Duration) -> bool {
         now < self.quiet_until
     }
 
@@ -195,9 +195,9 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// assert!(upstream_registry::Shares::new(Duration::ZERO, Duration::from_secs(3), 1).all(Duration::ZERO).is_empty());
+    /// assert!(upstream_registry::SlotAssigner::new(Duration::ZERO, Duration::from_secs(3), 1).assignments(Duration::ZERO).is_empty());
     /// ```
-    pub fn all(&self, now: Duration) -> Vec<KeyShare> {
+    pub fn assignments(&self, now: Duration) -> Vec<KeyShare> {
         self.runs(|_, owned| now < owned.until)
     }
 
--- a/crates/upstream-registry/tests/arbitrary.rs
+++ b/crates/upstream-registry/tests/arbitrary.rs
@@ -4,7 +4,7 @@
 use protocol::{KeyShare, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use upstream_registry::Shares;
+use upstream_registry::SlotAssigner;
 
 const UNITS: usize = 4;
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -30,7 +30,7 @@
         arbtest(|noise| {
             let mut units: Vec<Unit> = (0..UNITS).map(|_| Unit::default()).collect();
             let (mut now, mut claim, mut wire) = (MS(1000), 1u64, Vec::new());
-            let mut shares = Shares::new(now, span, claim);
+            let mut shares = SlotAssigner::new(now, span, claim);
             while !noise.is_empty() {
                 let at = noise.int_in_range(0..=UNITS - 1)?;
                 match noise.int_in_range(0..=99u8)? {
@@ -38,7 +38,7 @@
                     0 => {
                         now += MS(500);
                         claim += 1;
-                        shares = Shares::new(now, span, claim);
+                        shares = SlotAssigner::new(now, span, claim);
                     }
                     1..=4 => {
                         units[at] = Unit {
@@ -76,7 +76,7 @@
                                 let count = noise.int_in_range(1..=UNITS)?;
                                 let ready: BTreeSet<String> =
                                     (0..count).map(|at| format!("u{at}")).collect();
-                                let told = shares.beat(now, &upstream, &ready);
+                                let told = shares.handle_heartbeat(now, &upstream, &ready);
                                 wire.push(Envelope::Answer(
                                     at,
                                     upstream.beat,
--- a/crates/upstream-registry/tests/division.rs
+++ b/crates/upstream-registry/tests/division.rs
@@ -3,26 +3,27 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use upstream_registry::{
-    Grant, Heartbeat, Load, MAX_RANGES, MAX_ROWS, Ranges, Released, Row, Terms,
+    Grant, Heartbeat, HeldKeyRange, KeyLeaseTerms, KeyRangeAssigner, LoadHistogram, MAX_RANGES,
+    MAX_RANGES_PER_HEARTBEAT, ReleasedKeyRange,
 };
 
 const KEYS: u32 = 65536;
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-fn terms() -> Terms {
-    Terms {
-        hold: MS(3000),
-        answer_within: MS(1000),
+fn terms() -> KeyLeaseTerms {
+    KeyLeaseTerms {
+        lease_duration: MS(3000),
+        response_timeout: MS(1000),
         margin: MS(50),
-        settle: MS(2000),
-        late_answers: false,
+        rebalance_interval: MS(2000),
+        accepts_late_responses: false,
     }
 }
 
 /// Upstreams without faults: each beats every half second, and lets go at once with a token.
 struct Fleet {
     now: Duration,
-    ranges: Ranges,
+    ranges: KeyRangeAssigner,
     ready: BTreeMap<String, u32>,
     holds: BTreeMap<String, Vec<Grant>>,
     sequence: u64,
@@ -35,7 +36,7 @@
 impl Fleet {
     fn new(ready: &[(&str, u32)]) -> Self {
         let now = MS(1000);
-        let ranges = Ranges::new(now, terms(), KEYS, 1, true);
+        let ranges = KeyRangeAssigner::new(now, terms(), KEYS, 1, true);
         let ready = ready
             .iter()
             .map(|(name, capacity)| ((*name).to_owned(), *capacity))
@@ -57,7 +58,7 @@
         self.ready.insert(name.to_owned(), capacity);
     }
 
-    fn round(&mut self, load: &Load) {
+    fn round(&mut self, load: &LoadHistogram) {
         self.now += MS(500);
         let names: Vec<String> = self
             .ready
@@ -74,12 +75,17 @@
     }
 
     /// One heartbeat, and what was let go on its answer.
-    fn beat(&mut self, name: &str, released: Vec<Released>, load: &Load) -> Vec<Released> {
+    fn beat(
+        &mut self,
+        name: &str,
+        released: Vec<ReleasedKeyRange>,
+        load: &LoadHistogram,
+    ) -> Vec<ReleasedKeyRange> {
         self.sequence += 1;
         let held = self.holds.remove(name).unwrap_or_default();
         let holdings = held
             .iter()
-            .map(|grant| Row {
+            .map(|grant| HeldKeyRange {
                 from: grant.from,
                 to: grant.to,
                 fence: grant.fence,
@@ -93,7 +99,7 @@
         };
         let told = self
             .ranges
-            .beat(self.now, &beat, &self.ready, load)
+            .handle_heartbeat(self.now, &beat, &self.ready, load)
             .unwrap();
         let lists =
             |rows: &[Grant], key: u32| rows.iter().any(|row| (row.from..=row.to).contains(&key));
@@ -111,7 +117,7 @@
             .filter(|key| !lists(&told, *key));
         let gone: Vec<u32> = gone.collect();
         let runs = gone.chunk_by(|one, other| one + 1 == *other);
-        let runs = runs.map(|run| Released {
+        let runs = runs.map(|run| ReleasedKeyRange {
             from: run[0],
             to: run[run.len() - 1],
             handover: format!("of {name}"),
@@ -121,13 +127,13 @@
         runs
     }
 
-    fn rounds(&mut self, count: usize, load: &Load) {
+    fn rounds(&mut self, count: usize, load: &LoadHistogram) {
         (0..count).for_each(|_| self.round(load));
     }
 
-    fn weight(&self, name: &str, load: &Load) -> f64 {
+    fn weight(&self, name: &str, load: &LoadHistogram) -> f64 {
         let rows = self.holds.get(name).into_iter().flatten();
-        rows.map(|row| load.weight(row.from, row.to)).sum::<f64>() / load.whole()
+        rows.map(|row| load.weight(row.from, row.to)).sum::<f64>() / load.total_weight()
     }
 
     fn whole(&self) -> bool {
@@ -145,7 +151,7 @@
 fn the_first_grant_is_by_capacity_and_in_one_piece_each() {
     let (mut fleet, load) = (
         Fleet::new(&[("a", 1), ("b", 2), ("c", 5)]),
-        Load::even(KEYS),
+        LoadHistogram::uniform(KEYS),
     );
     fleet.round(&load);
     assert!(fleet.whole());
@@ -161,14 +167,14 @@
         });
     fleet.rounds(20, &load);
     assert_eq!(fleet.moved, 0);
-    assert_eq!(fleet.ranges.all(fleet.now).len(), 3);
+    assert_eq!(fleet.ranges.assignments(fleet.now).len(), 3);
 }
 
 #[test]
 fn one_that_joins_takes_its_part_from_all_and_comes_warm() {
     let (mut fleet, load) = (
         Fleet::new(&[("a", 1), ("b", 1), ("c", 1)]),
-        Load::even(KEYS),
+        LoadHistogram::uniform(KEYS),
     );
     fleet.rounds(3, &load);
     fleet.join("d", 1);
@@ -193,7 +199,7 @@
 fn one_that_leaves_hands_all_over_and_nothing_else_moves() {
     let (mut fleet, load) = (
         Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]),
-        Load::even(KEYS),
+        LoadHistogram::uniform(KEYS),
     );
     fleet.rounds(3, &load);
     fleet.ready.remove("b");
@@ -212,7 +218,7 @@
     let counts: Vec<u64> = (0..1024u64)
         .map(|at| at * at % 61 + if at % 200 < 20 { 300 } else { 0 })
         .collect();
-    let load = Load::new(KEYS, &counts);
+    let load = LoadHistogram::new(KEYS, &counts);
     let unheld = (0..12)
         .step_by(3)
         .flat_map(|leaver| (1..12).map(move |first| (leaver, first)))
@@ -241,7 +247,7 @@
 #[test]
 fn close_busy_keys_are_divided_again_when_they_lie_elsewhere() {
     let mut fleet = Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
-    fleet.rounds(3, &Load::even(KEYS));
+    fleet.rounds(3, &LoadHistogram::uniform(KEYS));
     [1000, 3000].iter().for_each(|busy| {
         // Nine tenths of all on one part in 64.
         let counts: Vec<u64> = (0..4096u64)
@@ -253,7 +259,7 @@
                 }
             })
             .collect();
-        let (load, before) = (Load::new(KEYS, &counts), fleet.moved);
+        let (load, before) = (LoadHistogram::new(KEYS, &counts), fleet.moved);
         fleet.rounds(60, &load);
         let parts: Vec<f64> = ["a", "b", "c", "d"]
             .iter()
@@ -278,11 +284,11 @@
 #[test]
 fn the_holder_of_one_hot_key_is_rid_of_the_others() {
     let mut fleet = Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
-    fleet.rounds(3, &Load::even(KEYS));
+    fleet.rounds(3, &LoadHistogram::uniform(KEYS));
     let counts: Vec<u64> = (0..4096)
         .map(|at| if at == 500 { 6000 } else { 1 })
         .collect();
-    let load = Load::new(KEYS, &counts);
+    let load = LoadHistogram::new(KEYS, &counts);
     fleet.rounds(60, &load);
     let parts: Vec<f64> = ["a", "b", "c", "d"]
         .iter()
@@ -290,7 +296,7 @@
         .collect();
     println!("parts {parts:?}, {} keys moved", fleet.moved);
     assert!(fleet.whole());
-    let hot = load.weight(500 * 16, 500 * 16 + 15) / load.whole();
+    let hot = load.weight(500 * 16, 500 * 16 + 15) / load.total_weight();
     assert!(parts[0] < hot + 0.03, "{parts:?}, {hot} of it hot");
     let moved = fleet.moved;
     fleet.rounds(60, &load);
@@ -304,7 +310,7 @@
         let counts: Vec<u64> = (0..512u64)
             .map(|at| 100 + (at / 128 * 7 + round * 5) % 31)
             .collect();
-        fleet.round(&Load::new(KEYS, &counts));
+        fleet.round(&LoadHistogram::new(KEYS, &counts));
     });
     assert!(fleet.whole());
     assert_eq!(fleet.moved, 0);
@@ -314,11 +320,11 @@
 fn a_new_lease_holder_keeps_everything_where_it_is() {
     let (mut fleet, load) = (
         Fleet::new(&[("a", 1), ("b", 1), ("c", 2)]),
-        Load::even(KEYS),
+        LoadHistogram::uniform(KEYS),
     );
     fleet.rounds(3, &load);
     let before = fleet.holds.clone();
-    fleet.ranges = Ranges::new(fleet.now - MS(600), terms(), KEYS, 2, false);
+    fleet.ranges = KeyRangeAssigner::new(fleet.now - MS(600), terms(), KEYS, 2, false);
     fleet.rounds(30, &load);
     assert_eq!(fleet.holds, before);
     assert_eq!(fleet.moved, 0);
@@ -326,13 +332,13 @@
 
 #[test]
 fn the_later_of_two_listed_grants_counts() {
-    let mut ranges = Ranges::new(MS(1000), terms(), KEYS, 3, false);
+    let mut ranges = KeyRangeAssigner::new(MS(1000), terms(), KEYS, 3, false);
     let (load, ready) = (
-        Load::even(KEYS),
+        LoadHistogram::uniform(KEYS),
         [("a".to_owned(), 1), ("b".to_owned(), 1)].into(),
     );
     let beat = |name: &str, sequence, fence| {
-        let holdings = vec![Row {
+        let holdings = vec![HeldKeyRange {
             from: 10,
             to: 20,
             fence,
@@ -346,21 +352,21 @@
     };
     assert_eq!(
         ranges
-            .beat(MS(2500), &beat("a", 1, 5), &ready, &load)
+            .handle_heartbeat(MS(2500), &beat("a", 1, 5), &ready, &load)
             .unwrap()
             .len(),
         1
     );
     assert_eq!(
         ranges
-            .beat(MS(2510), &beat("b", 1, 6), &ready, &load)
+            .handle_heartbeat(MS(2510), &beat("b", 1, 6), &ready, &load)
             .unwrap()
             .len(),
         1
     );
     assert_eq!(
         ranges
-            .beat(MS(2520), &beat("a", 2, 5), &ready, &load)
+            .handle_heartbeat(MS(2520), &beat("a", 2, 5), &ready, &load)
             .unwrap(),
         []
     );
@@ -368,8 +374,8 @@
 
 #[test]
 fn rows_beyond_the_bounds_do_nothing() {
-    let (load, ready) = (Load::even(KEYS), [("a".to_owned(), 1)].into());
-    let mut ranges = Ranges::new(MS(1000), terms(), KEYS, 3, false);
+    let (load, ready) = (LoadHistogram::uniform(KEYS), [("a".to_owned(), 1)].into());
+    let mut ranges = KeyRangeAssigner::new(MS(1000), terms(), KEYS, 3, false);
     let own = 3 << 24;
     let rows = [
         (7, 3, 1),
@@ -379,15 +385,15 @@
         (40, 50, own),
         (60, 70, u64::MAX),
     ];
-    let holdings: Vec<Row> = rows
+    let holdings: Vec<HeldKeyRange> = rows
         .iter()
-        .map(|(from, to, fence)| Row {
+        .map(|(from, to, fence)| HeldKeyRange {
             from: *from,
             to: *to,
             fence: *fence,
         })
         .collect();
-    let released = rows.iter().map(|(from, to, _)| Released {
+    let released = rows.iter().map(|(from, to, _)| ReleasedKeyRange {
         from: *from,
         to: *to,
         handover: "x".repeat(9999),
@@ -402,29 +408,35 @@
         released: released.collect(),
         ..beat(1, holdings)
     };
-    assert_eq!(ranges.beat(MS(2500), &bad, &ready, &load), Some(vec![]));
+    assert_eq!(
+        ranges.handle_heartbeat(MS(2500), &bad, &ready, &load),
+        Some(vec![])
+    );
     let many = vec![
-        Row {
+        HeldKeyRange {
             from: 0,
             to: 0,
             fence: 1
         };
-        MAX_ROWS + 1
+        MAX_RANGES_PER_HEARTBEAT + 1
     ];
-    assert_eq!(ranges.beat(MS(2600), &beat(2, many), &ready, &load), None);
+    assert_eq!(
+        ranges.handle_heartbeat(MS(2600), &beat(2, many), &ready, &load),
+        None
+    );
     (0..60).for_each(|at| {
-        let holdings = (0..MAX_ROWS as u32).map(|row| row * 64 + at);
-        let holdings = holdings.map(|key| Row {
+        let holdings = (0..MAX_RANGES_PER_HEARTBEAT as u32).map(|row| row * 64 + at);
+        let holdings = holdings.map(|key| HeldKeyRange {
             from: key,
             to: key,
             fence: u64::from(at),
         });
-        ranges.beat(
+        ranges.handle_heartbeat(
             MS(2700),
             &beat(3 + u64::from(at), holdings.collect()),
             &ready,
             &load,
         );
-        assert!(ranges.all(MS(2700)).len() <= MAX_RANGES);
+        assert!(ranges.assignments(MS(2700)).len() <= MAX_RANGES);
     });
 }
--- a/crates/upstream-registry/tests/ranges.rs
+++ b/crates/upstream-registry/tests/ranges.rs
@@ -5,20 +5,23 @@
 use arbtest::arbtest;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use upstream_registry::{Grant, Heartbeat, Load, Ranges, Released, Row, Terms};
+use upstream_registry::{
+    Grant, Heartbeat, HeldKeyRange, KeyLeaseTerms, KeyRangeAssigner, LoadHistogram,
+    ReleasedKeyRange,
+};
 
 const KEYS: u32 = 64;
 const UNITS: usize = 4;
 const TICK: u64 = 10;
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-fn terms(late_answers: bool) -> Terms {
-    Terms {
-        hold: MS(3000),
-        answer_within: MS(1000),
+fn terms(accepts_late_responses: bool) -> KeyLeaseTerms {
+    KeyLeaseTerms {
+        lease_duration: MS(3000),
+        response_timeout: MS(1000),
         margin: MS(50),
-        settle: MS(400),
-        late_answers,
+        rebalance_interval: MS(400),
+        accepts_late_responses,
     }
 }
 
@@ -60,7 +63,7 @@
     holds: BTreeMap<u32, Hold>,
     seen: BTreeMap<u32, u64>,
     /// Let go, and since which heartbeat it is told.
-    released: Vec<(u64, Released)>,
+    released: Vec<(u64, ReleasedKeyRange)>,
 }
 
 enum Mail {
@@ -84,12 +87,12 @@
     units: Vec<Unit>,
     born: usize,
     mail: Vec<(Duration, Mail)>,
-    ranges: Option<Ranges>,
+    ranges: Option<KeyRangeAssigner>,
     epoch: u64,
     next_lease: Duration,
     /// The lease holder's clock, in thousandths of the true one.
     clock: u32,
-    load: Load,
+    load: LoadHistogram,
     given: usize,
     warm: usize,
     /// The first key that two held.
@@ -121,8 +124,8 @@
             .map(|at| unit(&mut born, now, if at % 2 == 0 { slowest } else { 1000 }))
             .collect();
         let announced = late && fault != Fault::LateUnannounced;
-        let ranges = Some(Ranges::new(now, terms(announced), KEYS, 1, true));
-        let (mail, load, epoch, clock) = (Vec::new(), Load::even(KEYS), 1, 1000);
+        let ranges = Some(KeyRangeAssigner::new(now, terms(announced), KEYS, 1, true));
+        let (mail, load, epoch, clock) = (Vec::new(), LoadHistogram::uniform(KEYS), 1, 1000);
         let (next_lease, given, warm) = (now, 0, 0);
         let blame = None;
         World {
@@ -175,7 +178,7 @@
         } else {
             now
         };
-        self.ranges = Some(Ranges::new(
+        self.ranges = Some(KeyRangeAssigner::new(
             start,
             terms,
             KEYS,
@@ -209,7 +212,7 @@
                 let counts: Vec<u64> = (0..16)
                     .map(|_| noise.int_in_range(0..=40u64))
                     .collect::<Result<_>>()?;
-                self.load = Load::new(KEYS, &counts);
+                self.load = LoadHistogram::new(KEYS, &counts);
             }
             // One stands still for a while.
             8 => self.units[at].next_beat = self.now + MS(noise.int_in_range(0..=250u64)? * 20),
@@ -228,7 +231,7 @@
                 ..Heartbeat::default()
             };
             self.ranges.iter_mut().for_each(|ranges| {
-                ranges.beat(now, &lets_all_go, &ready, &self.load);
+                ranges.handle_heartbeat(now, &lets_all_go, &ready, &self.load);
             });
         }
     }
@@ -278,7 +281,7 @@
                 let Some(ranges) = self.ranges.as_mut() else {
                     return Ok(());
                 };
-                let grants = ranges.beat(now, &beat, &ready, &self.load);
+                let grants = ranges.handle_heartbeat(now, &beat, &ready, &self.load);
                 self.post(
                     noise,
                     Mail::Answer {
@@ -358,7 +361,7 @@
             if !kept {
                 released.push((
                     sequence,
-                    Released {
+                    ReleasedKeyRange {
                         from: *key,
                         to: *key,
                         handover: format!("{name}/{sequence}"),
@@ -380,7 +383,7 @@
         let holdings = self
             .holds
             .iter()
-            .map(|(key, hold)| Row {
+            .map(|(key, hold)| HeldKeyRange {
                 from: *key,
                 to: *key,
                 fence: hold.fence,
@@ -402,7 +405,7 @@
 
     fn take(&mut self, now: Duration, sent: Duration, sequence: u64, grants: &[Grant], work: u64) {
         self.released.retain(|(since, _)| *since > sequence);
-        let until = sent + terms(false).hold * 1000 / self.rate;
+        let until = sent + terms(false).lease_duration * 1000 / self.rate;
         let lets_go = Some(now + MS(work * TICK));
         self.holds
             .values_mut()
