--- a/crates/test-harness/src/facts.rs
+++ b/crates/invariants/src/facts.rs
@@ -108,6 +108,17 @@
     Fault { what: String },
 }
 
+/// How one piece of work ended.
+#[derive(Clone, Debug)]
+pub struct Ended {
+    pub at: Duration,
+    pub took: Duration,
+    pub service: &'static str,
+    /// The last code, 0 where no node could be reached.
+    pub code: u32,
+    pub tries: u32,
+}
+
 /// A fact and when it was seen.
 pub type Seen = (Duration, Fact);
 
@@ -119,7 +130,7 @@
     /// Notes a fact.
     ///
     /// ```
-    /// use test_harness::facts::{Fact, Record};
+    /// use invariants::facts::{Fact, Record};
     /// let record = Record::default();
     /// record.note(std::time::Duration::ZERO, Fact::Fault { what: "none".into() });
     /// assert_eq!(record.all().len(), 1);
@@ -134,7 +145,7 @@
     /// All facts, in the order of their moments.
     ///
     /// ```
-    /// assert!(test_harness::facts::Record::default().all().is_empty());
+    /// assert!(invariants::facts::Record::default().all().is_empty());
     /// ```
     pub fn all(&self) -> Vec<Seen> {
         let mut all = self
--- a/crates/test-harness/src/history.rs
+++ b/crates/invariants/src/history.rs
@@ -84,7 +84,7 @@
 /// Checks a history.
 ///
 /// ```
-/// use test_harness::history::{Call, Order, Reply, check};
+/// use invariants::history::{Call, Order, Reply, check};
 /// use std::time::Duration;
 /// let read = |revision, digest: &str| Call {
 ///     name: "read".into(),
@@ -460,7 +460,7 @@
 /// The calls of a record. Reads count only where the orders were recorded too.
 ///
 /// ```
-/// assert!(test_harness::history::calls(&[]).is_empty());
+/// assert!(invariants::history::calls(&[]).is_empty());
 /// ```
 pub fn calls(seen: &[Seen]) -> Vec<Call> {
     let mut calls: Vec<Call> = Vec::new();
@@ -531,7 +531,7 @@
 /// Calls that were sent again and then told something else, with the moment of the later answer.
 ///
 /// ```
-/// assert!(test_harness::history::changed_answers(&[]).is_empty());
+/// assert!(invariants::history::changed_answers(&[]).is_empty());
 /// ```
 pub fn changed_answers(seen: &[Seen]) -> Vec<(Duration, String)> {
     let mut first: BTreeMap<&str, &Reply> = BTreeMap::new();
--- a/crates/test-harness/src/rules.rs
+++ b/crates/invariants/src/rules.rs
@@ -102,7 +102,7 @@
 /// Runs every checker.
 ///
 /// ```
-/// assert!(test_harness::rules::judge(&[], &Default::default()).is_empty());
+/// assert!(invariants::rules::judge(&[], &Default::default()).is_empty());
 /// ```
 pub fn judge(seen: &[Seen], terms: &Terms) -> Vec<Violation> {
     CHECKERS
--- a/crates/test-harness/src/breaches.rs
+++ b/crates/invariants/tests/checkers.rs
@@ -1,8 +1,8 @@
 //! Each checker must catch a deliberate breach, and pass its lawful twin.
 
-use crate::facts::{Fact, Seen, Vouched};
-use crate::history::{Order, Reply};
-use crate::rules::{CHECKERS, Terms, judge};
+use invariants::facts::{Fact, Seen, Vouched};
+use invariants::history::{Order, Reply};
+use invariants::rules::{CHECKERS, Terms, judge};
 use result_code::ResultCode;
 use std::collections::BTreeSet;
 use std::ops::Range;
--- a/crates/test-harness/tests/history.rs
+++ b/crates/invariants/tests/history.rs
@@ -2,9 +2,9 @@
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
+use invariants::history::{Call, Flaw, Order, Reply, check};
 use result_code::ResultCode;
 use std::time::Duration;
-use test_harness::history::{Call, Flaw, Order, Reply, check};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
--- a/crates/test-harness/src/sim/breaking.rs
+++ b/crates/simulator/src/breaking.rs
@@ -9,7 +9,7 @@
 use super::nodes::{Disk, Node};
 use super::operators::What;
 use super::world::{LOAD_FROM, World};
-use crate::facts::Fact;
+use invariants::facts::Fact;
 use protocol::SurvivorState;
 use std::time::Duration;
 
--- a/crates/test-harness/src/sim/cuts.rs
+++ b/crates/simulator/src/cuts.rs
@@ -6,8 +6,8 @@
 use super::nodes::Core;
 use super::operators::What;
 use super::world::World;
-use crate::facts::{Fact, Vouched};
 use control_plane::{ControlRequest, ControlResponse, Event};
+use invariants::facts::{Fact, Vouched};
 use result_code::ResultCode;
 use std::time::Duration;
 
--- a/crates/test-harness/src/sim/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -350,7 +350,7 @@
 /// Every kind by name.
 ///
 /// ```
-/// assert!(test_harness::sim::fault_names().any(|name| name == "late-answers"));
+/// assert!(simulator::fault_names().any(|name| name == "late-answers"));
 /// ```
 pub fn fault_names() -> impl Iterator<Item = &'static str> + Clone {
     FAULTS.iter().chain(FURTHER).map(|(name, _)| *name)
@@ -374,7 +374,7 @@
     /// Nothing is broken.
     ///
     /// ```
-    /// assert!(test_harness::sim::Plan::quiet().steps.is_empty());
+    /// assert!(simulator::Plan::quiet().steps.is_empty());
     /// ```
     pub fn quiet() -> Plan {
         Plan::default()
@@ -383,7 +383,7 @@
     /// One fault by name, from 2 s into the load; two with a `+` between.
     ///
     /// ```
-    /// use test_harness::sim::Plan;
+    /// use simulator::Plan;
     /// assert_eq!(Plan::named("cold-herd", 1).unwrap().steps.len(), 1);
     /// assert_eq!(Plan::named("loss+freeze", 1).unwrap().steps.len(), 2);
     /// assert!(Plan::named("rain", 1).is_none());
--- a/crates/test-harness/src/sim/mod.rs
+++ b/crates/simulator/src/lib.rs
@@ -8,12 +8,17 @@
 mod cuts;
 mod disks;
 mod faults;
+pub mod grants;
 mod net;
 mod nodes;
 mod operators;
 mod order_faults;
+pub mod overload;
 mod path;
 mod ranged;
+pub mod report;
+pub mod seeds;
+pub mod shapes;
 mod signing_off;
 mod units;
 mod world;
@@ -24,8 +29,8 @@
 /// Runs one seed under a plan; without one, the seed draws its own.
 ///
 /// ```
-/// use test_harness::shapes::ROADWISE;
-/// use test_harness::sim::{Plan, run};
+/// use simulator::shapes::ROADWISE;
+/// use simulator::{Plan, run};
 /// let first = run(3, Some(Plan::quiet()), ROADWISE);
 /// assert_eq!(first.violations, vec![]);
 /// assert_eq!(first.digest, run(3, Some(Plan::quiet()), ROADWISE).digest);
--- a/crates/test-harness/src/sim/order_faults.rs
+++ b/crates/simulator/src/order_faults.rs
@@ -3,8 +3,8 @@
 
 use super::operators::{Operators, What};
 use super::world::{Action, World};
-use crate::facts::Fact;
 use control_plane::ControlResponse;
+use invariants::facts::Fact;
 use std::time::Duration;
 
 /// How long an order, or its answer, takes.
--- a/crates/test-harness/src/overload.rs
+++ b/crates/simulator/src/overload.rs
@@ -1,10 +1,10 @@
 //! A site asked for more than its upstreams can bear, in the simulator: what is done, for whom, and how fast.
 
+use crate::shapes::{ROADWISE, Shape};
+use crate::{Load, Outcome, Plan, World};
+use invariants::facts::Fact;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use test_harness::facts::Fact;
-use test_harness::shapes::{ROADWISE, Shape};
-use test_harness::sim::{Load, Outcome, Plan, World};
 
 /// Upstreams of 2 places and 60 to 100 ms a piece: 25 a second each, so 600 a second in this mix fill the first
 /// service's twelve.
--- a/crates/test-harness/src/sim/path.rs
+++ b/crates/simulator/src/path.rs
@@ -3,8 +3,8 @@
 use super::nodes::{Core, NodeEvent};
 use super::ranged::busy_key;
 use super::world::{Action, World};
-use crate::facts::Fact;
-use crate::origins::Ended;
+use invariants::facts::Ended;
+use invariants::facts::Fact;
 use locality::Locality;
 use name_directory::{LookupAnswer, View};
 use protocol::Upstream;
--- a/crates/test-harness/src/sim/ranged.rs
+++ b/crates/simulator/src/ranged.rs
@@ -3,7 +3,7 @@
 use super::nodes::true_span;
 use super::units::Unit;
 use super::world::{Action, World};
-use crate::facts::Fact;
+use invariants::facts::Fact;
 use key_space::KEY_COUNT;
 use protocol::KeyShare;
 use random::Random;
--- a/crates/test-harness/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,8 +1,8 @@
 //! What a run comes to.
 
-use crate::facts::{Fact, Seen};
-use crate::origins::Ended;
-use crate::rules::{CHECKERS, Violation};
+use invariants::facts::Ended;
+use invariants::facts::{Fact, Seen};
+use invariants::rules::{CHECKERS, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 /// each fault.
 ///
 /// ```
-/// test_harness::report::print("empty", &[], &[], &[]);
+/// simulator::report::print("empty", &[], &[], &[]);
 /// ```
 pub fn print(title: &str, seen: &[Seen], ended: &[Ended], violations: &[Violation]) {
     println!("== {title}");
--- a/crates/test-harness/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -1,10 +1,10 @@
 //! Runs of the simulator over many seeds, several at a time.
 
+use crate::shapes::Shape;
+use crate::{Outcome, Plan, fault_names, run as run_seed};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use test_harness::shapes::Shape;
-use test_harness::sim::{Outcome, Plan, fault_names, run as run_seed};
 
 /// Which seeds to run, and how.
 pub struct Sim {
@@ -149,9 +149,8 @@
 }
 
 fn replaced_ms(outcome: &Outcome) -> Vec<u64> {
-    let took = |loss: &test_harness::sim::VoterLoss| {
-        Some((loss.replaced_at? - loss.lost_at).as_millis() as u64)
-    };
+    let took =
+        |loss: &crate::VoterLoss| Some((loss.replaced_at? - loss.lost_at).as_millis() as u64);
     outcome.losses.iter().filter_map(took).collect()
 }
 
--- a/crates/test-harness/src/shapes.rs
+++ b/crates/simulator/src/shapes.rs
@@ -1,6 +1,6 @@
 //! The sites' shapes: places, machines, upstreams and traffic.
 
-use crate::rules::Terms;
+use invariants::rules::Terms;
 use std::collections::BTreeSet;
 
 /// One site.
@@ -119,8 +119,8 @@
 /// The number of a marking service.
 ///
 /// ```
-/// assert_eq!(test_harness::shapes::mark_of("mark-3"), Some(3));
-/// assert_eq!(test_harness::shapes::mark_of("booking"), None);
+/// assert_eq!(simulator::shapes::mark_of("mark-3"), Some(3));
+/// assert_eq!(simulator::shapes::mark_of("booking"), None);
 /// ```
 pub fn mark_of(service: &str) -> Option<usize> {
     MARKS.iter().position(|mark| mark.service == service)
@@ -130,8 +130,8 @@
     /// The shape with this name.
     ///
     /// ```
-    /// assert_eq!(test_harness::shapes::Shape::named("kalam").unwrap().machines, 15);
-    /// assert!(test_harness::shapes::Shape::named("moon").is_none());
+    /// assert_eq!(simulator::shapes::Shape::named("kalam").unwrap().machines, 15);
+    /// assert!(simulator::shapes::Shape::named("moon").is_none());
     /// ```
     pub fn named(name: &str) -> Option<Shape> {
         [ROADWISE, KALAM, LEDGER]
@@ -142,8 +142,8 @@
     /// Where machine or upstream number `at` stands.
     ///
     /// ```
-    /// assert_eq!(test_harness::shapes::ROADWISE.locality(0), "north/north-1");
-    /// assert_eq!(test_harness::shapes::ROADWISE.locality(4), "middle/middle-2");
+    /// assert_eq!(simulator::shapes::ROADWISE.locality(0), "north/north-1");
+    /// assert_eq!(simulator::shapes::ROADWISE.locality(4), "middle/middle-2");
     /// ```
     pub fn locality(&self, at: usize) -> String {
         let region = self.regions[at % 3];
@@ -153,8 +153,8 @@
     /// How long anything takes from one machine to another.
     ///
     /// ```
-    /// assert_eq!(test_harness::shapes::ROADWISE.distance(0, 1).as_millis(), 20);
-    /// assert!(test_harness::shapes::ROADWISE.distance(0, 6).is_zero(), "the same zone");
+    /// assert_eq!(simulator::shapes::ROADWISE.distance(0, 1).as_millis(), 20);
+    /// assert!(simulator::shapes::ROADWISE.distance(0, 6).is_zero(), "the same zone");
     /// ```
     pub fn distance(&self, from: usize, to: usize) -> std::time::Duration {
         let (here, there) = (self.locality(from), self.locality(to));
@@ -169,7 +169,7 @@
     /// The regions where a service's work may go.
     ///
     /// ```
-    /// let shape = test_harness::shapes::ROADWISE;
+    /// let shape = simulator::shapes::ROADWISE;
     /// assert_eq!(shape.homes(&shape.services[1]), ["north", "middle"]);
     /// ```
     pub fn homes(&self, work: &Work) -> &[&'static str] {
@@ -179,7 +179,7 @@
     /// All that its upstreams do, those that only mark setups last, and how many there are of each.
     ///
     /// ```
-    /// assert_eq!(test_harness::shapes::ROADWISE.works().map(|(_, count)| count).sum::<usize>(), 36 + 5);
+    /// assert_eq!(simulator::shapes::ROADWISE.works().map(|(_, count)| count).sum::<usize>(), 36 + 5);
     /// ```
     pub fn works(&self) -> impl Iterator<Item = (Work, usize)> {
         let marks = MARKS.into_iter().map(|mark| (mark, 1));
@@ -193,7 +193,7 @@
     /// `probe` leads to.
     ///
     /// ```
-    /// assert!(config::Configuration::parse(test_harness::shapes::KALAM.configuration(3).as_bytes()).is_ok());
+    /// assert!(config::Configuration::parse(simulator::shapes::KALAM.configuration(3).as_bytes()).is_ok());
     /// ```
     pub fn configuration(&self, extra: usize) -> String {
         self.written(extra, None)
@@ -202,7 +202,7 @@
     /// The same with an operator's own number, and without `probe`: whether it is in force can't be told by its number.
     ///
     /// ```
-    /// let configuration = test_harness::shapes::KALAM.numbered_setup(3, 7);
+    /// let configuration = simulator::shapes::KALAM.numbered_setup(3, 7);
     /// assert_eq!(config::Configuration::parse(configuration.as_bytes()).unwrap().number, Some(7));
     /// ```
     pub fn numbered_setup(&self, extra: usize, number: u64) -> String {
@@ -266,7 +266,7 @@
     /// What the checkers hold the system to.
     ///
     /// ```
-    /// assert_eq!(test_harness::shapes::KALAM.terms().homes.len(), 1);
+    /// assert_eq!(simulator::shapes::KALAM.terms().homes.len(), 1);
     /// ```
     pub fn terms(&self) -> Terms {
         let bound = self.services.iter().filter(|work| work.homes > 0);
--- a/crates/test-harness/tests/configurations.rs
+++ b/crates/simulator/tests/configurations.rs
@@ -1,10 +1,10 @@
 //! Configurations in the simulator: with numbers of their operators, and across a restart of all postmasters.
 
+use invariants::facts::Fact;
+use simulator::shapes::ROADWISE;
+use simulator::{FAULTS, Outcome, Plan, Weakness, World, run};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use test_harness::facts::Fact;
-use test_harness::shapes::ROADWISE;
-use test_harness::sim::{FAULTS, Outcome, Plan, Weakness, World, run};
 
 fn played(plan: &str, seed: u64) -> Outcome {
     run(seed, Plan::named(plan, seed), ROADWISE)
--- a/crates/test-harness/tests/cuts.rs
+++ b/crates/simulator/tests/cuts.rs
@@ -1,10 +1,10 @@
 //! A control machine is cut off from the others for some twenty seconds, while operators and upstreams reach it.
 
+use invariants::facts::Fact;
+use simulator::shapes::ROADWISE;
+use simulator::{Outcome, Plan, Weakness, World, run};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
-use test_harness::facts::Fact;
-use test_harness::shapes::ROADWISE;
-use test_harness::sim::{Outcome, Plan, Weakness, World, run};
 
 const CUTS: [&str; 6] = [
     "long-cut",
--- a/crates/test-harness/tests/disks.rs
+++ b/crates/simulator/tests/disks.rs
@@ -1,8 +1,8 @@
 //! Disks that are full or stalled, one machine after the other, under a storm of setups, and then a restart of all.
 
+use simulator::shapes::{KALAM, ROADWISE, Shape};
+use simulator::{Outcome, Plan, Weakness, World, run};
 use std::time::Duration;
-use test_harness::shapes::{KALAM, ROADWISE, Shape};
-use test_harness::sim::{Outcome, Plan, Weakness, World, run};
 
 /// Of a thousand requests, how many must be served while two disks of six at most are broken.
 const SERVED_PER_MILLE: u64 = 990;
--- a/crates/test-harness/tests/kept.rs
+++ b/crates/simulator/tests/kept.rs
@@ -1,8 +1,8 @@
 //! Kept connections in the simulator: surplus answers, resets, hangs, and addresses that change hands.
 
+use simulator::shapes::{LEDGER, ROADWISE, Shape};
+use simulator::{Outcome, Plan, Weakness, World, run};
 use std::sync::atomic::{AtomicUsize, Ordering};
-use test_harness::shapes::{LEDGER, ROADWISE, Shape};
-use test_harness::sim::{Outcome, Plan, Weakness, World, run};
 
 const KINDS: [&str; 5] = [
     "kept-connections",
--- a/crates/test-harness/tests/numbered.rs
+++ b/crates/simulator/tests/numbered.rs
@@ -1,13 +1,13 @@
 //! Numeric keys in ranges, in the simulator: a site whose accounts are numbers, under every fault.
 
+use invariants::facts::Fact;
 use random::Random;
+use simulator::shapes::LEDGER;
+use simulator::{FAULTS, FURTHER, Fault, Outcome, Plan, Step, Weakness, World, run};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
-use test_harness::facts::Fact;
-use test_harness::shapes::LEDGER;
-use test_harness::sim::{FAULTS, FURTHER, Fault, Outcome, Plan, Step, Weakness, World, run};
 
 /// Runs jobs on all cores; gives what each was seen to do wrong.
 fn told(
--- a/crates/test-harness/tests/orders.rs
+++ b/crates/simulator/tests/orders.rs
@@ -1,13 +1,13 @@
 //! Operators whose answers are lost and whose orders come late, doubled, by the hundred and under one number: what they
 //! are told must look as if each order had been done once, at one moment.
 
+use invariants::facts::Fact;
+use invariants::history::Reply;
 use result_code::ResultCode;
+use simulator::shapes::ROADWISE;
+use simulator::{Outcome, Plan, Weakness, World, run};
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use test_harness::facts::Fact;
-use test_harness::history::Reply;
-use test_harness::shapes::ROADWISE;
-use test_harness::sim::{Outcome, Plan, Weakness, World, run};
 
 const ORDER_FAULTS: [&str; 7] = [
     "lost-acks",
--- a/crates/test-harness/tests/replacements.rs
+++ b/crates/simulator/tests/replacements.rs
@@ -1,8 +1,8 @@
 //! Voters that are gone for good: their places are taken, by agreement, and the next loss may come.
 
+use simulator::shapes::{KALAM, ROADWISE, Shape};
+use simulator::{Fault, Outcome, Plan, Step, Weakness, World, run};
 use std::time::Duration;
-use test_harness::shapes::{KALAM, ROADWISE, Shape};
-use test_harness::sim::{Fault, Outcome, Plan, Step, Weakness, World, run};
 
 const VOTERS: usize = 6;
 /// In this seed's run of the larger site a mark has run out at 86.916 s, and all carriers know it 130 ms later; the run
--- a/crates/test-harness/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -1,10 +1,10 @@
 //! The fixed set of simulator seeds, and every seed that once showed a failure.
 
+use invariants::facts::Fact;
+use simulator::shapes::ROADWISE;
+use simulator::{FAULTS, Fault, Plan, Step, Weakness, World, run};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
-use test_harness::facts::Fact;
-use test_harness::shapes::ROADWISE;
-use test_harness::sim::{FAULTS, Fault, Plan, Step, Weakness, World, run};
 
 /// Runs jobs on all cores; gives the text of those that were not fine.
 fn failures(jobs: Vec<(Option<String>, u64)>) -> Vec<String> {
--- a/crates/test-harness/tests/spoken.rs
+++ b/crates/simulator/tests/spoken.rs
@@ -1,7 +1,7 @@
 //! What the nodes say to one another between zones and regions, in bytes.
 
-use test_harness::shapes::ROADWISE;
-use test_harness::sim::{Plan, run};
+use simulator::shapes::ROADWISE;
+use simulator::{Plan, run};
 
 /// Bytes within zones, between zones and between regions, of a whole run.
 fn spoken(plan: &str) -> [u64; 3] {
--- a/crates/test-harness/src/main.rs
+++ b/crates/test-harness/src/main.rs
@@ -2,11 +2,10 @@
 
 mod explore;
 mod measure;
-mod overload;
 mod plans;
 mod runs;
-mod seeds;
 
+use simulator::{overload, seeds};
 use std::time::Duration;
 use test_harness::shapes::Shape;
 
--- a/crates/test-harness/src/origins.rs
+++ b/crates/test-harness/src/origins.rs
@@ -1,6 +1,6 @@
 //! Stand-in origins: they ask a directory node, keep its answer for its lifetime, and try through a proxy.
 
-use crate::facts::{Fact, Record};
+use crate::facts::{Ended, Fact, Record};
 use crate::shapes::Shape;
 use config::JsonValue;
 use random::Random;
@@ -23,17 +23,6 @@
     lifetime: Duration,
 }
 
-/// How one piece of work ended.
-#[derive(Clone, Debug)]
-pub struct Ended {
-    pub at: Duration,
-    pub took: Duration,
-    pub service: &'static str,
-    /// The last code, 0 where no node could be reached.
-    pub code: u32,
-    pub tries: u32,
-}
-
 /// All origins of a site.
 pub struct Origins {
     pub shape: Shape,
--- a/crates/test-harness/src/upstreams.rs
+++ b/crates/test-harness/src/upstreams.rs
@@ -8,6 +8,7 @@
 use hyper::Response;
 use protocol::KeyShare;
 use random::Random;
+pub use simulator::grants::given_slots;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -58,20 +59,6 @@
     pub mute_to: Vec<String>,
 }
 
-/// The slots, with their epochs, that the answer to a beat names.
-///
-/// ```
-/// let json = config::JsonValue::parse(r#"{"shares": [{"from": 3, "until": 5, "epoch": 7}]}"#).unwrap();
-/// assert_eq!(test_harness::upstreams::given_slots(&json).into_iter().collect::<Vec<_>>(), [(3, 7), (4, 7)]);
-/// ```
-pub fn given_slots(json: &JsonValue) -> BTreeMap<u32, u64> {
-    json.list("shares")
-        .iter()
-        .filter_map(|run| Some((run.count("from")?, run.count("until")?, run.count("epoch")?)))
-        .flat_map(|(from, until, epoch)| (from..until).map(move |slot| (slot as u32, epoch)))
-        .collect()
-}
-
 impl Unit {
     /// Starts a stand-in at an address, [`ANY`] or one that another had before; it beats to the nodes in turn.
     #[allow(clippy::too_many_arguments)]
--- a/crates/test-harness/tests/sources.rs
+++ b/crates/test-harness/tests/sources.rs
@@ -58,6 +58,8 @@
         "control-plane",
         "data-plane",
         "cli",
+        "invariants",
+        "simulator",
         "test-harness",
     ];
     CORES
@@ -86,8 +88,16 @@
 
 #[test]
 fn only_the_test_harness_starts_processes() {
-    let daemons = ["storage", "transport", "control-plane", "data-plane", "cli"];
-    daemons.iter().for_each(|package| {
+    let others = [
+        "storage",
+        "transport",
+        "control-plane",
+        "data-plane",
+        "cli",
+        "invariants",
+        "simulator",
+    ];
+    others.iter().for_each(|package| {
         none_holds(
             package,
             &["std::process::Command", "process::{", "Command::new"],
