--- a/crates/storage/tests/recorded/mod.rs
+++ b/crates/storage/tests/recorded/mod.rs
@@ -90,8 +90,8 @@
     };
     DurableState {
         disk: 12_307_133_814_914_027_462,
-        roster: vec!["pm-1".into()],
-        endorsed: vec!["pm-1".into()],
+        initial_voters: vec!["pm-1".into()],
+        bootstrap_vote: vec!["pm-1".into()],
         promised: ballot.clone(),
         accepted_at: ballot,
         accepted: ClusterState {
