--- a/crates/control-plane/tests/recorded_folder.rs
+++ b/crates/control-plane/tests/recorded_folder.rs
@@ -31,7 +31,8 @@
         assert_eq!(contents.durable, durable_state());
         let (_, departures) = storage.departure_log(DEPARTURES_WRITTEN_AT);
         assert_eq!(departures.len(), 2);
-        let settings = config::Settings::read(&[config::TIMES], None, &[]).expect("no flags");
+        let settings =
+            config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).expect("no flags");
         let me = Member {
             node: "pm-1".into(),
             locality: "north/a".into(),
@@ -46,7 +47,7 @@
             owners: Default::default(),
             me,
             seeds: vec![],
-            roster_size: 1,
+            initial_voter_count: 1,
             seed: 1,
             durable: contents.durable,
             configurations: contents.configurations,
@@ -65,13 +66,13 @@
     fn step(&mut self, event: Event) {
         for effect in self.control.step(self.now, event) {
             match effect {
-                Effect::Keep { ticket, .. } | Effect::StoreConfiguration { ticket, .. } => {
-                    self.step(Event::Kept { ticket });
+                Effect::Persist { write_id, .. } | Effect::StoreConfiguration { write_id, .. } => {
+                    self.step(Event::WriteCompleted { write_id });
                 }
-                Effect::KeepDepartures { ticket, .. } => {
-                    self.step(Event::DeparturesKept { ticket });
+                Effect::PersistDepartures { write_id, .. } => {
+                    self.step(Event::DeparturesPersisted { write_id });
                 }
-                Effect::ControlResponse { answer, .. } => self.responses.push(answer),
+                Effect::Respond { response, .. } => self.responses.push(response),
                 _ => {}
             }
         }
@@ -85,14 +86,17 @@
         }
     }
 
-    fn request(&mut self, ask: ControlRequest) -> ControlResponse {
-        self.step(Event::ControlRequest { token: 1, ask });
+    fn request(&mut self, request: ControlRequest) -> ControlResponse {
+        self.step(Event::ControlRequest {
+            request_id: 1,
+            request,
+        });
         self.run(Duration::from_millis(100));
         self.responses.pop().expect("a response")
     }
 
     fn submit(&mut self, id: &str, bytes: &str) -> ControlResponse {
-        self.request(ControlRequest::Submit {
+        self.request(ControlRequest::SubmitConfiguration {
             id: id.into(),
             base: None,
             bytes: bytes.into(),
@@ -100,16 +104,16 @@
         })
     }
 
-    fn page(&mut self, ask: ControlRequest) -> String {
-        match self.request(ask) {
-            ControlResponse::JsonValue(page) => page.to_string(),
+    fn page(&mut self, request: ControlRequest) -> String {
+        match self.request(request) {
+            ControlResponse::Json(page) => page.to_string(),
             other => panic!("no page: {other:?}"),
         }
     }
 }
 
 fn accepted(revision: u64) -> ControlResponse {
-    ControlResponse::Verdict {
+    ControlResponse::Outcome {
         code: ResultCode::Success,
         revision,
     }
