--- a/crates/data-plane/src/api_adapter.rs
+++ b/crates/data-plane/src/api_adapter.rs
@@ -27,7 +27,7 @@
     /// A request to a service.
     Request,
     /// Where a name lives, for an origin in this place.
-    LookupAnswer {
+    Lookup {
         name: String,
         origin: Option<Locality>,
     },
@@ -37,10 +37,10 @@
     Node,
     /// Why a try went where it went.
     Trace {
-        try_id: String,
+        attempt_id: String,
     },
     /// Where a request would go.
-    Supposed,
+    Explain,
     /// For a postmaster.
     Relay,
     Unknown,
@@ -58,42 +58,43 @@
     pub within: Duration,
 }
 
-type Paging = dyn Fn(ListenerKind, &HttpRequest) -> Endpoint + Send + Sync;
-type Ordering = dyn Fn(&HttpRequest) -> Result<RequestInfo, ResultCode> + Send + Sync;
-type Aiming = dyn Fn(&HttpRequest, &RequestInfo) -> String + Send + Sync;
-type Heading = dyn Fn(&HttpRequest, &RequestInfo, Call) -> HeaderMap + Send + Sync;
-type Judging = dyn Fn(&Result<Reply, CallError>, &str, Option<&str>) -> CallOutcome + Send + Sync;
-type Weighing = dyn Fn(&Reply) -> Option<Load> + Send + Sync;
-type Passing = dyn Fn(&Reply) -> Response<Full<Bytes>> + Send + Sync;
-type Denying = dyn Fn(ResultCode, Option<Duration>, &str) -> Response<Full<Bytes>> + Send + Sync;
-type Telling = dyn Fn(LookupAnswer) -> Response<Full<Bytes>> + Send + Sync;
+type ClassifyRequest = dyn Fn(ListenerKind, &HttpRequest) -> Endpoint + Send + Sync;
+type ParseRequest = dyn Fn(&HttpRequest) -> Result<RequestInfo, ResultCode> + Send + Sync;
+type UpstreamTarget = dyn Fn(&HttpRequest, &RequestInfo) -> String + Send + Sync;
+type UpstreamHeaders = dyn Fn(&HttpRequest, &RequestInfo, Call) -> HeaderMap + Send + Sync;
+type JudgeResponse =
+    dyn Fn(&Result<Reply, CallError>, &str, Option<&str>) -> CallOutcome + Send + Sync;
+type ReportedLoad = dyn Fn(&Reply) -> Option<Load> + Send + Sync;
+type ClientResponse = dyn Fn(&Reply) -> Response<Full<Bytes>> + Send + Sync;
+type Reject = dyn Fn(ResultCode, Option<Duration>, &str) -> Response<Full<Bytes>> + Send + Sync;
+type LookupResponse = dyn Fn(LookupAnswer) -> Response<Full<Bytes>> + Send + Sync;
 
 /// How questions are read and answers written.
 pub struct ApiAdapter {
     /// What a question is for.
-    pub page: Box<Paging>,
+    pub classify: Box<ClassifyRequest>,
     /// A request as its headers tell it; the time of its arrival and the bell are filled in by the proxy.
-    pub order: Box<Ordering>,
+    pub parse_request: Box<ParseRequest>,
     /// Path and query at the upstream.
-    pub target: Box<Aiming>,
+    pub upstream_target: Box<UpstreamTarget>,
     /// Headers of a call.
-    pub headers: Box<Heading>,
+    pub upstream_headers: Box<UpstreamHeaders>,
     /// The header by which an upstream's answer names the try it is for.
-    pub answer_id: &'static str,
+    pub response_id_header: &'static str,
     /// What a reply to this try is worth, from this upstream where one is meant.
-    pub judge: Box<Judging>,
+    pub judge_response: Box<JudgeResponse>,
     /// What an upstream's reply tells of its load.
-    pub load: Box<Weighing>,
+    pub reported_load: Box<ReportedLoad>,
     /// An upstream's verdict, for the origin.
-    pub pass: Box<Passing>,
+    pub client_response: Box<ClientResponse>,
     /// An answer of the proxy's own to a try, with when to come back.
-    pub deny: Box<Denying>,
+    pub reject: Box<Reject>,
     /// Where a name lives.
-    pub listing: Box<Telling>,
+    pub lookup_response: Box<LookupResponse>,
     /// How configurations are read.
     pub reader: ConfigurationParser,
     /// How many addresses a directory answer names at most.
-    pub most_addresses: usize,
+    pub max_lookup_addresses: usize,
 }
 
 impl ApiAdapter {
@@ -101,26 +102,26 @@
     ///
     /// ```
     /// let reply = transport::Reply { status: 200, headers: Default::default(), body: Default::default() };
-    /// assert_eq!((data_plane::ApiAdapter::own().load)(&reply), None);
+    /// assert_eq!((data_plane::ApiAdapter::own().reported_load)(&reply), None);
     /// ```
     pub fn own() -> ApiAdapter {
         ApiAdapter {
-            page: Box::new(|_, enquiry| own_page(enquiry)),
-            order: Box::new(crate::serve::own_order),
-            target: Box::new(|_, order| order.path.clone()),
-            headers: Box::new(crate::serve::own_headers),
-            answer_id: "x-try-id",
-            judge: Box::new(crate::serve::judge),
-            load: Box::new(|_| None),
-            pass: Box::new(crate::serve::own_pass),
-            deny: Box::new(|code, retry_after, try_id| {
+            classify: Box::new(|_, http_request| classify_own_request(http_request)),
+            parse_request: Box::new(crate::serve::parse_own_request),
+            upstream_target: Box::new(|_, request| request.path.clone()),
+            upstream_headers: Box::new(crate::serve::own_upstream_headers),
+            response_id_header: "x-try-id",
+            judge_response: Box::new(crate::serve::judge_response),
+            reported_load: Box::new(|_| None),
+            client_response: Box::new(crate::serve::own_client_response),
+            reject: Box::new(|code, retry_after, attempt_id| {
                 let mut response = transport::result_response(code, retry_after);
-                if let (true, Ok(value)) = (!try_id.is_empty(), try_id.parse()) {
+                if let (true, Ok(value)) = (!attempt_id.is_empty(), attempt_id.parse()) {
                     response.headers_mut().insert("x-try-id", value);
                 }
                 response
             }),
-            listing: Box::new(|listing| {
+            lookup_response: Box::new(|listing| {
                 let proxies = listing
                     .proxies
                     .iter()
@@ -137,20 +138,24 @@
                 transport::json_response(ResultCode::Success, &json)
             }),
             reader: ConfigurationParser::default(),
-            most_addresses: 3,
+            max_lookup_addresses: 3,
         }
     }
 }
 
-fn own_page(enquiry: &HttpRequest) -> Endpoint {
-    match (enquiry.method.as_str(), enquiry.path.as_str()) {
+fn classify_own_request(http_request: &HttpRequest) -> Endpoint {
+    match (http_request.method.as_str(), http_request.path.as_str()) {
         (_, path) if path.starts_with("/r/") => Endpoint::Request,
         ("GET", "/directory") => {
-            let origin = format!("{}/{}", enquiry.query("region"), enquiry.query("zone"))
-                .parse()
-                .ok();
-            Endpoint::LookupAnswer {
-                name: enquiry.query("name").to_owned(),
+            let origin = format!(
+                "{}/{}",
+                http_request.query("region"),
+                http_request.query("zone")
+            )
+            .parse()
+            .ok();
+            Endpoint::Lookup {
+                name: http_request.query("name").to_owned(),
                 origin,
             }
         }
@@ -158,10 +163,10 @@
         ("GET", "/ready") => Endpoint::Ready,
         ("GET", "/counters") => Endpoint::Counters,
         ("GET", "/node") => Endpoint::Node,
-        ("GET", "/trace") if enquiry.query("name").is_empty() => Endpoint::Trace {
-            try_id: enquiry.query("try").to_owned(),
+        ("GET", "/trace") if http_request.query("name").is_empty() => Endpoint::Trace {
+            attempt_id: http_request.query("try").to_owned(),
         },
-        ("GET", "/trace") => Endpoint::Supposed,
+        ("GET", "/trace") => Endpoint::Explain,
         ("GET", "/setup" | "/status" | "/upstreams" | "/reservations" | "/marks")
         | ("PUT", "/setup")
         | ("POST", "/evacuations" | "/beats") => Endpoint::Relay,
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -12,6 +12,6 @@
 
 pub use api_adapter::{ApiAdapter, Call, Endpoint, ListenerKind};
 pub use core::{DataNode, Effect, Event, Phase, Start, Times};
-pub use node::{Node, NodeTerms};
-pub use serve::{judge, service_headers};
+pub use node::{Node, NodeOptions};
+pub use serve::{judge_response, service_headers};
 pub use traces::Traces;
--- a/crates/data-plane/src/node.rs
+++ b/crates/data-plane/src/node.rs
@@ -26,7 +26,7 @@
 }
 
 /// How a node serves, beside its place and its dialect.
-pub struct NodeTerms {
+pub struct NodeOptions {
     pub clock: Clock,
     /// Whether connections to upstreams are reused.
     pub keeps_connections: bool,
@@ -42,7 +42,7 @@
     pub(crate) clock: Clock,
     pub(crate) view: ArcSwap<View>,
     pub(crate) postmasters: ArcSwap<Vec<String>>,
-    pub(crate) board: ProxyStats,
+    pub(crate) stats: ProxyStats,
     pub(crate) client: HttpClient,
     /// Connections to upstreams that wait for their next request.
     pub(crate) pool: ConnectionPool,
@@ -62,21 +62,21 @@
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
     /// # use std::{sync::Arc, time::Duration};
-    /// use data_plane::{ApiAdapter, ListenerKind, Node, NodeTerms};
+    /// use data_plane::{ApiAdapter, ListenerKind, Node, NodeOptions};
     /// let site = request_routing::ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let terms = NodeTerms {
+    /// let terms = NodeOptions {
     ///     clock: transport::Clock::default(),
     ///     keeps_connections: true,
     ///     roles: "proxy".into(),
     ///     lifetime: Duration::from_secs(2),
     /// };
     /// let node = Arc::new(Node::new(site, ApiAdapter::own(), terms));
-    /// let enquiry = transport::HttpRequest { path: "/ready".into(), ..Default::default() };
-    /// assert_eq!(node.serve(ListenerKind::Front, enquiry).await.status(), 503, "it has no view yet");
+    /// let http_request = transport::HttpRequest { path: "/ready".into(), ..Default::default() };
+    /// assert_eq!(node.serve(ListenerKind::Front, http_request).await.status(), 503, "it has no view yet");
     /// # });
     /// ```
-    pub fn new(site: ProxyContext, api_adapter: ApiAdapter, terms: NodeTerms) -> Node {
-        let NodeTerms {
+    pub fn new(site: ProxyContext, api_adapter: ApiAdapter, terms: NodeOptions) -> Node {
+        let NodeOptions {
             clock,
             keeps_connections,
             roles,
@@ -87,7 +87,7 @@
             clock,
             view: ArcSwap::default(),
             postmasters: ArcSwap::default(),
-            board: ProxyStats::default(),
+            stats: ProxyStats::default(),
             client: HttpClient::default(),
             pool: ConnectionPool::default(),
             keeps_connections,
@@ -105,7 +105,7 @@
     pub fn publish(&self, view: View) {
         self.view.store(Arc::new(view));
         // Beats may have told of room.
-        self.board.ring_all();
+        self.stats.wake_all();
     }
 
     /// Control nodes, in the order in which they are to be called.
@@ -123,27 +123,25 @@
     pub(crate) fn sweep(&self, now: Duration) -> Vec<KeyLoad> {
         let view = self.view.load();
         self.pool.sweep();
-        self.board.sweep(now, |instance| {
+        self.stats.sweep(now, |instance| {
             view.upstreams
                 .values()
                 .any(|known| known.contains_key(instance))
         });
-        self.board.drain_keys()
+        self.stats.drain_key_loads()
     }
 
     /// Answers what came in at one of its doors.
     pub async fn serve(
         self: Arc<Self>,
         door: ListenerKind,
-        enquiry: HttpRequest,
+        http_request: HttpRequest,
     ) -> Response<Full<Bytes>> {
         let retry = Some(Duration::from_secs(1));
         let serves = |role: &str| self.roles.contains(role);
-        match (self.api_adapter.page)(door, &enquiry) {
-            Endpoint::Request if serves("proxy") => self.carry(enquiry).await,
-            Endpoint::LookupAnswer { name, origin } if serves("directory") => {
-                self.list(&name, origin)
-            }
+        match (self.api_adapter.classify)(door, &http_request) {
+            Endpoint::Request if serves("proxy") => self.carry(http_request).await,
+            Endpoint::Lookup { name, origin } if serves("directory") => self.list(&name, origin),
             Endpoint::Live => transport::result_response(ResultCode::Success, None),
             Endpoint::Ready => {
                 let code = self.ready();
@@ -151,9 +149,9 @@
             }
             Endpoint::Counters => self.show_counters(),
             Endpoint::Node => self.show_node(),
-            Endpoint::Trace { try_id } => self.show_trace(&try_id),
-            Endpoint::Supposed => self.show_supposed(&enquiry),
-            Endpoint::Relay => self.relay(enquiry).await,
+            Endpoint::Trace { attempt_id } => self.show_trace(&attempt_id),
+            Endpoint::Explain => self.show_supposed(&http_request),
+            Endpoint::Relay => self.relay(http_request).await,
             _ => transport::result_response(ResultCode::NoSuchEndpoint, None),
         }
     }
@@ -187,7 +185,7 @@
                 name,
                 &origin,
                 self.lifetime,
-                (self.site.owners, self.api_adapter.most_addresses),
+                (self.site.ownership, self.api_adapter.max_lookup_addresses),
             )
         } else {
             Err(ResultCode::StaleView)
@@ -201,7 +199,7 @@
                     "",
                 )
             },
-            |listing| (self.api_adapter.listing)(listing),
+            |listing| (self.api_adapter.lookup_response)(listing),
         )
     }
 
@@ -215,16 +213,20 @@
             .collect();
         codes.sort_by(|a, b| a.0.cmp(&b.0));
         let now = self.clock.now();
-        let services = self.board.tallies(now).into_iter().map(|tally| {
-            JsonValue::object([
-                ("service", tally.service.into()),
-                ("serving", tally.serving.into()),
-                ("waiting", tally.waiting.into()),
-                ("firstsIn10s", tally.firsts.into()),
-                ("resendsIn10s", tally.resends.into()),
-                ("deniedIn10s", tally.denied.into()),
-            ])
-        });
+        let services = self
+            .stats
+            .service_counters(now)
+            .into_iter()
+            .map(|counters| {
+                JsonValue::object([
+                    ("service", counters.service.into()),
+                    ("serving", counters.serving.into()),
+                    ("waiting", counters.waiting.into()),
+                    ("firstsIn10s", counters.first_sends.into()),
+                    ("resendsIn10s", counters.retries.into()),
+                    ("deniedIn10s", counters.rejected.into()),
+                ])
+            });
         let age_ms = self
             .view
             .load()
@@ -237,7 +239,7 @@
             ("services", services.collect()),
             (
                 "setAside",
-                self.board
+                self.stats
                     .ejected(now)
                     .into_iter()
                     .map(JsonValue::from)
@@ -271,12 +273,12 @@
     }
 
     /// What would be decided for such a request at this moment. Nothing is sent, and nothing is counted.
-    fn show_supposed(&self, enquiry: &HttpRequest) -> Response<Full<Bytes>> {
-        let order = RequestInfo {
-            try_id: "supposed".into(),
-            name: enquiry.query("name").into(),
-            path: enquiry.query("path").into(),
-            key: Some(enquiry.query("key"))
+    fn show_supposed(&self, http_request: &HttpRequest) -> Response<Full<Bytes>> {
+        let request = RequestInfo {
+            attempt_id: "supposed".into(),
+            name: http_request.query("name").into(),
+            path: http_request.query("path").into(),
+            key: Some(http_request.query("key"))
                 .filter(|key| !key.is_empty())
                 .map(str::to_owned),
             arrived_at: self.clock.now(),
@@ -284,11 +286,11 @@
             ..RequestInfo::default()
         };
         let notes = request_routing::explain(
-            order,
+            request,
             &self.site,
             self.clock.now(),
             &self.view.load(),
-            &self.board,
+            &self.stats,
         );
         self.show_notes(
             "supposed",
@@ -296,21 +298,21 @@
         )
     }
 
-    fn show_notes(&self, try_id: &str, notes: Vec<String>) -> Response<Full<Bytes>> {
+    fn show_notes(&self, attempt_id: &str, notes: Vec<String>) -> Response<Full<Bytes>> {
         let json = JsonValue::object([
             ("code", u64::from(ResultCode::Success.number()).into()),
             ("node", self.site.node.as_str().into()),
-            ("tryId", try_id.into()),
+            ("tryId", attempt_id.into()),
             ("notes", notes.into_iter().map(JsonValue::from).collect()),
         ]);
         transport::json_response(ResultCode::Success, &json)
     }
 
-    fn show_trace(&self, try_id: &str) -> Response<Full<Bytes>> {
-        let notes = self.traces.find(try_id);
+    fn show_trace(&self, attempt_id: &str) -> Response<Full<Bytes>> {
+        let notes = self.traces.find(attempt_id);
         notes.map_or_else(
             || transport::result_response(ResultCode::NoSuchTrace, None),
-            |notes| self.show_notes(try_id, notes),
+            |notes| self.show_notes(attempt_id, notes),
         )
     }
 }
--- a/crates/data-plane/src/relay.rs
+++ b/crates/data-plane/src/relay.rs
@@ -12,22 +12,22 @@
 
 impl Node {
     /// Tries the postmasters in turn while surely none took it; otherwise the outcome is unknown.
-    pub(crate) async fn relay(&self, enquiry: HttpRequest) -> Response<Full<Bytes>> {
-        let query: Vec<String> = enquiry
+    pub(crate) async fn relay(&self, http_request: HttpRequest) -> Response<Full<Bytes>> {
+        let query: Vec<String> = http_request
             .query
             .iter()
             .map(|(name, value)| format!("{name}={}", coded(value)))
             .collect();
-        let path = format!("{}?{}", enquiry.path, query.join("&"));
+        let path = format!("{}?{}", http_request.path, query.join("&"));
         let postmasters = self.postmasters.load();
-        let (read, mut last) = (enquiry.method == "GET", None);
+        let (read, mut last) = (http_request.method == "GET", None);
         for address in postmasters.iter() {
-            let body = enquiry.body.clone();
+            let body = http_request.body.clone();
             let called = self
                 .client
                 .call(
                     address,
-                    enquiry.method.as_str(),
+                    http_request.method.as_str(),
                     &path,
                     &[],
                     body,
--- a/crates/data-plane/src/shell.rs
+++ b/crates/data-plane/src/shell.rs
@@ -2,7 +2,7 @@
 
 use crate::api_adapter::{ApiAdapter, ListenerKind};
 use crate::core::{DataNode, Effect, Event, Phase, Start, Times};
-use crate::node::{Node, NodeTerms};
+use crate::node::{Node, NodeOptions};
 use config::{Setting, SettingType, Settings};
 use error_stack::{Report, ResultExt};
 use locality::Locality;
@@ -192,12 +192,12 @@
         settings.duration("stale-after-ms"),
         settings.duration("wait-ms"),
     );
-    site.owners = if settings.get("owners") == "one" {
+    site.ownership = if settings.get("owners") == "one" {
         OwnershipMode::SingleZone
     } else {
         OwnershipMode::PerClientZone
     };
-    site.serves_on = settings.get("out-of-touch") == "serve";
+    site.serve_stale_view = settings.get("out-of-touch") == "serve";
     site.far_ms = (
         settings.count("far-zone-ms") as f64,
         settings.count("far-region-ms") as f64,
@@ -207,7 +207,7 @@
     let node = Node::new(
         site,
         api_adapter,
-        NodeTerms {
+        NodeOptions {
             clock,
             keeps_connections,
             roles: me.roles.clone(),
@@ -238,9 +238,11 @@
     }
     let servers = sockets.into_iter().map(|(door, socket)| {
         let handler = node.clone();
-        tokio::spawn(transport::serve(socket, closing.clone(), move |enquiry| {
-            handler.clone().serve(door, enquiry)
-        }))
+        tokio::spawn(transport::serve(
+            socket,
+            closing.clone(),
+            move |http_request| handler.clone().serve(door, http_request),
+        ))
     });
     let server = futures::future::join_all(servers.collect::<Vec<_>>());
     let mut tick = tokio::time::interval(TICK);
--- a/crates/data-plane/src/traces.rs
+++ b/crates/data-plane/src/traces.rs
@@ -24,26 +24,26 @@
     /// assert!(traces.find("t0").is_none());
     /// assert!(traces.find("t4999").is_some());
     /// ```
-    pub fn keep(&self, try_id: String, notes: Vec<TraceEvent>) {
+    pub fn keep(&self, attempt_id: String, notes: Vec<TraceEvent>) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let oldest = self.places.insert(number % MAX_TRACES, try_id.clone());
+        let oldest = self.places.insert(number % MAX_TRACES, attempt_id.clone());
         oldest.into_iter().for_each(|oldest| {
             self.notes
                 .remove_if(&oldest, |_, (kept, _)| *kept + MAX_TRACES <= number);
         });
-        self.notes.insert(try_id, (number, notes));
+        self.notes.insert(attempt_id, (number, notes));
     }
 
     /// The notes of a try, as text.
     ///
     /// ```
     /// let traces = data_plane::Traces::default();
-    /// traces.keep("t".into(), vec![request_routing::TraceEvent::CallError]);
+    /// traces.keep("t".into(), vec![request_routing::TraceEvent::WokenUp]);
     /// assert_eq!(traces.find("t").unwrap(), ["called: a seat may be free"]);
     /// ```
-    pub fn find(&self, try_id: &str) -> Option<Vec<String>> {
+    pub fn find(&self, attempt_id: &str) -> Option<Vec<String>> {
         self.notes
-            .get(try_id)
+            .get(attempt_id)
             .map(|kept| kept.1.iter().map(TraceEvent::to_string).collect())
     }
 }
--- a/crates/data-plane/tests/following.rs
+++ b/crates/data-plane/tests/following.rs
@@ -138,10 +138,10 @@
             Some((at, to))
         })
         .collect();
-    let mut order: Vec<&str> = asks.iter().map(|(_, to)| to.as_str()).collect();
-    order.dedup();
+    let mut request: Vec<&str> = asks.iter().map(|(_, to)| to.as_str()).collect();
+    request.dedup();
     // It asks its own zone again for a moment before it goes further.
-    assert_eq!(order[..3], ["zone", "region", "far"]);
+    assert_eq!(request[..3], ["zone", "region", "far"]);
     assert!(
         asks.iter()
             .find(|(_, to)| to == "region")
@@ -269,15 +269,15 @@
 #[test]
 fn it_tries_each_once_where_all_are_old_and_then_stays() {
     let mut carrier = carrier();
-    let (mut from, mut order) = (50, Vec::new());
+    let (mut from, mut request) = (50, Vec::new());
     (0..8).for_each(|_| {
         let (at, asked) = next(&mut carrier, from);
         answer(&mut carrier, at + 10, &asked, 1500);
-        order.push(asked.0);
+        request.push(asked.0);
         from = at + 50;
     });
     assert_eq!(
-        order,
+        request,
         ["zone", "region", "far", "far", "far", "far", "far", "far"]
     );
 }
--- a/crates/request-routing/src/admission_queue.rs
+++ b/crates/request-routing/src/admission_queue.rs
@@ -16,18 +16,18 @@
     /// A bell that does this when it rings.
     ///
     /// ```
-    /// request_routing::WakeUp::new(|| println!("a seat may be free")).ring();
+    /// request_routing::WakeUp::new(|| println!("a seat may be free")).wake();
     /// ```
-    pub fn new(ring: impl Fn() + Send + Sync + 'static) -> Self {
-        WakeUp(Arc::new(ring))
+    pub fn new(wake: impl Fn() + Send + Sync + 'static) -> Self {
+        WakeUp(Arc::new(wake))
     }
 
     /// Rings.
     ///
     /// ```
-    /// request_routing::WakeUp::default().ring();
+    /// request_routing::WakeUp::default().wake();
     /// ```
-    pub fn ring(&self) {
+    pub fn wake(&self) {
         (self.0)()
     }
 }
@@ -49,7 +49,7 @@
     key: u64,
     /// Only this upstream will do: it holds the key.
     wants: Option<String>,
-    bell: WakeUp,
+    wake_up: WakeUp,
 }
 
 /// Waiting requests in the order they came.
@@ -69,7 +69,7 @@
     /// assert_eq!(join(&mut list, 7), None, "one key may not take the whole list");
     /// assert!(join(&mut list, 8).is_some());
     /// ```
-    pub fn join(&mut self, key: u64, wants: Option<&str>, bell: WakeUp) -> Option<u64> {
+    pub fn join(&mut self, key: u64, wants: Option<&str>, wake_up: WakeUp) -> Option<u64> {
         let of_key = self
             .line
             .iter()
@@ -83,7 +83,7 @@
             ticket: self.next,
             key,
             wants: wants.map(str::to_owned),
-            bell,
+            wake_up,
         });
         Some(self.next)
     }
@@ -116,7 +116,7 @@
         self.line
             .iter()
             .find(fits)
-            .map(|waiting| waiting.bell.clone())
+            .map(|waiting| waiting.wake_up.clone())
     }
 
     /// True where one who wants the same is there already: who comes now goes behind.
--- a/crates/request-routing/src/calls.rs
+++ b/crates/request-routing/src/calls.rs
@@ -22,13 +22,13 @@
     /// # use request_routing::{RequestState, NextStep, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
     /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let mut journey = RequestState::new(RequestInfo::default(), site);
-    /// let next = journey.called(Duration::ZERO, &Default::default(), &Default::default());
+    /// let mut request_state = RequestState::new(RequestInfo::default(), site);
+    /// let next = request_state.on_wake_up(Duration::ZERO, &Default::default(), &Default::default());
     /// assert!(matches!(next, NextStep::Answer { .. }), "it waited for nothing");
     /// ```
-    pub fn called(&mut self, now: Duration, view: &View, board: &ProxyStats) -> NextStep {
-        self.notes.push(TraceEvent::CallError);
-        self.choose(now, view, board)
+    pub fn on_wake_up(&mut self, now: Duration, view: &View, stats: &ProxyStats) -> NextStep {
+        self.notes.push(TraceEvent::WokenUp);
+        self.choose(now, view, stats)
     }
 
     /// The connection is up, and nothing was sent. The choice is judged once more, since the process may have
@@ -38,12 +38,12 @@
     /// # use request_routing::{RequestState, NextStep, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
     /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let mut journey = RequestState::new(RequestInfo::default(), site);
-    /// let next = journey.connected(Duration::ZERO, &Default::default(), &Default::default());
+    /// let mut request_state = RequestState::new(RequestInfo::default(), site);
+    /// let next = request_state.on_connected(Duration::ZERO, &Default::default(), &Default::default());
     /// assert!(matches!(next, NextStep::Answer { .. }), "it had chosen nobody");
     /// ```
-    pub fn connected(&mut self, now: Duration, view: &View, board: &ProxyStats) -> NextStep {
-        let (RequestStage::Chosen { upstream, share }, Some(service)) =
+    pub fn on_connected(&mut self, now: Duration, view: &View, stats: &ProxyStats) -> NextStep {
+        let (RequestStage::Connecting { upstream, share }, Some(service)) =
             (self.stage.clone(), self.service.clone())
         else {
             return self.answer(now, ResultCode::DeadlineExceeded);
@@ -51,18 +51,19 @@
         let withdrawn = self.withdrawn(now, view, &service, &upstream, share.as_ref());
         let within = self.left(now);
         if let Some(why) = withdrawn {
-            self.notes.push(TraceEvent::Withdrawn { upstream, why });
+            self.notes
+                .push(TraceEvent::SelectionWithdrawn { upstream, why });
             self.leave_seat();
             self.turn(RequestStage::Waiting);
             return if self.calls < MAX_CALLS {
-                self.choose(now, view, board)
+                self.choose(now, view, stats)
             } else {
                 self.answer(now, ResultCode::Overloaded)
             };
         }
         if !self.written {
             self.written = true;
-            self.desk.iter().for_each(|desk| desk.firsts.add(now));
+            self.desk.iter().for_each(|desk| desk.first_sends.add(now));
         }
         self.sends += 1;
         self.sent_at = self
@@ -84,10 +85,10 @@
     /// # use request_routing::{RequestState, NextStep, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
     /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let mut journey = RequestState::new(RequestInfo::default(), site);
-    /// assert!(matches!(journey.unsent(Duration::ZERO), NextStep::Answer { .. }), "it was to be written nowhere");
+    /// let mut request_state = RequestState::new(RequestInfo::default(), site);
+    /// assert!(matches!(request_state.on_not_written(Duration::ZERO), NextStep::Answer { .. }), "it was to be written nowhere");
     /// ```
-    pub fn unsent(&mut self, now: Duration) -> NextStep {
+    pub fn on_not_written(&mut self, now: Duration) -> NextStep {
         let Some((upstream, share)) = self
             .sent_to
             .take()
@@ -96,10 +97,10 @@
             return self.answer(now, ResultCode::DeadlineExceeded);
         };
         self.sends -= 1;
-        self.notes.push(TraceEvent::Unsent {
+        self.notes.push(TraceEvent::NotWritten {
             upstream: upstream.clone(),
         });
-        self.turn(RequestStage::Chosen {
+        self.turn(RequestStage::Connecting {
             upstream: upstream.clone(),
             share,
         });
@@ -128,10 +129,10 @@
         let held = self.share(view, service);
         let other = service.keyed && held.as_ref() != share;
         known
-            .map_or(Some(RejectReason::Gone), |known| {
+            .map_or(Some(RejectReason::Removed), |known| {
                 self.barred(view, service, share, known)
             })
-            .or(Some(RejectReason::OtherHolder).filter(|_| other))
+            .or(Some(RejectReason::KeyOwnedElsewhere).filter(|_| other))
     }
 
     /// What the upstream told of its load with its answer; to be told before the outcome.
@@ -140,10 +141,12 @@
     /// # use request_routing::{RequestState, Load, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
     /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// RequestState::new(RequestInfo::default(), site).hear(Duration::ZERO, Load::default());
+    /// RequestState::new(RequestInfo::default(), site).record_load(Duration::ZERO, Load::default());
     /// ```
-    pub fn hear(&self, now: Duration, load: Load) {
-        self.seat.iter().for_each(|(seat, _)| seat.hear(now, load));
+    pub fn record_load(&self, now: Duration, load: Load) {
+        self.seat
+            .iter()
+            .for_each(|(seat, _)| seat.record_load(now, load));
     }
 
     /// What came of the call: pass it, call again where that is safe and allowed, or answer.
@@ -153,15 +156,15 @@
     /// # use std::time::Duration;
     /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// use result_code::ResultCode;
-    /// let mut journey = RequestState::new(RequestInfo::default(), site);
-    /// let next = journey.after(Duration::ZERO, &Default::default(), &Default::default(), CallOutcome::Lost);
+    /// let mut request_state = RequestState::new(RequestInfo::default(), site);
+    /// let next = request_state.on_outcome(Duration::ZERO, &Default::default(), &Default::default(), CallOutcome::ResponseLost);
     /// assert!(matches!(next, NextStep::Answer { code: ResultCode::ResponseLost, .. }), "never sent again blindly");
     /// ```
-    pub fn after(
+    pub fn on_outcome(
         &mut self,
         now: Duration,
         view: &View,
-        board: &ProxyStats,
+        stats: &ProxyStats,
         outcome: CallOutcome,
     ) -> NextStep {
         let called = self.seat.is_some();
@@ -175,39 +178,44 @@
                 now,
                 matches!(
                     outcome,
-                    CallOutcome::Sealed
-                        | CallOutcome::SealedNotRun
-                        | CallOutcome::NotHeld
+                    CallOutcome::Complete
+                        | CallOutcome::NotExecuted
+                        | CallOutcome::KeyNotOwned
                         | CallOutcome::Failed
                 ),
             );
             match outcome {
-                CallOutcome::SealedNotRun => seat.full(now, least),
-                CallOutcome::Replaced | CallOutcome::ReplacedNotRun => {
+                CallOutcome::NotExecuted => seat.full(now, least),
+                CallOutcome::InstanceReplaced | CallOutcome::InstanceReplacedNotExecuted => {
                     seat.replaced.store(true, Ordering::Release)
                 }
-                CallOutcome::Sealed => self
+                CallOutcome::Complete => self
                     .sent_at
                     .iter()
                     .filter(|(.., slots)| *slots > 0)
                     .for_each(|(at, load, slots)| {
-                        seat.gauge.worked(now.saturating_sub(*at), *load, *slots);
+                        seat.load_estimate
+                            .record_work_time(now.saturating_sub(*at), *load, *slots);
                     }),
                 _ => {}
             }
         });
         self.leave_seat();
         let code = match outcome {
-            CallOutcome::Sealed => {
+            CallOutcome::Complete => {
                 self.answer(now, ResultCode::Success);
-                return NextStep::Pass;
+                return NextStep::PassResponse;
             }
-            CallOutcome::SealedNotRun | CallOutcome::ReplacedNotRun => ResultCode::Overloaded,
-            CallOutcome::NotHeld => ResultCode::KeyUnassigned,
+            CallOutcome::NotExecuted | CallOutcome::InstanceReplacedNotExecuted => {
+                ResultCode::Overloaded
+            }
+            CallOutcome::KeyNotOwned => ResultCode::KeyUnassigned,
             CallOutcome::Failed => ResultCode::UpstreamFailed,
             CallOutcome::NotConnected => ResultCode::RetryBudgetExhausted,
-            CallOutcome::Lost => ResultCode::ResponseLost,
-            CallOutcome::Garbage | CallOutcome::Replaced => ResultCode::InvalidResponse,
+            CallOutcome::ResponseLost => ResultCode::ResponseLost,
+            CallOutcome::InvalidResponse | CallOutcome::InstanceReplaced => {
+                ResultCode::InvalidResponse
+            }
             CallOutcome::TimedOut => ResultCode::UpstreamTimeout,
         };
         self.doubt = self
@@ -239,15 +247,15 @@
                 || self
                     .desk
                     .as_ref()
-                    .is_some_and(|desk| desk.take_resend(now, proxies)));
+                    .is_some_and(|desk| desk.take_retry(now, proxies)));
         if again {
-            self.notes.push(TraceEvent::Again { after: code });
-            return self.choose(now, view, board);
+            self.notes.push(TraceEvent::Retried { after: code });
+            return self.choose(now, view, stats);
         }
         let answer = self.answer(now, code);
         // What it said of its failure is for the origin.
         if outcome == CallOutcome::Failed {
-            NextStep::Pass
+            NextStep::PassResponse
         } else {
             answer
         }
--- a/crates/request-routing/src/choosing.rs
+++ b/crates/request-routing/src/choosing.rs
@@ -33,7 +33,7 @@
 
 impl RequestState {
     /// Chooses an upstream and takes a seat there, or a place in the waitlist.
-    pub(crate) fn choose(&mut self, now: Duration, view: &View, board: &ProxyStats) -> NextStep {
+    pub(crate) fn choose(&mut self, now: Duration, view: &View, stats: &ProxyStats) -> NextStep {
         let (Some(service), Some(desk)) = (self.service.clone(), self.desk.clone()) else {
             return self.answer(now, ResultCode::NoSuchName);
         };
@@ -46,7 +46,7 @@
         }
         if view.revision != self.revision {
             self.leave_place();
-            return self.start(now, view, board);
+            return self.start(now, view, stats);
         }
         let share = self.share(view, &service);
         if service.keyed && share.is_none() {
@@ -59,7 +59,7 @@
         let chosen = if behind {
             None
         } else {
-            self.seated(now, view, board, &service, share.as_ref())
+            self.seated(now, view, stats, &service, share.as_ref())
         };
         match chosen {
             None => self.wait(now, &desk, wants),
@@ -69,14 +69,14 @@
                 self.notes.push(TraceEvent::Connecting {
                     upstream: upstream.clone(),
                 });
-                self.turn(RequestStage::Chosen {
+                self.turn(RequestStage::Connecting {
                     upstream: upstream.clone(),
                     share,
                 });
                 if self.place.is_some() {
                     // There may be room for the next one too.
                     self.leave_place();
-                    desk.ring(None);
+                    desk.wake(None);
                 }
                 NextStep::Connect {
                     upstream,
@@ -95,8 +95,13 @@
             return self.answer(now, ResultCode::Overloaded);
         }
         if self.place.is_none() {
-            let key = random::stable_hash(self.order.key.as_deref().unwrap_or(&self.order.try_id));
-            let place = desk.join(key, wants, self.order.bell.clone());
+            let key = random::stable_hash(
+                self.request
+                    .key
+                    .as_deref()
+                    .unwrap_or(&self.request.attempt_id),
+            );
+            let place = desk.join(key, wants, self.request.wake_up.clone());
             self.place = place.map(|ticket| Place {
                 desk: desk.clone(),
                 ticket,
@@ -104,7 +109,7 @@
             if self.place.is_none() {
                 return self.answer(now, ResultCode::Overloaded);
             }
-            self.notes.push(TraceEvent::Waits {
+            self.notes.push(TraceEvent::Queued {
                 within: until - now,
             });
         }
@@ -116,7 +121,7 @@
 
     pub(crate) fn share(&self, view: &View, service: &Service) -> Option<KeyShare> {
         let slot = self
-            .order
+            .request
             .key
             .as_deref()
             .filter(|_| service.keyed)
@@ -133,7 +138,7 @@
         &mut self,
         now: Duration,
         view: &View,
-        board: &ProxyStats,
+        stats: &ProxyStats,
         service: &Service,
         share: Option<&KeyShare>,
     ) -> Option<Arc<Upstream>> {
@@ -144,17 +149,17 @@
             .flat_map(|known| known.values());
         let mut able: Vec<(Rank, Arc<UpstreamStats>, &Arc<Upstream>)> = Vec::new();
         all.for_each(|upstream| {
-            let seat = board.seat(&upstream.instance);
-            let tried =
-                Some(RejectReason::Tried).filter(|_| self.tried.contains(&upstream.instance));
-            let replaced =
-                Some(RejectReason::Replaced).filter(|_| seat.replaced.load(Ordering::Acquire));
+            let seat = stats.upstream(&upstream.instance);
+            let tried = Some(RejectReason::AlreadyTried)
+                .filter(|_| self.tried.contains(&upstream.instance));
+            let replaced = Some(RejectReason::InstanceReplaced)
+                .filter(|_| seat.replaced.load(Ordering::Acquire));
             match self
                 .barred(view, service, share, upstream)
                 .or(tried)
                 .or(replaced)
             {
-                Some(why) => self.notes.push(TraceEvent::Passed {
+                Some(why) => self.notes.push(TraceEvent::UpstreamRejected {
                     upstream: upstream.clone(),
                     why,
                 }),
@@ -164,10 +169,11 @@
         able.sort_by_key(|(rank, ..)| *rank);
         let chosen = able.into_iter().find(|(_, seat, upstream)| {
             let why = self.take_seat(now, view, seat, service, upstream).err();
-            self.notes.extend(why.map(|why| TraceEvent::Passed {
-                upstream: (*upstream).clone(),
-                why,
-            }));
+            self.notes
+                .extend(why.map(|why| TraceEvent::UpstreamRejected {
+                    upstream: (*upstream).clone(),
+                    why,
+                }));
             why.is_none()
         });
         chosen.map(|(_, seat, upstream)| {
@@ -185,13 +191,15 @@
             1 + u8::from(region(place) != self.site.locality.region)
         };
         let taken = seat.in_flight.load(Ordering::Acquire);
-        let spread =
-            random::stable_hash_parts([self.order.try_id.as_str(), upstream.instance.as_str()]);
+        let spread = random::stable_hash_parts([
+            self.request.attempt_id.as_str(),
+            upstream.instance.as_str(),
+        ]);
         if upstream.slots > 0 {
             let far_ms = [0.0, self.site.far_ms.0, self.site.far_ms.1][usize::from(near.min(2))];
-            let cost = seat
-                .gauge
-                .cost_ms(now, taken, upstream.slots, far_ms, USUAL_WORK_MS);
+            let cost =
+                seat.load_estimate
+                    .cost_ms(now, taken, upstream.slots, far_ms, USUAL_WORK_MS);
             let late = cost.is_none_or(|cost| cost > self.wanted_ms(now));
             // Bytes that cross are dear, so the near are taken as long as they are in time.
             let near = if late { 0 } else { near };
@@ -212,8 +220,8 @@
             .route
             .as_ref()
             .and_then(|route| route.policy.latency_target)
-            .unwrap_or(self.order.remaining);
-        let spent = now.saturating_sub(self.order.arrived_at);
+            .unwrap_or(self.request.remaining);
+        let spent = now.saturating_sub(self.request.arrived_at);
         target
             .mul_f64(WELL_IN_TIME)
             .saturating_sub(spent)
@@ -230,14 +238,14 @@
         upstream: &Upstream,
     ) -> Option<RejectReason> {
         let bars: [(RejectReason, &dyn Fn() -> bool); 4] = [
-            (RejectReason::Leaving, &|| upstream.condition != 0),
+            (RejectReason::Draining, &|| upstream.condition != 0),
             (RejectReason::Evacuated, &|| {
                 view.evacuated.contains(&upstream.locality)
             }),
             (RejectReason::OutsideHomes, &|| {
                 !self.is_allowed_in(service, &upstream.locality)
             }),
-            (RejectReason::OtherHolder, &|| {
+            (RejectReason::KeyOwnedElsewhere, &|| {
                 share.is_some_and(|share| share.instance != upstream.instance)
             }),
         ];
@@ -272,16 +280,16 @@
         if upstream.slots > 0 {
             let own = seat.in_flight.load(Ordering::Acquire);
             let room = seat
-                .gauge
+                .load_estimate
                 .cost_ms(now, own, upstream.slots, 0.0, USUAL_WORK_MS)
                 .is_some();
-            if !room || !seat.sit(u32::MAX) {
+            if !room || !seat.try_acquire(u32::MAX) {
                 return Err(RejectReason::NoSlot);
             }
             return self.warm_seat(now, seat, service, upstream, (proxies, rank));
         }
         let most = seat.most(now, upstream.beat, upstream.free_slots, (proxies, rank));
-        if !seat.sit(most) {
+        if !seat.try_acquire(most) {
             return Err(RejectReason::NoSlot);
         }
         self.warm_seat(now, seat, service, upstream, (proxies, rank))
@@ -299,7 +307,7 @@
         let warm = upstream.warm
             || seat.warm_up(now, service.warm_up_per_second, proxies.into(), rank.into());
         if !warm {
-            seat.rise();
+            seat.release();
         }
         warm.then_some(()).ok_or(RejectReason::WarmingUp)
     }
--- a/crates/request-routing/src/lib.rs
+++ b/crates/request-routing/src/lib.rs
@@ -24,6 +24,6 @@
 pub use request_state::{RequestState, explain};
 pub use retry_after::retry_after_for;
 pub use sliding_window::SlidingWindow;
-pub use stats::{ProxyStats, ServiceStats, Tally, UpstreamStats};
+pub use stats::{ProxyStats, ServiceCounters, ServiceStats, UpstreamStats};
 pub use steps::{CallOutcome, NextStep, RequestStage};
 pub use trace::{RejectReason, TraceEvent};
--- a/crates/request-routing/src/load.rs
+++ b/crates/request-routing/src/load.rs
@@ -51,11 +51,11 @@
     /// ```
     /// use request_routing::{LoadEstimate, Load};
     /// use std::time::Duration;
-    /// let gauge = LoadEstimate::default();
-    /// gauge.hear(Duration::ZERO, Load { running: 3, waiting: 2, slots: 3 }, 1);
-    /// assert_eq!(gauge.others(Duration::ZERO).round(), 4.0);
+    /// let load_estimate = LoadEstimate::default();
+    /// load_estimate.record_load(Duration::ZERO, Load { running: 3, waiting: 2, slots: 3 }, 1);
+    /// assert_eq!(load_estimate.others(Duration::ZERO).round(), 4.0);
     /// ```
-    pub fn hear(&self, now: Duration, load: Load, own: u32) {
+    pub fn record_load(&self, now: Duration, load: Load, own: u32) {
         let others = f64::from((load.running + load.waiting).saturating_sub(own));
         self.with(|known| {
             let weight = if known.heard_at.is_zero() {
@@ -73,11 +73,11 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let gauge = request_routing::LoadEstimate::default();
-    /// gauge.worked(Duration::from_millis(200), 6.0, 3);
-    /// assert_eq!(gauge.work_ms(50.0), 100.0, "half of it went to waiting");
+    /// let load_estimate = request_routing::LoadEstimate::default();
+    /// load_estimate.record_work_time(Duration::from_millis(200), 6.0, 3);
+    /// assert_eq!(load_estimate.work_ms(50.0), 100.0, "half of it went to waiting");
     /// ```
-    pub fn worked(&self, took: Duration, load: f64, slots: u32) {
+    pub fn record_work_time(&self, took: Duration, load: f64, slots: u32) {
         let alone = took.as_secs_f64() * 1000.0 / (load / f64::from(slots.max(1))).max(1.0);
         self.with(|known| {
             let weight = if known.work_ms == 0.0 { 1.0 } else { NEWEST };
@@ -118,8 +118,8 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let gauge = request_routing::LoadEstimate::default();
-    /// let cost = |own| gauge.cost_ms(Duration::ZERO, own, 3, 0.0, 100.0);
+    /// let load_estimate = request_routing::LoadEstimate::default();
+    /// let cost = |own| load_estimate.cost_ms(Duration::ZERO, own, 3, 0.0, 100.0);
     /// assert!(cost(0) < cost(1) && cost(3) > Some(100.0));
     /// assert_eq!(cost(9), None);
     /// ```
--- a/crates/request-routing/src/proxy_context.rs
+++ b/crates/request-routing/src/proxy_context.rs
@@ -15,9 +15,9 @@
     /// How long a request may wait for a seat; zero denies at once.
     pub wait_for: Duration,
     /// Who owns a name; a proxy forwards only where one locality owns it for everybody.
-    pub owners: OwnershipMode,
+    pub ownership: OwnershipMode,
     /// True where a view that no majority confirms any more is served from all the same.
-    pub serves_on: bool,
+    pub serve_stale_view: bool,
     /// What a request to another zone of the region, and to another region, costs beside work, in milliseconds.
     pub far_ms: (f64, f64),
 }
@@ -37,8 +37,8 @@
             locality,
             stale_after,
             wait_for,
-            owners: OwnershipMode::SingleZone,
-            serves_on: false,
+            ownership: OwnershipMode::SingleZone,
+            serve_stale_view: false,
             far_ms: (20.0, 60.0),
         }
     }
@@ -50,11 +50,11 @@
     /// let mut site = request_routing::ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// let view = name_directory::View { as_of: Some(Duration::ZERO), ..Default::default() };
     /// assert!(!site.may_use(&view, Duration::from_secs(9)));
-    /// site.serves_on = true;
+    /// site.serve_stale_view = true;
     /// assert!(site.may_use(&view, Duration::from_secs(9)));
     /// assert!(!site.may_use(&Default::default(), Duration::ZERO), "it was never confirmed at all");
     /// ```
     pub fn may_use(&self, view: &View, now: Duration) -> bool {
-        (self.serves_on && view.as_of.is_some()) || view.is_fresh(now, self.stale_after)
+        (self.serve_stale_view && view.as_of.is_some()) || view.is_fresh(now, self.stale_after)
     }
 }
--- a/crates/request-routing/src/request_info.rs
+++ b/crates/request-routing/src/request_info.rs
@@ -6,7 +6,7 @@
 /// A request as it came in.
 #[derive(Clone, Debug, Default)]
 pub struct RequestInfo {
-    pub try_id: String,
+    pub attempt_id: String,
     /// The name asked for: a name, an id-form name or an alias.
     pub name: String,
     pub path: String,
@@ -18,5 +18,5 @@
     /// True where another proxy forwarded it.
     pub forwarded: bool,
     /// Rung when a seat it waits for may be free.
-    pub bell: WakeUp,
+    pub wake_up: WakeUp,
 }
--- a/crates/request-routing/src/request_state.rs
+++ b/crates/request-routing/src/request_state.rs
@@ -17,7 +17,7 @@
 
 /// One request under way.
 pub struct RequestState {
-    pub(crate) order: RequestInfo,
+    pub(crate) request: RequestInfo,
     pub(crate) site: ProxyContext,
     pub(crate) stage: RequestStage,
     /// The route and the service it is for, as of this edition.
@@ -54,9 +54,9 @@
     /// let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// assert_eq!(*RequestState::new(RequestInfo::default(), site).stage(), RequestStage::Waiting);
     /// ```
-    pub fn new(order: RequestInfo, site: ProxyContext) -> Self {
+    pub fn new(request: RequestInfo, site: ProxyContext) -> Self {
         RequestState {
-            order,
+            request,
             site,
             stage: RequestStage::Waiting,
             route: None,
@@ -84,9 +84,9 @@
     /// # use request_routing::{RequestState, RequestInfo, ProxyContext, RequestStage};
     /// # use std::time::Duration;
     /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let mut journey = RequestState::new(RequestInfo::default(), site);
-    /// journey.start(Duration::ZERO, &Default::default(), &Default::default());
-    /// assert!(matches!(journey.stage(), RequestStage::Answered { .. }));
+    /// let mut request_state = RequestState::new(RequestInfo::default(), site);
+    /// request_state.start(Duration::ZERO, &Default::default(), &Default::default());
+    /// assert!(matches!(request_state.stage(), RequestStage::Answered { .. }));
     /// ```
     pub fn stage(&self) -> &RequestStage {
         &self.stage
@@ -98,9 +98,9 @@
     /// # use request_routing::{RequestState, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
     /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// assert!(RequestState::new(RequestInfo::default(), site).into_notes().is_empty());
+    /// assert!(RequestState::new(RequestInfo::default(), site).into_trace().is_empty());
     /// ```
-    pub fn into_notes(mut self) -> Vec<TraceEvent> {
+    pub fn into_trace(mut self) -> Vec<TraceEvent> {
         std::mem::take(&mut self.notes)
     }
 
@@ -123,11 +123,11 @@
             .as_ref()
             .filter(|_| code == ResultCode::Overloaded);
         let pressure = crowded.map(|desk| {
-            desk.denied.add(now);
+            desk.rejected.add(now);
             desk.pressure(now)
         });
         let pressure = pressure.unwrap_or_default();
-        let retry_after = retry_after_for(code, pressure, &self.order.try_id);
+        let retry_after = retry_after_for(code, pressure, &self.request.attempt_id);
         self.leave_seat();
         self.leave_place();
         self.leave_desk();
@@ -145,8 +145,8 @@
     /// Gives the seat back and calls whoever waits for it first.
     pub(crate) fn leave_seat(&mut self) {
         self.seat.take().iter().for_each(|(seat, instance)| {
-            seat.rise();
-            self.desk.iter().for_each(|desk| desk.ring(Some(instance)));
+            seat.release();
+            self.desk.iter().for_each(|desk| desk.wake(Some(instance)));
         });
     }
 
@@ -159,10 +159,10 @@
 
     pub(crate) fn left(&self, now: Duration) -> Duration {
         let timeout = self.route.as_ref().and_then(|route| route.policy.timeout);
-        let given = timeout.map_or(self.order.remaining, |timeout| {
-            timeout.min(self.order.remaining)
+        let given = timeout.map_or(self.request.remaining, |timeout| {
+            timeout.min(self.request.remaining)
         });
-        (self.order.arrived_at + given).saturating_sub(now)
+        (self.request.arrived_at + given).saturating_sub(now)
     }
 }
 
@@ -173,28 +173,28 @@
 /// use request_routing::{ProxyStats, RequestInfo, ProxyContext, explain};
 /// use std::time::Duration;
 /// let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-/// let board = ProxyStats::default();
-/// let notes = explain(RequestInfo::default(), &site, Duration::ZERO, &Default::default(), &board);
+/// let stats = ProxyStats::default();
+/// let notes = explain(RequestInfo::default(), &site, Duration::ZERO, &Default::default(), &stats);
 /// assert!(notes[0].to_string().starts_with("answered: 1202"));
 /// ```
 pub fn explain(
-    order: RequestInfo,
+    request: RequestInfo,
     site: &ProxyContext,
     now: Duration,
     view: &View,
-    board: &ProxyStats,
+    stats: &ProxyStats,
 ) -> Vec<TraceEvent> {
     // A copy of the counts takes what the real ones would have given.
-    let copy = board.copy();
-    let mut journey = RequestState::new(
-        order,
+    let copy = stats.copy();
+    let mut request_state = RequestState::new(
+        request,
         ProxyContext {
             wait_for: Duration::ZERO,
             ..site.clone()
         },
     );
-    journey.start(now, view, &copy);
-    journey.into_notes()
+    request_state.start(now, view, &copy);
+    request_state.into_trace()
 }
 
 /// A request whose origin hung up gives its places back.
--- a/crates/request-routing/src/routing.rs
+++ b/crates/request-routing/src/routing.rs
@@ -23,41 +23,41 @@
     /// # use std::time::Duration;
     /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
     /// use result_code::ResultCode;
-    /// let mut journey = RequestState::new(RequestInfo::default(), site);
-    /// let first = journey.start(Duration::ZERO, &Default::default(), &Default::default());
+    /// let mut request_state = RequestState::new(RequestInfo::default(), site);
+    /// let first = request_state.start(Duration::ZERO, &Default::default(), &Default::default());
     /// assert!(matches!(first, NextStep::Answer { code: ResultCode::StaleView, .. }), "a view that was never confirmed");
     /// ```
-    pub fn start(&mut self, now: Duration, view: &View, board: &ProxyStats) -> NextStep {
+    pub fn start(&mut self, now: Duration, view: &View, stats: &ProxyStats) -> NextStep {
         if !self.site.may_use(view, now) {
             return self.answer(now, ResultCode::StaleView);
         }
-        let name = view.configuration.resolve(&self.order.name);
-        let route = name.and_then(|name| view.configuration.find_route(name, &self.order.path));
+        let name = view.configuration.resolve(&self.request.name);
+        let route = name.and_then(|name| view.configuration.find_route(name, &self.request.path));
         let service = |route: &Arc<Route>| {
             view.configuration
                 .services
-                .get(route.select_service(&self.order.try_id))
+                .get(route.select_service(&self.request.attempt_id))
         };
         let found = route.and_then(|route| service(route).map(|service| (route, service)));
         let Some((route, service)) = found else {
             return self.answer(now, ResultCode::NoSuchName);
         };
         self.revision = view.revision;
-        self.notes.push(TraceEvent::Asked {
-            name: self.order.name.clone(),
+        self.notes.push(TraceEvent::RouteResolved {
+            name: self.request.name.clone(),
             route: route.clone(),
             revision: view.revision,
         });
         self.route = Some(route.clone());
-        if self.order.body_bytes > service.max_body_bytes {
+        if self.request.body_bytes > service.max_body_bytes {
             return self.answer(now, ResultCode::TooLarge);
         }
-        if service.keyed && self.order.key.is_none() {
+        if service.keyed && self.request.key.is_none() {
             return self.answer(now, ResultCode::MissingKey);
         }
-        match self.site.owners {
-            OwnershipMode::PerClientZone => self.serve(now, view, board, service),
-            OwnershipMode::SingleZone => self.serve_or_forward(now, view, board, route, service),
+        match self.site.ownership {
+            OwnershipMode::PerClientZone => self.serve(now, view, stats, service),
+            OwnershipMode::SingleZone => self.serve_or_forward(now, view, stats, route, service),
         }
     }
 
@@ -66,7 +66,7 @@
         &mut self,
         now: Duration,
         view: &View,
-        board: &ProxyStats,
+        stats: &ProxyStats,
         route: &Route,
         service: &Arc<Service>,
     ) -> NextStep {
@@ -91,7 +91,7 @@
         if away {
             return self.forward(now, view, service, &reservation.locality);
         }
-        self.serve(now, view, board, service)
+        self.serve(now, view, stats, service)
     }
 
     /// True where its work may go there: both its service's and its route's home regions bind.
@@ -108,10 +108,10 @@
         &mut self,
         now: Duration,
         view: &View,
-        board: &ProxyStats,
+        stats: &ProxyStats,
         service: &Arc<Service>,
     ) -> NextStep {
-        let desk = board.desk(&service.name);
+        let desk = stats.service(&service.name);
         if desk.serving.fetch_add(1, Ordering::AcqRel) >= service.max_concurrency {
             desk.serving.fetch_sub(1, Ordering::AcqRel);
             return self.answer(now, ResultCode::Overloaded);
@@ -119,12 +119,14 @@
         self.leave_desk();
         self.desk = Some(desk);
         self.service = Some(service.clone());
-        if !self.opened && !board.open_try(&self.order.try_id, now, self.left(now) + TRY_LIFE) {
+        if !self.opened
+            && !stats.open_attempt(&self.request.attempt_id, now, self.left(now) + TRY_LIFE)
+        {
             return self.answer(now, ResultCode::Duplicate);
         }
         if !self.opened && service.numeric_keys {
             let key = self
-                .order
+                .request
                 .key
                 .as_deref()
                 .and_then(|key| service.key_position(key));
@@ -133,13 +135,13 @@
                 .for_each(|(key, desk)| desk.count_key(key));
         }
         self.opened = true;
-        self.choose(now, view, board)
+        self.choose(now, view, stats)
     }
 
     /// This locality does not own the name any more, or may not carry it: one hop to one that does.
     fn forward(&mut self, now: Duration, view: &View, service: &Service, owner: &str) -> NextStep {
         // A denial by the next proxy would be passed on, and may not be once this one has sent it somewhere.
-        if self.order.forwarded || self.doubt.is_some() {
+        if self.request.forwarded || self.doubt.is_some() {
             return self.answer(now, ResultCode::Misdirected);
         }
         let able =
@@ -163,7 +165,7 @@
                 (
                     suspect,
                     near,
-                    random::stable_hash_parts([self.order.try_id.as_str(), address.as_str()]),
+                    random::stable_hash_parts([self.request.attempt_id.as_str(), address.as_str()]),
                     address,
                 )
             })
--- a/crates/request-routing/src/stats.rs
+++ b/crates/request-routing/src/stats.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 /// Resends over 10 s: a tenth of first sends, and this many more over all proxies together.
-const RESEND_ALLOWANCE: u64 = 10;
-const MAX_TRIES: usize = 100_000;
+const RETRY_ALLOWANCE: u64 = 10;
+const MAX_ATTEMPTS: usize = 100_000;
 const MAX_EJECTION: Duration = Duration::from_secs(8);
 /// An upstream that sealed that it has no room is believed for so long.
 const FULL_FOR: Duration = Duration::from_millis(100);
@@ -19,10 +19,10 @@
 /// Counts for one service at this proxy.
 #[derive(Default)]
 pub struct ServiceStats {
-    pub firsts: SlidingWindow,
-    pub resends: SlidingWindow,
+    pub first_sends: SlidingWindow,
+    pub retries: SlidingWindow,
     /// Denials for want of room.
-    pub denied: SlidingWindow,
+    pub rejected: SlidingWindow,
     pub serving: AtomicU64,
     /// Requests by equal parts of the keys, where keys are numbers; made with the first.
     keys: OnceLock<Vec<AtomicU32>>,
@@ -37,16 +37,16 @@
     /// ```
     /// use std::time::Duration;
     /// let (desk, now) = (request_routing::ServiceStats::default(), Duration::from_secs(1));
-    /// assert!(!desk.take_resend(now, 13), "nothing was sent yet");
-    /// (0..10).for_each(|_| desk.firsts.add(now));
-    /// assert!(desk.take_resend(now, 13));
-    /// assert!(!desk.take_resend(now, 13));
-    /// ```
-    pub fn take_resend(&self, now: Duration, proxies: usize) -> bool {
-        let allowed = self.firsts.sum(now) / 10 + RESEND_ALLOWANCE / proxies.max(1) as u64;
-        let free = self.resends.sum(now) < allowed;
+    /// assert!(!desk.take_retry(now, 13), "nothing was sent yet");
+    /// (0..10).for_each(|_| desk.first_sends.add(now));
+    /// assert!(desk.take_retry(now, 13));
+    /// assert!(!desk.take_retry(now, 13));
+    /// ```
+    pub fn take_retry(&self, now: Duration, proxies: usize) -> bool {
+        let allowed = self.first_sends.sum(now) / 10 + RETRY_ALLOWANCE / proxies.max(1) as u64;
+        let free = self.retries.sum(now) < allowed;
         if free {
-            self.resends.add(now);
+            self.retries.add(now);
         }
         free
     }
@@ -56,23 +56,23 @@
     /// ```
     /// use std::time::Duration;
     /// let (desk, now) = (request_routing::ServiceStats::default(), Duration::from_secs(1));
-    /// (0..10).for_each(|_| desk.firsts.add(now));
-    /// (0..20).for_each(|_| desk.denied.add(now));
+    /// (0..10).for_each(|_| desk.first_sends.add(now));
+    /// (0..20).for_each(|_| desk.rejected.add(now));
     /// assert_eq!(desk.pressure(now), 2.0);
     /// ```
     pub fn pressure(&self, now: Duration) -> f64 {
-        self.denied.sum(now) as f64 / self.firsts.sum(now).max(1) as f64
+        self.rejected.sum(now) as f64 / self.first_sends.sum(now).max(1) as f64
     }
 
     /// Counts a request for a key.
     ///
     /// ```
-    /// let board = request_routing::ProxyStats::default();
-    /// board.desk("s").count_key(65_535);
-    /// board.desk("s").count_key(65_534);
-    /// let told = board.drain_keys();
+    /// let stats = request_routing::ProxyStats::default();
+    /// stats.service("s").count_key(65_535);
+    /// stats.service("s").count_key(65_534);
+    /// let told = stats.drain_key_loads();
     /// assert_eq!((told[0].parts.as_slice(), told[0].counts.as_slice()), (&[1023][..], &[2][..]));
-    /// assert!(board.drain_keys().is_empty(), "told once");
+    /// assert!(stats.drain_key_loads().is_empty(), "told once");
     /// ```
     pub fn count_key(&self, key: u32) {
         let parts = self.keys.get_or_init(|| {
@@ -103,8 +103,8 @@
     /// desk.leave(ticket);
     /// assert!(!desk.has_waiting(None));
     /// ```
-    pub fn join(&self, key: u64, wants: Option<&str>, bell: WakeUp) -> Option<u64> {
-        self.line(|line| line.join(key, wants, bell))
+    pub fn join(&self, key: u64, wants: Option<&str>, wake_up: WakeUp) -> Option<u64> {
+        self.line(|line| line.join(key, wants, wake_up))
     }
 
     /// Gives a place in the waitlist up.
@@ -137,14 +137,14 @@
     /// Rings for the first who would take a seat at this upstream, or anywhere.
     ///
     /// ```
-    /// request_routing::ServiceStats::default().ring(Some("a"));
+    /// request_routing::ServiceStats::default().wake(Some("a"));
     /// ```
-    pub fn ring(&self, freed: Option<&str>) {
+    pub fn wake(&self, freed: Option<&str>) {
         let first = Some(())
             .filter(|()| self.waiting() > 0)
             .and_then(|()| self.line(|line| line.first(freed)));
         // Outside the lock: whoever is called may look at the list.
-        first.iter().for_each(WakeUp::ring);
+        first.iter().for_each(WakeUp::wake);
     }
 }
 
@@ -153,7 +153,7 @@
 pub struct UpstreamStats {
     pub in_flight: AtomicU32,
     /// What is known of its load, where it tells any.
-    pub gauge: LoadEstimate,
+    pub load_estimate: LoadEstimate,
     /// Another instance answered at its address: it is not there any more, whatever the view says.
     pub replaced: AtomicBool,
     failures: AtomicU32,
@@ -177,9 +177,9 @@
     /// use std::time::Duration;
     /// let (seat, now) = (request_routing::UpstreamStats::default(), Duration::from_secs(1));
     /// assert_eq!(seat.most(now, 1, 8, (2, 0)), 4, "half of eight");
-    /// (0..4).for_each(|_| assert!(seat.sit(4)));
+    /// (0..4).for_each(|_| assert!(seat.try_acquire(4)));
     /// assert_eq!(seat.most(now, 2, 4, (2, 0)), 6, "the other one sends nothing");
-    /// (0..2).for_each(|_| assert!(seat.sit(6)));
+    /// (0..2).for_each(|_| assert!(seat.try_acquire(6)));
     /// assert_eq!(seat.most(now, 2, 4, (2, 0)), 6, "the same beat: its room is not counted anew");
     /// assert_eq!(seat.most(now, 3, 0, (2, 0)), 6, "no more room than it has");
     /// seat.full(now, 1);
@@ -231,22 +231,22 @@
     ///
     /// ```
     /// let seat = request_routing::UpstreamStats::default();
-    /// seat.sit(1);
+    /// seat.try_acquire(1);
     /// assert_eq!(seat.load(std::time::Duration::ZERO), 1.0);
     /// ```
     pub fn load(&self, now: Duration) -> f64 {
-        f64::from(self.in_flight.load(Ordering::Acquire)) + self.gauge.others(now)
+        f64::from(self.in_flight.load(Ordering::Acquire)) + self.load_estimate.others(now)
     }
 
     /// Takes in what it told of its load.
     ///
     /// ```
     /// let seat = request_routing::UpstreamStats::default();
-    /// seat.hear(std::time::Duration::ZERO, request_routing::Load { running: 2, waiting: 0, slots: 3 });
+    /// seat.record_load(std::time::Duration::ZERO, request_routing::Load { running: 2, waiting: 0, slots: 3 });
     /// assert_eq!(seat.load(std::time::Duration::ZERO), 2.0);
     /// ```
-    pub fn hear(&self, now: Duration, load: Load) {
-        self.gauge.hear(
+    pub fn record_load(&self, now: Duration, load: Load) {
+        self.load_estimate.record_load(
             now,
             load,
             self.in_flight.load(Ordering::Acquire).saturating_sub(1),
@@ -257,12 +257,12 @@
     ///
     /// ```
     /// let seat = request_routing::UpstreamStats::default();
-    /// assert!(seat.sit(1));
-    /// assert!(!seat.sit(1));
-    /// seat.rise();
-    /// assert!(seat.sit(1));
+    /// assert!(seat.try_acquire(1));
+    /// assert!(!seat.try_acquire(1));
+    /// seat.release();
+    /// assert!(seat.try_acquire(1));
     /// ```
-    pub fn sit(&self, most: u32) -> bool {
+    pub fn try_acquire(&self, most: u32) -> bool {
         let more = |taken: u32| Some(taken + 1).filter(|taken| *taken <= most);
         self.in_flight
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, more)
@@ -274,7 +274,7 @@
         let count = |from: &AtomicU32| AtomicU32::new(from.load(Ordering::Acquire));
         UpstreamStats {
             in_flight: count(&self.in_flight),
-            gauge: self.gauge.copy(),
+            load_estimate: self.load_estimate.copy(),
             replaced: AtomicBool::new(self.replaced.load(Ordering::Acquire)),
             failures: count(&self.failures),
             ejected_until_ms: word(&self.ejected_until_ms),
@@ -290,11 +290,11 @@
     ///
     /// ```
     /// let seat = request_routing::UpstreamStats::default();
-    /// seat.sit(1);
-    /// seat.rise();
+    /// seat.try_acquire(1);
+    /// seat.release();
     /// assert_eq!(seat.in_flight.load(std::sync::atomic::Ordering::Relaxed), 0);
     /// ```
-    pub fn rise(&self) {
+    pub fn release(&self) {
         let fewer = |taken: u32| Some(taken.saturating_sub(1));
         let _ = self
             .in_flight
@@ -366,13 +366,13 @@
 
 /// What one proxy counts for one service: now, and over the last 10 s.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tally {
+pub struct ServiceCounters {
     pub service: String,
     pub serving: u64,
     pub waiting: u64,
-    pub firsts: u64,
-    pub resends: u64,
-    pub denied: u64,
+    pub first_sends: u64,
+    pub retries: u64,
+    pub rejected: u64,
 }
 
 /// All that one proxy counts.
@@ -380,18 +380,18 @@
 pub struct ProxyStats {
     desks: DashMap<String, Arc<ServiceStats>>,
     seats: DashMap<String, Arc<UpstreamStats>>,
-    tries: DashMap<String, Duration>,
+    attempts: DashMap<String, Duration>,
 }
 
 impl ProxyStats {
     /// The counts of a service.
     ///
     /// ```
-    /// let board = request_routing::ProxyStats::default();
-    /// board.desk("s").firsts.add(std::time::Duration::ZERO);
-    /// assert_eq!(board.desk("s").firsts.sum(std::time::Duration::ZERO), 1);
+    /// let stats = request_routing::ProxyStats::default();
+    /// stats.service("s").first_sends.add(std::time::Duration::ZERO);
+    /// assert_eq!(stats.service("s").first_sends.sum(std::time::Duration::ZERO), 1);
     /// ```
-    pub fn desk(&self, service: &str) -> Arc<ServiceStats> {
+    pub fn service(&self, service: &str) -> Arc<ServiceStats> {
         let known = self.desks.get(service).map(|desk| desk.clone());
         known.unwrap_or_else(|| self.desks.entry(service.to_owned()).or_default().clone())
     }
@@ -399,11 +399,11 @@
     /// The counts of an upstream, by instance.
     ///
     /// ```
-    /// let board = request_routing::ProxyStats::default();
-    /// board.seat("a").sit(1);
-    /// assert!(!board.seat("a").sit(1));
+    /// let stats = request_routing::ProxyStats::default();
+    /// stats.upstream("a").try_acquire(1);
+    /// assert!(!stats.upstream("a").try_acquire(1));
     /// ```
-    pub fn seat(&self, instance: &str) -> Arc<UpstreamStats> {
+    pub fn upstream(&self, instance: &str) -> Arc<UpstreamStats> {
         let known = self.seats.get(instance).map(|seat| seat.clone());
         known.unwrap_or_else(|| self.seats.entry(instance.to_owned()).or_default().clone())
     }
@@ -412,20 +412,20 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// let board = request_routing::ProxyStats::default();
-    /// assert!(board.open_try("t", Duration::ZERO, Duration::from_secs(1)));
-    /// assert!(!board.open_try("t", Duration::ZERO, Duration::from_secs(1)));
-    /// board.sweep(Duration::from_secs(2), |_| true);
-    /// assert!(board.open_try("t", Duration::from_secs(2), Duration::from_secs(1)));
-    /// ```
-    pub fn open_try(&self, try_id: &str, now: Duration, life: Duration) -> bool {
-        if self.tries.len() >= MAX_TRIES {
+    /// let stats = request_routing::ProxyStats::default();
+    /// assert!(stats.open_attempt("t", Duration::ZERO, Duration::from_secs(1)));
+    /// assert!(!stats.open_attempt("t", Duration::ZERO, Duration::from_secs(1)));
+    /// stats.sweep(Duration::from_secs(2), |_| true);
+    /// assert!(stats.open_attempt("t", Duration::from_secs(2), Duration::from_secs(1)));
+    /// ```
+    pub fn open_attempt(&self, attempt_id: &str, now: Duration, life: Duration) -> bool {
+        if self.attempts.len() >= MAX_ATTEMPTS {
             return false;
         }
         let until = now + life;
         let mut fresh = false;
-        self.tries
-            .entry(try_id.to_owned())
+        self.attempts
+            .entry(attempt_id.to_owned())
             .and_modify(|known| {
                 fresh = *known <= now;
                 *known = until.max(*known);
@@ -440,9 +440,9 @@
     /// The same counts, on a board of their own: what is taken there is not taken here.
     ///
     /// ```
-    /// let board = request_routing::ProxyStats::default();
-    /// board.copy().seat("a").sit(1);
-    /// assert!(board.seat("a").sit(1));
+    /// let stats = request_routing::ProxyStats::default();
+    /// stats.copy().upstream("a").try_acquire(1);
+    /// assert!(stats.upstream("a").try_acquire(1));
     /// ```
     pub fn copy(&self) -> ProxyStats {
         let copy = ProxyStats::default();
@@ -465,23 +465,23 @@
     /// Every service's counts, in the order of their names.
     ///
     /// ```
-    /// let board = request_routing::ProxyStats::default();
-    /// board.desk("s").firsts.add(std::time::Duration::ZERO);
-    /// assert_eq!(board.tallies(std::time::Duration::ZERO)[0].firsts, 1);
+    /// let stats = request_routing::ProxyStats::default();
+    /// stats.service("s").first_sends.add(std::time::Duration::ZERO);
+    /// assert_eq!(stats.service_counters(std::time::Duration::ZERO)[0].first_sends, 1);
     /// ```
-    pub fn tallies(&self, now: Duration) -> Vec<Tally> {
-        let tally = |service: &str, desk: &ServiceStats| Tally {
+    pub fn service_counters(&self, now: Duration) -> Vec<ServiceCounters> {
+        let counters = |service: &str, desk: &ServiceStats| ServiceCounters {
             service: service.to_owned(),
             serving: desk.serving.load(Ordering::Acquire),
             waiting: desk.waiting() as u64,
-            firsts: desk.firsts.sum(now),
-            resends: desk.resends.sum(now),
-            denied: desk.denied.sum(now),
+            first_sends: desk.first_sends.sum(now),
+            retries: desk.retries.sum(now),
+            rejected: desk.rejected.sum(now),
         };
-        let mut all: Vec<Tally> = self
+        let mut all: Vec<ServiceCounters> = self
             .desks
             .iter()
-            .map(|desk| tally(desk.key(), &desk))
+            .map(|desk| counters(desk.key(), &desk))
             .collect();
         all.sort_by(|a, b| a.service.cmp(&b.service));
         all
@@ -490,9 +490,9 @@
     /// Upstreams set aside at this moment.
     ///
     /// ```
-    /// let board = request_routing::ProxyStats::default();
-    /// board.seat("a").note(std::time::Duration::ZERO, false);
-    /// assert_eq!(board.ejected(std::time::Duration::ZERO), ["a"]);
+    /// let stats = request_routing::ProxyStats::default();
+    /// stats.upstream("a").note(std::time::Duration::ZERO, false);
+    /// assert_eq!(stats.ejected(std::time::Duration::ZERO), ["a"]);
     /// ```
     pub fn ejected(&self, now: Duration) -> Vec<String> {
         let out =
@@ -510,9 +510,9 @@
     /// Requests by key since the last call, for each service that has any.
     ///
     /// ```
-    /// assert!(request_routing::ProxyStats::default().drain_keys().is_empty());
+    /// assert!(request_routing::ProxyStats::default().drain_key_loads().is_empty());
     /// ```
-    pub fn drain_keys(&self) -> Vec<KeyLoad> {
+    pub fn drain_key_loads(&self) -> Vec<KeyLoad> {
         let drained = self.desks.iter().filter_map(|desk| {
             let counts = desk
                 .keys
@@ -532,23 +532,23 @@
     /// Rings once for every service: there may be room that nobody here gave back.
     ///
     /// ```
-    /// request_routing::ProxyStats::default().ring_all();
+    /// request_routing::ProxyStats::default().wake_all();
     /// ```
-    pub fn ring_all(&self) {
+    pub fn wake_all(&self) {
         let desks: Vec<Arc<ServiceStats>> = self.desks.iter().map(|desk| desk.clone()).collect();
-        desks.iter().for_each(|desk| desk.ring(None));
+        desks.iter().for_each(|desk| desk.wake(None));
     }
 
     /// Forgets tries whose life is over and upstreams that are gone.
     ///
     /// ```
-    /// let board = request_routing::ProxyStats::default();
-    /// board.seat("a").note(std::time::Duration::ZERO, false);
-    /// board.sweep(std::time::Duration::ZERO, |instance| instance != "a");
-    /// assert!(!board.seat("a").is_ejected(std::time::Duration::ZERO));
+    /// let stats = request_routing::ProxyStats::default();
+    /// stats.upstream("a").note(std::time::Duration::ZERO, false);
+    /// stats.sweep(std::time::Duration::ZERO, |instance| instance != "a");
+    /// assert!(!stats.upstream("a").is_ejected(std::time::Duration::ZERO));
     /// ```
     pub fn sweep(&self, now: Duration, present: impl Fn(&str) -> bool) {
-        self.tries.retain(|_, until| *until > now);
+        self.attempts.retain(|_, until| *until > now);
         self.seats.retain(|instance, seat| {
             present(instance) || seat.in_flight.load(Ordering::Acquire) > 0
         });
--- a/crates/request-routing/src/steps.rs
+++ b/crates/request-routing/src/steps.rs
@@ -11,7 +11,7 @@
     /// Nothing was sent: it may be denied.
     Waiting,
     /// A connection is being opened; still nothing was sent, and another may be chosen.
-    Chosen {
+    Connecting {
         upstream: Arc<Upstream>,
         share: Option<KeyShare>,
     },
@@ -28,21 +28,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
     /// A whole, sealed verdict.
-    Sealed,
+    Complete,
     /// The upstream sealed that it did not and will not run it.
-    SealedNotRun,
+    NotExecuted,
     /// No byte can have reached it: none left this process.
     NotConnected,
     /// It may have reached it, and no whole verdict came.
-    Lost,
+    ResponseLost,
     /// Partial, unsealed or foreign.
-    Garbage,
+    InvalidResponse,
     /// Whole and sealed, but by another instance: the one that was called is not there any more.
-    Replaced,
+    InstanceReplaced,
     /// The same, and what answered says that it did not and will not run it.
-    ReplacedNotRun,
+    InstanceReplacedNotExecuted,
     /// It does not hold the key, and did not and will not run it.
-    NotHeld,
+    KeyNotOwned,
     /// A whole verdict that says that it failed.
     Failed,
     TimedOut,
@@ -69,7 +69,7 @@
     /// No seat is free: tell [`RequestState::called`] when the bell rings, or when this span is over.
     Wait { within: Duration },
     /// Pass the verdict that came.
-    Pass,
+    PassResponse,
     /// Answer with a code, and when to come back where that helps.
     Answer {
         code: ResultCode,
--- a/crates/request-routing/src/trace.rs
+++ b/crates/request-routing/src/trace.rs
@@ -10,31 +10,31 @@
 /// Why an upstream was passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    Leaving,
+    Draining,
     Evacuated,
     OutsideHomes,
-    OtherHolder,
-    Tried,
+    KeyOwnedElsewhere,
+    AlreadyTried,
     /// Another instance answered at its address.
-    Replaced,
+    InstanceReplaced,
     NoSlot,
     WarmingUp,
     /// It stood in the view when it was chosen, and does not any more.
-    Gone,
+    Removed,
 }
 
 impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RejectReason::Leaving => "leaving",
+            RejectReason::Draining => "leaving",
             RejectReason::Evacuated => "evacuated locality",
             RejectReason::OutsideHomes => "outside the home regions",
-            RejectReason::OtherHolder => "does not hold the key",
-            RejectReason::Tried => "tried already",
-            RejectReason::Replaced => "another instance answers at its address",
+            RejectReason::KeyOwnedElsewhere => "does not hold the key",
+            RejectReason::AlreadyTried => "tried already",
+            RejectReason::InstanceReplaced => "another instance answers at its address",
             RejectReason::NoSlot => "no free slot",
             RejectReason::WarmingUp => "warming up",
-            RejectReason::Gone => "gone",
+            RejectReason::Removed => "gone",
         })
     }
 }
@@ -42,7 +42,7 @@
 /// One decision on a request's way.
 #[derive(Clone, Debug)]
 pub enum TraceEvent {
-    Asked {
+    RouteResolved {
         name: String,
         route: Arc<Route>,
         revision: u64,
@@ -58,14 +58,14 @@
     Forwarded {
         to: String,
     },
-    Passed {
+    UpstreamRejected {
         upstream: Arc<Upstream>,
         why: RejectReason,
     },
     Connecting {
         upstream: Arc<Upstream>,
     },
-    Withdrawn {
+    SelectionWithdrawn {
         upstream: Arc<Upstream>,
         why: RejectReason,
     },
@@ -73,14 +73,14 @@
         upstream: Arc<Upstream>,
     },
     /// The connection turned out to be closed before a byte went out.
-    Unsent {
+    NotWritten {
         upstream: Arc<Upstream>,
     },
-    Waits {
+    Queued {
         within: Duration,
     },
-    CallError,
-    Again {
+    WokenUp,
+    Retried {
         after: ResultCode,
     },
     Answered {
@@ -91,7 +91,7 @@
 impl fmt::Display for TraceEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            TraceEvent::Asked {
+            TraceEvent::RouteResolved {
                 name,
                 route,
                 revision,
@@ -107,7 +107,7 @@
                 write!(f, "mark here: moved to {to} at epoch {epoch}")
             }
             TraceEvent::Forwarded { to } => write!(f, "forwarded to {to} by the mark"),
-            TraceEvent::Passed { upstream, why } => {
+            TraceEvent::UpstreamRejected { upstream, why } => {
                 write!(f, "{} passed over: {why}", upstream.instance)
             }
             TraceEvent::Connecting { upstream } => write!(
@@ -115,7 +115,7 @@
                 "connecting to {} in {}",
                 upstream.instance, upstream.locality
             ),
-            TraceEvent::Withdrawn { upstream, why } => {
+            TraceEvent::SelectionWithdrawn { upstream, why } => {
                 write!(
                     f,
                     "connected to {}, but nothing was sent: {why}",
@@ -125,18 +125,18 @@
             TraceEvent::Sent { upstream } => {
                 write!(f, "sent to {} in {}", upstream.instance, upstream.locality)
             }
-            TraceEvent::Unsent { upstream } => {
+            TraceEvent::NotWritten { upstream } => {
                 write!(
                     f,
                     "the kept connection to {} was closed, and nothing was sent",
                     upstream.instance
                 )
             }
-            TraceEvent::Waits { within } => {
+            TraceEvent::Queued { within } => {
                 write!(f, "waits for a seat, {} ms at most", within.as_millis())
             }
-            TraceEvent::CallError => f.write_str("called: a seat may be free"),
-            TraceEvent::Again { after } => write!(f, "sent again after: {after}"),
+            TraceEvent::WokenUp => f.write_str("called: a seat may be free"),
+            TraceEvent::Retried { after } => write!(f, "sent again after: {after}"),
             TraceEvent::Answered { code } => write!(f, "answered: {code}"),
         }
     }
--- a/crates/request-routing/tests/arbitrary.rs
+++ b/crates/request-routing/tests/arbitrary.rs
@@ -39,22 +39,23 @@
                 now += MS(noise.int_in_range(0..=40)?);
                 let desk = &desks[noise.int_in_range(0..=12usize)?];
                 if noise.ratio(1u8, 3u8)? {
-                    desk.firsts.add(now);
+                    desk.first_sends.add(now);
                     sends.push((now, false));
-                } else if desk.take_resend(now, desks.len()) {
+                } else if desk.take_retry(now, desks.len()) {
                     sends.push((now, true));
                 }
                 let recent = sends.iter().filter(|(at, _)| *at + MS(10_000) > now);
-                let (firsts, again) = recent.fold((0u64, 0u64), |(firsts, again), (_, resend)| {
-                    if *resend {
-                        (firsts, again + 1)
-                    } else {
-                        (firsts + 1, again)
-                    }
-                });
+                let (first_sends, again) =
+                    recent.fold((0u64, 0u64), |(first_sends, again), (_, resend)| {
+                        if *resend {
+                            (first_sends, again + 1)
+                        } else {
+                            (first_sends + 1, again)
+                        }
+                    });
                 assert!(
-                    again <= firsts / 5 + 10,
-                    "{again} resends on {firsts} sends"
+                    again <= first_sends / 5 + 10,
+                    "{again} resends on {first_sends} sends"
                 );
             }
             Ok(())
--- a/crates/request-routing/tests/unsent.rs
+++ b/crates/request-routing/tests/unsent.rs
@@ -36,23 +36,23 @@
     view
 }
 
-fn journey() -> RequestState {
+fn request_state() -> RequestState {
     let mut site = ProxyContext::new(
         "p",
         "n/1".parse().unwrap(),
         Duration::from_secs(9),
         Duration::ZERO,
     );
-    site.owners = OwnershipMode::PerClientZone;
-    let order = RequestInfo {
-        try_id: "t-1".into(),
+    site.ownership = OwnershipMode::PerClientZone;
+    let request = RequestInfo {
+        attempt_id: "t-1".into(),
         name: "book".into(),
         path: "/book".into(),
         arrived_at: NOW,
         remaining: Duration::from_secs(5),
         ..RequestInfo::default()
     };
-    RequestState::new(order, site)
+    RequestState::new(request, site)
 }
 
 fn chosen(next: &NextStep) -> String {
@@ -64,32 +64,32 @@
 
 #[test]
 fn the_same_upstream_is_called_again_on_a_new_connection() {
-    let (view, board) = (view(), ProxyStats::default());
-    let mut journey = journey();
-    let first = journey.start(NOW, &view, &board);
+    let (view, stats) = (view(), ProxyStats::default());
+    let mut request_state = request_state();
+    let first = request_state.start(NOW, &view, &stats);
     assert!(matches!(
-        journey.connected(NOW, &view, &board),
+        request_state.on_connected(NOW, &view, &stats),
         NextStep::Send { .. }
     ));
-    let again = journey.unsent(NOW);
+    let again = request_state.on_not_written(NOW);
     assert_eq!(chosen(&again), chosen(&first));
     assert!(matches!(
-        journey.connected(NOW, &view, &board),
+        request_state.on_connected(NOW, &view, &stats),
         NextStep::Send { .. }
     ));
     assert!(matches!(
-        journey.after(NOW, &view, &board, CallOutcome::Sealed),
-        NextStep::Pass
+        request_state.on_outcome(NOW, &view, &stats, CallOutcome::Complete),
+        NextStep::PassResponse
     ));
 }
 
 #[test]
 fn the_choice_is_judged_again() {
-    let (mut view, board) = (view(), ProxyStats::default());
-    let mut journey = journey();
-    let first = chosen(&journey.start(NOW, &view, &board));
-    journey.connected(NOW, &view, &board);
-    assert_eq!(chosen(&journey.unsent(NOW)), first);
+    let (mut view, stats) = (view(), ProxyStats::default());
+    let mut request_state = request_state();
+    let first = chosen(&request_state.start(NOW, &view, &stats));
+    request_state.on_connected(NOW, &view, &stats);
+    assert_eq!(chosen(&request_state.on_not_written(NOW)), first);
     let gone = Upstream {
         service: "slots".into(),
         instance: first.clone(),
@@ -104,21 +104,21 @@
         false,
     )
     .unwrap();
-    let next = journey.connected(NOW, &view, &board);
+    let next = request_state.on_connected(NOW, &view, &stats);
     assert_ne!(chosen(&next), first, "it has gone meanwhile");
 }
 
 #[test]
 fn what_was_never_written_is_told_as_not_run() {
-    let (view, board) = (view(), ProxyStats::default());
-    let mut journey = journey();
-    let mut next = journey.start(NOW, &view, &board);
+    let (view, stats) = (view(), ProxyStats::default());
+    let mut request_state = request_state();
+    let mut next = request_state.start(NOW, &view, &stats);
     while let NextStep::Connect { .. } = next {
         assert!(matches!(
-            journey.connected(NOW, &view, &board),
+            request_state.on_connected(NOW, &view, &stats),
             NextStep::Send { .. }
         ));
-        next = journey.after(NOW, &view, &board, CallOutcome::NotConnected);
+        next = request_state.on_outcome(NOW, &view, &stats, CallOutcome::NotConnected);
     }
     let NextStep::Answer { code, .. } = next else {
         panic!("{next:?}")
@@ -128,10 +128,13 @@
 
 #[test]
 fn a_request_that_was_answered_is_never_sent_again() {
-    let (view, board) = (view(), ProxyStats::default());
-    let mut journey = journey();
-    journey.start(NOW, &view, &board);
-    journey.connected(NOW, &view, &board);
-    journey.after(NOW, &view, &board, CallOutcome::Lost);
-    assert!(matches!(journey.unsent(NOW), NextStep::Answer { .. }));
+    let (view, stats) = (view(), ProxyStats::default());
+    let mut request_state = request_state();
+    request_state.start(NOW, &view, &stats);
+    request_state.on_connected(NOW, &view, &stats);
+    request_state.on_outcome(NOW, &view, &stats, CallOutcome::ResponseLost);
+    assert!(matches!(
+        request_state.on_not_written(NOW),
+        NextStep::Answer { .. }
+    ));
 }
--- a/crates/simulator/src/connections.rs
+++ b/crates/simulator/src/connections.rs
@@ -174,7 +174,7 @@
         };
         let outcome =
             match transport::match_response(&reply.headers(), reply.status, Some(due), came) {
-                _ if self.weak.takes_next => CallOutcome::Sealed,
+                _ if self.weak.takes_next => CallOutcome::Complete,
                 ResponseMatch::OtherRequest if trip.passed < transport::MAX_SKIPPED_RESPONSES => {
                     trip.passed += 1;
                     self.connections.passed_over += 1;
@@ -183,7 +183,7 @@
                 ResponseMatch::CurrentRequest => {
                     reply.judge(&trip.sent.try_id, trip.instance.as_deref())
                 }
-                _ => CallOutcome::Garbage,
+                _ => CallOutcome::InvalidResponse,
             };
         let (node, trip, send) = (trip.node, *id, trip.send);
         let event = NodeEvent::CallOutcome {
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -498,7 +498,7 @@
                 use data_plane::Event;
                 if event.is_none() && local >= node.next_sweep {
                     node.next_sweep = local + Duration::from_secs(1);
-                    let counts = board.drain_keys();
+                    let counts = board.drain_key_loads();
                     if !self.weak.uncounted {
                         carrier.step(local, Event::Counted(counts));
                     }
@@ -539,7 +539,7 @@
     /// Beats may have told of room.
     fn ring_all(&self, at: usize) {
         if let Core::DataNode(_, board) = &self.nodes[at].core {
-            board.ring_all();
+            board.wake_all();
         }
     }
 
--- a/crates/simulator/src/path.rs
+++ b/crates/simulator/src/path.rs
@@ -102,7 +102,7 @@
             body: self.body.clone().into(),
         };
         let called = self.failed.map(Err).unwrap_or(Ok(reply));
-        data_plane::judge(&called, try_id, instance)
+        data_plane::judge_response(&called, try_id, instance)
     }
 }
 
@@ -425,7 +425,7 @@
             .unwrap_or(ResultCode::ResponseLost);
         state.last = Some(code);
         let success = answer.failed.is_none() && answer.status == 200;
-        let whole = answer.judge(&try_id, None) == CallOutcome::Sealed && answer.body == body;
+        let whole = answer.judge(&try_id, None) == CallOutcome::Complete && answer.body == body;
         let not_run = !success && answer.failed.is_none() && code.kind() == Execution::NotExecuted;
         if answer.failed.is_none() {
             self.note(Fact::Answered {
@@ -516,7 +516,7 @@
         }
         let rung = self.rung.clone();
         let order = RequestInfo {
-            try_id: request.try_id.clone(),
+            attempt_id: request.try_id.clone(),
             name: match request.from {
                 From::Nobody => request.service.to_owned(),
                 _ => format!("{}.{}.example", request.service, self.shape.name),
@@ -527,7 +527,7 @@
             remaining: request.remaining,
             body_bytes: request.work.len() as u64,
             forwarded: matches!(request.from, From::Proxy { .. }),
-            bell: WakeUp::new(move || {
+            wake_up: WakeUp::new(move || {
                 rung.lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .push(trip)
@@ -641,13 +641,13 @@
         let mut reply = None;
         let next = match told {
             Told::Start => trip.journey.start(local, &view, board),
-            Told::CallError => trip.journey.called(local, &view, board),
+            Told::CallError => trip.journey.on_wake_up(local, &view, board),
             Told::Connected { unwritable } => {
                 let (judged_at, judged_by) = trip.chosen_by.take().unwrap_or((local, view.clone()));
-                match trip.journey.connected(judged_at, &judged_by, board) {
+                match trip.journey.on_connected(judged_at, &judged_by, board) {
                     NextStep::Send { .. } if unwritable => {
                         trip.may_reuse = false;
-                        trip.journey.unsent(local)
+                        trip.journey.on_not_written(local)
                     }
                     next => next,
                 }
@@ -655,10 +655,10 @@
             Told::CallOutcome(outcome, came) => {
                 reply = came;
                 if self.weak.spendthrift {
-                    let desk = board.desk(trip.request.service);
-                    (0..1000).for_each(|_| desk.firsts.add(local));
+                    let desk = board.service(trip.request.service);
+                    (0..1000).for_each(|_| desk.first_sends.add(local));
                 }
-                trip.journey.after(local, &view, board, outcome)
+                trip.journey.on_outcome(local, &view, board, outcome)
             }
         };
         match next {
@@ -783,7 +783,7 @@
                     ),
                 }
             }
-            NextStep::Pass => self.end_trip(
+            NextStep::PassResponse => self.end_trip(
                 id,
                 reply.unwrap_or_else(|| Reply::coded("", ResultCode::ResponseLost, None)),
             ),
@@ -853,8 +853,8 @@
                 let denied =
                     reply.seal.is_empty() && code.is_some_and(|code| code != ResultCode::Success);
                 let judged = reply.judge(&request.try_id, None);
-                let outcome = if denied || judged == CallOutcome::SealedNotRun {
-                    CallOutcome::Sealed
+                let outcome = if denied || judged == CallOutcome::NotExecuted {
+                    CallOutcome::Complete
                 } else {
                     judged
                 };
@@ -914,8 +914,8 @@
         if self.weak.trusting {
             let outcome = reply
                 .failed
-                .map(|_| CallOutcome::SealedNotRun)
-                .unwrap_or(CallOutcome::Sealed);
+                .map(|_| CallOutcome::NotExecuted)
+                .unwrap_or(CallOutcome::Complete);
             return self.after_outcome(trip, send, (outcome, Some(reply)), delay);
         }
         let outcome = reply.judge(&waiting.sent.try_id, waiting.instance.as_deref());
@@ -940,7 +940,7 @@
                 .get_mut(&trip)
                 .and_then(|trip| trip.connection.take());
             let answered = reply.as_ref().is_some_and(|reply| reply.failed.is_none());
-            let expected = answered && outcome != CallOutcome::Garbage;
+            let expected = answered && outcome != CallOutcome::InvalidResponse;
             connection
                 .into_iter()
                 .for_each(|connection| self.end_kept(connection, expected));
--- a/crates/test-harness/src/hollow/request.rs
+++ b/crates/test-harness/src/hollow/request.rs
@@ -58,7 +58,7 @@
         watch.took()
     });
     spread(&mut figures, "look-up", looked.collect());
-    (0..size.upstreams).for_each(|at| drop(board.seat(&format!("unit-{at}"))));
+    (0..size.upstreams).for_each(|at| drop(board.upstream(&format!("unit-{at}"))));
     let known = |instance: &str| {
         view.upstreams
             .values()
@@ -101,7 +101,7 @@
 
 fn order(size: &Size, at: usize) -> RequestInfo {
     RequestInfo {
-        try_id: format!("try-{at}"),
+        attempt_id: format!("try-{at}"),
         name: format!("name-{}", at % size.routes),
         path: "/".into(),
         key: Some(format!("tenant-{}", at % 82_000)),
@@ -116,8 +116,11 @@
     let mut journey = RequestState::new(order, site.clone());
     match journey.start(NOW, view, board) {
         NextStep::Connect { .. } => {
-            let sent = matches!(journey.connected(NOW, view, board), NextStep::Send { .. });
-            journey.after(NOW, view, board, CallOutcome::Sealed);
+            let sent = matches!(
+                journey.on_connected(NOW, view, board),
+                NextStep::Send { .. }
+            );
+            journey.on_outcome(NOW, view, board, CallOutcome::Complete);
             sent
         }
         _ => false,
--- a/crates/test-harness/src/scripted/clients.rs
+++ b/crates/test-harness/src/scripted/clients.rs
@@ -2,7 +2,7 @@
 
 use super::{Fact, Facts, Peer, Said, Told, Try};
 use bytes::Bytes;
-use data_plane::{ApiAdapter, ListenerKind, Node, NodeTerms};
+use data_plane::{ApiAdapter, ListenerKind, Node, NodeOptions};
 use http_body_util::BodyExt;
 use name_directory::{ConfigurationParser, OwnershipMode, View};
 use protocol::{ClusterState, Upstream, ViewUpdate};
@@ -127,8 +127,8 @@
     pub fn start(manner: &'static Manner, peers: &[Peer], facts: Facts, takes: Takes) -> Proxy {
         let mut site =
             ProxyContext::new("p", "n/1".parse().unwrap_or_default(), LONG, Duration::ZERO);
-        (site.owners, site.serves_on) = (OwnershipMode::PerClientZone, true);
-        let terms = NodeTerms {
+        (site.ownership, site.serve_stale_view) = (OwnershipMode::PerClientZone, true);
+        let terms = NodeOptions {
             clock: Clock::default(),
             keeps_connections: true,
             roles: "proxy".into(),
@@ -226,16 +226,16 @@
 }
 
 fn broken(api_adapter: ApiAdapter, takes: Takes) -> ApiAdapter {
-    let judge = api_adapter.judge;
+    let judge_response = api_adapter.judge_response;
     match takes {
         Takes::ItsOwn => ApiAdapter {
-            judge,
+            judge_response,
             ..api_adapter
         },
         Takes::LostForUnsent => ApiAdapter {
-            judge: Box::new(move |called, try_id, instance| {
-                match judge(called, try_id, instance) {
-                    request_routing::CallOutcome::Lost => {
+            judge_response: Box::new(move |called, try_id, instance| {
+                match judge_response(called, try_id, instance) {
+                    request_routing::CallOutcome::ResponseLost => {
                         request_routing::CallOutcome::NotConnected
                     }
                     outcome => outcome,
@@ -245,11 +245,11 @@
         },
         Takes::Anything => ApiAdapter {
             // Nothing names a try by this, so that no answer is told apart.
-            answer_id: "x-nobody",
-            judge: Box::new(move |called, _, _| match called {
-                Ok(reply) if reply.status == 200 => request_routing::CallOutcome::Sealed,
-                Ok(_) => request_routing::CallOutcome::SealedNotRun,
-                Err(_) => request_routing::CallOutcome::Lost,
+            response_id_header: "x-nobody",
+            judge_response: Box::new(move |called, _, _| match called {
+                Ok(reply) if reply.status == 200 => request_routing::CallOutcome::Complete,
+                Ok(_) => request_routing::CallOutcome::NotExecuted,
+                Err(_) => request_routing::CallOutcome::ResponseLost,
             }),
             ..api_adapter
         },
