--- a/crates/transport/src/http_client.rs
+++ b/crates/transport/src/http_client.rs
@@ -32,16 +32,20 @@
     }
 }
 
-/// How a call failed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// How a call failed. Whether the request may have been executed decides what a caller may do next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// No byte can have reached the other side: none left this process.
+    #[error("not connected; nothing was sent")]
     NotConnected,
-    /// It may have been read; no whole reply came.
+    /// The request may have been read; no complete response came.
+    #[error("the connection was lost before a complete response")]
     ConnectionLost,
-    /// No whole reply came in time.
+    /// No complete response came in time.
+    #[error("no complete response in time")]
     TimedOut,
-    /// The reply was no HTTP, over the bound, another request's, or of no told length.
+    /// The response was no HTTP, too large, another request's, or of unknown length.
+    #[error("the response is invalid")]
     InvalidResponse,
 }
 
