--- a/crates/control-plane/src/keys.rs
+++ b/crates/control-plane/src/keys.rs
@@ -149,7 +149,7 @@
         let terms = KeyLeaseTerms {
             lease_duration: self.times.share_span,
             response_timeout: ANSWER_WITHIN,
-            margin: self.times.lease.margin + MARGIN,
+            margin: self.times.lease.safety_margin + MARGIN,
             rebalance_interval: SETTLE,
             accepts_late_responses: false,
         };
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -577,11 +577,15 @@
 
     /// Whom the lease asks, and what it may grant, follows every newer state at once.
     fn tell_lease_voters(&mut self, now: Duration) {
-        let (voter_set, epoch) = (
-            self.register.voter_set().clone(),
-            self.register.lease_epoch(),
+        let voter_set = self.register.voter_set().clone();
+        let persisted_epoch = self.register.lease_epoch();
+        self.run_lease(
+            now,
+            lease::Event::VotersChanged {
+                voter_set,
+                persisted_epoch,
+            },
         );
-        self.run_lease(now, lease::Event::VotersChanged { voter_set, epoch });
     }
 
     pub(crate) fn run_lease(&mut self, now: Duration, event: lease::Event) {
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -48,11 +48,11 @@
     /// assert!(!control_plane::ControlNode::new(start).holds_placement(Default::default()));
     /// ```
     pub fn holds_placement(&self, now: Duration) -> bool {
-        self.lease.holds(now).is_some()
+        self.lease.held_epoch(now).is_some()
     }
 
     pub(crate) fn tick_duty(&mut self, now: Duration) {
-        let Some(epoch) = self.lease.holds(now) else {
+        let Some(epoch) = self.lease.held_epoch(now) else {
             let lost = self
                 .duty
                 .take()
@@ -257,7 +257,7 @@
         now: Duration,
         upstream: &Upstream,
     ) -> Option<Vec<KeyShare>> {
-        let epoch = self.lease.holds(now)?;
+        let epoch = self.lease.held_epoch(now)?;
         if upstream.condition == DEREGISTERED {
             // A sign-off lists nothing and proves nothing: its sender may serve on, so its holds run out by themselves.
             return None;
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -345,7 +345,7 @@
 
     pub(crate) fn shares_asked(&mut self, now: Duration, from: String, request: SharesRequest) {
         self.registry.apply_heartbeat(now, request.upstream.clone());
-        let Some(epoch) = self.lease.holds(now) else {
+        let Some(epoch) = self.lease.held_epoch(now) else {
             return;
         };
         let shares = self.give_shares(now, &request.upstream);
--- a/crates/control-plane/src/shell.rs
+++ b/crates/control-plane/src/shell.rs
@@ -114,7 +114,7 @@
 ///
 /// ```
 /// let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap();
-/// assert_eq!(control_plane::shell::times(&settings).lease.span.as_millis(), 1500);
+/// assert_eq!(control_plane::shell::times(&settings).lease.duration.as_millis(), 1500);
 /// ```
 pub fn times(settings: &Settings) -> Times {
     Times {
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -53,7 +53,7 @@
             .leaving
             .retain(|_, said_at| now < *said_at + LEAVING_FOR);
         self.finish_hand_over(now);
-        if self.lease.holds(now).is_some() && self.is_current(now) {
+        if self.lease.held_epoch(now).is_some() && self.is_current(now) {
             self.mind_voters(now);
         }
     }
@@ -160,7 +160,7 @@
 
     /// A lease that an earlier set of voters granted must have run out before the set after the next may grant one.
     fn may_begin_change(&self, now: Duration) -> bool {
-        let least = self.times.lease.span + self.times.lease.margin;
+        let least = self.times.lease.duration + self.times.lease.safety_margin;
         self.register
             .voter_set_stable_for(now)
             .is_some_and(|settled| settled >= least)
@@ -258,7 +258,7 @@
     fn leave(&mut self, now: Duration) {
         let effects = self.membership.step(now, membership::Event::Leave);
         self.run_membership(now, effects);
-        self.run_lease(now, lease::Event::Close);
+        self.run_lease(now, lease::Event::Shutdown);
     }
 
     /// True once a node that was told to end owes nobody anything: its place is taken, or cannot be.
--- a/crates/lease/src/bounded_step_clock.rs
+++ b/crates/lease/src/bounded_step_clock.rs
@@ -1,13 +1,14 @@
-//! The clock by which whoever granted something waits until it has surely run out.
+//! The clock by which whoever granted something waits until the grant has surely expired.
 
 use std::time::Duration;
 
-/// Steps come every few milliseconds: a longer one counts for so much.
+/// The longest step that is counted in full. Steps come every few milliseconds, so a longer one shows a suspended
+/// process or a clock that jumped.
 pub const MAX_STEP: Duration = Duration::from_millis(100);
 
-/// Time that counts no step for more than a bound. A process that stands still, and a clock that jumps ahead, look
-/// alike from inside; either way this clock falls behind, and what was given out is waited out for too long, not for
-/// too short. So jumps that are each too small to be noticed don't add up within one grant.
+/// A clock that counts no step for more than a bound. A suspended process and a clock that jumps ahead look alike from
+/// inside; in either case this clock falls behind, so a grant is waited out for too long rather than too short. Jumps
+/// that are each too small to be noticed don't add up within one grant either.
 ///
 /// ```
 /// use lease::{BoundedStepClock, MAX_STEP};
@@ -17,28 +18,28 @@
 /// clock.advance(Duration::from_secs(9));
 /// assert_eq!(clock.now(), MAX_STEP);
 /// ```
-#[derive(Clone, Hash)]
+#[derive(Clone, Debug, Hash)]
 pub struct BoundedStepClock {
-    longest_step: Duration,
-    last: Option<Duration>,
-    counted: Duration,
+    max_step: Duration,
+    last_advance: Option<Duration>,
+    elapsed: Duration,
 }
 
 impl BoundedStepClock {
-    /// A clock at zero.
+    /// A clock at zero that counts at most `max_step` for each step.
     ///
     /// ```
     /// assert!(lease::BoundedStepClock::new(lease::MAX_STEP).now().is_zero());
     /// ```
-    pub fn new(longest_step: Duration) -> Self {
+    pub fn new(max_step: Duration) -> Self {
         BoundedStepClock {
-            longest_step,
-            last: None,
-            counted: Duration::ZERO,
+            max_step,
+            last_advance: None,
+            elapsed: Duration::ZERO,
         }
     }
 
-    /// Counts the step from the last time to this one.
+    /// Counts the step from the last call's `now` to this one's; the first call counts nothing.
     ///
     /// ```
     /// use std::time::Duration;
@@ -47,16 +48,16 @@
     /// assert_eq!(clock.now(), Duration::from_millis(40));
     /// ```
     pub fn advance(&mut self, now: Duration) {
-        let last = self.last.replace(now).unwrap_or(now);
-        self.counted += now.saturating_sub(last).min(self.longest_step);
+        let last_advance = self.last_advance.replace(now).unwrap_or(now);
+        self.elapsed += now.saturating_sub(last_advance).min(self.max_step);
     }
 
-    /// What was counted so far.
+    /// The time counted so far.
     ///
     /// ```
     /// assert!(lease::BoundedStepClock::new(lease::MAX_STEP).now().is_zero());
     /// ```
     pub fn now(&self) -> Duration {
-        self.counted
+        self.elapsed
     }
 }
--- a/crates/lease/tests/new_voter.rs
+++ b/crates/lease/tests/new_voter.rs
@@ -1,30 +1,30 @@
-//! A voter that has just taken another's place knows of no lease that was granted before it.
+//! A voter that has just replaced another knows of no lease that was granted before.
 
 use lease::{Effect, Event, Lease, LeaseTiming};
 use protocol::{LeaseRequest, Payload, VoterSet};
 use std::time::Duration;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
-const SPAN: Duration = Duration::from_millis(1500);
+const DURATION: Duration = Duration::from_millis(1500);
 /// Steps come many times within the margin.
 const STEP_MS: u64 = 50;
 
-fn named(voters: &[&str]) -> Vec<String> {
+fn names(voters: &[&str]) -> Vec<String> {
     voters.iter().map(|voter| (*voter).to_owned()).collect()
 }
 
-fn before() -> VoterSet {
-    VoterSet::new(named(&["a", "b", "c"]))
+fn voters_before() -> VoterSet {
+    VoterSet::new(names(&["a", "b", "c"]))
 }
 
-fn joint() -> VoterSet {
-    before()
-        .begin_change(named(&["a", "b", "d"]))
+fn joint_voters() -> VoterSet {
+    voters_before()
+        .begin_change(names(&["a", "b", "d"]))
         .expect("a change")
 }
 
-fn after() -> VoterSet {
-    joint().complete_change().expect("a change")
+fn voters_after() -> VoterSet {
+    joint_voters().complete_change().expect("a change")
 }
 
 struct Voter {
@@ -33,39 +33,39 @@
 }
 
 impl Voter {
-    /// It has followed for long, so that its own start makes it wait for nothing.
-    fn that_followed(name: &str) -> Voter {
+    /// It has run for long, so its own start is no reason to reject requests.
+    fn running_for_long(name: &str) -> Voter {
         let mut voter = Voter {
-            lease: Lease::new(name.into(), LeaseTiming::new(SPAN, MS(500)), 1),
+            lease: Lease::new(name.into(), LeaseTiming::new(DURATION, MS(500)), 1),
             now: MS(0),
         };
-        voter.learns(before());
-        // Its own candidacy would take its grant: a closed candidate asks for nothing.
-        voter.lease.step(voter.now, Event::Close);
-        voter.waits(4 * SPAN);
+        voter.learn_voters(voters_before());
+        // Its own candidacy would take its grant: after a shutdown it requests nothing.
+        voter.lease.step(voter.now, Event::Shutdown);
+        voter.wait(4 * DURATION);
         voter
     }
 
-    fn learns(&mut self, voter_set: VoterSet) {
+    fn learn_voters(&mut self, voter_set: VoterSet) {
         self.lease.step(
             self.now,
             Event::VotersChanged {
                 voter_set,
-                epoch: 0,
+                persisted_epoch: 0,
             },
         );
     }
 
-    fn waits(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn wait(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.now = until.min(self.now + MS(STEP_MS));
             self.lease.step(self.now, Event::Tick);
         }
     }
 
-    /// Whether it goes on to grant what a candidate that knows these voters asks for.
-    fn grants(&mut self, epoch: u64, voter_set: &VoterSet) -> bool {
+    /// Whether it begins to grant the request of a candidate that knows these voters.
+    fn accepts_request(&mut self, epoch: u64, voter_set: &VoterSet) -> bool {
         let body = Payload::LeaseRequest(LeaseRequest {
             epoch,
             nonce: epoch,
@@ -86,50 +86,53 @@
 }
 
 #[test]
-fn a_voter_that_took_a_place_grants_nothing_for_a_span() {
-    let mut new = Voter::that_followed("d");
-    new.learns(joint());
-    new.learns(after());
+fn a_voter_that_replaced_another_grants_nothing_for_a_lease_duration() {
+    let mut new = Voter::running_for_long("d");
+    new.learn_voters(joint_voters());
+    new.learn_voters(voters_after());
     assert!(
-        !new.grants(1, &after()),
-        "a majority of the voters before may have granted a lease"
+        !new.accepts_request(1, &voters_after()),
+        "a majority of the earlier voters may have granted a lease"
+    );
+    new.wait(DURATION - MS(STEP_MS));
+    assert!(!new.accepts_request(2, &voters_after()));
+    new.wait(MS(2 * STEP_MS));
+    assert!(
+        new.accepts_request(3, &voters_after()),
+        "every such lease has expired"
     );
-    new.waits(SPAN - MS(STEP_MS));
-    assert!(!new.grants(2, &after()));
-    new.waits(MS(2 * STEP_MS));
-    assert!(new.grants(3, &after()), "every such lease has run out");
 }
 
 #[test]
-fn a_voter_that_has_not_heard_of_its_place_grants_nothing_among_the_voters_after() {
-    let mut behind = Voter::that_followed("d");
-    behind.learns(joint());
-    assert!(!behind.grants(1, &after()));
+fn a_voter_that_does_not_know_of_its_vote_grants_nothing_among_the_new_voters() {
+    let mut behind = Voter::running_for_long("d");
+    behind.learn_voters(joint_voters());
+    assert!(!behind.accepts_request(1, &voters_after()));
     assert!(
-        behind.grants(2, &joint()),
-        "a majority of the voters before has to grant it too"
+        behind.accepts_request(2, &joint_voters()),
+        "a majority of the earlier voters has to grant it too"
     );
 }
 
 #[test]
-fn a_voter_that_stays_goes_on_to_grant() {
-    let mut stays = Voter::that_followed("b");
-    stays.learns(joint());
-    stays.learns(after());
-    assert!(stays.grants(1, &after()));
+fn a_remaining_voter_goes_on_to_grant() {
+    let mut stays = Voter::running_for_long("b");
+    stays.learn_voters(joint_voters());
+    stays.learn_voters(voters_after());
+    assert!(stays.accepts_request(1, &voters_after()));
 }
 
-/// It was replaced and came back, and slept over both changes.
+/// It was replaced and added again, and learned of neither change in between.
 #[test]
-fn a_voter_that_missed_a_whole_change_grants_nothing_for_a_span() {
-    let mut back = Voter::that_followed("c");
-    let again = after()
-        .begin_change(named(&["a", "b", "c"]))
+fn a_voter_that_missed_a_whole_change_grants_nothing_for_a_lease_duration() {
+    let mut back = Voter::running_for_long("c");
+    let again = voters_after()
+        .begin_change(names(&["a", "b", "c"]))
         .expect("a change")
         .complete_change()
         .expect("a change");
-    back.learns(again.clone());
-    assert!(!back.grants(1, &again));
-    back.waits(SPAN + MS(STEP_MS));
-    assert!(back.grants(2, &again));
+    back.learn_voters(again.clone());
+    assert!(!back.accepts_request(1, &again));
+    back.wait(DURATION + MS(STEP_MS));
+    assert!(back.accepts_request(2, &again));
 }
--- a/crates/model-checker/src/control_model.rs
+++ b/crates/model-checker/src/control_model.rs
@@ -358,7 +358,7 @@
         );
         // Its ticks are far apart, and its clocks drift but never jump.
         let times = lease::LeaseTiming {
-            longest_step: Duration::MAX,
+            max_step: Duration::MAX,
             ..lease::LeaseTiming::new(SPAN, MARGIN)
         };
         let lease = Lease::new(node_name(at), times, seed);
@@ -514,8 +514,16 @@
             return;
         }
         let register = &world.nodes[at].register;
-        let (voter_set, epoch) = (register.voter_set().clone(), register.lease_epoch());
-        self.step_lease(world, at, lease::Event::VotersChanged { voter_set, epoch });
+        let voter_set = register.voter_set().clone();
+        let persisted_epoch = register.lease_epoch();
+        self.step_lease(
+            world,
+            at,
+            lease::Event::VotersChanged {
+                voter_set,
+                persisted_epoch,
+            },
+        );
         self.step_lease(world, at, event);
     }
 
@@ -701,7 +709,7 @@
     fn observe(&self, world: &mut ControlWorld) {
         let holding = |at: usize| {
             let node = &world.nodes[at];
-            let epoch = node.lease.holds(self.clock(world, at))?;
+            let epoch = node.lease.held_epoch(self.clock(world, at))?;
             Some(Holding {
                 node: at,
                 life: node.lives,
--- a/crates/model-checker/src/lease_model.rs
+++ b/crates/model-checker/src/lease_model.rs
@@ -228,7 +228,7 @@
     fn start_node(&self, at: usize, epoch: u64, born_at: Duration, lives: u64) -> Node {
         // Its ticks are far apart, and its clocks drift but never jump.
         let times = LeaseTiming {
-            longest_step: Duration::MAX,
+            max_step: Duration::MAX,
             ..LeaseTiming::new(SPAN, MARGIN)
         };
         let forgets = self.defect == LeaseDefect::GrantsAfterRestart && lives > 0;
@@ -371,7 +371,7 @@
             at,
             Event::VotersChanged {
                 voter_set: world.voter_set(),
-                epoch,
+                persisted_epoch: epoch,
             },
         );
         self.step(world, at, Event::Tick);
@@ -385,7 +385,7 @@
             at,
             Event::VotersChanged {
                 voter_set: world.voter_set(),
-                epoch,
+                persisted_epoch: epoch,
             },
         );
     }
@@ -424,7 +424,7 @@
     fn observe(&self, world: &mut LeaseWorld) {
         let holding = |at: usize| {
             let node = &world.nodes[at];
-            let epoch = node.lease.holds(self.clock(world, at))?;
+            let epoch = node.lease.held_epoch(self.clock(world, at))?;
             Some(Holding {
                 node: at,
                 life: node.lives,
