--- a/crates/upstream-registry/src/lib.rs
+++ b/crates/upstream-registry/src/lib.rs
@@ -1,23 +1,37 @@
-//! Back ends: what their beats say, told between postmasters, and who holds which keys.
+//! Upstream registry and key assignment; pure state machines without I/O or a clock of their own.
+//!
+//! * [`UpstreamRegistry`] holds every upstream (back-end instance) that this control node knows. It is soft state:
+//!   heartbeats, received from the upstream or gossiped by other control nodes, refresh it, and silent upstreams expire.
+//! * [`KeyRangeAssigner`] assigns ranges of numeric keys to the upstreams of one service. It runs on the holder of the
+//!   placement lease.
+//! * [`SlotAssigner`] does the same for services whose keys are hashed into slots.
+//!
+//! # How keys are assigned, handed over and fenced
+//!
+//! Each key has at most one live owner. The holder of the placement lease answers an upstream's heartbeat with every key
+//! that the upstream is to own until its next heartbeats renew them; a key that is left out of the response is revoked.
+//! A key moves to another upstream only once its owner no longer lists it in a heartbeat, or once the owner's key lease
+//! has expired on every clock within the tolerated error.
+//!
+//! Every grant carries a fencing token (`fence`, `epoch`) that is higher than that of any earlier grant of the same key:
+//! the epoch of the placement lease in the upper bits, a counter of grants in the lower ones.
+//!
+//! A new holder of the placement lease does not know what its predecessor granted. It grants nothing free until all of
+//! that must have expired, and adopts what the upstreams list in the meantime. The reasoning stands in
+//! `docs/design/keys.md`.
 
-mod fair;
-mod grants;
-mod heartbeat;
-mod holds;
-mod load;
-mod ranges;
+#![deny(missing_docs)]
+
+mod key_ranges;
 mod registry;
-mod runs;
-mod shares;
-mod table;
+mod slots;
 
-pub use heartbeat::{
-    Grant, Heartbeat, HeldKeyRange, KeyAssignment, MAX_HANDOVER_TOKEN_BYTES, ReleasedKeyRange,
+pub use key_ranges::{
+    Grant, Heartbeat, HeldKeyRange, KeyAssignment, KeyLeaseTerms, KeyRangeAssigner, LoadHistogram,
+    MAX_HANDOVER_TOKEN_BYTES, MAX_INSTANCES, MAX_RANGES, MAX_RANGES_PER_HEARTBEAT,
+    ReleasedKeyRange,
 };
-pub use load::LoadHistogram;
-pub use ranges::{KeyLeaseTerms, KeyRangeAssigner, MAX_INSTANCES, MAX_RANGES_PER_HEARTBEAT};
 pub use registry::{
     DEREGISTERED, DRAINING, READY, UpstreamRegistry, digest, is_deregistered_digest,
 };
-pub use shares::SlotAssigner;
-pub use table::MAX_RANGES;
+pub use slots::SlotAssigner;
--- /dev/null
+++ b/crates/upstream-registry/tests/address_ownership.rs
@@ -0,0 +1,99 @@
+//! An address belongs to one upstream at a time: the one that registered last.
+
+use protocol::Upstream;
+use std::time::Duration;
+use upstream_registry::{DEREGISTERED, READY, UpstreamRegistry};
+
+/// What a postmaster that just started is told, in whatever order: the live tenant keeps the address.
+#[test]
+fn a_gone_instance_takes_no_address_back() {
+    let told = |instance: &str, condition, born_ms| Upstream {
+        service: "s".into(),
+        instance: instance.into(),
+        address: "127.0.0.1:9".into(),
+        beat: 4,
+        condition,
+        born_ms,
+        ..Upstream::default()
+    };
+    let (old, new) = (
+        told("unit-3", DEREGISTERED, 90_000),
+        told("unit-27", READY, 40_000),
+    );
+    [[old.clone(), new.clone()], [new.clone(), old.clone()]]
+        .into_iter()
+        .for_each(|order| {
+            let mut registry = UpstreamRegistry::default();
+            order.into_iter().for_each(|upstream| {
+                registry.apply_heartbeat(Duration::from_secs(1), upstream);
+            });
+            let live = registry
+                .snapshot(Duration::from_secs(1))
+                .into_iter()
+                .find(|upstream| upstream.instance == "unit-27");
+            assert_eq!(live.map(|upstream| upstream.condition), Some(READY));
+        });
+}
+
+/// A beat of an old instance lay in a frozen process, and was told as news when its address had a new tenant.
+#[test]
+fn a_live_upstream_comes_back_from_a_late_beat_of_its_address() {
+    let told = |instance: &str, beat| Upstream {
+        service: "s".into(),
+        instance: instance.into(),
+        address: "127.0.0.1:9".into(),
+        beat,
+        ..Upstream::default()
+    };
+    let ms = Duration::from_millis;
+    let mut registry = UpstreamRegistry::default();
+    registry.apply_heartbeat(ms(1000), told("new", 1));
+    registry.apply_heartbeat(ms(1200), told("old", 9));
+    assert_eq!(
+        registry
+            .get(ms(1200), &told("new", 0))
+            .map(|new| new.condition),
+        Some(DEREGISTERED),
+        "it seems the older"
+    );
+    assert!(
+        !registry.apply_heartbeat(ms(1500), told("new", 2)),
+        "for a moment it can't be known"
+    );
+    assert!(registry.apply_heartbeat(ms(3000), told("new", 5)));
+    assert_eq!(
+        registry
+            .get(ms(3000), &told("new", 0))
+            .map(|new| new.condition),
+        Some(READY)
+    );
+    assert_eq!(
+        registry
+            .get(ms(3000), &told("old", 0))
+            .map(|old| old.condition),
+        Some(DEREGISTERED)
+    );
+}
+
+/// Ages beyond the start of this process still tell the younger from the older.
+#[test]
+fn the_younger_registration_has_the_address() {
+    let told = |instance: &str, born_ms| Upstream {
+        service: "s".into(),
+        instance: instance.into(),
+        address: "127.0.0.1:9".into(),
+        beat: 4,
+        born_ms,
+        ..Upstream::default()
+    };
+    let mut registry = UpstreamRegistry::default();
+    registry.apply_heartbeat(Duration::from_secs(1), told("a-younger", 40_000));
+    registry.apply_heartbeat(Duration::from_secs(1), told("b-older", 90_000));
+    let ready: Vec<String> = registry
+        .snapshot(Duration::from_secs(1))
+        .into_iter()
+        .filter(|upstream| upstream.condition == READY)
+        .map(|upstream| upstream.instance)
+        .collect();
+    assert_eq!(ready, ["a-younger"]);
+}
