--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -4,7 +4,7 @@
 //! majorities share a voter; so whoever is confirmed by a question asked after the acknowledgement knows of it, and so
 //! do the carriers that follow it.
 
-use crate::node::{BATCH_EVERY, ControlNode, Effect};
+use crate::node::{BATCH_EVERY, CONTROL_NODE_ROLE, ControlNode, Effect};
 use protocol::{
     Departure, DeparturesRead, DeparturesReadBack, Heartbeats, HeartbeatsAck, Payload, Read,
     ReadBack, Upstream,
@@ -164,7 +164,7 @@
         let members = self
             .members
             .iter()
-            .filter(|member| member.roles == "postmaster")
+            .filter(|member| member.roles == CONTROL_NODE_ROLE)
             .map(|member| &member.node);
         let all: BTreeSet<&String> = voters.chain(members).collect();
         let others = all
--- a/crates/control-plane/src/gossip.rs
+++ b/crates/control-plane/src/gossip.rs
@@ -1,6 +1,6 @@
 //! What postmasters tell one another of upstreams: news at once and in full, going on in batches of marks.
 
-use crate::node::{BATCH_EVERY, ControlNode, Effect};
+use crate::node::{BATCH_EVERY, CONTROL_NODE_ROLE, ControlNode, Effect};
 use protocol::{HeartbeatDigest, Heartbeats, Payload, Upstream, UpstreamsReply, UpstreamsRequest};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -64,7 +64,7 @@
         let there = self
             .members
             .iter()
-            .filter(|member| member.roles == "postmaster" && member.node != self.me.node);
+            .filter(|member| member.roles == CONTROL_NODE_ROLE && member.node != self.me.node);
         there.for_each(|member| {
             regions
                 .entry(region(&member.locality))
@@ -150,7 +150,7 @@
         if alive.tell_on && !new.marks.is_empty() {
             let mine = region(&self.me.locality);
             let near = self.members.iter().filter(|member| {
-                member.roles == "postmaster"
+                member.roles == CONTROL_NODE_ROLE
                     && region(&member.locality) == mine
                     && member.node != self.me.node
                     && member.node != from
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,17 +1,17 @@
-//! The control plane. [`ControlNode`] is the pure core; `shell` turns the world into events and back.
+//! The control plane. [`ControlNode`] is the pure core; [`daemon`] turns sockets, timers and disks into events
+//! and carries effects out.
 
 mod anonymous_orders;
 mod api_adapter;
 mod contact;
-pub mod departure_writer;
+pub mod daemon;
 mod departures;
-pub mod disk;
 mod gossip;
 mod keys;
 mod node;
+pub mod persistence;
 mod placement;
 mod requests;
-pub mod shell;
 mod updates;
 mod voters;
 
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -2,9 +2,9 @@
 
 #[tokio::main]
 async fn main() {
-    let settings = transport::parse_settings_or_exit(&control_plane::shell::PROGRAM);
+    let settings = transport::parse_settings_or_exit(&control_plane::daemon::PROGRAM);
     transport::exit_on_start_error(
         "control-plane",
-        control_plane::shell::run(settings, control_plane::ApiAdapter::own()).await,
+        control_plane::daemon::run(settings, control_plane::ApiAdapter::own()).await,
     );
 }
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -25,6 +25,8 @@
 use std::time::Duration;
 use upstream_registry::UpstreamRegistry;
 
+/// The role of a control node in `Member.roles`: part of the wire format, so it keeps its old word.
+pub(crate) const CONTROL_NODE_ROLE: &str = "postmaster";
 /// How often upstreams that go on beating are told on.
 pub(crate) const BATCH_EVERY: Duration = Duration::from_millis(500);
 
@@ -283,7 +285,7 @@
     /// A postmaster as its disk left it.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
+    /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     ///     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert_eq!(control_plane::ControlNode::new(start).revision(), 0);
@@ -360,7 +362,7 @@
     /// The edition in force here.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
+    /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert_eq!(control_plane::ControlNode::new(start).revision(), 0);
@@ -372,7 +374,7 @@
     /// The one reducer: takes an event in, gives effects out.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
+    /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// use control_plane::{ControlResponse, ControlRequest, Effect, Event, ControlNode};
@@ -455,9 +457,9 @@
             self.lacks_setup = lacks;
             self.effects.push_back(match lacks {
                 true => Effect::LogError(
-                    "the setup of the state on this disk is missing or damaged; the others are asked for it".into(),
+                    "the configuration of the state on this disk is missing or damaged; the other nodes are asked for it".into(),
                 ),
-                false => Effect::Log("repaired: the setup of the state on this disk is here again".into()),
+                false => Effect::Log("repaired: the configuration of the state on this disk is here again".into()),
             });
         }
     }
@@ -468,11 +470,11 @@
             self.told = now.clone();
             let text = match now {
                 VoterPhase::Blank { .. } => "the disk is blank",
-                VoterPhase::Bootstrapping { .. } => "endorsed a roster",
+                VoterPhase::Bootstrapping { .. } => "voted for a bootstrap",
                 VoterPhase::Recovering(_) => "recovering from the voters",
                 VoterPhase::Active if self.register.is_voter() => "voting",
-                VoterPhase::Active => "following, without a vote",
-                VoterPhase::Failed => "the disk failed: out of rounds",
+                VoterPhase::Active => "replica without a vote",
+                VoterPhase::Failed => "the disk failed: takes no part in voting",
             };
             self.effects.push_back(Effect::Log(text.into()));
         }
@@ -537,7 +539,7 @@
         let peers = self
             .members
             .iter()
-            .filter(|member| member.roles == "postmaster");
+            .filter(|member| member.roles == CONTROL_NODE_ROLE);
         let peers = peers.map(|member| member.node.clone()).collect();
         self.run_register(now, quorum_register::Event::Peers(peers));
     }
@@ -612,14 +614,14 @@
         self.next_news = Duration::ZERO;
         let revision = self.register.state().revision;
         self.effects
-            .push_back(Effect::Log(format!("edition {revision} is in force")));
+            .push_back(Effect::Log(format!("revision {revision} is in force")));
     }
 
     pub(crate) fn tell_postmasters(&mut self, body: Payload) {
         let others = self
             .members
             .iter()
-            .filter(|member| member.roles == "postmaster" && member.node != self.me.node);
+            .filter(|member| member.roles == CONTROL_NODE_ROLE && member.node != self.me.node);
         let sends = others.map(|member| Effect::Send {
             to: member.node.clone(),
             body: body.clone(),
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -42,7 +42,7 @@
     /// True while this node holds the placement duty.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
+    /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert!(!control_plane::ControlNode::new(start).holds_placement(Default::default()));
@@ -56,7 +56,7 @@
             let lost = self
                 .duty
                 .take()
-                .map(|duty| Effect::Log(format!("placement: gave up epoch {}", duty.epoch)));
+                .map(|duty| Effect::Log(format!("placement: lease of epoch {} lost", duty.epoch)));
             self.effects.extend(lost);
             return;
         };
@@ -64,8 +64,9 @@
             // Beats find their way here at once, long before the first decision.
             let me = self.me.node.clone();
             self.counts.leases_held += 1;
-            self.effects
-                .push_back(Effect::Log(format!("placement: held under epoch {epoch}")));
+            self.effects.push_back(Effect::Log(format!(
+                "placement: lease held under epoch {epoch}"
+            )));
             self.hear_holder(me, epoch);
             self.tell_postmasters(Payload::LeaseHolder(LeaseHolder { epoch }));
         }
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -248,7 +248,7 @@
             ResultCode::VersionConflict | ResultCode::ChangeForgotten
         ) {
             self.effects
-                .push_back(Effect::Log(format!("an order was not taken: {code}")));
+                .push_back(Effect::Log(format!("a change was rejected: {code}")));
         }
         let waiting = self
             .waiting_force
--- a/crates/control-plane/src/updates.rs
+++ b/crates/control-plane/src/updates.rs
@@ -1,6 +1,6 @@
 //! ViewUpdate to carriers: an snapshot, then numbered changes, each acknowledged.
 
-use crate::node::{ControlNode, Effect};
+use crate::node::{CONTROL_NODE_ROLE, ControlNode, Effect};
 use protocol::{
     ClusterState, DataPlaneAck, Freshness, Payload, Placement, UpdateAck, UpdateRequest, Upstream,
     ViewUpdate,
@@ -243,7 +243,7 @@
         let mut carriers = self
             .members
             .iter()
-            .filter(|member| member.roles != "postmaster");
+            .filter(|member| member.roles != CONTROL_NODE_ROLE);
         carriers.all(|member| {
             self.kept
                 .get(&member.node)
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -5,7 +5,7 @@
 //! of voters stays: a voter loses its vote only to a node that takes its place. So a zone or region that is lost takes no
 //! votes along, and the nodes that are left never decide that they are enough.
 
-use crate::node::{ControlNode, ControlResponse, Effect};
+use crate::node::{CONTROL_NODE_ROLE, ControlNode, ControlResponse, Effect};
 use config::JsonValue;
 use membership::ALIVE;
 use protocol::majority;
@@ -62,7 +62,7 @@
         let control_nodes = self
             .members
             .iter()
-            .filter(|member| member.roles == "postmaster");
+            .filter(|member| member.roles == CONTROL_NODE_ROLE);
         for member in control_nodes {
             let localities = &mut self.voter_changes.localities;
             if localities.len() < MAX_LOCALITIES || localities.contains_key(&member.node) {
@@ -94,9 +94,8 @@
             .filter(|voter| *voter != gone)
             .collect();
         voters.push(successor.clone());
-        self.effects.push_back(Effect::Log(format!(
-            "voters: {successor} takes the place of {gone}"
-        )));
+        self.effects
+            .push_back(Effect::Log(format!("voters: {successor} replaces {gone}")));
         self.propose(now, Change::BeginVoters { epoch, voters });
     }
 
@@ -191,7 +190,7 @@
     fn candidates(&self, now: Duration) -> Vec<String> {
         let voter_set = self.register.voter_set();
         let others = self.members.iter().filter(|member| {
-            member.roles == "postmaster"
+            member.roles == CONTROL_NODE_ROLE
                 && member.condition == ALIVE
                 && !voter_set.contains(&member.node)
         });
@@ -264,7 +263,7 @@
     /// True once a node that was told to end owes nobody anything: its place is taken, or cannot be.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
+    /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// let mut control = control_plane::ControlNode::new(start);
@@ -279,7 +278,7 @@
     /// Who votes, as far as this node knows.
     ///
     /// ```
-    /// # let times = control_plane::shell::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
+    /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
     /// # let start = control_plane::Start { me: Default::default(), seeds: vec![], initial_voter_count: 6, seed: 1, reader: Default::default(), owners: Default::default(),
     /// #     durable: Default::default(), configurations: Default::default(), departures: vec![], times };
     /// assert!(control_plane::ControlNode::new(start).voters().is_empty());
@@ -307,7 +306,7 @@
         let beside = self
             .members
             .iter()
-            .filter(|member| member.roles == "postmaster");
+            .filter(|member| member.roles == CONTROL_NODE_ROLE);
         let beside = beside
             .map(|member| &member.node)
             .filter(|node| !voter_set.contains(node));
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -329,7 +329,7 @@
         },
         configurations: Default::default(),
         departures,
-        times: control_plane::shell::times(&settings),
+        times: control_plane::daemon::times(&settings),
     })
 }
 
--- a/crates/control-plane/tests/gossip.rs
+++ b/crates/control-plane/tests/gossip.rs
@@ -45,7 +45,7 @@
         durable: Default::default(),
         configurations: Default::default(),
         departures: vec![],
-        times: control_plane::shell::times(&settings),
+        times: control_plane::daemon::times(&settings),
     });
     let members = all
         .iter()
--- a/crates/control-plane/tests/keys.rs
+++ b/crates/control-plane/tests/keys.rs
@@ -45,7 +45,7 @@
         roles: "postmaster".into(),
         ..Member::default()
     };
-    let times = control_plane::shell::times(&settings);
+    let times = control_plane::daemon::times(&settings);
     let longest_step = if trusts_jumps {
         Duration::MAX
     } else {
--- a/crates/control-plane/tests/recorded_folder.rs
+++ b/crates/control-plane/tests/recorded_folder.rs
@@ -52,7 +52,7 @@
             durable: contents.durable,
             configurations: contents.configurations,
             departures,
-            times: control_plane::shell::times(&settings),
+            times: control_plane::daemon::times(&settings),
         });
         let mut node = Node {
             control,
--- a/crates/control-plane/tests/repair.rs
+++ b/crates/control-plane/tests/repair.rs
@@ -46,7 +46,7 @@
         durable,
         configurations,
         departures: vec![],
-        times: control_plane::shell::times(&settings),
+        times: control_plane::daemon::times(&settings),
     })
 }
 
--- a/crates/control-plane/tests/site/mod.rs
+++ b/crates/control-plane/tests/site/mod.rs
@@ -39,7 +39,7 @@
             durable: Default::default(),
             configurations: Default::default(),
             departures: vec![],
-            times: control_plane::shell::times(&settings),
+            times: control_plane::daemon::times(&settings),
         });
         Site {
             control,
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/storage_thread.rs
@@ -3,7 +3,7 @@
 #[path = "../../storage/tests/simulated/mod.rs"]
 mod simulated;
 
-use control_plane::disk::{Disk, DiskReport, RetryBackoff, Write, merge};
+use control_plane::persistence::{RetryBackoff, StorageReport, StorageThread, Write, merge_writes};
 use protocol::DurableState;
 use quorum_register::{
     Change, Effect, Event, Register, RegisterConfig, RegisterTiming, VoterPhase,
@@ -22,7 +22,7 @@
 const SOON: Duration = Duration::from_secs(20);
 const PAUSES: RetryBackoff = RetryBackoff {
     first: Duration::from_millis(1),
-    longest: Duration::from_millis(4),
+    max: Duration::from_millis(4),
 };
 
 fn state(number: u64) -> DurableState {
@@ -45,11 +45,11 @@
     (protocol::digest(&bytes), bytes)
 }
 
-fn start(files: &SimulatedDisk) -> (Disk, Receiver<DiskReport>) {
+fn start(files: &SimulatedDisk) -> (StorageThread, Receiver<StorageReport>) {
     let (storage, _) = Storage::open_on(Arc::new(files.clone()), Path::new(FOLDER)).unwrap();
     let (tell, told) = channel();
     (
-        Disk::start(storage, PAUSES, Clock::default(), move |report| {
+        StorageThread::start(storage, PAUSES, Clock::default(), move |report| {
             tell.send(report).is_ok()
         }),
         told,
@@ -88,7 +88,7 @@
         disk.write(write(1));
         assert_eq!(
             told.recv_timeout(SOON),
-            Ok(DiskReport::Synced { write_id: 1 }),
+            Ok(StorageReport::Synced { write_id: 1 }),
             "{name}"
         );
         break_it(&files);
@@ -100,9 +100,13 @@
         });
         disk.write(write(3));
         disk.write(write(4));
-        assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Retrying), "{name}");
+        assert_eq!(
+            told.recv_timeout(SOON),
+            Ok(StorageReport::Retrying),
+            "{name}"
+        );
         let tries = || {
-            disk.counts()
+            disk.stats()
                 .failures
                 .load(std::sync::atomic::Ordering::Relaxed)
         };
@@ -113,11 +117,15 @@
         assert_eq!(told.try_recv(), Err(TryRecvError::Empty), "{name}");
         assert_eq!(after_power_loss(&files).durable, state(1), "{name}");
         heal(&files);
-        assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Recovered), "{name}");
+        assert_eq!(
+            told.recv_timeout(SOON),
+            Ok(StorageReport::Recovered),
+            "{name}"
+        );
         let mut synced = Vec::new();
         while synced.last() != Some(&4) {
             match told.recv_timeout(SOON) {
-                Ok(DiskReport::Synced { write_id }) => synced.push(write_id),
+                Ok(StorageReport::Synced { write_id }) => synced.push(write_id),
                 other => panic!("{name}: {other:?}"),
             }
             let found = after_power_loss(&files);
@@ -139,12 +147,12 @@
     for number in 1..6 {
         files.set_room(Some(0));
         disk.write(write(number));
-        assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Retrying));
+        assert_eq!(told.recv_timeout(SOON), Ok(StorageReport::Retrying));
         files.set_room(None);
-        assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Recovered));
+        assert_eq!(told.recv_timeout(SOON), Ok(StorageReport::Recovered));
         assert_eq!(
             told.recv_timeout(SOON),
-            Ok(DiskReport::Synced { write_id: number })
+            Ok(StorageReport::Synced { write_id: number })
         );
     }
 }
@@ -178,7 +186,7 @@
     }
 }
 
-/// As many as `control_plane::disk` lets wait.
+/// As many as `control_plane::persistence` lets wait.
 const QUEUE_ROOM: u64 = 256;
 
 #[test]
@@ -202,8 +210,8 @@
     let mut last = 0;
     loop {
         match told.recv_timeout(SOON) {
-            Ok(DiskReport::Synced { write_id }) => last = write_id,
-            Ok(DiskReport::Lost) => break,
+            Ok(StorageReport::Synced { write_id }) => last = write_id,
+            Ok(StorageReport::Lost) => break,
             other => panic!("{other:?}"),
         }
     }
@@ -236,7 +244,7 @@
     let mut last = 0;
     while last < 99 {
         match told.recv_timeout(SOON) {
-            Ok(DiskReport::Synced { write_id }) => last = write_id,
+            Ok(StorageReport::Synced { write_id }) => last = write_id,
             other => panic!("{other:?}"),
         }
     }
@@ -248,7 +256,7 @@
     let (disk, told) = start(&files);
     files.set_room(Some(0));
     disk.write(write(1));
-    assert_eq!(told.recv_timeout(SOON), Ok(DiskReport::Retrying));
+    assert_eq!(told.recv_timeout(SOON), Ok(StorageReport::Retrying));
     drop(disk);
     assert_eq!(
         told.recv_timeout(SOON),
@@ -420,7 +428,7 @@
 #[test]
 fn whatever_is_merged_the_disk_always_holds_the_setup_of_its_state() {
     for seed in 0..60 {
-        assert_eq!(play_batches(seed, merge), Ok(()), "seed {seed}");
+        assert_eq!(play_batches(seed, merge_writes), Ok(()), "seed {seed}");
     }
 }
 
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -332,7 +332,7 @@
             let (durable, configurations) =
                 (node.disk.durable.clone(), node.disk.configurations.clone());
             node.disk.waiting.clear();
-            let times = control_plane::shell::times(&settings);
+            let times = control_plane::daemon::times(&settings);
             let longest_step = if self.weak.counts_jumps {
                 Duration::MAX
             } else {
--- a/crates/test-harness/src/hollow/fleet.rs
+++ b/crates/test-harness/src/hollow/fleet.rs
@@ -200,7 +200,7 @@
                 Role::Voter
             };
             let (durable, configurations) = (node.durable.clone(), node.configurations.clone());
-            let times = control_plane::shell::times(&settings);
+            let times = control_plane::daemon::times(&settings);
             Core::ControlNode(Box::new(ControlNode::new(control_plane::Start {
                 me,
                 seeds,
