--- a/crates/model-checker/src/clocks.rs
+++ b/crates/model-checker/src/clocks.rs
@@ -5,7 +5,7 @@
 /// The most that a clock may be off, in thousandths.
 pub(crate) const MAX_DRIFT: i64 = 10;
 
-/// How far the clocks of so many nodes are off, in thousandths: slow, fast, true, and half as fast, in turn.
+/// By how much the clocks of so many nodes are off, in thousandths: slow, fast, true, and half as fast, in turn.
 pub(crate) fn drifts(nodes: usize) -> Vec<i64> {
     [-MAX_DRIFT, MAX_DRIFT, 0, MAX_DRIFT / 2]
         .into_iter()
@@ -15,6 +15,6 @@
 }
 
 /// What a clock shows that is off by so many thousandths.
-pub(crate) fn shown(lived: Duration, drift: i64) -> Duration {
+pub(crate) fn local_time(lived: Duration, drift: i64) -> Duration {
     Duration::from_micros((lived.as_micros() as i64 * (1000 + drift) / 1000) as u64)
 }
--- a/crates/model-checker/src/model.rs
+++ b/crates/model-checker/src/model.rs
@@ -1,4 +1,4 @@
-//! What a model has to offer so that it can be searched, and what is said of a violation.
+//! What a model has to offer so that it can be searched, and what is reported of a violation.
 
 use std::collections::hash_map::DefaultHasher;
 use std::fmt;
@@ -7,30 +7,32 @@
 /// What must hold in every state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invariant {
-    /// One chosen state for each ballot and edition, and every later one derives from it.
-    OneHistory,
-    /// What an operator was told is accepted is in every later chosen state and on a majority of disks.
-    AcceptedIsKept,
-    /// A confirmed read is not older than anything confirmed before it was asked.
-    ReadsAreCurrent,
-    /// An order is executed once, however often it is sent, and its decision stays the same.
-    ExecutedOnce,
-    /// Two orders under one number are not both accepted with different content.
-    NumbersAreUnique,
-    /// A state is chosen only where a majority of its voters hold its configuration's bytes.
-    BytesAreHeld,
+    /// One chosen state for each ballot and revision, and every later one derives from it.
+    SingleHistory,
+    /// What was acknowledged to an operator as accepted is in every later chosen state and on a majority of disks.
+    AcceptedIsDurable,
+    /// A confirmed read is not older than anything confirmed before it was requested.
+    LinearizableReads,
+    /// A submission is executed once, however often it is retried, and its decision stays the same.
+    ExactlyOnceExecution,
+    /// Two submissions under one version are not both accepted with different content.
+    UniqueVersions,
+    /// A state is chosen only where a majority of its voters store its configuration.
+    ConfigurationIsStored,
     /// The voters change by one step at a time: begun, chosen, completed, chosen.
-    VotersChangeByStep,
+    SingleStepVoterChange,
     /// At most one node holds the lease.
-    OneHolder,
+    SingleLeaseHolder,
     /// No lease epoch is held twice, and each is above all before it.
-    EpochsRise,
+    MonotonicEpochs,
 }
 
 /// An invariant that does not hold, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
+    /// What does not hold.
     pub invariant: Invariant,
+    /// What was seen instead.
     pub detail: String,
 }
 
@@ -42,17 +44,21 @@
 
 /// A closed world with a finite choice of actions in each state.
 pub trait Model: Sync {
+    /// One state of the world.
     type State: Clone + Send + Sync;
+    /// Something that may happen in a state.
     type Action: Copy + Send + Sync;
 
+    /// Where every search and walk begins.
     fn initial(&self) -> Self::State;
 
     /// Every action that may come next, in an order that depends on the state alone.
     fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
 
-    /// How many of them, from the first on, are the usual course of things, for walks that draw them more often.
+    /// How many of them, from the first on, are the usual course of events, for walks that draw them more often.
     fn usual_actions(&self, state: &Self::State) -> usize;
 
+    /// The state that an action leads to.
     fn next(&self, state: &Self::State, action: Self::Action) -> Self::State;
 
     /// True where whatever can follow on `after` can follow on `before` too, so that a search need not go there.
@@ -71,28 +77,28 @@
 /// The way from a model's first state to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Trace {
-    /// Each action by its place among those that were possible: enough to replay it.
+    /// Each action by its index among those that were possible: enough to replay it.
     pub choices: Vec<usize>,
     /// The same in words.
     pub steps: Vec<String>,
+    /// The violation that it ends with, if any.
     pub violation: Option<Violation>,
 }
 
 impl fmt::Display for Trace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.steps
-            .iter()
-            .enumerate()
-            .try_for_each(|(at, step)| writeln!(f, "{:>4}. {step}", at + 1))?;
-        self.violation
-            .iter()
-            .try_for_each(|violation| writeln!(f, "   => {violation}"))?;
+        for (at, step) in self.steps.iter().enumerate() {
+            writeln!(f, "{:>4}. {step}", at + 1)?;
+        }
+        if let Some(violation) = &self.violation {
+            writeln!(f, "   => {violation}")?;
+        }
         let choices: Vec<String> = self.choices.iter().map(usize::to_string).collect();
         write!(f, "replay: {}", choices.join(","))
     }
 }
 
-/// Takes the actions with these places and tells what happens, up to the first violation or impossible choice.
+/// Takes the actions with these indexes and reports what happens, up to the first violation or impossible choice.
 ///
 /// ```
 /// use model_checker::{LeaseBudget, LeaseModel, replay};
@@ -131,7 +137,7 @@
     format!("v{at}")
 }
 
-/// The place of the node with this name.
+/// The index of the node with this name.
 pub(crate) fn node_index(name: &str) -> usize {
     name.trim_start_matches('v').parse().unwrap_or(usize::MAX)
 }
--- a/crates/model-checker/src/network.rs
+++ b/crates/model-checker/src/network.rs
@@ -9,9 +9,13 @@
 pub enum Schedule {
     /// Any of them, in every state.
     AnyOrder,
-    /// Writes are synced at once and messages arrive in the order they were sent, but for so many strays: a stray
-    /// message arrives at any later moment or never, the writes of a stray disk are synced at any later moment.
-    InOrder { strays: u8 },
+    /// Writes are synced at once and messages arrive in the order they were sent, but for a number of delays: a
+    /// delayed message arrives at any later moment or never, the writes of a delayed disk are synced at any later
+    /// moment.
+    InOrder {
+        /// How many messages and disks may be delayed.
+        delays: u8,
+    },
 }
 
 #[derive(Hash)]
@@ -24,7 +28,7 @@
 #[derive(Clone)]
 pub(crate) struct InFlight {
     fingerprint: u64,
-    is_stray: bool,
+    is_delayed: bool,
     pub message: Arc<Message>,
 }
 
@@ -48,30 +52,22 @@
     pub fn send(&mut self, from: usize, to: usize, body: Payload) {
         let message = Message { from, to, body };
         let fingerprint = fingerprint_of(&message);
-        if self
-            .in_flight
-            .iter()
-            .any(|other| other.fingerprint == fingerprint)
-        {
+        let mut others = self.in_flight.iter();
+        if others.any(|other| other.fingerprint == fingerprint) {
             return;
         }
-        let sorted = || {
-            self.in_flight
-                .partition_point(|other| other.fingerprint < fingerprint)
-        };
         let at = if self.is_ordered {
             self.in_flight.len()
         } else {
-            sorted()
+            self.in_flight
+                .partition_point(|other| other.fingerprint < fingerprint)
+        };
+        let message = InFlight {
+            fingerprint,
+            is_delayed: false,
+            message: Arc::new(message),
         };
-        self.in_flight.insert(
-            at,
-            InFlight {
-                fingerprint,
-                is_stray: false,
-                message: Arc::new(message),
-            },
-        );
+        self.in_flight.insert(at, message);
     }
 
     pub fn len(&self) -> usize {
@@ -94,29 +90,32 @@
         (!self.in_flight.is_empty()).then(|| self.in_flight.remove(0))
     }
 
-    /// The message whose turn it is: the oldest that is no stray.
-    pub fn next_in_turn(&self) -> Option<usize> {
-        self.in_flight.iter().position(|message| !message.is_stray)
+    /// The message whose turn it is: the oldest that is not delayed.
+    pub fn next_in_order(&self) -> Option<usize> {
+        self.in_flight
+            .iter()
+            .position(|message| !message.is_delayed)
     }
 
-    pub fn strays(&self) -> impl Iterator<Item = usize> {
-        (0..self.in_flight.len()).filter(|at| self.in_flight[*at].is_stray)
+    /// The messages that arrive at any moment from now on.
+    pub fn delayed(&self) -> impl Iterator<Item = usize> {
+        (0..self.in_flight.len()).filter(|at| self.in_flight[*at].is_delayed)
     }
 
-    pub fn make_stray(&mut self, at: usize) {
-        self.in_flight[at].is_stray = true;
+    pub fn delay(&mut self, at: usize) {
+        self.in_flight[at].is_delayed = true;
     }
 
+    /// All messages with whether they are delayed. The order of delayed messages among themselves does not matter.
     pub fn fingerprints(&self) -> Vec<(u64, bool)> {
-        let strays = self.in_flight.iter().filter(|message| message.is_stray);
-        let in_turn = self.in_flight.iter().filter(|message| !message.is_stray);
-        let mut strays: Vec<u64> = strays.map(|message| message.fingerprint).collect();
-        strays.sort_unstable();
-        let in_turn = in_turn.map(|message| (message.fingerprint, false));
-        strays
-            .into_iter()
-            .map(|fingerprint| (fingerprint, true))
-            .chain(in_turn)
-            .collect()
+        let (delayed, in_order): (Vec<&InFlight>, Vec<&InFlight>) = self
+            .in_flight
+            .iter()
+            .partition(|message| message.is_delayed);
+        let mut delayed: Vec<u64> = delayed.iter().map(|message| message.fingerprint).collect();
+        delayed.sort_unstable();
+        let delayed = delayed.into_iter().map(|fingerprint| (fingerprint, true));
+        let in_order = in_order.iter().map(|message| (message.fingerprint, false));
+        delayed.chain(in_order).collect()
     }
 }
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/random_walk.rs
@@ -7,36 +7,37 @@
 pub struct Choice {
     /// How many actions are possible.
     pub count: usize,
-    /// How many of them, from the first on, are the usual course of things.
+    /// How many of them, from the first on, are the usual course of events.
     pub usual: usize,
 }
 
-/// What a walk came to.
+/// The result of a walk.
 #[derive(Clone, Debug)]
-pub struct Walked<S> {
+pub struct RandomWalk<S> {
+    /// How many actions were taken.
     pub depth: usize,
-    /// Where it ended.
+    /// The last state.
     pub end: S,
     /// The way to the violation, where there was one.
-    pub violating: Option<Trace>,
+    pub counterexample: Option<Trace>,
 }
 
-/// Walks until the chooser has no more to say, no action is left, or an invariant breaks. The chooser names one of
-/// the actions by its place.
+/// Walks until the chooser returns none, no action is left, or an invariant breaks. The chooser returns the
+/// index of one of the actions.
 ///
 /// ```
 /// use model_checker::{LeaseBudget, LeaseModel, walk};
-/// let mut left = 20;
-/// let walked = walk(&LeaseModel::new(3, LeaseBudget::default()), |_| {
-///     left -= 1;
-///     (left > 0).then_some(0)
+/// let mut remaining = 20;
+/// let random_walk = walk(&LeaseModel::new(3, LeaseBudget::default()), |_| {
+///     remaining -= 1;
+///     (remaining > 0).then_some(0)
 /// });
-/// assert!(walked.violating.is_none());
+/// assert!(random_walk.counterexample.is_none());
 /// ```
 pub fn walk<M: Model>(
     model: &M,
     mut choose: impl FnMut(Choice) -> Option<usize>,
-) -> Walked<M::State> {
+) -> RandomWalk<M::State> {
     let mut state = model.initial();
     let mut choices = Vec::new();
     loop {
@@ -55,16 +56,16 @@
         choices.push(choice);
         state = model.next(&state, action);
         if model.violation(&state).is_some() {
-            return Walked {
+            return RandomWalk {
                 depth: choices.len(),
                 end: state,
-                violating: Some(replay(model, &choices)),
+                counterexample: Some(replay(model, &choices)),
             };
         }
     }
-    Walked {
+    RandomWalk {
         depth: choices.len(),
         end: state,
-        violating: None,
+        counterexample: None,
     }
 }
--- a/crates/model-checker/src/register_history.rs
+++ b/crates/model-checker/src/register_history.rs
@@ -1,5 +1,5 @@
-//! What an observer outside the system knows: what disks accepted, what operators were told. The invariants of the
-//! register are judged here.
+//! What an observer outside the system knows: what disks accepted, which decisions operators received. The invariants
+//! of the register are checked here.
 
 use crate::disk::Disk;
 use crate::model::{Invariant, Violation, node_index};
@@ -10,30 +10,37 @@
 use std::time::Duration;
 
 impl Disk {
-    fn has_decided(&self, order: &OrderFacts) -> bool {
-        order.is_in(&self.durable.accepted)
+    fn has_decided(&self, submission: &SubmissionFacts) -> bool {
+        submission.is_in(&self.durable.accepted)
     }
 
-    fn holds_bytes_of(&self, state: &ClusterState) -> bool {
+    fn has_configuration_of(&self, state: &ClusterState) -> bool {
         state.digest.is_empty() || self.configurations.contains_key(&state.digest)
     }
 }
 
-/// What an order is about, as far as the observer judges it.
-#[derive(Clone, Debug, Hash)]
-pub(crate) struct OrderFacts {
-    /// What the state keeps of what was asked.
-    pub asked: String,
-    pub digest: String,
-    pub number: Option<u64>,
+/// What a submission is about, as far as the observer checks it.
+#[derive(Clone, Debug, Default, Hash)]
+pub(crate) struct SubmissionFacts {
+    /// What the state records of the request.
+    pub request_digest: String,
+    /// Empty where the submission is no configuration.
+    pub configuration_digest: String,
+    /// The operator's own version, if any.
+    pub version: Option<u64>,
 }
 
-impl OrderFacts {
+impl SubmissionFacts {
     fn is_in(&self, state: &ClusterState) -> bool {
-        state
-            .submissions
-            .iter()
-            .any(|done| done.asked == self.asked)
+        let mut executed = state.submissions.iter();
+        executed.any(|done| done.asked == self.request_digest)
+    }
+
+    /// True where both claim the same version for different content.
+    fn conflicts_with(&self, other: &SubmissionFacts) -> bool {
+        self.version.is_some()
+            && self.version == other.version
+            && self.configuration_digest != other.configuration_digest
     }
 }
 
@@ -41,9 +48,16 @@
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct PendingRead {
     pub node: usize,
-    pub asked_at: Duration,
-    /// The newest edition that was confirmed to anybody before the read was asked.
-    pub floor: u64,
+    pub requested_at: Duration,
+    /// The newest revision that was confirmed to any operator before the read was requested.
+    pub min_revision: u64,
+}
+
+/// A state that was accepted at one ballot, and by which nodes.
+#[derive(Clone, Debug, Hash)]
+struct AcceptedState {
+    state: ClusterState,
+    nodes: BTreeSet<usize>,
 }
 
 /// All that was seen from outside.
@@ -51,29 +65,28 @@
 pub(crate) struct History {
     /// Who accepted what at a ballot, also where that disk has gone on or was lost since: the proposer may have
     /// heard of it.
-    accepted: BTreeMap<Ballot, (ClusterState, BTreeSet<usize>)>,
+    accepted: BTreeMap<Ballot, AcceptedState>,
     chosen: BTreeMap<Ballot, ClusterState>,
-    told: BTreeMap<usize, Decision>,
-    /// The newest edition that was confirmed to anybody.
+    /// What operators were notified of, by submission.
+    decisions: BTreeMap<usize, Decision>,
+    /// The newest revision that was confirmed to any operator.
     confirmed: u64,
     reads: Vec<PendingRead>,
-    /// The edition that the explored part begins with.
-    base_edition: u64,
+    /// The revision that the explored part begins with.
+    base_revision: u64,
 }
 
-fn broken(invariant: Invariant, detail: String) -> Result<(), Violation> {
+fn violated(invariant: Invariant, detail: String) -> Result<(), Violation> {
     Err(Violation { invariant, detail })
 }
 
-/// True where `later` comes from `earlier` by deciding orders.
+/// True where `later` comes from `earlier` by executing submissions.
 fn derives(earlier: &ClusterState, later: &ClusterState) -> bool {
-    match earlier.revision == later.revision {
-        true => {
-            earlier.digest == later.digest && later.submissions.starts_with(&earlier.submissions)
-        }
-        false => {
-            earlier.revision < later.revision && later.submissions.starts_with(&earlier.submissions)
-        }
+    let is_extended = later.submissions.starts_with(&earlier.submissions);
+    if earlier.revision == later.revision {
+        earlier.digest == later.digest && is_extended
+    } else {
+        earlier.revision < later.revision && is_extended
     }
 }
 
@@ -93,10 +106,10 @@
 }
 
 impl History {
-    /// The explored part begins here: what was chosen before is kept, and later editions are counted from it.
+    /// The explored part begins here: what was chosen before stays, and later revisions are counted from it.
     pub fn begin(&mut self) {
-        self.base_edition = self.newest_chosen().map_or(0, |state| state.revision);
-        self.confirmed = self.base_edition;
+        self.base_revision = self.newest_chosen().map_or(0, |state| state.revision);
+        self.confirmed = self.base_revision;
         self.reads.clear();
         let newest = self.chosen.keys().next_back().cloned().unwrap_or_default();
         self.chosen.retain(|ballot, _| *ballot >= newest);
@@ -107,150 +120,168 @@
         self.chosen.values().next_back()
     }
 
-    /// A disk holds what it was given to keep.
+    fn newest_voters(&self) -> VoterSet {
+        self.newest_chosen()
+            .map(|state| state.voter_set.clone())
+            .unwrap_or_default()
+    }
+
+    /// A disk has something else on it.
     pub fn disk_changed(
         &mut self,
         node: usize,
         disks: &[&Disk],
-        orders: &[OrderFacts],
+        submissions: &[SubmissionFacts],
     ) -> Result<(), Violation> {
         let durable = &disks[node].durable;
-        if durable.disk != 0 && durable.accepted_at != Ballot::default() {
-            let ballot = &durable.accepted_at;
-            let entry = self.accepted.entry(ballot.clone());
-            let (state, holders) =
-                entry.or_insert_with(|| (durable.accepted.clone(), BTreeSet::new()));
-            if *state != durable.accepted {
-                return broken(
-                    Invariant::OneHistory,
-                    format!("two states were accepted at ballot {ballot:?}"),
-                );
-            }
-            holders.insert(node);
-            let accepted = |voter: &str| holders.contains(&node_index(voter));
-            if state.voter_set.is_quorum(accepted) && !self.chosen.contains_key(ballot) {
-                let state = state.clone();
-                self.chosen.insert(ballot.clone(), state);
-                self.check_chosen(&durable.accepted_at, disks, orders)?;
-            }
+        if durable.disk == 0 || durable.accepted_at == Ballot::default() {
+            return Ok(());
+        }
+        let ballot = &durable.accepted_at;
+        let accepted = self
+            .accepted
+            .entry(ballot.clone())
+            .or_insert_with(|| AcceptedState {
+                state: durable.accepted.clone(),
+                nodes: BTreeSet::new(),
+            });
+        if accepted.state != durable.accepted {
+            let detail = format!("two states were accepted at ballot {ballot:?}");
+            return violated(Invariant::SingleHistory, detail);
+        }
+        accepted.nodes.insert(node);
+        let has_accepted = |voter: &str| accepted.nodes.contains(&node_index(voter));
+        let is_chosen = accepted.state.voter_set.is_quorum(has_accepted);
+        if is_chosen && !self.chosen.contains_key(ballot) {
+            let state = accepted.state.clone();
+            self.chosen.insert(ballot.clone(), state);
+            self.check_chosen(ballot, disks, submissions)?;
         }
         Ok(())
     }
 
+    /// Checks the state that was just chosen at a ballot.
     fn check_chosen(
         &self,
         ballot: &Ballot,
         disks: &[&Disk],
-        orders: &[OrderFacts],
+        submissions: &[SubmissionFacts],
     ) -> Result<(), Violation> {
         let state = &self.chosen[ballot];
-        let before = self.chosen.range(..ballot).next_back();
-        let after = self.chosen.range(ballot..).nth(1);
-        let chain = before
-            .into_iter()
-            .chain([(ballot, state)])
-            .chain(after)
-            .collect::<Vec<_>>();
-        let leap = chain
-            .windows(2)
-            .find(|pair| !is_one_step(&pair[0].1.voter_set, &pair[1].1.voter_set));
-        if let Some(pair) = leap {
-            let detail = format!(
-                "{:?} does not follow {:?}",
-                pair[1].1.voter_set, pair[0].1.voter_set
-            );
-            return broken(Invariant::VotersChangeByStep, detail);
+        self.check_neighbours(ballot, state)?;
+        self.check_decisions_are_in(state, submissions)?;
+        self.check_executions(state, submissions)?;
+        if !is_on_quorum(&state.voter_set, disks, |disk| {
+            disk.has_configuration_of(state)
+        }) {
+            let revision = state.revision;
+            let detail =
+                format!("revision {revision} was chosen, and too few disks have its bytes");
+            return violated(Invariant::ConfigurationIsStored, detail);
         }
-        if let Some(pair) = chain.windows(2).find(|pair| !derives(pair[0].1, pair[1].1)) {
-            return broken(
-                Invariant::OneHistory,
-                format!("{:?} does not derive from {:?}", pair[1], pair[0]),
-            );
+        Ok(())
+    }
+
+    /// The state follows the one chosen before it, and the one chosen after it follows the state.
+    fn check_neighbours(&self, ballot: &Ballot, state: &ClusterState) -> Result<(), Violation> {
+        let mut chain = Vec::new();
+        chain.extend(self.chosen.range(..ballot).next_back().map(|(_, it)| it));
+        chain.push(state);
+        chain.extend(self.chosen.range(ballot..).nth(1).map(|(_, it)| it));
+        for pair in chain.windows(2) {
+            let (earlier, later) = (&pair[0].voter_set, &pair[1].voter_set);
+            if !is_one_step(earlier, later) {
+                let detail = format!("{later:?} does not follow {earlier:?}");
+                return violated(Invariant::SingleStepVoterChange, detail);
+            }
         }
-        let lost = self.told.iter().find(|(order, decision)| {
-            decision.revision <= state.revision && !orders[**order].is_in(state)
-        });
-        if let Some((order, decision)) = lost {
-            let detail = format!(
-                "order {} was told {decision:?} and is not in edition {}",
-                order, state.revision
-            );
-            return broken(Invariant::AcceptedIsKept, detail);
+        for pair in chain.windows(2) {
+            let (earlier, later) = (pair[0], pair[1]);
+            if !derives(earlier, later) {
+                let detail = format!("{later:?} does not derive from {earlier:?}");
+                return violated(Invariant::SingleHistory, detail);
+            }
         }
-        let ids: BTreeSet<&str> = state
-            .submissions
-            .iter()
-            .map(|done| done.id.as_str())
-            .collect();
-        let executed = state.revision.saturating_sub(self.base_edition) as usize;
-        if self.base_edition > 0 && (ids.len() < state.submissions.len() || executed > orders.len())
-        {
-            let detail = format!(
-                "{} orders made {executed} editions: {:?}",
-                orders.len(),
-                state.submissions
-            );
-            return broken(Invariant::ExecutedOnce, detail);
+        Ok(())
+    }
+
+    /// Every submission that was acknowledged up to the state's revision is in it.
+    fn check_decisions_are_in(
+        &self,
+        state: &ClusterState,
+        submissions: &[SubmissionFacts],
+    ) -> Result<(), Violation> {
+        for (submission, decision) in &self.decisions {
+            if decision.revision <= state.revision && !submissions[*submission].is_in(state) {
+                let detail = format!(
+                    "submission {submission} was answered {decision:?} and is not in revision {}",
+                    state.revision
+                );
+                return violated(Invariant::AcceptedIsDurable, detail);
+            }
         }
-        self.check_bytes(state, disks)
+        Ok(())
     }
 
-    fn check_bytes(&self, state: &ClusterState, disks: &[&Disk]) -> Result<(), Violation> {
-        if !is_on_quorum(&state.voter_set, disks, |disk| disk.holds_bytes_of(state)) {
+    /// No submission is in the state twice, and there are no more revisions than submissions.
+    fn check_executions(
+        &self,
+        state: &ClusterState,
+        submissions: &[SubmissionFacts],
+    ) -> Result<(), Violation> {
+        if self.base_revision == 0 {
+            return Ok(());
+        }
+        let executed = state.submissions.iter();
+        let ids: BTreeSet<&str> = executed.map(|done| done.id.as_str()).collect();
+        let revisions = state.revision.saturating_sub(self.base_revision) as usize;
+        if ids.len() < state.submissions.len() || revisions > submissions.len() {
             let detail = format!(
-                "edition {} was chosen, and too few disks hold its bytes",
-                state.revision
+                "{} submissions made {revisions} revisions: {:?}",
+                submissions.len(),
+                state.submissions
             );
-            return broken(Invariant::BytesAreHeld, detail);
+            return violated(Invariant::ExactlyOnceExecution, detail);
         }
         Ok(())
     }
 
-    /// An operator was told what became of an order.
+    /// An operator was notified what became of a submission.
     pub fn decided(
         &mut self,
-        order: usize,
+        submission: usize,
         decision: Decision,
-        orders: &[OrderFacts],
+        submissions: &[SubmissionFacts],
         disks: &[&Disk],
     ) -> Result<(), Violation> {
         if decision.code != ResultCode::Success {
             return Ok(());
         }
-        if let Some(before) = self
-            .told
-            .insert(order, decision)
-            .filter(|before| *before != decision)
+        if let Some(before) = self.decisions.insert(submission, decision)
+            && before != decision
         {
-            return broken(
-                Invariant::ExecutedOnce,
-                format!("order {order} was told {before:?}, then {decision:?}"),
-            );
+            let detail =
+                format!("submission {submission} was answered {before:?}, then {decision:?}");
+            return violated(Invariant::ExactlyOnceExecution, detail);
         }
         self.confirmed = self.confirmed.max(decision.revision);
-        let facts = &orders[order];
-        let rival = self.told.keys().find(|other| {
-            let other = &orders[**other];
-            other.number.is_some() && other.number == facts.number && other.digest != facts.digest
-        });
-        if let Some(rival) = rival {
+        let facts = &submissions[submission];
+        let mut others = self.decisions.keys();
+        if let Some(other) = others.find(|other| submissions[**other].conflicts_with(facts)) {
+            let version = facts.version;
             let detail = format!(
-                "orders {rival} and {order} have number {:?} and different content",
-                facts.number
+                "submissions {other} and {submission} have version {version:?} and different content"
             );
-            return broken(Invariant::NumbersAreUnique, detail);
+            return violated(Invariant::UniqueVersions, detail);
         }
-        let has =
-            |disk: &Disk| disk.has_decided(facts) && disk.holds_bytes_of(&disk.durable.accepted);
-        let voter_set = self
-            .newest_chosen()
-            .map(|state| state.voter_set.clone())
-            .unwrap_or_default();
-        if !is_on_quorum(&voter_set, disks, has) {
+        let has = |disk: &Disk| {
+            disk.has_decided(facts) && disk.has_configuration_of(&disk.durable.accepted)
+        };
+        if !is_on_quorum(&self.newest_voters(), disks, has) {
             let detail = format!(
-                "order {order} was told {decision:?} while too few disks hold it with its bytes"
+                "submission {submission} was answered {decision:?} while too few disks have it with its bytes"
             );
-            return broken(Invariant::AcceptedIsKept, detail);
+            return violated(Invariant::AcceptedIsDurable, detail);
         }
         Ok(())
     }
@@ -258,18 +289,17 @@
     /// A node takes a state for the one in force.
     pub fn adopted(&self, node: usize, state: &ClusterState) -> Result<(), Violation> {
         if state.revision > 0 && !self.chosen.values().any(|chosen| chosen == state) {
-            let detail = format!(
-                "node {node} has edition {} in force, which was never chosen",
-                state.revision
-            );
-            return broken(Invariant::OneHistory, detail);
+            let revision = state.revision;
+            let detail =
+                format!("node {node} has revision {revision} in force, which was never chosen");
+            return violated(Invariant::SingleHistory, detail);
         }
         Ok(())
     }
 
-    /// How many orders some operator was told are accepted.
-    pub fn accepted_orders(&self) -> usize {
-        self.told.len()
+    /// How many submissions were acknowledged as accepted.
+    pub fn accepted_submissions(&self) -> usize {
+        self.decisions.len()
     }
 
     /// True while an operator waits for a read at this node.
@@ -277,12 +307,12 @@
         self.reads.iter().any(|read| read.node == node)
     }
 
-    /// An operator asks to read at a node.
-    pub fn read_asked(&mut self, node: usize, asked_at: Duration) {
+    /// An operator requests a read at a node.
+    pub fn read_requested(&mut self, node: usize, requested_at: Duration) {
         self.reads.push(PendingRead {
             node,
-            asked_at,
-            floor: self.confirmed,
+            requested_at,
+            min_revision: self.confirmed,
         });
     }
 
@@ -291,55 +321,50 @@
         self.reads.retain(|read| read.node != node);
     }
 
-    /// Answers the reads that a node may answer now, with the edition in force there.
+    /// Answers the reads that a node may answer now, with the revision in force there.
     pub fn answer_reads(
         &mut self,
         node: usize,
         revision: u64,
         is_confirmed_since: impl Fn(Duration) -> bool,
     ) -> Result<(), Violation> {
-        let answered = |read: &PendingRead| read.node == node && is_confirmed_since(read.asked_at);
-        let (done, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reads)
+        let (answered, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reads)
             .into_iter()
-            .partition(answered);
-        self.reads = waiting;
-        if let Some(read) = done.iter().find(|read| revision < read.floor) {
-            let detail = format!(
-                "node {node} read edition {revision}, {} was confirmed before",
-                read.floor
-            );
-            return broken(Invariant::ReadsAreCurrent, detail);
+            .partition(|read| read.node == node && is_confirmed_since(read.requested_at));
+        self.reads = pending;
+        if let Some(read) = answered.iter().find(|read| revision < read.min_revision) {
+            let confirmed = read.min_revision;
+            let detail =
+                format!("node {node} read revision {revision}, {confirmed} was confirmed before");
+            return violated(Invariant::LinearizableReads, detail);
         }
-        if !done.is_empty() {
+        if !answered.is_empty() {
             self.confirmed = self.confirmed.max(revision);
         }
         Ok(())
     }
 
-    /// What operators were told is on a majority of disks, but for those that were just lost, in every state.
-    pub fn check_kept(&self, disks: &[&Disk], orders: &[OrderFacts]) -> Result<(), Violation> {
-        let voter_set = self
-            .newest_chosen()
-            .map(|state| state.voter_set.clone())
-            .unwrap_or_default();
-        let lost = self.told.keys().find(|order| {
-            let facts = &orders[**order];
-            !is_on_quorum(&voter_set, disks, |disk| disk.has_decided(facts))
-        });
-        lost.map_or(Ok(()), |order| {
-            broken(
-                Invariant::AcceptedIsKept,
-                format!("order {order} was accepted and is on too few disks"),
-            )
-        })?;
-        let bare = disks
-            .iter()
-            .position(|disk| !disk.holds_bytes_of(&disk.durable.accepted));
-        bare.map_or(Ok(()), |node| {
-            broken(
-                Invariant::BytesAreHeld,
-                format!("the disk of node {node} accepted a state without its bytes"),
-            )
-        })
+    /// In every state, what operators were notified of is on a majority of disks, but for those that were just lost.
+    pub fn check_durable(
+        &self,
+        disks: &[&Disk],
+        submissions: &[SubmissionFacts],
+    ) -> Result<(), Violation> {
+        let voter_set = self.newest_voters();
+        for submission in self.decisions.keys() {
+            let facts = &submissions[*submission];
+            if !is_on_quorum(&voter_set, disks, |disk| disk.has_decided(facts)) {
+                let detail =
+                    format!("submission {submission} was accepted and is on too few disks");
+                return violated(Invariant::AcceptedIsDurable, detail);
+            }
+        }
+        for (node, disk) in disks.iter().enumerate() {
+            if !disk.has_configuration_of(&disk.durable.accepted) {
+                let detail = format!("the disk of node {node} accepted a state without its bytes");
+                return violated(Invariant::ConfigurationIsStored, detail);
+            }
+        }
+        Ok(())
     }
 }
--- a/crates/model-checker/src/register_model/scenario.rs
+++ b/crates/model-checker/src/register_model/scenario.rs
@@ -1,110 +1,121 @@
-//! Where an exploration of the register begins, how far it goes, and what is taken away in its broken twins.
+//! Where an exploration of the register begins, how far it goes, and what its defects take away.
 
-use super::order::Order;
+use super::submission::Submission;
 use super::{NEVER, TICK};
 use crate::network::Schedule;
+use crate::voters::Replacement;
 use quorum_register::RegisterTiming;
 
 /// How often each thing may happen on one way through the model.
 #[derive(Clone, Copy, Debug, Default, Hash)]
 pub struct RegisterBudget {
-    /// Sendings of orders, resent ones included.
-    pub asks: u8,
+    /// Submissions of operators, retries included.
+    pub submissions: u8,
+    /// Reads of operators.
     pub reads: u8,
+    /// Ticks of single nodes.
     pub ticks: u8,
     /// Messages delivered a second time.
     pub duplicates: u8,
-    /// Crashes at once followed by a restart, each with every number of its unsynced writes kept.
+    /// Crashes at once followed by a restart, each with every number of its unsynced writes persisted.
     pub crashes: u8,
-    /// Disks replaced by blank ones while all others are whole.
+    /// Disks replaced by blank ones while all others are complete.
     pub wipes: u8,
     /// Proposals to replace a voter, or to complete that.
     pub proposals: u8,
-    /// Where everything comes in order and nothing is left to come: how often all nodes tick.
+    /// Where everything comes in order and nothing is in flight: how often all nodes tick.
     pub rounds: u8,
 }
 
 /// Something taken away that an invariant rests on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RegisterDefect {
+    /// The code as it is.
     #[default]
     None,
     /// Half of the voters, rounded down, count as a majority.
     CountsMinority,
-    /// The shell reports writes as synced that are not.
-    AnswersBeforeSync,
+    /// Writes are reported as synced that are not.
+    AcknowledgesBeforeSync,
     /// A crash takes back the last synced write.
     DiskForgetsSynced,
-    /// A wiped disk comes back with its old identity mark and roster.
-    KeepsMarkAfterWipe,
+    /// A wiped disk comes back with its old disk id and initial voters.
+    KeepsDiskIdAfterWipe,
     /// Reads are answered without asking a majority.
-    ReadsLocally,
-    /// Operators send an order again as a new one.
-    ResendsAsNew,
-    /// The number of an order gets lost on its way to the register.
-    LosesNumbers,
-    /// The disk drops configurations that it was told to keep.
-    DropsBytes,
+    ReadsWithoutQuorum,
+    /// Operators retry a submission under a new id.
+    RetriesUnderNewId,
+    /// The version of a configuration gets lost on its way to the register.
+    DropsVersions,
+    /// The disk drops configurations that it was to store.
+    DropsConfigurations,
     /// A voter that was replaced still counts, in the place of its successor.
     CountsReplacedVoter,
-    /// A change of the voters that was begun is taken as done.
-    SkipsJointVoters,
+    /// A change of the voters that was begun is taken as completed.
+    SkipsJointVoterSet,
 }
 
 /// Where an exploration begins, and how far it may go.
 #[derive(Clone, Debug)]
-pub struct Scenario {
+pub struct RegisterScenario {
+    /// The name that selects it.
     pub name: &'static str,
+    /// How many voters there are.
     pub voters: usize,
     /// Nodes beside the voters, which may take the place of one.
     pub replicas: usize,
-    /// Which voter may lose its place to which replica.
-    pub replacements: Vec<(usize, usize)>,
+    /// Which voter may be replaced by which replica.
+    pub replacements: Vec<Replacement>,
     /// The nodes that may propose it.
     pub proposers: Vec<usize>,
     /// True to begin after the last voter was replaced by the first replica.
-    pub replaced: bool,
+    pub voter_replaced: bool,
     /// True to begin with blank disks; otherwise with a first configuration in force everywhere.
-    pub blank: bool,
-    pub orders: Vec<Order>,
+    pub starts_blank: bool,
+    /// What operators may submit.
+    pub submissions: Vec<Submission>,
+    /// In which order messages and syncs may come.
     pub schedule: Schedule,
+    /// How often each thing may happen.
     pub budget: RegisterBudget,
-    /// Whether readings begin by themselves with each tick, beside those that operators ask for.
-    pub reads_by_itself: bool,
-    /// Whether an order's patience ends with a tick.
-    pub impatient: bool,
+    /// Whether each tick begins a confirming read by itself, beside those that operators request.
+    pub background_reads: bool,
+    /// Whether a submission times out within two ticks.
+    pub short_submission_timeout: bool,
 }
 
-impl Scenario {
-    /// A founded roster and no orders.
+impl RegisterScenario {
+    /// A bootstrapped cluster and no submissions.
     ///
     /// ```
-    /// assert_eq!(model_checker::Scenario::new("quiet", 3).voters, 3);
+    /// assert_eq!(model_checker::RegisterScenario::new("quiet", 3).voters, 3);
     /// ```
     pub fn new(name: &'static str, voters: usize) -> Self {
-        let (orders, budget) = (Vec::new(), RegisterBudget::default());
-        let schedule = Schedule::AnyOrder;
-        Scenario {
+        RegisterScenario {
             name,
             voters,
             replicas: 0,
-            replacements: vec![(voters.saturating_sub(1), voters)],
+            replacements: vec![Replacement::new(voters.saturating_sub(1), voters)],
             proposers: vec![0, 1],
-            replaced: false,
-            blank: false,
-            orders,
-            schedule,
-            budget,
-            reads_by_itself: false,
-            impatient: false,
+            voter_replaced: false,
+            starts_blank: false,
+            submissions: Vec::new(),
+            schedule: Schedule::AnyOrder,
+            budget: RegisterBudget::default(),
+            background_reads: false,
+            short_submission_timeout: false,
         }
     }
 
     pub(super) fn times(&self) -> RegisterTiming {
         RegisterTiming {
-            confirm_interval: if self.reads_by_itself { TICK } else { NEVER },
+            confirm_interval: if self.background_reads { TICK } else { NEVER },
             phase_timeout: TICK,
-            change_timeout: if self.impatient { TICK * 2 } else { NEVER },
+            change_timeout: if self.short_submission_timeout {
+                TICK * 2
+            } else {
+                NEVER
+            },
         }
     }
 }
--- a/crates/model-checker/src/register_model/steps.rs
+++ b/crates/model-checker/src/register_model/steps.rs
@@ -1,33 +1,65 @@
 //! What each action does to the world: steps of the real register, its effects, faults and operators.
 
-use super::defects::forged_answer;
-use super::order::Order;
+use super::defects::forged_vote;
 use super::scenario::RegisterDefect;
-use super::world::{Node, RegisterWorld, disks};
-use super::{MOMENT, RegisterModel, TICK};
+use super::submission::Submission;
+use super::world::{Node, RegisterAction, RegisterWorld};
+use super::{BOOTSTRAP_TOKEN, READ_DELAY, RegisterModel, TICK};
+use crate::cluster::{Cluster, ClusterModel, ModelNode};
 use crate::disk::{Content, Write};
 use crate::model::{node_index, node_name};
 use crate::network::{InFlight, Message};
+use crate::voters::{RegisterNode, VoterChange, disks};
 use protocol::{DurableState, Payload};
-use quorum_register::{Change, Effect, Event, VoterPhase};
+use quorum_register::{Change, Effect, Event};
 use std::sync::Arc;
 
+impl ClusterModel for RegisterModel {
+    type Node = Node;
+    type World = RegisterWorld;
+
+    fn cluster(world: &mut RegisterWorld) -> &mut Cluster<Node> {
+        &mut world.cluster
+    }
+
+    fn deliver(&self, world: &mut RegisterWorld, in_flight: &InFlight) {
+        let Message { from, to, body } = &*in_flight.message;
+        let (from, body) = self.apply_defect(*from, body.clone());
+        let from = node_name(from);
+        self.step(world, *to, Event::Received { from, body });
+    }
+
+    fn sync(&self, world: &mut RegisterWorld, at: usize) -> bool {
+        let Some(write) = world.cluster.take_write(at) else {
+            return false;
+        };
+        self.apply_write(world, at, &write);
+        if write.content.is_awaited() && self.defect != RegisterDefect::AcknowledgesBeforeSync {
+            let write_id = write.write_id;
+            self.step(world, at, Event::WriteCompleted { write_id });
+        } else {
+            world.cluster.node_mut(at).renew_fingerprint();
+        }
+        true
+    }
+}
+
 impl RegisterModel {
     pub(super) fn step(&self, world: &mut RegisterWorld, at: usize, event: Event) {
-        let node = Arc::make_mut(&mut world.nodes[at]);
+        let node = world.cluster.node_mut(at);
         let effects = node.register.step(node.now, event);
-        effects
-            .into_iter()
-            .for_each(|effect| self.carry_out(world, at, effect));
-        self.observe(world, at);
-        Arc::make_mut(&mut world.nodes[at]).renew_fingerprint();
+        for effect in effects {
+            self.execute(world, at, effect);
+        }
+        self.answer_reads(world, at);
+        world.cluster.node_mut(at).renew_fingerprint();
     }
 
-    pub(super) fn carry_out(&self, world: &mut RegisterWorld, at: usize, effect: Effect) {
+    fn execute(&self, world: &mut RegisterWorld, at: usize, effect: Effect) {
         match effect {
             Effect::Send { to, body } => self.send(world, at, node_index(&to), body),
             Effect::Persist { write_id, durable } => {
-                self.write(world, at, write_id, Content::State(durable))
+                self.write(world, at, write_id, Content::State(durable));
             }
             Effect::StoreConfiguration {
                 write_id,
@@ -42,226 +74,190 @@
                 );
             }
             Effect::DeleteConfiguration { digest } => {
-                let content = Content::DroppedSetup { digest };
-                Arc::make_mut(&mut world.nodes[at]).writes.push_back(Write {
+                let content = Content::DeletedConfiguration { digest };
+                let write = Write {
                     write_id: 0,
                     content,
-                });
+                };
+                world.cluster.node_mut(at).writes.push(write);
             }
             Effect::Decided {
                 request_id,
                 decision,
-            } if request_id != u64::MAX => {
-                let order = request_id as usize;
-                world.record(|history, disks| history.decided(order, decision, &self.facts, disks));
+            } if request_id != BOOTSTRAP_TOKEN => {
+                let submission = request_id as usize;
+                world.record(|history, disks| {
+                    history.decided(submission, decision, &self.submission_facts, disks)
+                });
             }
             Effect::StateChanged => {
-                let state = world.nodes[at].register.state().clone();
-                world.note(world.history.adopted(at, &state));
+                let state = world.cluster.nodes[at].register.state();
+                let checked = world.history.adopted(at, state);
+                world.cluster.note(checked);
             }
             _ => {}
         }
     }
 
-    pub(super) fn write(
-        &self,
-        world: &mut RegisterWorld,
-        at: usize,
-        write_id: u64,
-        content: Content,
-    ) {
-        Arc::make_mut(&mut world.nodes[at])
-            .writes
-            .push_back(Write { write_id, content });
-        if self.defect == RegisterDefect::AnswersBeforeSync {
+    fn write(&self, world: &mut RegisterWorld, at: usize, write_id: u64, content: Content) {
+        let write = Write { write_id, content };
+        world.cluster.node_mut(at).writes.push(write);
+        if self.defect == RegisterDefect::AcknowledgesBeforeSync {
             self.step(world, at, Event::WriteCompleted { write_id });
         }
     }
 
-    pub(super) fn send(&self, world: &mut RegisterWorld, from: usize, to: usize, body: Payload) {
-        if to >= world.nodes.len() {
+    fn send(&self, world: &mut RegisterWorld, from: usize, to: usize, body: Payload) {
+        if to >= world.cluster.nodes.len() {
             return;
         }
         if self.defect == RegisterDefect::CountsMinority
-            && let Some(body) = forged_answer(&body)
+            && let Some(body) = forged_vote(&body)
         {
-            self.step(
-                world,
-                from,
-                Event::Received {
-                    from: node_name(to),
-                    body,
-                },
-            );
+            let voter = node_name(to);
+            self.step(world, from, Event::Received { from: voter, body });
         }
-        let replaced = self.scenario.voters - 1;
+        let removed = self.scenario.voters - 1;
         if self.defect == RegisterDefect::CountsReplacedVoter
-            && to == replaced + 1
-            && from != replaced
+            && to == removed + 1
+            && from != removed
         {
-            world.network.send(from, replaced, body.clone());
+            world.cluster.network.send(from, removed, body.clone());
         }
-        world.network.send(from, to, body);
-    }
-
-    pub(super) fn deliver(&self, world: &mut RegisterWorld, in_flight: &InFlight) {
-        let Message { from, to, body } = &*in_flight.message;
-        let (from, body) = self.twist(*from, body.clone());
-        self.step(
-            world,
-            *to,
-            Event::Received {
-                from: node_name(from),
-                body,
-            },
-        );
+        world.cluster.network.send(from, to, body);
     }
 
-    /// Syncs a node's oldest write; false where there is none.
-    pub(super) fn sync(&self, world: &mut RegisterWorld, at: usize) -> bool {
-        let node = Arc::make_mut(&mut world.nodes[at]);
-        let Some(write) = node.writes.pop_front() else {
-            return false;
-        };
-        node.disk_is_stray &= !node.writes.is_empty();
-        node.keep(&write.content, self.defect);
-        self.disk_changed(world, at);
-        let nobody_waits = matches!(write.content, Content::DroppedSetup { .. });
-        if nobody_waits || self.defect == RegisterDefect::AnswersBeforeSync {
-            Arc::make_mut(&mut world.nodes[at]).renew_fingerprint();
-        } else {
-            self.step(
-                world,
-                at,
-                Event::WriteCompleted {
-                    write_id: write.write_id,
-                },
-            );
-        }
-        true
-    }
-
-    pub(super) fn disk_changed(&self, world: &mut RegisterWorld, at: usize) {
+    fn apply_write(&self, world: &mut RegisterWorld, at: usize, write: &Write) {
+        let node = world.cluster.node_mut(at);
+        node.apply(&write.content, self.defect);
         world.record(|history, disks| {
-            history.disk_changed(at, disks, &self.facts)?;
-            history.check_kept(disks, &self.facts)
+            history.disk_changed(at, disks, &self.submission_facts)?;
+            history.check_durable(disks, &self.submission_facts)
         });
     }
 
     pub(super) fn tick(&self, world: &mut RegisterWorld, at: usize) {
-        Arc::make_mut(&mut world.nodes[at]).now += TICK;
+        world.cluster.node_mut(at).now += TICK;
         self.step(world, at, Event::Tick);
     }
 
-    pub(super) fn crash(&self, world: &mut RegisterWorld, at: usize, kept: usize) {
-        let node = Arc::make_mut(&mut world.nodes[at]);
-        let writes: Vec<Write> = node.writes.drain(..).take(kept).collect();
-        if let Some(before) = node
-            .disk_before
-            .take()
-            .filter(|_| self.defect == RegisterDefect::DiskForgetsSynced)
+    pub(super) fn tick_all(&self, world: &mut RegisterWorld) {
+        for at in 0..world.cluster.nodes.len() {
+            self.tick(world, at);
+        }
+    }
+
+    pub(super) fn crash(&self, world: &mut RegisterWorld, at: usize, persisted: usize) {
+        let node = world.cluster.node_mut(at);
+        let writes = node.writes.crash(persisted);
+        if self.defect == RegisterDefect::DiskForgetsSynced
+            && let Some(before) = node.disk_before.take()
         {
             node.disk = *before;
         }
-        writes.iter().for_each(|write| {
-            Arc::make_mut(&mut world.nodes[at]).keep(&write.content, self.defect);
-            self.disk_changed(world, at);
-        });
+        for write in &writes {
+            self.apply_write(world, at, write);
+        }
         self.restart(world, at);
-        let checked = world.history.check_kept(&disks(&world.nodes), &self.facts);
-        world.note(checked);
+        let disks = disks(&world.cluster.nodes);
+        let checked = world.history.check_durable(&disks, &self.submission_facts);
+        world.cluster.note(checked);
     }
 
     pub(super) fn wipe(&self, world: &mut RegisterWorld, at: usize) {
-        let node = Arc::make_mut(&mut world.nodes[at]);
-        let DurableState {
-            disk,
-            initial_voters,
-            bootstrap_vote,
-            ..
-        } = std::mem::take(&mut node.disk).durable;
-        if self.defect == RegisterDefect::KeepsMarkAfterWipe {
+        let node = world.cluster.node_mut(at);
+        let lost = std::mem::take(&mut node.disk).durable;
+        if self.defect == RegisterDefect::KeepsDiskIdAfterWipe {
             node.disk.durable = DurableState {
-                disk,
-                initial_voters,
-                bootstrap_vote,
+                disk: lost.disk,
+                initial_voters: lost.initial_voters,
+                bootstrap_vote: lost.bootstrap_vote,
                 ..DurableState::default()
             };
         }
         self.restart(world, at);
     }
 
-    pub(super) fn restart(&self, world: &mut RegisterWorld, at: usize) {
-        let node = &world.nodes[at];
-        let peers = world.nodes.len();
-        let node = self.start_node(at, peers, node.disk.clone(), node.now, node.lives + 1);
-        world.nodes[at] = Arc::new(node);
+    fn restart(&self, world: &mut RegisterWorld, at: usize) {
+        let node = &world.cluster.nodes[at];
+        let (disk, incarnation) = (node.disk.clone(), node.incarnation + 1);
+        let peers = world.cluster.nodes.len();
+        let node = self.start_node(at, peers, disk, node.now, incarnation);
+        world.cluster.nodes[at] = Arc::new(node);
         world.record(|history, _| {
             history.node_ended(at);
             Ok(())
         });
     }
 
-    pub(super) fn ask(&self, world: &mut RegisterWorld, order: usize, at: usize) {
-        let Order {
+    pub(super) fn submit(&self, world: &mut RegisterWorld, submission: usize, at: usize) {
+        let Submission {
             mut change, bytes, ..
-        } = self.scenario.orders[order].clone();
-        if self.defect == RegisterDefect::ResendsAsNew
-            && world.asked[order] > 0
+        } = self.scenario.submissions[submission].clone();
+        let is_retry = world.attempts[submission] > 0;
+        if self.defect == RegisterDefect::RetriesUnderNewId
+            && is_retry
             && let Change::Configuration { id, .. } | Change::Evacuate { id, .. } = &mut change
         {
             id.id.push_str("-again");
         }
-        if let (RegisterDefect::LosesNumbers, Change::Configuration { number, .. }) =
-            (self.defect, &mut change)
+        if self.defect == RegisterDefect::DropsVersions
+            && let Change::Configuration { number, .. } = &mut change
         {
             *number = None;
         }
-        world.asked[order] += 1;
-        self.step(
-            world,
-            at,
-            Event::Submit {
-                request_id: order as u64,
-                change,
-                bytes,
-            },
-        );
+        world.attempts[submission] += 1;
+        let submitted = Event::Submit {
+            request_id: submission as u64,
+            change,
+            bytes,
+        };
+        self.step(world, at, submitted);
     }
 
     pub(super) fn read(&self, world: &mut RegisterWorld, at: usize) {
-        let node = Arc::make_mut(&mut world.nodes[at]);
-        node.now += MOMENT;
+        let node = world.cluster.node_mut(at);
+        node.now += READ_DELAY;
         let now = node.now;
         world.record(|history, _| {
-            history.read_asked(at, now);
+            history.read_requested(at, now);
             Ok(())
         });
         self.step(world, at, Event::Confirm);
     }
 
-    /// After each step of a node: reads that can be answered are.
-    pub(super) fn observe(&self, world: &mut RegisterWorld, at: usize) {
+    /// After each step of a node: answers the reads that can be answered.
+    fn answer_reads(&self, world: &mut RegisterWorld, at: usize) {
         if !world.history.is_read_pending(at) {
             return;
         }
-        let node = world.nodes[at].clone();
+        let node = world.cluster.nodes[at].clone();
         let register = &node.register;
         let revision = register.state().revision;
-        let local = self.defect == RegisterDefect::ReadsLocally;
-        let confirmed = |asked_at| local || register.is_confirmed_since(asked_at);
-        world.record(|history, _| history.answer_reads(at, revision, confirmed));
+        let is_local = self.defect == RegisterDefect::ReadsWithoutQuorum;
+        let is_confirmed = |requested_at| is_local || register.is_confirmed_since(requested_at);
+        world.record(|history, _| history.answer_reads(at, revision, is_confirmed));
     }
 
-    pub(super) fn may_wipe(&self, world: &RegisterWorld, at: usize) -> bool {
-        let whole = |node: &Arc<Node>| {
-            node.disk.durable.disk != 0 && *node.register.phase() == VoterPhase::Active
-        };
-        world
-            .nodes
-            .iter()
-            .enumerate()
-            .all(|(other, node)| whole(node) || other == at)
-            && world.nodes[at].disk.durable.disk != 0
+    /// Every change of the voters that some node may propose by what it knows.
+    pub(super) fn proposals(&self, world: &RegisterWorld) -> Vec<RegisterAction> {
+        let mut actions = Vec::new();
+        for at in &self.scenario.proposers {
+            let node = &world.cluster.nodes[*at];
+            if !node.is_active() {
+                continue;
+            }
+            let voter_set = &node.register.state().voter_set;
+            for change in VoterChange::possible(voter_set, &self.scenario.replacements) {
+                actions.push(RegisterAction::ChangeVoters { node: *at, change });
+            }
+        }
+        actions
+    }
+
+    pub(super) fn change_voters(&self, world: &mut RegisterWorld, at: usize, change: VoterChange) {
+        let voter_set = &world.cluster.nodes[at].register.state().voter_set;
+        let proposal = change.proposal(voter_set);
+        self.step(world, at, Event::Propose(proposal));
     }
 }
--- a/crates/model-checker/src/register_model/world.rs
+++ b/crates/model-checker/src/register_model/world.rs
@@ -1,13 +1,13 @@
 //! One state of the register's world, and what may come next in it.
 
 use super::scenario::{RegisterBudget, RegisterDefect};
-use crate::disk::{Content, Disk, Write};
+use crate::cluster::{Cluster, InOrderSteps, IoStep, ModelNode};
+use crate::disk::{Content, Disk, Write, WriteQueue};
 use crate::model::{Violation, fingerprint_of};
-use crate::network::Network;
+use crate::network::Schedule;
 use crate::register_history::History;
-use crate::traffic::{self, Traffic, TrafficNode, TrafficWorld};
+use crate::voters::{RegisterNode, VoterChange, disks};
 use quorum_register::Register;
-use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -17,179 +17,151 @@
     pub(super) disk: Disk,
     /// The disk before its last write, for the defect that forgets it.
     pub(super) disk_before: Option<Box<Disk>>,
-    pub(super) writes: VecDeque<Write>,
-    /// Its writes wait for a sync that comes at any moment, until none is left.
-    pub(super) disk_is_stray: bool,
+    pub(super) writes: WriteQueue<Write>,
+    /// What its clock shows.
     pub(super) now: Duration,
-    pub(super) lives: u64,
+    pub(super) incarnation: u64,
     pub(super) fingerprint: u64,
 }
 
 /// One state of the model.
 #[derive(Clone)]
 pub struct RegisterWorld {
-    pub(super) nodes: Vec<Arc<Node>>,
-    pub(super) network: Network,
+    pub(super) cluster: Cluster<Node>,
     pub(super) history: Arc<History>,
     pub(super) history_fingerprint: u64,
-    pub(super) left: RegisterBudget,
-    pub(super) strays_left: u8,
-    /// How often each order was sent.
-    pub(super) asked: Vec<u8>,
-    pub(super) violation: Option<Violation>,
+    pub(super) remaining: RegisterBudget,
+    /// How often each submission was sent.
+    pub(super) attempts: Vec<u8>,
 }
 
 /// What may happen next.
 #[derive(Clone, Copy, Debug)]
 pub enum RegisterAction {
-    Traffic(Traffic),
+    /// A step of a message or of a disk.
+    Io(IoStep),
+    /// A node's clock goes on.
     Tick {
+        /// The node's index.
         node: usize,
     },
-    /// Nothing is left to come: all nodes tick.
+    /// Nothing is in flight: all nodes tick.
     TickAll,
+    /// A node crashes and restarts.
     Crash {
+        /// The node's index.
         node: usize,
-        kept: usize,
+        /// How many of its unsynced writes are on disk afterwards.
+        persisted: usize,
     },
+    /// A node restarts on a blank disk.
     Wipe {
+        /// The node's index.
         node: usize,
     },
-    Ask {
-        order: usize,
+    /// An operator submits a change, or retries it.
+    Submit {
+        /// The index of the scenario's submission.
+        submission: usize,
+        /// The index of the node it is sent to.
         node: usize,
     },
+    /// An operator reads at a node.
     Read {
+        /// The node's index.
         node: usize,
     },
-    /// A node proposes that a replica takes a voter's place.
-    BeginVoters {
-        node: usize,
-        gone: usize,
-        successor: usize,
-    },
-    /// A node proposes to complete the change that it knows to be under way.
-    CompleteVoters {
+    /// A node proposes a step of a change of the voters, by what it knows.
+    ChangeVoters {
+        /// The node's index.
         node: usize,
+        /// What it proposes.
+        change: VoterChange,
     },
 }
 
 impl Node {
-    pub(super) fn keep(&mut self, content: &Content, defect: RegisterDefect) {
+    pub(super) fn apply(&mut self, content: &Content, defect: RegisterDefect) {
         if defect == RegisterDefect::DiskForgetsSynced {
             self.disk_before = Some(Box::new(self.disk.clone()));
         }
-        let dropped = defect == RegisterDefect::DropsBytes
+        let is_dropped = defect == RegisterDefect::DropsConfigurations
             && matches!(content, Content::Configuration { .. });
-        if !dropped {
+        if !is_dropped {
             self.disk.apply(content);
         }
     }
-
-    pub(super) fn renew_fingerprint(&mut self) {
-        let Node {
-            register,
-            disk,
-            disk_before,
-            writes,
-            disk_is_stray,
-            now,
-            lives,
-            ..
-        } = self;
-        self.fingerprint = fingerprint_of(&(
-            register,
-            disk,
-            disk_before,
-            writes,
-            disk_is_stray,
-            now,
-            lives,
-        ));
-    }
 }
 
-impl RegisterWorld {
-    /// Adds to what was seen and judges it.
-    pub(super) fn record(
-        &mut self,
-        seen: impl FnOnce(&mut History, &[&Disk]) -> Result<(), Violation>,
-    ) {
-        let checked = seen(Arc::make_mut(&mut self.history), &disks(&self.nodes));
-        self.history_fingerprint = fingerprint_of(&self.history);
-        self.note(checked);
-    }
-
-    /// Deliveries and syncs that may come next, whatever the order.
-    pub(super) fn any_order(&self) -> Vec<RegisterAction> {
-        traffic::any_order(self)
-            .into_iter()
-            .map(RegisterAction::Traffic)
-            .collect()
-    }
-
-    /// What comes in turn, the strays, and what may become one.
-    pub(super) fn in_order(&self) -> Vec<RegisterAction> {
-        let traffic::InOrder { turn, others } = traffic::in_order(self, self.strays_left);
-        let ticks = (self.left.rounds > 0).then_some(RegisterAction::TickAll);
-        let first = turn.map(RegisterAction::Traffic).or(ticks);
-        first
-            .into_iter()
-            .chain(others.into_iter().map(RegisterAction::Traffic))
-            .collect()
-    }
+impl ModelNode for Node {
+    type Write = Write;
 
-    /// The first violation stays.
-    pub(super) fn note(&mut self, checked: Result<(), Violation>) {
-        if self.violation.is_none() {
-            self.violation = checked.err();
-        }
+    fn writes(&self) -> &WriteQueue<Write> {
+        &self.writes
     }
-}
-
-pub(super) fn disks(nodes: &[Arc<Node>]) -> Vec<&Disk> {
-    nodes.iter().map(|node| &node.disk).collect()
-}
 
-impl TrafficNode for Node {
-    fn is_writing(&self) -> bool {
-        !self.writes.is_empty()
+    fn writes_mut(&mut self) -> &mut WriteQueue<Write> {
+        &mut self.writes
     }
 
-    fn disk_is_stray(&self) -> bool {
-        self.disk_is_stray
+    fn fingerprint(&self) -> u64 {
+        self.fingerprint
     }
 
-    fn make_disk_stray(&mut self) {
-        self.disk_is_stray = true;
-        self.renew_fingerprint();
+    fn renew_fingerprint(&mut self) {
+        self.fingerprint = fingerprint_of(&(
+            &self.register,
+            &self.disk,
+            &self.disk_before,
+            &self.writes,
+            self.now,
+            self.incarnation,
+        ));
     }
 }
 
-impl TrafficWorld for RegisterWorld {
-    type Node = Node;
-
-    fn nodes(&self) -> &[Arc<Node>] {
-        &self.nodes
+impl RegisterNode for Node {
+    fn register(&self) -> &Register {
+        &self.register
     }
 
-    fn node_mut(&mut self, at: usize) -> &mut Node {
-        Arc::make_mut(&mut self.nodes[at])
+    fn disk(&self) -> &Disk {
+        &self.disk
     }
+}
 
-    fn network(&self) -> &Network {
-        &self.network
+impl RegisterWorld {
+    /// Adds to what was seen and checks it.
+    pub(super) fn record(
+        &mut self,
+        seen: impl FnOnce(&mut History, &[&Disk]) -> Result<(), Violation>,
+    ) {
+        let checked = seen(
+            Arc::make_mut(&mut self.history),
+            &disks(&self.cluster.nodes),
+        );
+        self.history_fingerprint = fingerprint_of(&self.history);
+        self.cluster.note(checked);
     }
 
-    fn network_mut(&mut self) -> &mut Network {
-        &mut self.network
+    /// Deliveries and syncs, by the schedule, and the ticks of all nodes.
+    pub(super) fn scheduled_actions(&self) -> Vec<RegisterAction> {
+        match self.cluster.schedule() {
+            Schedule::AnyOrder => self.any_order_actions(),
+            Schedule::InOrder { .. } => self.in_order_actions(),
+        }
     }
 
-    fn strays_left(&mut self) -> &mut u8 {
-        &mut self.strays_left
+    pub(super) fn any_order_actions(&self) -> Vec<RegisterAction> {
+        let steps = self.cluster.any_order_steps();
+        steps.into_iter().map(RegisterAction::Io).collect()
     }
 
-    fn duplicates_left(&mut self) -> &mut u8 {
-        &mut self.left.duplicates
+    fn in_order_actions(&self) -> Vec<RegisterAction> {
+        let InOrderSteps { next, others } = self.cluster.in_order_steps();
+        let ticks = (self.remaining.rounds > 0).then_some(RegisterAction::TickAll);
+        let next = next.map(RegisterAction::Io).or(ticks);
+        let others = others.into_iter().map(RegisterAction::Io);
+        next.into_iter().chain(others).collect()
     }
 }
--- a/crates/model-checker/src/scenarios.rs
+++ b/crates/model-checker/src/scenarios.rs
@@ -1,38 +1,39 @@
-//! The scenarios that tests and the `drill explore` verb play.
+//! The scenarios that tests and the `test-harness explore` subcommand play.
 
 use crate::control_model::{ControlBudget, ControlScenario};
 use crate::lease_model::LeaseBudget;
 use crate::network::Schedule;
-use crate::register_model::{Order, RegisterBudget, Scenario};
+use crate::register_model::{RegisterBudget, RegisterScenario, Submission};
+use crate::voters::Replacement;
 use std::time::Duration;
 
-const IN_ORDER: Schedule = Schedule::InOrder { strays: 0 };
-const ONE_STRAY: Schedule = Schedule::InOrder { strays: 1 };
+const IN_ORDER: Schedule = Schedule::InOrder { delays: 0 };
+const ONE_DELAY: Schedule = Schedule::InOrder { delays: 1 };
 
-/// Two operators' orders without configurations, each at its own node.
-fn two_orders() -> Vec<Order> {
+/// Two operators' submissions without configurations, each at its own node.
+fn two_submissions() -> Vec<Submission> {
     vec![
-        Order::evacuation("a", "north/n1", false, &[0]),
-        Order::evacuation("b", "north/n2", false, &[1]),
+        Submission::evacuation("a", "north/n1", false, &[0]),
+        Submission::evacuation("b", "north/n2", false, &[1]),
     ]
 }
 
-/// One order that may be sent to two nodes.
-fn one_order() -> Vec<Order> {
-    vec![Order::evacuation("a", "north/n1", false, &[0, 1])]
+/// One submission that may be sent to two nodes.
+fn one_submission() -> Vec<Submission> {
+    vec![Submission::evacuation("a", "north/n1", false, &[0, 1])]
 }
 
 fn scenario(
     name: &'static str,
     schedule: Schedule,
-    orders: Vec<Order>,
+    submissions: Vec<Submission>,
     budget: RegisterBudget,
-) -> Scenario {
-    Scenario {
+) -> RegisterScenario {
+    RegisterScenario {
         schedule,
-        orders,
+        submissions,
         budget,
-        ..Scenario::new(name, 3)
+        ..RegisterScenario::new(name, 3)
     }
 }
 
@@ -41,132 +42,140 @@
 /// ```
 /// assert!(model_checker::register_scenarios().iter().any(|scenario| scenario.name == "orders"));
 /// ```
-pub fn register_scenarios() -> Vec<Scenario> {
+pub fn register_scenarios() -> Vec<RegisterScenario> {
     let none = RegisterBudget::default();
-    let asks = |asks, rounds| RegisterBudget {
-        asks,
+    let submissions = |submissions, rounds| RegisterBudget {
+        submissions,
         rounds,
         ..none
     };
     let with_bytes = vec![
-        Order::configuration("a", None, &[0]),
-        Order::configuration("b", None, &[1]),
+        Submission::configuration("a", None, &[0]),
+        Submission::configuration("b", None, &[1]),
     ];
-    let one_number = vec![Order::numbered("a", 7, &[0]), Order::numbered("b", 7, &[1])];
-    let one_base = vec![
-        Order::configuration("a", Some(1), &[0]),
-        Order::configuration("b", Some(1), &[1]),
+    let one_version = vec![
+        Submission::numbered("a", 7, &[0]),
+        Submission::numbered("b", 7, &[1]),
     ];
-    let replica = |scenario| Scenario {
+    let one_base_revision = vec![
+        Submission::configuration("a", Some(1), &[0]),
+        Submission::configuration("b", Some(1), &[1]),
+    ];
+    let replica = |scenario| RegisterScenario {
         replicas: 1,
         ..scenario
     };
     vec![
-        scenario("orders", Schedule::AnyOrder, two_orders(), asks(2, 0)),
+        scenario(
+            "orders",
+            Schedule::AnyOrder,
+            two_submissions(),
+            submissions(2, 0),
+        ),
         scenario(
             "ticks",
             Schedule::AnyOrder,
-            one_order(),
+            one_submission(),
             RegisterBudget {
                 ticks: 2,
-                ..asks(1, 0)
+                ..submissions(1, 0)
             },
         ),
         scenario(
             "doubled",
             Schedule::AnyOrder,
-            one_order(),
+            one_submission(),
             RegisterBudget {
                 duplicates: 1,
-                ..asks(2, 0)
+                ..submissions(2, 0)
             },
         ),
         scenario(
             "any-crash",
             Schedule::AnyOrder,
-            one_order(),
+            one_submission(),
             RegisterBudget {
                 crashes: 1,
-                ..asks(1, 0)
+                ..submissions(1, 0)
             },
         ),
         scenario(
             "any-read",
             Schedule::AnyOrder,
-            one_order(),
+            one_submission(),
             RegisterBudget {
                 reads: 1,
-                ..asks(1, 0)
+                ..submissions(1, 0)
             },
         ),
-        scenario("strays", ONE_STRAY, two_orders(), asks(2, 3)),
+        scenario("strays", ONE_DELAY, two_submissions(), submissions(2, 3)),
         scenario(
             "crash",
             IN_ORDER,
-            two_orders(),
+            two_submissions(),
             RegisterBudget {
                 crashes: 1,
-                ..asks(2, 3)
+                ..submissions(2, 3)
             },
         ),
         scenario(
             "wipe",
             IN_ORDER,
-            two_orders(),
+            two_submissions(),
             RegisterBudget {
                 wipes: 1,
-                ..asks(2, 8)
+                ..submissions(2, 8)
             },
         ),
         scenario(
             "wipe-stray",
-            ONE_STRAY,
-            one_order(),
+            ONE_DELAY,
+            one_submission(),
             RegisterBudget {
                 wipes: 1,
-                ..asks(1, 8)
+                ..submissions(1, 8)
             },
         ),
-        Scenario {
-            impatient: true,
-            ..scenario("resent", ONE_STRAY, one_order(), asks(3, 4))
+        RegisterScenario {
+            short_submission_timeout: true,
+            ..scenario("resent", ONE_DELAY, one_submission(), submissions(3, 4))
         },
         scenario(
             "reads",
             IN_ORDER,
-            two_orders(),
+            two_submissions(),
             RegisterBudget {
                 reads: 2,
-                ..asks(2, 2)
+                ..submissions(2, 2)
             },
         ),
-        scenario("bytes", ONE_STRAY, with_bytes, asks(2, 2)),
+        scenario("bytes", ONE_DELAY, with_bytes, submissions(2, 2)),
         scenario(
             "based",
             IN_ORDER,
-            one_base,
+            one_base_revision,
             RegisterBudget {
                 crashes: 1,
-                ..asks(2, 3)
+                ..submissions(2, 3)
             },
         ),
-        scenario("numbers", ONE_STRAY, one_number, asks(2, 2)),
+        scenario("numbers", ONE_DELAY, one_version, submissions(2, 2)),
         replica(scenario(
             "replace",
             IN_ORDER,
-            one_order(),
+            one_submission(),
             RegisterBudget {
                 proposals: 2,
-                ..asks(1, 6)
+                ..submissions(1, 6)
             },
         )),
         replica(scenario(
             "replace-stray",
-            ONE_STRAY,
+            ONE_DELAY,
             vec![],
             RegisterBudget {
                 proposals: 2,
-                ..asks(0, 6)
+                ..submissions(0, 6)
             },
         )),
         replica(scenario(
@@ -176,7 +185,7 @@
             RegisterBudget {
                 proposals: 2,
                 crashes: 1,
-                ..asks(0, 6)
+                ..submissions(0, 6)
             },
         )),
         replica(scenario(
@@ -186,35 +195,40 @@
             RegisterBudget {
                 proposals: 2,
                 wipes: 1,
-                ..asks(0, 10)
+                ..submissions(0, 10)
             },
         )),
-        Scenario {
+        RegisterScenario {
             replicas: 2,
-            replacements: vec![(2, 3), (1, 4)],
+            replacements: vec![Replacement::new(2, 3), Replacement::new(1, 4)],
             ..scenario(
                 "replace-race",
                 IN_ORDER,
                 vec![],
                 RegisterBudget {
                     proposals: 3,
-                    ..asks(0, 6)
+                    ..submissions(0, 6)
                 },
             )
         },
-        Scenario {
-            replaced: true,
-            ..replica(scenario("replaced", ONE_STRAY, two_orders(), asks(2, 3)))
+        RegisterScenario {
+            voter_replaced: true,
+            ..replica(scenario(
+                "replaced",
+                ONE_DELAY,
+                two_submissions(),
+                submissions(2, 3),
+            ))
         },
-        Scenario {
-            blank: true,
+        RegisterScenario {
+            starts_blank: true,
             ..scenario(
                 "founding",
-                ONE_STRAY,
+                ONE_DELAY,
                 vec![],
                 RegisterBudget {
                     crashes: 1,
-                    ..asks(0, 4)
+                    ..submissions(0, 4)
                 },
             )
         },
@@ -229,10 +243,10 @@
 pub fn lease_scenarios() -> Vec<(&'static str, LeaseBudget)> {
     let none = LeaseBudget::default();
     let short = Duration::from_millis(120);
-    let in_order = |passes, strays| LeaseBudget {
+    let in_order = |passes, delays| LeaseBudget {
         passes,
         quantum: short,
-        schedule: Schedule::InOrder { strays },
+        schedule: Schedule::InOrder { delays },
         ..none
     };
     vec![
@@ -297,14 +311,14 @@
         ..budget
     };
     let plain = |name| ControlScenario {
-        replacements: vec![(0, 3)],
+        replacements: vec![Replacement::new(0, 3)],
         proposers: vec![2],
-        unaware: Some(1),
+        uninformed_node: Some(1),
         budget,
         ..ControlScenario::new(name, 3)
     };
-    let begun = |name| ControlScenario {
-        begun: true,
+    let change_begun = |name| ControlScenario {
+        change_begun: true,
         budget: completed,
         ..plain(name)
     };
@@ -315,7 +329,7 @@
             ..plain("voters-lease")
         },
         ControlScenario {
-            unaware: None,
+            uninformed_node: None,
             budget: ControlBudget {
                 passes: 12,
                 ..budget
@@ -323,21 +337,21 @@
             ..plain("voters-lease-unheld")
         },
         with(
-            begun("voters-lease-begun-stray"),
+            change_begun("voters-lease-begun-stray"),
             ControlBudget {
-                schedule: ONE_STRAY,
+                schedule: ONE_DELAY,
                 ..completed
             },
         ),
         with(
-            begun("voters-lease-begun-crash"),
+            change_begun("voters-lease-begun-crash"),
             ControlBudget {
                 crashes: 1,
                 ..completed
             },
         ),
         with(
-            begun("voters-lease-begun-wipe"),
+            change_begun("voters-lease-begun-wipe"),
             ControlBudget {
                 wipes: 1,
                 proposals: 1,
@@ -346,20 +360,20 @@
         ),
         ControlScenario {
             replicas: 2,
-            replacements: vec![(0, 3), (1, 4)],
+            replacements: vec![Replacement::new(0, 3), Replacement::new(1, 4)],
             budget: ControlBudget {
                 proposals: 3,
                 ..slow
             },
-            ..begun("voters-lease-begun-twice")
+            ..change_begun("voters-lease-begun-twice")
         },
         ControlScenario {
-            replacements: vec![(2, 3)],
+            replacements: vec![Replacement::new(2, 3)],
             proposers: vec![0],
             ..with(
-                begun("voters-lease-begun-holder"),
+                change_begun("voters-lease-begun-holder"),
                 ControlBudget {
-                    schedule: ONE_STRAY,
+                    schedule: ONE_DELAY,
                     ..completed
                 },
             )
@@ -370,7 +384,7 @@
 /// The scenario of register and lease with this name.
 ///
 /// ```
-/// assert!(model_checker::control_scenario("voters-lease-begun-stray").is_some_and(|scenario| scenario.begun));
+/// assert!(model_checker::control_scenario("voters-lease-begun-stray").is_some_and(|scenario| scenario.change_begun));
 /// ```
 pub fn control_scenario(name: &str) -> Option<ControlScenario> {
     control_scenarios()
@@ -381,9 +395,9 @@
 /// The scenario with this name.
 ///
 /// ```
-/// assert!(model_checker::register_scenario("founding").is_some_and(|scenario| scenario.blank));
+/// assert!(model_checker::register_scenario("founding").is_some_and(|scenario| scenario.starts_blank));
 /// ```
-pub fn register_scenario(name: &str) -> Option<Scenario> {
+pub fn register_scenario(name: &str) -> Option<RegisterScenario> {
     register_scenarios()
         .into_iter()
         .find(|scenario| scenario.name == name)
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -15,9 +15,13 @@
 /// Where a search ends at the latest.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
+    /// The longest trace, in actions.
     pub depth: usize,
+    /// The number of different states.
     pub states: u64,
+    /// The time that the search may take.
     pub time: Duration,
+    /// How many threads search.
     pub threads: usize,
 }
 
@@ -32,7 +36,7 @@
     }
 }
 
-/// What a search saw.
+/// The result of a search.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// Different states, the first included.
@@ -43,9 +47,10 @@
     pub depth: usize,
     /// True where nothing is left to visit within the model's budgets.
     pub complete: bool,
+    /// The time that the search took.
     pub time: Duration,
     /// The way to the first violation.
-    pub violating: Option<Trace>,
+    pub counterexample: Option<Trace>,
 }
 
 /// From which state and by which of its actions a state was first reached.
@@ -78,10 +83,10 @@
     /// True where the state is new.
     fn insert(&self, fingerprint: u64, origin: Option<Origin>) -> bool {
         let mut shard = self.shard(fingerprint);
-        let Entry::Vacant(place) = shard.entry(fingerprint) else {
+        let Entry::Vacant(entry) = shard.entry(fingerprint) else {
             return false;
         };
-        place.insert(origin);
+        entry.insert(origin);
         self.count.fetch_add(1, Ordering::Relaxed);
         true
     }
@@ -131,9 +136,9 @@
         let work = || {
             let (mut chunks, mut found) = (Vec::new(), Vec::new());
             while let Some(chunk) = take().filter(|_| !self.stop.load(Ordering::Relaxed)) {
-                chunk
-                    .iter()
-                    .for_each(|state| self.expand(state, &mut found));
+                for state in &chunk {
+                    self.expand(state, &mut found);
+                }
                 if found.len() >= CHUNK {
                     chunks.push(std::mem::take(&mut found));
                 }
@@ -155,38 +160,38 @@
         })
     }
 
+    /// Takes every action in a state and adds the new states that they lead to.
     fn expand(&self, state: &M::State, found: &mut Vec<M::State>) {
         let parent = self.model.fingerprint(state);
-        self.model
-            .actions(state)
-            .into_iter()
-            .enumerate()
-            .for_each(|(choice, action)| {
-                let next = self.model.next(state, action);
-                if self.model.is_redundant(state, &next) {
-                    return;
-                }
-                self.transitions.fetch_add(1, Ordering::Relaxed);
-                let fingerprint = self.model.fingerprint(&next);
-                if !self.visited.insert(
-                    fingerprint,
-                    Some(Origin {
-                        parent,
-                        choice: choice as u16,
-                    }),
-                ) {
-                    return;
-                }
-                if self.model.violation(&next).is_some() {
-                    self.stop.store(true, Ordering::Relaxed);
-                    let mut violating = self
-                        .violating
-                        .lock()
-                        .unwrap_or_else(|poisoned| poisoned.into_inner());
-                    violating.get_or_insert(fingerprint);
-                }
-                found.push(next);
-            });
+        for (choice, action) in self.model.actions(state).into_iter().enumerate() {
+            let next = self.model.next(state, action);
+            if self.model.is_redundant(state, &next) {
+                continue;
+            }
+            self.transitions.fetch_add(1, Ordering::Relaxed);
+            let fingerprint = self.model.fingerprint(&next);
+            let origin = Origin {
+                parent,
+                choice: choice as u16,
+            };
+            if !self.visited.insert(fingerprint, Some(origin)) {
+                continue;
+            }
+            if self.model.violation(&next).is_some() {
+                self.note_violation(fingerprint);
+            }
+            found.push(next);
+        }
+    }
+
+    /// Ends the search at the first violation.
+    fn note_violation(&self, fingerprint: u64) {
+        self.stop.store(true, Ordering::Relaxed);
+        let mut violating = self
+            .violating
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
+        violating.get_or_insert(fingerprint);
     }
 
     fn report(self, depth: usize, complete: bool) -> Report {
@@ -200,7 +205,7 @@
             depth,
             complete: complete && violating.is_none(),
             time: self.began.elapsed(),
-            violating: violating
+            counterexample: violating
                 .map(|fingerprint| replay(self.model, &self.visited.choices_to(fingerprint))),
         }
     }
@@ -213,7 +218,7 @@
 /// let model = LeaseModel::new(3, LeaseBudget::default());
 /// let report = search(&model, Limits { depth: 4, ..Limits::default() });
 /// assert!(report.states > 10);
-/// assert!(report.violating.is_none());
+/// assert!(report.counterexample.is_none());
 /// ```
 pub fn search<M: Model>(model: &M, limits: Limits) -> Report {
     let search = Search {
--- a/crates/model-checker/tests/control.rs
+++ b/crates/model-checker/tests/control.rs
@@ -1,14 +1,14 @@
-//! Register and lease in one world, with voters that change within a lease's span, and the broken twins that must be
+//! Register and lease in one world, with voters that change within a lease's span, and the defects that must be
 //! found out.
 
 use arbtest::arbtest;
 use model_checker::{
     ControlBudget, ControlDefect, ControlModel, ControlScenario, Invariant, Limits, Model,
-    Schedule, control_scenario, control_scenarios, replay, search, walk,
+    Replacement, Schedule, control_scenario, control_scenarios, replay, search, walk,
 };
 use std::time::Duration;
 
-/// How many states of each scenario CI visits; `drill explore` goes on.
+/// How many states of each scenario CI visits; `test-harness explore` goes on.
 const STATES: u64 = 6_000;
 /// Bytes of choices for each walk.
 const ENTROPY: u64 = 4_000;
@@ -32,7 +32,7 @@
 fn no_scenario_of_changing_voters_breaks_an_invariant() {
     for scenario in control_scenarios() {
         let name = scenario.name;
-        let is_held = scenario.unaware.is_some();
+        let is_held = scenario.uninformed_node.is_some();
         let model = ControlModel::new(scenario);
         assert_eq!(model.last_epoch(&model.initial()) > 0, is_held, "{name}");
         let report = search(&model, limits(STATES));
@@ -41,7 +41,7 @@
             report.states, report.depth, report.complete
         );
         assert_eq!(
-            report.violating.map(|trace| trace.to_string()),
+            report.counterexample.map(|trace| trace.to_string()),
             None,
             "{name}"
         );
@@ -65,7 +65,7 @@
         ..named("voters-lease-begun-stray")
     };
     let report = search(&ControlModel::new(scenario), limits(10 * STATES));
-    assert_eq!(report.violating.map(|trace| trace.to_string()), None);
+    assert_eq!(report.counterexample.map(|trace| trace.to_string()), None);
 }
 
 /// Searches a twin, replays the trace it finds, and tells which invariant breaks.
@@ -73,7 +73,7 @@
     let model = ControlModel::with_defect(scenario, defect);
     let report = search(&model, limits(60_000));
     let trace = report
-        .violating
+        .counterexample
         .unwrap_or_else(|| panic!("{defect:?} was not found in {} states", report.states));
     assert_eq!(
         replay(&model, &trace.choices),
@@ -99,29 +99,29 @@
         ControlDefect::NewVoterGrantsAtOnce,
         ControlScenario { budget, ..scenario },
     );
-    assert_eq!(found, Invariant::OneHolder);
+    assert_eq!(found, Invariant::SingleLeaseHolder);
 }
 
 #[test]
 fn new_voters_that_learn_of_no_granted_epoch_are_found_out() {
     let found = broken_by(
-        ControlDefect::AcceptsLackEpoch,
+        ControlDefect::AcceptsWithoutEpoch,
         named("voters-lease-begun-wipe"),
     );
-    assert_eq!(found, Invariant::EpochsRise);
+    assert_eq!(found, Invariant::MonotonicEpochs);
 }
 
 #[test]
 fn voters_that_change_without_a_joint_step_are_found_out() {
-    let found = broken_by(ControlDefect::SkipsJointVoters, named("voters-lease"));
-    assert_eq!(found, Invariant::VotersChangeByStep);
+    let found = broken_by(ControlDefect::SkipsJointVoterSet, named("voters-lease"));
+    assert_eq!(found, Invariant::SingleStepVoterChange);
 }
 
 fn long_scenario(voters: usize) -> ControlScenario {
     let budget = ControlBudget {
         quantum: Duration::from_millis(240),
         passes: 120,
-        schedule: Schedule::InOrder { strays: 40 },
+        schedule: Schedule::InOrder { delays: 40 },
         duplicates: 10,
         crashes: 6,
         wipes: 2,
@@ -130,10 +130,10 @@
     ControlScenario {
         replicas: 2,
         replacements: vec![
-            (voters - 1, voters),
-            (0, voters + 1),
-            (voters, voters - 1),
-            (voters + 1, 0),
+            Replacement::new(voters - 1, voters),
+            Replacement::new(0, voters + 1),
+            Replacement::new(voters, voters - 1),
+            Replacement::new(voters + 1, 0),
         ],
         proposers: (0..voters + 2).collect(),
         budget,
@@ -148,7 +148,7 @@
         let (mut steps, mut epochs, mut changes, mut found) = (0, 0, 0, None);
         (1..=WALKS).for_each(|number| {
             arbtest(|noise| {
-                let walked = walk(&model, |choice| {
+                let random_walk = walk(&model, |choice| {
                     if noise.is_empty() {
                         return None;
                     }
@@ -157,12 +157,12 @@
                         .choose_index(if unusual { choice.count } else { choice.usual })
                         .ok()
                 });
-                steps += walked.depth;
-                epochs += model.last_epoch(&walked.end);
-                changes += model.voter_epoch(&walked.end);
+                steps += random_walk.depth;
+                epochs += model.last_epoch(&random_walk.end);
+                changes += model.voter_epoch(&random_walk.end);
                 found = found
                     .take()
-                    .or(walked.violating.map(|trace| trace.to_string()));
+                    .or(random_walk.counterexample.map(|trace| trace.to_string()));
                 Ok(())
             })
             .seed(number << 32 | ENTROPY);
--- a/crates/model-checker/tests/lease.rs
+++ b/crates/model-checker/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Every scenario of the lease within a bound, and the broken twins that must be found out.
+//! Every scenario of the lease within a bound, and the defects that must be found.
 
 use model_checker::{
     Invariant, LeaseBudget, LeaseDefect, LeaseModel, Limits, Schedule, lease_scenarios, replay,
@@ -6,7 +6,7 @@
 };
 use std::time::Duration;
 
-/// How many states of each scenario CI visits; `drill explore` goes on.
+/// How many states of each scenario CI visits; `test-harness explore` goes on.
 const STATES: u64 = 150_000;
 /// Scenarios that are searched to their end within that.
 const COMPLETE: [&str; 1] = ["lease-doubled"];
@@ -27,7 +27,7 @@
             "{name}: {} states, depth {}, complete: {}",
             report.states, report.depth, report.complete
         );
-        let found = report.violating.map(|trace| trace.to_string());
+        let found = report.counterexample.map(|trace| trace.to_string());
         assert_eq!(found, None, "{name}");
         assert!(
             report.complete || report.states >= STATES,
@@ -41,10 +41,10 @@
     }
 }
 
-fn in_order(passes: u8, quantum_ms: u64, strays: u8) -> LeaseBudget {
+fn in_order(passes: u8, quantum_ms: u64, delays: u8) -> LeaseBudget {
     let (quantum, schedule) = (
         Duration::from_millis(quantum_ms),
-        Schedule::InOrder { strays },
+        Schedule::InOrder { delays },
     );
     LeaseBudget {
         passes,
@@ -59,7 +59,7 @@
     let model = LeaseModel::with_defect(3, budget, defect);
     let report = search(&model, limits(1_000_000));
     let trace = report
-        .violating
+        .counterexample
         .unwrap_or_else(|| panic!("{defect:?} was not found in {} states", report.states));
     assert_eq!(
         replay(&model, &trace.choices),
@@ -78,7 +78,7 @@
     };
     assert_eq!(
         broken_by(LeaseDefect::GrantsAfterRestart, budget),
-        Invariant::OneHolder
+        Invariant::SingleLeaseHolder
     );
 }
 
@@ -90,7 +90,7 @@
     };
     assert_eq!(
         broken_by(LeaseDefect::CountsMinority, budget),
-        Invariant::OneHolder
+        Invariant::SingleLeaseHolder
     );
 }
 
@@ -99,7 +99,7 @@
     let budget = in_order(30, 120, 1);
     assert_eq!(
         broken_by(LeaseDefect::ClocksOffBound, budget),
-        Invariant::OneHolder
+        Invariant::SingleLeaseHolder
     );
 }
 
@@ -110,8 +110,8 @@
         ..in_order(26, 120, 0)
     };
     assert_eq!(
-        broken_by(LeaseDefect::AnswersBeforeSync, budget),
-        Invariant::EpochsRise
+        broken_by(LeaseDefect::AcknowledgesBeforeSync, budget),
+        Invariant::MonotonicEpochs
     );
 }
 
@@ -122,7 +122,7 @@
         ..in_order(26, 120, 0)
     };
     assert_eq!(
-        broken_by(LeaseDefect::MendsWithoutEpoch, budget),
-        Invariant::EpochsRise
+        broken_by(LeaseDefect::RepairsWithoutEpoch, budget),
+        Invariant::MonotonicEpochs
     );
 }
--- a/crates/model-checker/tests/walks.rs
+++ b/crates/model-checker/tests/walks.rs
@@ -3,8 +3,8 @@
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
 use model_checker::{
-    Choice, LeaseBudget, LeaseModel, Model, Order, RegisterBudget, RegisterDefect, RegisterModel,
-    Scenario, Schedule, walk,
+    Choice, LeaseBudget, LeaseModel, Model, RegisterBudget, RegisterDefect, RegisterModel,
+    RegisterScenario, Replacement, Schedule, Submission, walk,
 };
 use std::time::Duration;
 
@@ -36,13 +36,13 @@
     let mut walks = Walks::default();
     (1..=WALKS).for_each(|number| {
         arbtest(|noise| {
-            let walked = walk(model, |choice| choose(noise, choice));
-            walks.depth += walked.depth;
-            walks.counted += count(&walked.end);
+            let random_walk = walk(model, |choice| choose(noise, choice));
+            walks.depth += random_walk.depth;
+            walks.counted += count(&random_walk.end);
             walks.found = walks
                 .found
                 .take()
-                .or(walked.violating.map(|trace| trace.to_string()));
+                .or(random_walk.counterexample.map(|trace| trace.to_string()));
             Ok(())
         })
         .seed(number << 32 | ENTROPY);
@@ -50,20 +50,20 @@
     walks
 }
 
-fn scenario(voters: usize, schedule: Schedule) -> Scenario {
+fn scenario(voters: usize, schedule: Schedule) -> RegisterScenario {
     let everywhere: Vec<usize> = (0..voters).collect();
-    let order = |at: usize| match at % 3 {
-        0 => Order::configuration(&format!("setup-{at}"), None, &everywhere),
-        1 => Order::evacuation(
+    let submission = |at: usize| match at % 3 {
+        0 => Submission::configuration(&format!("setup-{at}"), None, &everywhere),
+        1 => Submission::evacuation(
             &format!("away-{at}"),
             &format!("north/n{at}"),
             false,
             &everywhere,
         ),
-        _ => Order::configuration(&format!("based-{at}"), Some(at as u64), &everywhere),
+        _ => Submission::configuration(&format!("based-{at}"), Some(at as u64), &everywhere),
     };
     let budget = RegisterBudget {
-        asks: 30,
+        submissions: 30,
         reads: 30,
         ticks: 250,
         duplicates: 40,
@@ -72,34 +72,34 @@
         proposals: 12,
         rounds: 60,
     };
-    Scenario {
+    RegisterScenario {
         replicas: 2,
         replacements: vec![
-            (voters - 1, voters),
-            (0, voters + 1),
-            (voters, voters - 1),
-            (voters + 1, 0),
+            Replacement::new(voters - 1, voters),
+            Replacement::new(0, voters + 1),
+            Replacement::new(voters, voters - 1),
+            Replacement::new(voters + 1, 0),
         ],
         proposers: (0..voters + 2).collect(),
-        orders: (0..9).map(order).collect(),
-        reads_by_itself: true,
-        impatient: true,
+        submissions: (0..9).map(submission).collect(),
+        background_reads: true,
+        short_submission_timeout: true,
         schedule,
         budget,
-        ..Scenario::new("walk", voters)
+        ..RegisterScenario::new("walk", voters)
     }
 }
 
 #[test]
 fn walks_of_three_to_five_voters_break_nothing() {
     for voters in [3, 4, 5] {
-        for schedule in [Schedule::AnyOrder, Schedule::InOrder { strays: 60 }] {
+        for schedule in [Schedule::AnyOrder, Schedule::InOrder { delays: 60 }] {
             let model = RegisterModel::new(scenario(voters, schedule));
             let Walks {
                 depth,
                 counted,
                 found,
-            } = walk_often(&model, |end| model.accepted_orders(end));
+            } = walk_often(&model, |end| model.accepted_submissions(end));
             println!("{voters} voters, {schedule:?}: {depth} steps, {counted} orders accepted");
             assert_eq!(found, None, "{voters} voters, {schedule:?}");
             assert!(
@@ -110,8 +110,10 @@
                 counted > 20,
                 "{voters} voters, {schedule:?}: only {counted} orders were accepted"
             );
-            let replaced = walk_often(&model, |end| model.voter_epoch(end) as usize).counted;
-            println!("{voters} voters, {schedule:?}: {replaced} steps of changes of the voters");
+            let voter_replaced = walk_often(&model, |end| model.voter_epoch(end) as usize).counted;
+            println!(
+                "{voters} voters, {schedule:?}: {voter_replaced} steps of changes of the voters"
+            );
         }
     }
 }
@@ -119,10 +121,10 @@
 #[test]
 fn walks_find_broken_twins() {
     let twins = [
-        (RegisterDefect::AnswersBeforeSync, Schedule::AnyOrder),
+        (RegisterDefect::AcknowledgesBeforeSync, Schedule::AnyOrder),
         (
-            RegisterDefect::ReadsLocally,
-            Schedule::InOrder { strays: 60 },
+            RegisterDefect::ReadsWithoutQuorum,
+            Schedule::InOrder { delays: 60 },
         ),
     ];
     for (defect, schedule) in twins {
@@ -142,12 +144,12 @@
         wipes: 4,
         ..LeaseBudget::default()
     };
-    let orders = [
+    let submissions = [
         (Schedule::AnyOrder, 0, 120),
-        (Schedule::InOrder { strays: 80 }, 20, 120),
+        (Schedule::InOrder { delays: 80 }, 20, 120),
     ];
     for voters in [4, 5] {
-        for (schedule, freezes, quantum) in orders {
+        for (schedule, freezes, quantum) in submissions {
             let budget = LeaseBudget {
                 schedule,
                 freezes,
--- a/crates/test-harness/src/explore.rs
+++ b/crates/test-harness/src/explore.rs
@@ -2,7 +2,7 @@
 
 use model_checker::{
     ControlBudget, ControlModel, ControlScenario, LeaseBudget, LeaseModel, Limits, Model,
-    RegisterModel, Scenario, Schedule, Trace, control_scenarios, lease_scenarios,
+    RegisterModel, RegisterScenario, Schedule, Trace, control_scenarios, lease_scenarios,
     register_scenarios, replay, search,
 };
 use std::time::Duration;
@@ -71,20 +71,17 @@
 
     fn schedule(&self, schedule: Schedule) -> Schedule {
         self.strays
-            .map_or(schedule, |strays| Schedule::InOrder { strays })
+            .map_or(schedule, |delays| Schedule::InOrder { delays })
     }
 
-    fn scenario(&self, mut scenario: Scenario) -> Scenario {
+    fn scenario(&self, mut scenario: RegisterScenario) -> RegisterScenario {
         let voters = self.voters.unwrap_or(scenario.voters);
         // Replicas are named after the voters.
         let moved = voters.saturating_sub(scenario.voters);
-        scenario
-            .replacements
-            .iter_mut()
-            .for_each(|(gone, successor)| {
-                *gone += moved;
-                *successor += moved;
-            });
+        for replacement in &mut scenario.replacements {
+            replacement.removed += moved;
+            replacement.successor += moved;
+        }
         scenario.voters = voters;
         scenario.schedule = self.schedule(scenario.schedule);
         scenario.budget.crashes = self.crashes.unwrap_or(scenario.budget.crashes);
@@ -132,8 +129,8 @@
             report.depth,
             report.time.as_secs_f64()
         );
-        report.violating.iter().for_each(print_trace);
-        report.violating.is_none()
+        report.counterexample.iter().for_each(print_trace);
+        report.counterexample.is_none()
     }
 }
 
