--- a/crates/invariants/src/history.rs
+++ b/crates/invariants/src/history.rs
@@ -5,7 +5,7 @@
 //! The model is a register of one setup with an edition, operators' own numbers, and the evacuated localities. It
 //! knows nothing of the system.
 
-use crate::facts::{Fact, Seen};
+use crate::observations::{Observation, TimedObservation};
 use result_code::ResultCode;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -17,7 +17,7 @@
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
     /// A setup, with the operator's own number or the edition it was made from, where it has one.
     Configuration {
         number: Option<u64>,
@@ -34,7 +34,7 @@
 
 /// What an operator is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
+pub enum CommandResult {
     /// An order was decided; the edition is missing where the answer may be to a later sending of the same order.
     Decided {
         code: ResultCode,
@@ -46,56 +46,56 @@
 
 /// One call, however often it was sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct CommandCall {
     pub name: String,
     pub called_at: Duration,
-    pub order: Order,
+    pub command: Command,
     /// None where no clear answer ever came: it may take effect at any moment after its start, or never.
-    pub returned: Option<(Duration, Reply)>,
+    pub returned: Option<(Duration, CommandResult)>,
 }
 
-impl Call {
+impl CommandCall {
     /// True for reads, and for orders that were told that they changed nothing.
     fn never_changes(&self) -> bool {
         match &self.returned {
-            Some((_, Reply::Decided { code, .. })) => *code != ResultCode::Success,
-            Some((_, Reply::Read { .. })) => true,
+            Some((_, CommandResult::Decided { code, .. })) => *code != ResultCode::Success,
+            Some((_, CommandResult::Read { .. })) => true,
             None => false,
         }
     }
 
     fn told_edition(&self) -> Option<u64> {
         match self.returned.as_ref()? {
-            (_, Reply::Decided { revision, .. }) => *revision,
-            (_, Reply::Read { revision, .. }) => Some(*revision),
+            (_, CommandResult::Decided { revision, .. }) => *revision,
+            (_, CommandResult::Read { revision, .. }) => Some(*revision),
         }
     }
 }
 
 /// Why a history is not accepted.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Flaw {
+pub enum HistoryError {
     /// However the calls are ordered, this answer fits none; it came at this moment.
-    NoOrder { call: String, at: Duration },
+    NotLinearizable { call: String, at: Duration },
     /// The search was given up.
-    TooLong,
+    SearchLimitReached,
 }
 
 /// Checks a history.
 ///
 /// ```
-/// use invariants::history::{Call, Order, Reply, check};
+/// use invariants::history::{CommandCall, Command, CommandResult, check};
 /// use std::time::Duration;
-/// let read = |revision, digest: &str| Call {
+/// let read = |revision, digest: &str| CommandCall {
 ///     name: "read".into(),
 ///     called_at: Duration::ZERO,
-///     order: Order::Read,
-///     returned: Some((Duration::from_secs(1), Reply::Read { revision, digest: digest.into() })),
+///     command: Command::Read,
+///     returned: Some((Duration::from_secs(1), CommandResult::Read { revision, digest: digest.into() })),
 /// };
 /// assert!(check(&[read(0, "")]).is_ok());
 /// assert!(check(&[read(1, "d")]).is_err(), "nobody wrote it");
 /// ```
-pub fn check(calls: &[Call]) -> Result<(), Flaw> {
+pub fn check(calls: &[CommandCall]) -> Result<(), HistoryError> {
     Search::new(calls).run()
 }
 
@@ -121,35 +121,39 @@
     }
 
     /// The state after a call, where its answer fits; without an answer, only where it changes something.
-    fn after(&self, call: &Call) -> Option<Model> {
-        match (&call.order, call.returned.as_ref().map(|(_, reply)| reply)) {
-            (Order::Rescue, _) => Some(Model {
+    fn after(&self, call: &CommandCall) -> Option<Model> {
+        match (
+            &call.command,
+            call.returned.as_ref().map(|(_, reply)| reply),
+        ) {
+            (Command::Rescue, _) => Some(Model {
                 revision: None,
                 ..self.clone()
             }),
-            (Order::Read, Some(Reply::Read { revision, digest })) => (*digest == self.digest)
+            (Command::Read, Some(CommandResult::Read { revision, digest })) => (*digest
+                == self.digest)
                 .then(|| self.at_edition(Some(*revision)))
                 .flatten(),
-            (Order::Read, _) => None,
-            (order, None) => self.changed(order),
+            (Command::Read, _) => None,
+            (command, None) => self.changed(command),
             (
-                order,
-                Some(Reply::Decided {
+                command,
+                Some(CommandResult::Decided {
                     code: ResultCode::Success,
                     revision,
                 }),
-            ) => match self.changed(order) {
+            ) => match self.changed(command) {
                 Some(changed) => changed.at_edition(*revision),
                 None => self
-                    .stands(order)
+                    .stands(command)
                     .then(|| self.at_edition(*revision))
                     .flatten(),
             },
-            (order, Some(Reply::Decided { code, revision })) => self
-                .refuses(order, *code)
+            (command, Some(CommandResult::Decided { code, revision })) => self
+                .refuses(command, *code)
                 .then(|| self.at_edition(*revision))
                 .flatten(),
-            (_, Some(Reply::Read { .. })) => None,
+            (_, Some(CommandResult::Read { .. })) => None,
         }
     }
 
@@ -163,15 +167,15 @@
     }
 
     /// The state after an order that changes something.
-    fn changed(&self, order: &Order) -> Option<Model> {
+    fn changed(&self, command: &Command) -> Option<Model> {
         let mut next = self.clone();
-        match order {
-            Order::Configuration { base, .. }
+        match command {
+            Command::Configuration { base, .. }
                 if base.is_some_and(|base| self.revision.is_some_and(|known| known != base)) =>
             {
                 return None;
             }
-            Order::Configuration {
+            Command::Configuration {
                 number: Some(number),
                 digest,
                 ..
@@ -183,42 +187,42 @@
                 next.numbers.insert(*number, digest.clone());
                 next.digest.clone_from(digest);
             }
-            Order::Configuration { digest, .. } => next.digest.clone_from(digest),
-            Order::Evacuate {
+            Command::Configuration { digest, .. } => next.digest.clone_from(digest),
+            Command::Evacuate {
                 locality,
                 back: false,
             } if !next.evacuated.insert(locality.clone()) => return None,
-            Order::Evacuate {
+            Command::Evacuate {
                 locality,
                 back: true,
             } if !next.evacuated.remove(locality) => return None,
-            Order::Evacuate { .. } => {}
-            Order::Read | Order::Rescue => return None,
+            Command::Evacuate { .. } => {}
+            Command::Read | Command::Rescue => return None,
         }
         next.revision = self.revision.map(|revision| revision + 1);
         Some(next)
     }
 
     /// True where an order that changes nothing finds what it asks for.
-    fn stands(&self, order: &Order) -> bool {
-        match order {
-            Order::Configuration {
+    fn stands(&self, command: &Command) -> bool {
+        match command {
+            Command::Configuration {
                 number: Some(number),
                 digest,
                 ..
             } => self.numbers.get(number) == Some(digest),
-            Order::Evacuate { locality, back } => self.evacuated.contains(locality) != *back,
+            Command::Evacuate { locality, back } => self.evacuated.contains(locality) != *back,
             _ => false,
         }
     }
 
     /// True where an order that changes nothing is rightly told so with this code.
-    fn refuses(&self, order: &Order, code: ResultCode) -> bool {
-        let Order::Configuration {
+    fn refuses(&self, command: &Command, code: ResultCode) -> bool {
+        let Command::Configuration {
             number,
             base,
             digest,
-        } = order
+        } = command
         else {
             return false;
         };
@@ -252,13 +256,13 @@
 }
 
 struct Search<'a> {
-    calls: &'a [Call],
+    calls: &'a [CommandCall],
     events: Vec<Event>,
     /// Where each call's answer stands in the list.
     returns: Vec<usize>,
     /// Answers of calls that are not put in order yet.
     open: usize,
-    ordered: Vec<u64>,
+    linearized: Vec<u64>,
     /// How many calls that are not in order yet were told each edition. Editions only rise, so an order of calls that
     /// went past one of these leads nowhere.
     awaited: BTreeMap<u64, usize>,
@@ -269,7 +273,7 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(calls: &'a [Call]) -> Self {
+    fn new(calls: &'a [CommandCall]) -> Self {
         let starts = calls
             .iter()
             .enumerate()
@@ -305,11 +309,11 @@
                 }
             });
         let open = returns.iter().filter(|at| **at != NONE).count();
-        let ordered = vec![0; calls.len().div_ceil(64)];
+        let linearized = vec![0; calls.len().div_ceil(64)];
         let mut awaited = BTreeMap::new();
         calls
             .iter()
-            .filter_map(Call::told_edition)
+            .filter_map(CommandCall::told_edition)
             .for_each(|revision| *awaited.entry(revision).or_insert(0) += 1);
         let (model, tried, stuck) = (Model::new(), HashSet::new(), None);
         Search {
@@ -317,7 +321,7 @@
             events,
             returns,
             open,
-            ordered,
+            linearized,
             awaited,
             model,
             tried,
@@ -325,7 +329,7 @@
         }
     }
 
-    fn run(mut self) -> Result<(), Flaw> {
+    fn run(mut self) -> Result<(), HistoryError> {
         let mut chosen: Vec<(usize, Model)> = Vec::new();
         let mut at = self.events[HEAD].after;
         for _ in 0..MAX_STEPS {
@@ -349,18 +353,18 @@
             };
             at = self.events[last].after;
         }
-        Err(Flaw::TooLong)
+        Err(HistoryError::SearchLimitReached)
     }
 
-    fn flaw(&self) -> Flaw {
+    fn flaw(&self) -> HistoryError {
         let call = self.stuck.map(|at| &self.calls[self.events[at].call]);
         let at = call
             .and_then(|call| call.returned.as_ref())
             .map(|(at, _)| *at)
             .unwrap_or_default();
         let told =
-            call.map(|call| format!("{} {:?} -> {:?}", call.name, call.order, call.returned));
-        Flaw::NoOrder {
+            call.map(|call| format!("{} {:?} -> {:?}", call.name, call.command, call.returned));
+        HistoryError::NotLinearizable {
             call: told.unwrap_or_default(),
             at,
         }
@@ -428,13 +432,13 @@
 
     /// Turns a call's mark over.
     fn mark(&mut self, call: usize) {
-        self.ordered[call / 64] ^= 1 << (call % 64);
+        self.linearized[call / 64] ^= 1 << (call % 64);
     }
 
     fn fingerprint(&self, model: &Model) -> (u64, u64) {
         let hash = |salt: u8| {
             let mut hasher = DefaultHasher::new();
-            (salt, &self.ordered, model).hash(&mut hasher);
+            (salt, &self.linearized, model).hash(&mut hasher);
             hasher.finish()
         };
         (hash(0), hash(1))
@@ -462,48 +466,48 @@
 /// ```
 /// assert!(invariants::history::calls(&[]).is_empty());
 /// ```
-pub fn calls(seen: &[Seen]) -> Vec<Call> {
-    let mut calls: Vec<Call> = Vec::new();
+pub fn calls(seen: &[TimedObservation]) -> Vec<CommandCall> {
+    let mut calls: Vec<CommandCall> = Vec::new();
     let mut known: BTreeMap<&str, usize> = BTreeMap::new();
-    seen.iter().for_each(|(at, fact)| match fact {
-        Fact::CallError { call, order } => {
+    seen.iter().for_each(|(at, observation)| match observation {
+        Observation::CommandInvoked { call, command } => {
             known.insert(call, calls.len());
-            calls.push(Call {
+            calls.push(CommandCall {
                 name: call.clone(),
                 called_at: *at,
-                order: order.clone(),
+                command: command.clone(),
                 returned: None,
             });
         }
-        Fact::Returned { call, reply } => {
+        Observation::CommandReturned { call, reply } => {
             let call = known.get(call.as_str()).map(|at| &mut calls[*at]);
             let open = call.filter(|call| call.returned.is_none() && is_clear(reply));
             open.into_iter()
                 .for_each(|call| call.returned = Some((*at, reply.clone())));
         }
-        Fact::ReadBack {
+        Observation::ConfigurationRead {
             node,
             revision,
             digest,
             asked_at,
-        } => calls.push(Call {
+        } => calls.push(CommandCall {
             name: format!("read at {node}"),
             called_at: *asked_at,
-            order: Order::Read,
+            command: Command::Read,
             returned: Some((
                 *at,
-                Reply::Read {
+                CommandResult::Read {
                     revision: *revision,
                     digest: digest.clone(),
                 },
             )),
         }),
-        Fact::Rescued => {
+        Observation::ClusterRecovered => {
             let name = "rescue".to_owned();
-            calls.push(Call {
+            calls.push(CommandCall {
                 name,
                 called_at: *at,
-                order: Order::Rescue,
+                command: Command::Rescue,
                 returned: None,
             });
         }
@@ -514,17 +518,17 @@
 
 /// True where an answer tells what became of a call. An order without an id that a higher number overtook may have
 /// been in force before.
-fn is_clear(reply: &Reply) -> bool {
+fn is_clear(reply: &CommandResult) -> bool {
     match reply {
-        Reply::Decided {
+        CommandResult::Decided {
             code: ResultCode::ChangeForgotten,
             ..
         } => false,
-        Reply::Decided {
+        CommandResult::Decided {
             code: ResultCode::Superseded,
             revision: None,
         } => false,
-        Reply::Decided { .. } | Reply::Read { .. } => true,
+        CommandResult::Decided { .. } | CommandResult::Read { .. } => true,
     }
 }
 
@@ -533,11 +537,11 @@
 /// ```
 /// assert!(invariants::history::changed_answers(&[]).is_empty());
 /// ```
-pub fn changed_answers(seen: &[Seen]) -> Vec<(Duration, String)> {
-    let mut first: BTreeMap<&str, &Reply> = BTreeMap::new();
+pub fn changed_answers(seen: &[TimedObservation]) -> Vec<(Duration, String)> {
+    let mut first: BTreeMap<&str, &CommandResult> = BTreeMap::new();
     let mut changed = Vec::new();
-    seen.iter().for_each(|(at, fact)| {
-        let Fact::Returned { call, reply } = fact else {
+    seen.iter().for_each(|(at, observation)| {
+        let Observation::CommandReturned { call, reply } = observation else {
             return;
         };
         if is_clear(reply) {
--- a/crates/invariants/src/rules.rs
+++ b/crates/invariants/src/rules.rs
@@ -1,14 +1,14 @@
 //! One checker per 'must never happen'. They judge recorded facts and know nothing of the system.
 
-use crate::facts::{Fact, Seen, Vouched};
-use crate::history::{self, Flaw};
+use crate::history::{self, HistoryError};
+use crate::observations::{Confirmation, Observation, TimedObservation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::time::Duration;
 
 /// What was agreed with operators and may not be guessed from facts.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct RuleParameters {
     /// Home regions by service; a service that is missing may go anywhere.
     pub homes: BTreeMap<String, BTreeSet<String>>,
     /// First sends a second that one cold upstream may get.
@@ -24,7 +24,11 @@
 }
 
 /// A checker: its rule's number, its name, and what it finds.
-pub type Checker = (u32, &'static str, fn(&[Seen], &Terms) -> Vec<Violation>);
+pub type Checker = (
+    u32,
+    &'static str,
+    fn(&[TimedObservation], &RuleParameters) -> Vec<Violation>,
+);
 
 /// All checkers.
 pub const CHECKERS: &[Checker] = &[
@@ -102,12 +106,12 @@
 /// Runs every checker.
 ///
 /// ```
-/// assert!(invariants::rules::judge(&[], &Default::default()).is_empty());
+/// assert!(invariants::rules::check_all(&[], &Default::default()).is_empty());
 /// ```
-pub fn judge(seen: &[Seen], terms: &Terms) -> Vec<Violation> {
+pub fn check_all(seen: &[TimedObservation], rule_parameters: &RuleParameters) -> Vec<Violation> {
     CHECKERS
         .iter()
-        .flat_map(|(_, _, check)| check(seen, terms))
+        .flat_map(|(_, _, check)| check(seen, rule_parameters))
         .collect()
 }
 
@@ -115,16 +119,18 @@
     Violation { rule, at, text }
 }
 
-fn runs_once(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn runs_once(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let mut ran = BTreeSet::new();
-    let again = |(at, fact): &Seen| match fact {
-        Fact::Ran {
+    let again = |(at, observation): &TimedObservation| match observation {
+        Observation::OperationExecuted {
             work,
-            once: true,
-            try_id,
-        } if !ran.insert(work.clone()) => {
-            Some(violation(1, *at, format!("{work} ran again as {try_id}")))
-        }
+            at_most_once: true,
+            attempt_id,
+        } if !ran.insert(work.clone()) => Some(violation(
+            1,
+            *at,
+            format!("{work} ran again as {attempt_id}"),
+        )),
         _ => None,
     };
     seen.iter().filter_map(again).collect()
@@ -135,22 +141,22 @@
 const HEARD_FOR: Duration = Duration::from_millis(1500);
 const ON_ITS_WAY: Duration = Duration::from_millis(100);
 
-fn vouches_in_contact(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn vouches_in_contact(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let mut isolated: BTreeMap<&str, Duration> = BTreeMap::new();
     let mut found = Vec::new();
-    seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Isolated { node } => {
+    seen.iter().for_each(|(at, observation)| match observation {
+        Observation::NodeIsolated { node } => {
             isolated.insert(node, *at);
         }
-        Fact::Joined { node } => {
+        Observation::NodeReconnected { node } => {
             isolated.remove(node.as_str());
         }
-        Fact::Vouched {
+        Observation::NodeConfirmed {
             node,
             what,
             asked_at,
         } => {
-            let allowed = if *what == Vouched::Heartbeat {
+            let allowed = if *what == Confirmation::Heartbeat {
                 HEARD_FOR
             } else {
                 ON_ITS_WAY
@@ -171,50 +177,50 @@
     found
 }
 
-fn busy_did_not_run(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn busy_did_not_run(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let ran: BTreeSet<&str> = seen
         .iter()
-        .filter_map(|(_, fact)| match fact {
-            Fact::Ran { try_id, .. } => Some(try_id.as_str()),
+        .filter_map(|(_, observation)| match observation {
+            Observation::OperationExecuted { attempt_id, .. } => Some(attempt_id.as_str()),
             _ => None,
         })
         .collect();
-    let lied = |(at, fact): &Seen| match fact {
-        Fact::Answered {
-            try_id,
+    let lied = |(at, observation): &TimedObservation| match observation {
+        Observation::AttemptAnswered {
+            attempt_id,
             code,
-            not_run: true,
+            not_executed: true,
             ..
-        } if ran.contains(try_id.as_str()) => Some(violation(
+        } if ran.contains(attempt_id.as_str()) => Some(violation(
             2,
             *at,
-            format!("{try_id} was answered {code}, but ran"),
+            format!("{attempt_id} was answered {code}, but ran"),
         )),
         _ => None,
     };
     seen.iter().filter_map(lied).collect()
 }
 
-fn successes_are_whole(seen: &[Seen], _: &Terms) -> Vec<Violation> {
-    let bad = |(at, fact): &Seen| match fact {
-        Fact::Answered {
-            try_id,
+fn successes_are_whole(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
+    let bad = |(at, observation): &TimedObservation| match observation {
+        Observation::AttemptAnswered {
+            attempt_id,
             success: true,
-            whole: false,
+            complete: false,
             ..
         } => Some(violation(
             3,
             *at,
-            format!("{try_id} got a success that is not its own whole one"),
+            format!("{attempt_id} got a success that is not its own whole one"),
         )),
         _ => None,
     };
     seen.iter().filter_map(bad).collect()
 }
 
-fn addresses_are_fresh(seen: &[Seen], _: &Terms) -> Vec<Violation> {
-    let old = |(at, fact): &Seen| match fact {
-        Fact::AddressUsed { age } if *age > Duration::from_secs(5) => Some(violation(
+fn addresses_are_fresh(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
+    let old = |(at, observation): &TimedObservation| match observation {
+        Observation::AddressUsed { age } if *age > Duration::from_secs(5) => Some(violation(
             4,
             *at,
             format!("an address was used after {age:?}"),
@@ -224,15 +230,17 @@
     seen.iter().filter_map(old).collect()
 }
 
-fn leaving_is_left_alone(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn leaving_is_left_alone(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let mut noticed: BTreeMap<String, Duration> = BTreeMap::new();
     let mut found = Vec::new();
-    seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Leaving { instance } => {
+    seen.iter().for_each(|(at, observation)| match observation {
+        Observation::UpstreamDraining { instance } => {
             noticed.entry(instance.clone()).or_insert(*at);
         }
-        Fact::Arrived {
-            instance, try_id, ..
+        Observation::RequestArrived {
+            instance,
+            attempt_id,
+            ..
         } => {
             let late = noticed
                 .get(instance)
@@ -241,7 +249,7 @@
                 violation(
                     5,
                     *at,
-                    format!("{try_id} reached {instance}, which is leaving"),
+                    format!("{attempt_id} reached {instance}, which is leaving"),
                 )
             }));
         }
@@ -250,30 +258,34 @@
     found
 }
 
-fn evacuated_is_empty(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn evacuated_is_empty(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let mut empty: BTreeMap<String, Duration> = BTreeMap::new();
     let mut found = Vec::new();
-    seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Evacuated {
+    seen.iter().for_each(|(at, observation)| match observation {
+        Observation::Evacuation {
             locality,
             back: false,
         } => {
             empty.insert(locality.clone(), *at);
         }
-        Fact::Evacuated {
+        Observation::Evacuation {
             locality,
             back: true,
         } => {
             empty.remove(locality);
         }
-        Fact::Arrived {
-            locality, try_id, ..
+        Observation::RequestArrived {
+            locality,
+            attempt_id,
+            ..
         } => {
             let late = empty
                 .get(locality)
                 .filter(|told| *at > **told + Duration::from_secs(5));
             found.extend(
-                late.map(|_| violation(6, *at, format!("{try_id} reached evacuated {locality}"))),
+                late.map(|_| {
+                    violation(6, *at, format!("{attempt_id} reached evacuated {locality}"))
+                }),
             );
         }
         _ => {}
@@ -281,13 +293,13 @@
     found
 }
 
-fn editions_only_rise(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn editions_only_rise(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let mut accepted: Vec<(Duration, u64)> = Vec::new();
     let mut highest: BTreeMap<String, u64> = BTreeMap::new();
     let mut found = Vec::new();
-    seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Accepted { revision } => accepted.push((*at, *revision)),
-        Fact::InForce { node, revision } => {
+    seen.iter().for_each(|(at, observation)| match observation {
+        Observation::RevisionAccepted { revision } => accepted.push((*at, *revision)),
+        Observation::RevisionInForce { node, revision } => {
             let known = highest.entry(node.clone()).or_insert(0);
             if revision < known {
                 found.push(violation(
@@ -316,12 +328,14 @@
 
 /// The same, seen from outside: by where probes arrive. Several setups share a mark, so an arrival breaks the rule only
 /// where no setup with its mark could lawfully have led it there.
-fn traffic_only_rises(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn traffic_only_rises(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let late = Duration::from_secs(3);
     let configurations: Vec<(Duration, u64, usize)> = seen
         .iter()
-        .filter_map(|(at, fact)| match fact {
-            Fact::Submitted { revision, mark, .. } => Some((*at, *revision, *mark)),
+        .filter_map(|(at, observation)| match observation {
+            Observation::ConfigurationAccepted {
+                revision, marker, ..
+            } => Some((*at, *revision, *marker)),
             _ => None,
         })
         .collect();
@@ -335,17 +349,17 @@
     };
     let spans: Vec<(u64, usize, Option<Duration>)> = configurations
         .iter()
-        .map(|(_, revision, mark)| (*revision, *mark, over(*revision)))
+        .map(|(_, revision, marker)| (*revision, *marker, over(*revision)))
         .collect();
     let mut floors: BTreeMap<&str, Vec<(Duration, u64)>> = BTreeMap::new();
     let mut found = Vec::new();
-    seen.iter().for_each(|(at, fact)| {
-        let Fact::Probed { node, mark } = fact else {
+    seen.iter().for_each(|(at, observation)| {
+        let Observation::MarkerReached { node, marker } = observation else {
             return;
         };
         let mut marked = spans
             .iter()
-            .filter(|(_, other, _)| other == mark)
+            .filter(|(_, other, _)| other == marker)
             .peekable();
         if marked.peek().is_none() {
             return;
@@ -359,7 +373,7 @@
             found.push(violation(
                 7,
                 *at,
-                format!("{node} sent a probe to mark-{mark}, by a setup that was over"),
+                format!("{node} sent a probe to mark-{marker}, by a setup that was over"),
             ));
         }
         // Two requests on their way may overtake one another within a second.
@@ -375,7 +389,7 @@
             found.push(violation(
                 7,
                 *at,
-                format!("{node} went back to mark-{mark}"),
+                format!("{node} went back to mark-{marker}"),
             ));
         }
         settled.extend(least.map(|least| (*at, least)));
@@ -383,13 +397,13 @@
     found
 }
 
-fn accepted_is_kept(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn accepted_is_kept(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let mut submitted: BTreeMap<u64, String> = BTreeMap::new();
     let mut accepted: Vec<(Duration, u64)> = Vec::new();
     let mut found = Vec::new();
-    seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Accepted { revision } => accepted.push((*at, *revision)),
-        Fact::Submitted {
+    seen.iter().for_each(|(at, observation)| match observation {
+        Observation::RevisionAccepted { revision } => accepted.push((*at, *revision)),
+        Observation::ConfigurationAccepted {
             revision, digest, ..
         } => {
             let other = submitted
@@ -399,7 +413,7 @@
                 other.map(|_| violation(8, *at, format!("edition {revision} was given twice"))),
             );
         }
-        Fact::ReadBack {
+        Observation::ConfigurationRead {
             node,
             revision,
             digest,
@@ -432,16 +446,16 @@
 }
 
 /// What is read back has at least the highest number that was acknowledged, or read, before it was asked for.
-fn highest_number_holds(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn highest_number_holds(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let mut numbers: BTreeMap<&str, u64> = BTreeMap::new();
     let mut known: Vec<(Duration, u64)> = Vec::new();
     let mut found = Vec::new();
-    seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Offered { number, digest } => {
+    seen.iter().for_each(|(at, observation)| match observation {
+        Observation::VersionSubmitted { number, digest } => {
             numbers.insert(digest, *number);
         }
-        Fact::Acknowledged { number } => known.push((*at, *number)),
-        Fact::ReadBack {
+        Observation::VersionAcknowledged { number } => known.push((*at, *number)),
+        Observation::ConfigurationRead {
             node,
             digest,
             asked_at,
@@ -470,19 +484,21 @@
 }
 
 /// Over any 10 s and per service: arrivals of a try beyond its first, against a fifth of the first ones and 10.
-fn resends_are_few(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn resends_are_few(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let window = Duration::from_secs(10);
     let mut known: BTreeSet<&str> = BTreeSet::new();
     let mut sends: BTreeMap<&str, Vec<(Duration, bool)>> = BTreeMap::new();
-    seen.iter().for_each(|(at, fact)| {
-        if let Fact::Arrived {
-            try_id, service, ..
-        } = fact
+    seen.iter().for_each(|(at, observation)| {
+        if let Observation::RequestArrived {
+            attempt_id,
+            service,
+            ..
+        } = observation
         {
             sends
                 .entry(service.as_str())
                 .or_default()
-                .push((*at, !known.insert(try_id.as_str())));
+                .push((*at, !known.insert(attempt_id.as_str())));
         }
     });
     let mut found = Vec::new();
@@ -515,17 +531,17 @@
 }
 
 /// A cold upstream gets at most twice its rate, and a handful, over any 2 s.
-fn warm_up_is_kept(seen: &[Seen], terms: &Terms) -> Vec<Violation> {
+fn warm_up_is_kept(seen: &[TimedObservation], rule_parameters: &RuleParameters) -> Vec<Violation> {
     let window = Duration::from_secs(2);
-    let most = terms.warm_up_per_second * 4 + 4;
+    let most = rule_parameters.warm_up_per_second * 4 + 4;
     let mut arrived: BTreeMap<&str, Vec<Duration>> = BTreeMap::new();
     let mut found = Vec::new();
-    seen.iter().for_each(|(at, fact)| {
-        if let Fact::Arrived {
+    seen.iter().for_each(|(at, observation)| {
+        if let Observation::RequestArrived {
             instance,
             cold: true,
             ..
-        } = fact
+        } = observation
         {
             let times = arrived.entry(instance.as_str()).or_default();
             times.retain(|time| *time + window > *at);
@@ -561,11 +577,11 @@
     parts.filter(|(part, _)| !part.is_empty()).collect()
 }
 
-fn keys_have_one_holder(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn keys_have_one_holder(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let mut held: BTreeMap<&str, BTreeMap<&str, Held>> = BTreeMap::new();
     let mut found = Vec::new();
-    seen.iter().for_each(|(at, fact)| match fact {
-        Fact::Holds {
+    seen.iter().for_each(|(at, observation)| match observation {
+        Observation::KeysHeld {
             service,
             keys,
             instance,
@@ -592,7 +608,7 @@
             *mine = beside(mine, keys);
             mine.push((keys.clone(), *until));
         }
-        Fact::LetGo {
+        Observation::KeysReleased {
             service,
             keys,
             instance,
@@ -609,34 +625,40 @@
     found
 }
 
-fn homes_are_kept(seen: &[Seen], terms: &Terms) -> Vec<Violation> {
-    let outside = |(at, fact): &Seen| match fact {
-        Fact::Arrived {
+fn homes_are_kept(seen: &[TimedObservation], rule_parameters: &RuleParameters) -> Vec<Violation> {
+    let outside = |(at, observation): &TimedObservation| match observation {
+        Observation::RequestArrived {
             service,
             locality,
-            try_id,
+            attempt_id,
             ..
         } => {
             let region = locality.split('/').next().unwrap_or_default();
-            let homes = terms
+            let homes = rule_parameters
                 .homes
                 .get(service)
                 .filter(|homes| !homes.contains(region));
-            homes.map(|_| violation(12, *at, format!("{try_id} of {service} went to {locality}")))
+            homes.map(|_| {
+                violation(
+                    12,
+                    *at,
+                    format!("{attempt_id} of {service} went to {locality}"),
+                )
+            })
         }
         _ => None,
     };
     seen.iter().filter_map(outside).collect()
 }
 
-fn calls_are_linearizable(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn calls_are_linearizable(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     let found = history::check(&history::calls(seen))
         .err()
         .map(|flaw| match flaw {
-            Flaw::NoOrder { call, at } => {
+            HistoryError::NotLinearizable { call, at } => {
                 violation(13, at, format!("no order of the calls explains {call}"))
             }
-            Flaw::TooLong => violation(
+            HistoryError::SearchLimitReached => violation(
                 13,
                 Duration::ZERO,
                 "too many orders of the calls to judge them".into(),
@@ -645,7 +667,7 @@
     found.into_iter().collect()
 }
 
-fn answers_stay(seen: &[Seen], _: &Terms) -> Vec<Violation> {
+fn answers_stay(seen: &[TimedObservation], _: &RuleParameters) -> Vec<Violation> {
     history::changed_answers(seen)
         .into_iter()
         .map(|(at, text)| violation(13, at, text))
--- a/crates/invariants/tests/checkers.rs
+++ b/crates/invariants/tests/checkers.rs
@@ -1,20 +1,20 @@
 //! Each checker must catch a deliberate breach, and pass its lawful twin.
 
-use invariants::facts::{Fact, Seen, Vouched};
-use invariants::history::{Order, Reply};
-use invariants::rules::{CHECKERS, Terms, judge};
+use invariants::history::{Command, CommandResult};
+use invariants::observations::{Confirmation, Observation, TimedObservation};
+use invariants::rules::{CHECKERS, RuleParameters, check_all};
 use result_code::ResultCode;
 use std::collections::BTreeSet;
 use std::ops::Range;
 use std::time::Duration;
 
-fn at(ms: u64, fact: Fact) -> Seen {
-    (Duration::from_millis(ms), fact)
+fn at(ms: u64, observation: Observation) -> TimedObservation {
+    (Duration::from_millis(ms), observation)
 }
 
-fn arrived(try_id: &str, locality: &str, cold: bool) -> Fact {
-    Fact::Arrived {
-        try_id: try_id.into(),
+fn arrived(attempt_id: &str, locality: &str, cold: bool) -> Observation {
+    Observation::RequestArrived {
+        attempt_id: attempt_id.into(),
         service: "booking".into(),
         instance: "unit-1".into(),
         locality: locality.into(),
@@ -22,31 +22,31 @@
     }
 }
 
-fn ran(work: &str, try_id: &str) -> Fact {
-    Fact::Ran {
+fn ran(work: &str, attempt_id: &str) -> Observation {
+    Observation::OperationExecuted {
         work: work.into(),
-        try_id: try_id.into(),
-        once: true,
+        attempt_id: attempt_id.into(),
+        at_most_once: true,
     }
 }
 
-fn answered(success: bool, whole: bool, not_run: bool) -> Fact {
-    Fact::Answered {
-        try_id: "t1".into(),
+fn answered(success: bool, complete: bool, not_executed: bool) -> Observation {
+    Observation::AttemptAnswered {
+        attempt_id: "t1".into(),
         code: 1000,
         success,
-        whole,
-        not_run,
+        complete,
+        not_executed,
     }
 }
 
-fn holds(instance: &str, until_ms: u64) -> Fact {
+fn holds(instance: &str, until_ms: u64) -> Observation {
     holds_keys(instance, 3..4, until_ms)
 }
 
-fn holds_keys(instance: &str, keys: Range<u32>, until_ms: u64) -> Fact {
+fn holds_keys(instance: &str, keys: Range<u32>, until_ms: u64) -> Observation {
     let until = Duration::from_millis(until_ms);
-    Fact::Holds {
+    Observation::KeysHeld {
         service: "payment".into(),
         keys,
         instance: instance.into(),
@@ -54,8 +54,8 @@
     }
 }
 
-fn read_back(revision: u64, digest: &str) -> Fact {
-    Fact::ReadBack {
+fn read_back(revision: u64, digest: &str) -> Observation {
+    Observation::ConfigurationRead {
         node: "pm-1".into(),
         revision,
         digest: digest.into(),
@@ -63,72 +63,72 @@
     }
 }
 
-fn in_force(revision: u64) -> Fact {
-    Fact::InForce {
+fn in_force(revision: u64) -> Observation {
+    Observation::RevisionInForce {
         node: "c-1".into(),
         revision,
     }
 }
 
-fn isolated() -> Seen {
+fn isolated() -> TimedObservation {
     at(
         0,
-        Fact::Isolated {
+        Observation::NodeIsolated {
             node: "pm-1".into(),
         },
     )
 }
 
-fn joined() -> Seen {
+fn joined() -> TimedObservation {
     at(
         1500,
-        Fact::Joined {
+        Observation::NodeReconnected {
             node: "pm-1".into(),
         },
     )
 }
 
-fn vouched(what: Vouched, asked_at_ms: u64) -> Fact {
-    Fact::Vouched {
+fn vouched(what: Confirmation, asked_at_ms: u64) -> Observation {
+    Observation::NodeConfirmed {
         node: "pm-1".into(),
         what,
         asked_at: Duration::from_millis(asked_at_ms),
     }
 }
 
-fn evacuated(back: bool) -> Fact {
-    Fact::Evacuated {
+fn evacuated(back: bool) -> Observation {
+    Observation::Evacuation {
         locality: "north/n1".into(),
         back,
     }
 }
 
-fn terms() -> Terms {
+fn rule_parameters() -> RuleParameters {
     let homes = BTreeSet::from(["north".to_owned()]);
-    Terms {
+    RuleParameters {
         homes: [("booking".to_owned(), homes)].into_iter().collect(),
         warm_up_per_second: 1,
     }
 }
 
 /// For each rule: what breaks it, and what just doesn't.
-fn cases() -> Vec<(u32, Vec<Seen>, Vec<Seen>)> {
+fn cases() -> Vec<(u32, Vec<TimedObservation>, Vec<TimedObservation>)> {
     let leaving = || {
         at(
             0,
-            Fact::Leaving {
+            Observation::UpstreamDraining {
                 instance: "unit-1".into(),
             },
         )
     };
-    let configuration = |revision: u64, mark| {
+    let configuration = |revision: u64, marker| {
         let (digest, took) = ("d".into(), Duration::ZERO);
         at(
             revision - 2,
-            Fact::Submitted {
+            Observation::ConfigurationAccepted {
                 revision,
                 digest,
-                mark,
+                marker,
                 took,
             },
         )
@@ -136,20 +136,20 @@
     let offered = |number, digest: &str| {
         at(
             0,
-            Fact::Offered {
+            Observation::VersionSubmitted {
                 number,
                 digest: digest.into(),
             },
         )
     };
-    let numbered = |number| at(0, Fact::Acknowledged { number });
+    let numbered = |number| at(0, Observation::VersionAcknowledged { number });
     let submitted = || configuration(2, 2);
-    let probed = |ms, mark| {
+    let probed = |ms, marker| {
         at(
             ms,
-            Fact::Probed {
+            Observation::MarkerReached {
                 node: "c-1".into(),
-                mark,
+                marker,
             },
         )
     };
@@ -164,34 +164,34 @@
             .collect::<Vec<_>>()
     };
     let called = || {
-        let order = Order::Configuration {
+        let command = Command::Configuration {
             number: None,
             base: None,
             digest: "d".into(),
         };
         at(
             0,
-            Fact::CallError {
+            Observation::CommandInvoked {
                 call: "c".into(),
-                order,
+                command,
             },
         )
     };
     let returned = |ms, revision| {
-        let reply = Reply::Decided {
+        let reply = CommandResult::Decided {
             code: ResultCode::Success,
             revision: Some(revision),
         };
         at(
             ms,
-            Fact::Returned {
+            Observation::CommandReturned {
                 call: "c".into(),
                 reply,
             },
         )
     };
-    let accepted = || at(0, Fact::Accepted { revision: 2 });
-    let let_go = |keys: Range<u32>| Fact::LetGo {
+    let accepted = || at(0, Observation::RevisionAccepted { revision: 2 });
+    let let_go = |keys: Range<u32>| Observation::KeysReleased {
         service: "payment".into(),
         keys,
         instance: "a".into(),
@@ -217,13 +217,13 @@
             4,
             vec![at(
                 0,
-                Fact::AddressUsed {
+                Observation::AddressUsed {
                     age: Duration::from_millis(5001),
                 },
             )],
             vec![at(
                 0,
-                Fact::AddressUsed {
+                Observation::AddressUsed {
                     age: Duration::from_millis(5000),
                 },
             )],
@@ -278,7 +278,7 @@
         (
             8,
             vec![
-                at(0, Fact::Accepted { revision: 3 }),
+                at(0, Observation::RevisionAccepted { revision: 3 }),
                 at(1, read_back(1, "d")),
             ],
             vec![accepted(), at(1, read_back(2, "d"))],
@@ -362,16 +362,16 @@
         ),
         (
             14,
-            vec![isolated(), at(200, vouched(Vouched::Order, 101))],
-            vec![isolated(), at(200, vouched(Vouched::Order, 100))],
+            vec![isolated(), at(200, vouched(Confirmation::Command, 101))],
+            vec![isolated(), at(200, vouched(Confirmation::Command, 100))],
         ),
         (
             14,
-            vec![isolated(), at(1600, vouched(Vouched::Heartbeat, 1501))],
+            vec![isolated(), at(1600, vouched(Confirmation::Heartbeat, 1501))],
             vec![
                 isolated(),
                 joined(),
-                at(1600, vouched(Vouched::Leaving, 1501)),
+                at(1600, vouched(Confirmation::Draining, 1501)),
             ],
         ),
         (
@@ -395,13 +395,13 @@
 #[test]
 fn every_checker_catches_its_breach_and_passes_what_is_lawful() {
     cases().into_iter().for_each(|(rule, breach, lawful)| {
-        let caught = judge(&breach, &terms());
+        let caught = check_all(&breach, &rule_parameters());
         assert!(
             caught.iter().any(|violation| violation.rule == rule),
             "rule {rule} missed {breach:?}"
         );
         assert_eq!(
-            judge(&lawful, &terms()),
+            check_all(&lawful, &rule_parameters()),
             vec![],
             "rule {rule} blames {lawful:?}"
         );
--- a/crates/invariants/tests/history.rs
+++ b/crates/invariants/tests/history.rs
@@ -2,24 +2,24 @@
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
-use invariants::history::{Call, Flaw, Order, Reply, check};
+use invariants::history::{Command, CommandCall, CommandResult, HistoryError, check};
 use result_code::ResultCode;
 use std::time::Duration;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-fn call(from: u64, order: Order, returned: Option<(u64, Reply)>) -> Call {
+fn call(from: u64, command: Command, returned: Option<(u64, CommandResult)>) -> CommandCall {
     let returned = returned.map(|(at, reply)| (MS(at), reply));
-    Call {
+    CommandCall {
         name: format!("call at {from}"),
         called_at: MS(from),
-        order,
+        command,
         returned,
     }
 }
 
-fn told(code: ResultCode, revision: u64) -> Reply {
-    Reply::Decided {
+fn told(code: ResultCode, revision: u64) -> CommandResult {
+    CommandResult::Decided {
         code,
         revision: Some(revision),
     }
@@ -32,28 +32,35 @@
     digest: &str,
     code: ResultCode,
     revision: u64,
-) -> Call {
-    let order = Order::Configuration {
+) -> CommandCall {
+    let command = Command::Configuration {
         number: Some(number),
         base: None,
         digest: digest.into(),
     };
-    call(from, order, Some((to, told(code, revision))))
+    call(from, command, Some((to, told(code, revision))))
 }
 
-fn based(from: u64, to: u64, base: u64, digest: &str, code: ResultCode, revision: u64) -> Call {
-    let order = Order::Configuration {
+fn based(
+    from: u64,
+    to: u64,
+    base: u64,
+    digest: &str,
+    code: ResultCode,
+    revision: u64,
+) -> CommandCall {
+    let command = Command::Configuration {
         number: None,
         base: Some(base),
         digest: digest.into(),
     };
-    call(from, order, Some((to, told(code, revision))))
+    call(from, command, Some((to, told(code, revision))))
 }
 
-fn unanswered(from: u64, number: u64, digest: &str) -> Call {
+fn unanswered(from: u64, number: u64, digest: &str) -> CommandCall {
     call(
         from,
-        Order::Configuration {
+        Command::Configuration {
             number: Some(number),
             base: None,
             digest: digest.into(),
@@ -62,10 +69,10 @@
     )
 }
 
-fn evacuation(from: u64, to: u64, back: bool, revision: u64) -> Call {
+fn evacuation(from: u64, to: u64, back: bool, revision: u64) -> CommandCall {
     call(
         from,
-        Order::Evacuate {
+        Command::Evacuate {
             locality: "n1".into(),
             back,
         },
@@ -73,13 +80,13 @@
     )
 }
 
-fn read(from: u64, to: u64, revision: u64, digest: &str) -> Call {
+fn read(from: u64, to: u64, revision: u64, digest: &str) -> CommandCall {
     call(
         from,
-        Order::Read,
+        Command::Read,
         Some((
             to,
-            Reply::Read {
+            CommandResult::Read {
                 revision,
                 digest: digest.into(),
             },
@@ -162,7 +169,7 @@
             "after a rescue",
             vec![
                 configuration(0, 1, 7, "a", FINE, 1),
-                call(2, Order::Rescue, None),
+                call(2, Command::Rescue, None),
                 read(5, 6, 1001, "a"),
                 read(7, 8, 1001, "a"),
             ],
@@ -271,14 +278,14 @@
             "lost in a rescue",
             vec![
                 configuration(0, 1, 7, "a", FINE, 1),
-                call(2, Order::Rescue, None),
+                call(2, Command::Rescue, None),
                 read(5, 6, 1001, ""),
             ],
         ),
     ];
     cases.into_iter().for_each(|(name, calls)| {
         assert!(
-            matches!(check(&calls), Err(Flaw::NoOrder { .. })),
+            matches!(check(&calls), Err(HistoryError::NotLinearizable { .. })),
             "{name}: {:?}",
             check(&calls)
         );
@@ -287,7 +294,7 @@
 
 /// A history of a register that is written one after the other, with each call's start and answer drawn around the
 /// moment at which it took effect: it is good, however the calls overlap.
-fn drawn(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<Call>> {
+fn drawn(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<CommandCall>> {
     let (mut revision, mut digest, mut calls) = (0, String::new(), Vec::new());
     for at in 1..=noise.int_in_range(1..=40u64)? {
         let (moment, early, late) = (
@@ -300,14 +307,14 @@
             revision += 1;
             digest = format!("d{at}");
             let lost = noise.ratio(1, 4)?;
-            let order = Order::Configuration {
+            let command = Command::Configuration {
                 number: Some(at),
                 base: None,
                 digest: digest.clone(),
             };
             calls.push(call(
                 from,
-                order,
+                command,
                 Some((to, told(FINE, revision))).filter(|_| !lost),
             ));
         } else {
@@ -328,7 +335,7 @@
             .filter_map(|call| call.returned.as_ref())
             .map(|(at, _)| at.as_millis() as u64)
             .max();
-        let spoilt: Vec<Call> = calls
+        let spoilt: Vec<CommandCall> = calls
             .into_iter()
             .chain([read(0, last.unwrap_or(0) + 1, 99, "d1")])
             .collect();
@@ -338,7 +345,7 @@
 }
 
 /// Whether some order of the calls explains them: by trying them all.
-fn explained(calls: &[Call]) -> bool {
+fn explained(calls: &[CommandCall]) -> bool {
     fn orders(count: usize) -> Vec<Vec<usize>> {
         if count == 0 {
             return vec![vec![]];
@@ -346,26 +353,26 @@
         let shorter = orders(count - 1);
         shorter
             .iter()
-            .flat_map(|order| {
-                (0..count).map(|at| [&order[..at], &[count - 1], &order[at..]].concat())
+            .flat_map(|command| {
+                (0..count).map(|at| [&command[..at], &[count - 1], &command[at..]].concat())
             })
             .collect()
     }
-    let fits = |order: &Vec<usize>| {
-        let keeps_time = order.iter().enumerate().all(|(at, later)| {
-            order[..at].iter().all(|earlier| {
+    let fits = |command: &Vec<usize>| {
+        let keeps_time = command.iter().enumerate().all(|(at, later)| {
+            command[..at].iter().all(|earlier| {
                 let ended = calls[*later].returned.as_ref().map(|(ended, _)| *ended);
                 ended.is_none_or(|ended| ended >= calls[*earlier].called_at)
             })
         });
         let (mut revision, mut digest) = (0, String::new());
         keeps_time
-            && order
+            && command
                 .iter()
-                .all(|at| match (&calls[*at].order, &calls[*at].returned) {
+                .all(|at| match (&calls[*at].command, &calls[*at].returned) {
                     (
-                        Order::Configuration { digest: new, .. },
-                        Some((_, Reply::Decided { revision: told, .. })),
+                        Command::Configuration { digest: new, .. },
+                        Some((_, CommandResult::Decided { revision: told, .. })),
                     ) => {
                         revision += 1;
                         digest.clone_from(new);
@@ -375,7 +382,7 @@
                         _,
                         Some((
                             _,
-                            Reply::Read {
+                            CommandResult::Read {
                                 revision: told,
                                 digest: seen,
                             },
@@ -404,12 +411,12 @@
                 let to = from + noise.int_in_range(0..=15)?;
                 let revision = noise.int_in_range(0..=3)?;
                 if noise.arbitrary()? {
-                    let order = Order::Configuration {
+                    let command = Command::Configuration {
                         number: None,
                         base: None,
                         digest: format!("d{at}"),
                     };
-                    calls.push(call(from, order, Some((to, told(FINE, revision)))));
+                    calls.push(call(from, command, Some((to, told(FINE, revision)))));
                 } else {
                     let of = noise.int_in_range(0..=4u64)?;
                     let digest = if revision == 0 {
--- a/crates/simulator/src/breaking.rs
+++ b/crates/simulator/src/breaking.rs
@@ -1,37 +1,37 @@
 //! How faults come about, and how they heal.
 
-use super::connections::Manners;
+use super::connections::ConnectionFaults;
 use super::faults::{
     DISK_BROKEN_FOR, DISK_EVERY, Fault, MOVE_EVERY, RESTART_EVERY, RESTART_TAKES, REUSE_EVERY,
     STORM_GAP, STORM_SETTLES, SUCCESSOR_EARLIER, SUCCESSOR_LATER, Step,
 };
-use super::net::Cut;
+use super::network::Partition;
 use super::nodes::{Disk, Node};
-use super::operators::What;
-use super::world::{LOAD_FROM, World};
-use invariants::facts::Fact;
+use super::operators::OperatorCommand;
+use super::world::{LOAD_STARTS_AT, World};
+use invariants::observations::Observation;
 use protocol::SurvivorState;
 use std::time::Duration;
 
 /// How long after its zone was taken back a node thaws that an order to evacuate it lies in.
-const THAWS_AFTER: Duration = Duration::from_secs(2);
+const THAW_DELAY: Duration = Duration::from_secs(2);
 
 impl World {
-    pub(super) fn on_machine(&self, machine: usize) -> Vec<usize> {
+    pub(super) fn nodes_on_machine(&self, machine: usize) -> Vec<usize> {
         let machine = machine % self.shape.machines;
         (0..self.nodes.len())
             .filter(|at| self.nodes[*at].machine == machine)
             .collect()
     }
 
-    fn in_place(&self, part: &str) -> Vec<usize> {
+    fn nodes_at(&self, part: &str) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|at| self.nodes[*at].place.locality.starts_with(part))
             .collect()
     }
 
-    fn unit(&self, at: usize) -> usize {
-        at % self.units.len()
+    fn upstream_index(&self, at: usize) -> usize {
+        at % self.upstreams.len()
     }
 
     fn zone(&self, at: usize) -> String {
@@ -53,56 +53,58 @@
         (0..self.nodes.len()).filter(holds).collect()
     }
 
-    pub(super) fn break_it(&mut self, at: usize) {
+    pub(super) fn inject_fault(&mut self, at: usize) {
         let fault = self.plan.steps[at].fault.clone();
-        self.note(Fact::Fault {
+        self.note(Observation::Fault {
             what: format!("{fault:?}"),
         });
         let fixed = match &fault {
-            Fault::KillPlacement | Fault::FreezePlacement | Fault::JumpPlacement(_) => {
-                self.placement_holder()
-            }
+            Fault::KillPlacementHolder
+            | Fault::FreezePlacementHolder
+            | Fault::JumpPlacementHolderClock(_) => self.placement_holder(),
             _ => Vec::new(),
         };
         match fault {
-            Fault::KillMachine(machine) | Fault::RotSetups(machine) => {
-                self.on_machine(machine)
+            Fault::KillMachine(machine) | Fault::CorruptConfigurations(machine) => {
+                self.nodes_on_machine(machine)
                     .into_iter()
                     .for_each(|node| self.kill(node));
-                if matches!(self.plan.steps[at].fault, Fault::RotSetups(_)) {
-                    self.on_machine(machine)
+                if matches!(self.plan.steps[at].fault, Fault::CorruptConfigurations(_)) {
+                    self.nodes_on_machine(machine)
                         .into_iter()
                         .for_each(|node| self.nodes[node].disk.configurations.clear());
                 }
             }
-            Fault::KillHerd(machines) => {
+            Fault::KillMachines(machines) => {
                 let nodes: Vec<usize> = machines
                     .into_iter()
-                    .flat_map(|machine| self.on_machine(machine))
+                    .flat_map(|machine| self.nodes_on_machine(machine))
                     .collect();
                 nodes.into_iter().for_each(|node| self.kill(node));
             }
             Fault::WipeMachine(machine) => self.wipe(machine),
             Fault::Freeze(machine) => self
-                .on_machine(machine)
+                .nodes_on_machine(machine)
                 .into_iter()
                 .for_each(|node| self.freeze(node)),
             Fault::SlowDisk(machine) => {
                 self.set_disk(machine, |disk| disk.slowed = Duration::from_millis(900))
             }
-            Fault::BreakDisk(machine) => self.set_disk(machine, |disk| disk.broken = true),
+            Fault::FailDisk(machine) => self.set_disk(machine, |disk| disk.broken = true),
             Fault::HangDisk(machine) => self.set_disk(machine, |disk| disk.hung = true),
-            Fault::TearState(machine) => self.on_machine(machine).into_iter().for_each(|node| {
-                self.kill(node);
-                self.nodes[node].disk.durable = Default::default();
-            }),
+            Fault::TearStateWrite(machine) => {
+                self.nodes_on_machine(machine).into_iter().for_each(|node| {
+                    self.kill(node);
+                    self.nodes[node].disk.durable = Default::default();
+                })
+            }
             Fault::WipeTwo(machine) => {
-                (0..8).for_each(|extra| self.submit_setup(extra, None));
+                (0..8).for_each(|extra| self.submit_configuration(extra, None));
                 let (disks, first) = (self.shape.disks, machine % self.shape.disks);
                 let both = [first, (first + 1 + machine / disks % (disks - 1)) % disks];
                 both.into_iter().for_each(|machine| self.wipe(machine));
             }
-            Fault::PowerAt {
+            Fault::PowerLossAtWrite {
                 machine,
                 write,
                 synced,
@@ -110,116 +112,121 @@
             } => {
                 if wiped {
                     self.wipe(machine);
-                    self.on_machine(machine)
+                    self.nodes_on_machine(machine)
                         .into_iter()
                         .for_each(|node| self.start(node));
                 }
                 self.set_disk(machine, |disk| disk.power_at = Some((write, synced)));
                 if self.operators.configurations() > 0 {
-                    (0..4).for_each(|extra| self.submit_setup(extra, None));
+                    (0..4).for_each(|extra| self.submit_configuration(extra, None));
                 }
             }
-            Fault::CutMachine(machine) => self.cut(Cut::Machine {
+            Fault::PartitionMachine(machine) => self.cut(Partition::Machine {
                 machine: machine % self.shape.machines,
-                hears: false,
-                speaks: false,
+                receives: false,
+                sends: false,
             }),
-            Fault::Mute(machine) => self.cut(Cut::Machine {
+            Fault::DropOutbound(machine) => self.cut(Partition::Machine {
                 machine: machine % self.shape.machines,
-                hears: true,
-                speaks: false,
+                receives: true,
+                sends: false,
             }),
-            Fault::Deaf(machine) => self.cut(Cut::Machine {
+            Fault::DropInbound(machine) => self.cut(Partition::Machine {
                 machine: machine % self.shape.machines,
-                hears: false,
-                speaks: true,
+                receives: false,
+                sends: true,
             }),
-            Fault::CutZone(zone) => self.cut(Cut::Zone(self.zone(zone))),
-            Fault::CutRegion(region) => self.cut(Cut::Region(self.region(region))),
-            Fault::DarkZone(zone) => self.darken(&self.zone(zone)),
-            Fault::DarkRegion(region) => self.darken(&self.region(region)),
-            Fault::Loss(per_mille) => self.net.loss_per_mille = per_mille,
+            Fault::PartitionZone(zone) => self.cut(Partition::Zone(self.zone(zone))),
+            Fault::PartitionRegion(region) => self.cut(Partition::Region(self.region(region))),
+            Fault::ZonePowerLoss(zone) => self.cut_power(&self.zone(zone)),
+            Fault::RegionPowerLoss(region) => self.cut_power(&self.region(region)),
+            Fault::PacketLoss(per_mille) => self.network.loss_per_mille = per_mille,
             Fault::RollingRestart => (0..self.shape.machines).for_each(|machine| {
                 let from = self.now + RESTART_EVERY * machine as u32;
                 self.push_step(from, from + RESTART_TAKES, Fault::StopMachine(machine));
             }),
-            Fault::CrashUnits(units) => units
+            Fault::CrashUpstreams(upstreams) => upstreams
                 .into_iter()
-                .for_each(|unit| self.crash_unit(self.unit(unit))),
-            Fault::Release(units) => units
+                .for_each(|upstream| self.crash_upstream(self.upstream_index(upstream))),
+            Fault::RollUpstreams(upstreams) => upstreams
                 .into_iter()
-                .for_each(|unit| self.leave(self.unit(unit))),
-            Fault::SignOffFirst(units) => {
-                units
-                    .into_iter()
-                    .for_each(|unit| self.sign_off_first(self.unit(unit)));
+                .for_each(|upstream| self.leave(self.upstream_index(upstream))),
+            Fault::DeregisterBeforeDraining(upstreams) => {
+                upstreams.into_iter().for_each(|upstream| {
+                    self.deregister_before_draining(self.upstream_index(upstream))
+                });
             }
-            Fault::ReuseAddress(unit) => {
-                let unit = self.unit(unit);
-                self.crash_unit(unit);
+            Fault::ReuseAddress(upstream) => {
+                let upstream = self.upstream_index(upstream);
+                self.crash_upstream(upstream);
                 let other = self
                     .shape
                     .services
                     .iter()
-                    .position(|work| work.service == self.units[unit].work.service);
+                    .position(|work| work.service == self.upstreams[upstream].work.service);
                 let work = self.shape.services[(other.unwrap_or(0) + 1) % 3];
-                self.replace_unit(unit, work, false);
+                self.replace_upstream(upstream, work, false);
             }
-            Fault::Connections(manners) => {
-                self.connections.keeping += 1;
-                self.turn_manners(manners, |now, wanted| now.max(wanted));
+            Fault::Connections(faults_on_connections) => {
+                self.connections.keep_alive_faults += 1;
+                self.set_connection_faults(faults_on_connections, |now, wanted| now.max(wanted));
             }
-            Fault::ReuseKept(units) => {
-                self.connections.keeping += 1;
-                units.into_iter().enumerate().for_each(|(number, unit)| {
-                    let from = self.now + REUSE_EVERY * (number as u32 + 1);
-                    self.push_step(from, from + REUSE_EVERY, Fault::ReuseAddress(unit));
-                });
+            Fault::ReuseAddressesUnderKeepAlive(upstreams) => {
+                self.connections.keep_alive_faults += 1;
+                upstreams
+                    .into_iter()
+                    .enumerate()
+                    .for_each(|(number, upstream)| {
+                        let from = self.now + REUSE_EVERY * (number as u32 + 1);
+                        self.push_step(from, from + REUSE_EVERY, Fault::ReuseAddress(upstream));
+                    });
             }
-            Fault::ColdHerd(every) => (0..self.units.len())
-                .filter(|unit| unit % every == 0)
+            Fault::RestartCold(every) => (0..self.upstreams.len())
+                .filter(|upstream| upstream % every == 0)
                 .collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|unit| {
-                    self.crash_unit(unit);
-                    let work = self.units[unit].work;
-                    self.replace_unit(unit, work, false);
+                .for_each(|upstream| {
+                    self.crash_upstream(upstream);
+                    let work = self.upstreams[upstream].work;
+                    self.replace_upstream(upstream, work, false);
                 }),
-            Fault::LoseAnswers(unit) => {
-                let unit = self.unit(unit);
-                self.units[unit].loses_per_mille = 400;
+            Fault::LoseResponses(upstream) => {
+                let upstream = self.upstream_index(upstream);
+                self.upstreams[upstream].loses_per_mille = 400;
             }
-            Fault::Garble(unit) => {
-                let unit = self.unit(unit);
-                self.units[unit].garbles_per_mille = 400;
+            Fault::GarbleResponses(upstream) => {
+                let upstream = self.upstream_index(upstream);
+                self.upstreams[upstream].garbles_per_mille = 400;
             }
-            Fault::BadRelease => self.first_service_garbles(400),
-            Fault::PauseUnit(unit) => {
-                let (unit, until) = (self.unit(unit), self.plan.steps[at].until);
-                self.units[unit].paused_until = until;
+            Fault::BadRelease => self.set_first_service_garbling(400),
+            Fault::PauseUpstream(upstream) => {
+                let (upstream, until) = (self.upstream_index(upstream), self.plan.steps[at].until);
+                self.upstreams[upstream].paused_until = until;
             }
-            Fault::Evacuate(zone) => self.submit(What::Evacuate {
+            Fault::Evacuate(zone) => self.submit(OperatorCommand::Evacuate {
                 locality: self.zone(zone),
                 back: false,
             }),
-            Fault::EvacuateCut(zone) => {
-                self.cut(Cut::Zone(self.zone(zone)));
-                self.submit(What::Evacuate {
+            Fault::EvacuatePartitionedZone(zone) => {
+                self.cut(Partition::Zone(self.zone(zone)));
+                self.submit(OperatorCommand::Evacuate {
                     locality: self.zone(zone),
                     back: false,
                 });
             }
-            Fault::SetupStorm => (0..40).for_each(|extra| self.submit_setup(extra * 10, None)),
+            Fault::ConfigurationStorm => {
+                (0..40).for_each(|extra| self.submit_configuration(extra * 10, None))
+            }
             Fault::OperatorRace => (0..6).for_each(|_| {
                 let base = Some(self.operators.revision);
-                self.submit_setup(1, base);
+                self.submit_configuration(1, base);
             }),
-            Fault::InterruptFounding(machines) => {
+            Fault::InterruptBootstrap(machines) => {
                 machines
                     .into_iter()
                     .enumerate()
                     .for_each(|(order, machine)| {
-                        self.on_machine(machine).into_iter().for_each(|node| {
+                        self.nodes_on_machine(machine).into_iter().for_each(|node| {
                             self.kill(node);
                             if order == 0 {
                                 self.nodes[node].disk = Default::default();
@@ -228,8 +235,8 @@
                     })
             }
             Fault::HotKey => self.hot_key = true,
-            Fault::LongStorm(count) => self.storm_on(count),
-            Fault::RefuseDisk(machine) => self.set_disk(machine, |disk| disk.refuses = true),
+            Fault::LongConfigurationStorm(count) => self.continue_configuration_storm(count),
+            Fault::RefuseDisk(machine) => self.set_disk(machine, |disk| disk.rejects_writes = true),
             Fault::DisksFullInTurn(count) => self.break_disks_in_turn(count, Fault::RefuseDisk),
             Fault::DisksStallInTurn(count) => self.break_disks_in_turn(count, Fault::HangDisk),
             Fault::ReplaceVoters {
@@ -253,7 +260,7 @@
                 );
             }),
             Fault::ReplaceOne { place, planned } => {
-                self.submit_setup(0, None);
+                self.submit_configuration(0, None);
                 if planned {
                     self.add_machine(place);
                 } else {
@@ -262,108 +269,114 @@
                         .for_each(|machine| self.remove_machine(machine));
                 }
             }
-            Fault::NumberRace(times) => {
-                self.race_numbers();
+            Fault::VersionRace(times) => {
+                self.race_versions();
                 let next = self.now + Duration::from_millis(150);
                 if times > 1 {
-                    self.push_step(next, next, Fault::NumberRace(times - 1));
+                    self.push_step(next, next, Fault::VersionRace(times - 1));
                 }
             }
-            Fault::RestartPostmasters => {
-                self.submit_setup(0, None);
-                self.restart_due = true;
+            Fault::RestartControlNodes => {
+                self.submit_configuration(0, None);
+                self.restart_on_next_acceptance = true;
             }
-            Fault::KillPostmasters => self
+            Fault::KillControlNodes => self
                 .control_nodes()
                 .into_iter()
                 .for_each(|node| self.kill(node)),
-            Fault::LateAnswers => self.late_answers = true,
-            Fault::LoseOrderAnswers(per_mille) => {
+            Fault::DelayGrants => self.late_answers = true,
+            Fault::LoseCommandResults(per_mille) => {
                 self.operators.delivery.lost_per_mille = per_mille
             }
-            Fault::ScrambleOrders => self.operators.delivery.scrambled = true,
-            Fault::OrderStorm(count) | Fault::OldOrders(count) => self.start_storm(count),
-            Fault::EqualNumbers(times) => {
-                self.race_equal_numbers();
+            Fault::ReorderCommands => self.operators.delivery.scrambled = true,
+            Fault::CommandStorm(count) | Fault::StaleCommandStorm(count) => {
+                self.start_command_storm(count)
+            }
+            Fault::EqualVersions(times) => {
+                self.race_equal_versions();
                 let next = self.now + Duration::from_millis(300);
                 if times > 1 {
-                    self.push_step(next, next, Fault::EqualNumbers(times - 1));
+                    self.push_step(next, next, Fault::EqualVersions(times - 1));
                 }
             }
             Fault::LateEvacuation(zone) => self.evacuate_repeatedly(self.zone(zone)),
             Fault::FrozenEvacuation(zone) => {
                 let (machine, thaws_at) = (
                     zone % self.shape.disks,
-                    self.plan.steps[at].until + THAWS_AFTER,
+                    self.plan.steps[at].until + THAW_DELAY,
                 );
                 self.push_step(self.now, thaws_at, Fault::Freeze(machine));
                 let node = self
-                    .on_machine(machine)
+                    .nodes_on_machine(machine)
                     .into_iter()
-                    .find(|node| self.nodes[*node].is_office());
+                    .find(|node| self.nodes[*node].is_control_node());
                 node.into_iter()
                     .for_each(|node| self.evacuate_through(node, self.zone(zone)));
             }
-            Fault::HomesGone => {
-                let bound = (0..self.units.len()).filter(|unit| self.units[*unit].work.homes > 0);
+            Fault::CrashHomeUpstreams => {
+                let bound = (0..self.upstreams.len())
+                    .filter(|upstream| self.upstreams[*upstream].work.homes > 0);
                 bound
                     .collect::<Vec<_>>()
                     .into_iter()
-                    .for_each(|unit| self.crash_unit(unit));
+                    .for_each(|upstream| self.crash_upstream(upstream));
             }
             Fault::Ambush { evacuate } => self.ambush = Some(evacuate),
-            Fault::Grow(count) => {
-                let grown: Vec<usize> = (0..count).map(|at| self.grow_unit(at)).collect();
-                grown.into_iter().for_each(|unit| self.grown.push(unit));
+            Fault::AddUpstreams(count) => {
+                let added_upstreams: Vec<usize> =
+                    (0..count).map(|at| self.add_upstream(at)).collect();
+                added_upstreams
+                    .into_iter()
+                    .for_each(|upstream| self.added_upstreams.push(upstream));
             }
-            Fault::MoveNames => (0..6).for_each(|zone| {
+            Fault::EvacuateZonesInTurn => (0..6).for_each(|zone| {
                 let from = self.now + MOVE_EVERY * zone as u32;
                 self.push_step(from, from + MOVE_EVERY, Fault::Evacuate(zone));
             }),
             Fault::JumpClock(machine, ahead) => {
-                self.on_machine(machine)
+                self.nodes_on_machine(machine)
                     .into_iter()
-                    .for_each(|node| self.nodes[node].jumped += ahead);
+                    .for_each(|node| self.nodes[node].clock_jump += ahead);
             }
-            Fault::JumpPlacement(ahead) => fixed
+            Fault::JumpPlacementHolderClock(ahead) => fixed
                 .into_iter()
-                .for_each(|node| self.nodes[node].jumped += ahead),
-            Fault::LongCut { machine, how } => {
-                self.plan_long_cut(machine, how, self.plan.steps[at].until)
+                .for_each(|node| self.nodes[node].clock_jump += ahead),
+            Fault::LongPartition { machine, how } => {
+                self.plan_long_partition(machine, how, self.plan.steps[at].until)
             }
-            Fault::CutPeers {
+            Fault::PartitionFromPeers {
                 machine,
-                hears,
-                speaks,
-            } => self.cut_peers(machine, hears, speaks),
-            Fault::AskThere(machine) => self.ask_there(machine),
+                receives,
+                sends,
+            } => self.partition_from_peers(machine, receives, sends),
+            Fault::RouteCommandsTo(machine) => self.route_commands_to(machine),
             Fault::StopMachine(machine) => self
-                .on_machine(machine)
+                .nodes_on_machine(machine)
                 .into_iter()
                 .for_each(|node| self.stop(node)),
-            Fault::KillPlacement => fixed.into_iter().for_each(|node| self.kill(node)),
-            Fault::FreezePlacement => fixed.into_iter().for_each(|node| self.freeze(node)),
+            Fault::KillPlacementHolder => fixed.into_iter().for_each(|node| self.kill(node)),
+            Fault::FreezePlacementHolder => fixed.into_iter().for_each(|node| self.freeze(node)),
         }
     }
 
-    pub(super) fn heal(&mut self, at: usize) {
-        self.note(Fact::Fault {
+    pub(super) fn heal_fault(&mut self, at: usize) {
+        self.note(Observation::Fault {
             what: format!("healed: {:?}", self.plan.steps[at].fault),
         });
         match self.plan.steps[at].fault.clone() {
             Fault::KillMachine(_)
-            | Fault::KillHerd(_)
+            | Fault::KillMachines(_)
             | Fault::WipeMachine(_)
-            | Fault::RotSetups(_)
-            | Fault::DarkZone(_)
-            | Fault::DarkRegion(_)
-            | Fault::InterruptFounding(_)
+            | Fault::CorruptConfigurations(_)
+            | Fault::ZonePowerLoss(_)
+            | Fault::RegionPowerLoss(_)
+            | Fault::InterruptBootstrap(_)
             | Fault::StopMachine(_)
-            | Fault::TearState(_)
+            | Fault::TearStateWrite(_)
             | Fault::WipeTwo(_)
-            | Fault::PowerAt { .. }
-            | Fault::KillPostmasters
-            | Fault::KillPlacement => {
+            | Fault::PowerLossAtWrite { .. }
+            | Fault::KillControlNodes
+            | Fault::KillPlacementHolder => {
                 self.nodes
                     .iter_mut()
                     .for_each(|node| node.disk.power_at = None);
@@ -372,11 +385,11 @@
                     .filter(|node| !self.nodes[*node].up)
                     .collect();
                 down.into_iter().for_each(|node| self.start(node));
-                self.raise_units();
+                self.restart_crashed_upstreams();
             }
-            Fault::BreakDisk(machine) => {
+            Fault::FailDisk(machine) => {
                 self.set_disk(machine, |disk| disk.broken = false);
-                self.on_machine(machine).into_iter().for_each(|node| {
+                self.nodes_on_machine(machine).into_iter().for_each(|node| {
                     self.kill(node);
                     self.start(node);
                 });
@@ -387,92 +400,101 @@
             } => {
                 let old = self.machine_in_place_of(place);
                 old.into_iter()
-                    .for_each(|machine| self.end_for_good(machine));
+                    .for_each(|machine| self.decommission(machine));
             }
             Fault::ReplaceOne {
                 place,
                 planned: false,
             } => self.add_machine(place),
-            Fault::Freeze(_) | Fault::FreezePlacement | Fault::Ambush { .. } => {
+            Fault::Freeze(_) | Fault::FreezePlacementHolder | Fault::Ambush { .. } => {
                 (0..self.nodes.len()).for_each(|node| self.thaw(node))
             }
             Fault::SlowDisk(machine) => self.set_disk(machine, |disk| disk.slowed = Duration::ZERO),
             Fault::HangDisk(machine) => self.set_disk(machine, |disk| disk.hung = false),
-            Fault::RefuseDisk(machine) => self.set_disk(machine, |disk| disk.refuses = false),
-            Fault::CutMachine(_)
-            | Fault::Mute(_)
-            | Fault::Deaf(_)
-            | Fault::CutZone(_)
-            | Fault::CutRegion(_) => self.net.cuts.clear(),
-            Fault::Loss(_) => self.net.loss_per_mille = 0,
+            Fault::RefuseDisk(machine) => {
+                self.set_disk(machine, |disk| disk.rejects_writes = false)
+            }
+            Fault::PartitionMachine(_)
+            | Fault::DropOutbound(_)
+            | Fault::DropInbound(_)
+            | Fault::PartitionZone(_)
+            | Fault::PartitionRegion(_) => self.network.partitions.clear(),
+            Fault::PacketLoss(_) => self.network.loss_per_mille = 0,
             Fault::HotKey => self.hot_key = false,
-            Fault::LateAnswers => self.late_answers = false,
-            Fault::LoseOrderAnswers(_) => self.operators.delivery.lost_per_mille = 0,
-            Fault::ScrambleOrders => self.operators.delivery.scrambled = false,
-            Fault::OrderStorm(_) => self.end_storm(),
-            Fault::OldOrders(_) => {
-                self.end_storm();
+            Fault::DelayGrants => self.late_answers = false,
+            Fault::LoseCommandResults(_) => self.operators.delivery.lost_per_mille = 0,
+            Fault::ReorderCommands => self.operators.delivery.scrambled = false,
+            Fault::CommandStorm(_) => self.end_command_storm(),
+            Fault::StaleCommandStorm(_) => {
+                self.end_command_storm();
                 self.resend_oldest();
             }
             Fault::LateEvacuation(zone) | Fault::FrozenEvacuation(zone) => {
-                self.take_back(self.zone(zone))
-            }
-            Fault::CrashUnits(_) | Fault::HomesGone => self.raise_units(),
-            Fault::Release(units) | Fault::SignOffFirst(units) => {
-                units.into_iter().for_each(|unit| {
-                    let unit = self.unit(unit);
-                    if self.units[unit].condition == upstream_registry::DRAINING {
-                        self.crash_unit(unit);
-                        let work = self.units[unit].work;
-                        self.replace_unit(unit, work, true);
+                self.end_evacuation(self.zone(zone))
+            }
+            Fault::CrashUpstreams(_) | Fault::CrashHomeUpstreams => {
+                self.restart_crashed_upstreams()
+            }
+            Fault::RollUpstreams(upstreams) | Fault::DeregisterBeforeDraining(upstreams) => {
+                upstreams.into_iter().for_each(|upstream| {
+                    let upstream = self.upstream_index(upstream);
+                    if self.upstreams[upstream].condition == upstream_registry::DRAINING {
+                        self.crash_upstream(upstream);
+                        let work = self.upstreams[upstream].work;
+                        self.replace_upstream(upstream, work, true);
                     }
                 })
             }
-            Fault::ColdHerd(_) | Fault::ReuseAddress(_) => {
-                self.units.iter_mut().for_each(|unit| unit.warm = true);
+            Fault::RestartCold(_) | Fault::ReuseAddress(_) => {
+                self.upstreams
+                    .iter_mut()
+                    .for_each(|upstream| upstream.warm = true);
             }
-            Fault::LoseAnswers(unit) | Fault::Garble(unit) => {
-                let unit = self.unit(unit);
-                self.units[unit].loses_per_mille = 0;
-                self.units[unit].garbles_per_mille = 0;
+            Fault::LoseResponses(upstream) | Fault::GarbleResponses(upstream) => {
+                let upstream = self.upstream_index(upstream);
+                self.upstreams[upstream].loses_per_mille = 0;
+                self.upstreams[upstream].garbles_per_mille = 0;
             }
-            Fault::Grow(_) => std::mem::take(&mut self.grown)
+            Fault::AddUpstreams(_) => std::mem::take(&mut self.added_upstreams)
                 .into_iter()
-                .for_each(|unit| self.leave(unit)),
-            Fault::BadRelease => self.first_service_garbles(0),
-            Fault::Evacuate(zone) => self.take_back(self.zone(zone)),
-            Fault::EvacuateCut(zone) => {
-                self.net.cuts.clear();
-                self.take_back(self.zone(zone));
-            }
-            Fault::PauseUnit(unit) => {
+                .for_each(|upstream| self.leave(upstream)),
+            Fault::BadRelease => self.set_first_service_garbling(0),
+            Fault::Evacuate(zone) => self.end_evacuation(self.zone(zone)),
+            Fault::EvacuatePartitionedZone(zone) => {
+                self.network.partitions.clear();
+                self.end_evacuation(self.zone(zone));
+            }
+            Fault::PauseUpstream(upstream) => {
                 let step = &self.plan.steps[at];
                 let span = step.until - step.at;
-                if self.weak.stands_still {
-                    self.hold_on(self.unit(unit), span);
+                if self.defects.clock_stops_while_suspended {
+                    self.extend_leases(self.upstream_index(upstream), span);
                 }
             }
-            Fault::CutPeers { machine, .. } => self.join_peers(machine),
-            Fault::AskThere(_) => self.replace_leavers(),
-            Fault::Connections(manners) => {
-                self.connections.keeping -= 1;
-                self.turn_manners(manners, |now, wanted| if wanted > 0 { 0 } else { now });
+            Fault::PartitionFromPeers { machine, .. } => self.reconnect_peers(machine),
+            Fault::RouteCommandsTo(_) => self.replace_draining_upstreams(),
+            Fault::Connections(faults_on_connections) => {
+                self.connections.keep_alive_faults -= 1;
+                self.set_connection_faults(
+                    faults_on_connections,
+                    |now, wanted| if wanted > 0 { 0 } else { now },
+                );
             }
-            Fault::ReuseKept(_) => self.connections.keeping -= 1,
+            Fault::ReuseAddressesUnderKeepAlive(_) => self.connections.keep_alive_faults -= 1,
             Fault::RollingRestart
-            | Fault::LongCut { .. }
-            | Fault::MoveNames
-            | Fault::NumberRace(_)
-            | Fault::EqualNumbers(_)
-            | Fault::RestartPostmasters
-            | Fault::SetupStorm
-            | Fault::LongStorm(_)
+            | Fault::LongPartition { .. }
+            | Fault::EvacuateZonesInTurn
+            | Fault::VersionRace(_)
+            | Fault::EqualVersions(_)
+            | Fault::RestartControlNodes
+            | Fault::ConfigurationStorm
+            | Fault::LongConfigurationStorm(_)
             | Fault::DisksFullInTurn(_)
             | Fault::DisksStallInTurn(_)
             | Fault::ReplaceVoters { .. }
             | Fault::OperatorRace
             | Fault::JumpClock(..)
-            | Fault::JumpPlacement(_) => {}
+            | Fault::JumpPlacementHolderClock(_) => {}
         }
     }
 
@@ -508,8 +530,8 @@
         quorum_register::recover_from_survivors(&survivors, &lost)
             .into_iter()
             .for_each(|inheritance| {
-                self.note(Fact::Rescued);
-                self.note(Fact::Fault {
+                self.note(Observation::ClusterRecovered);
+                self.note(Observation::Fault {
                     what: format!("rescued from {} voters", survivors.len()),
                 });
                 let SurvivorState {
@@ -531,28 +553,28 @@
             });
     }
 
-    fn turn_manners(&mut self, wanted: Manners, turn: fn(u64, u64) -> u64) {
-        let now = &mut self.connections.manners;
-        now.surplus_per_mille = turn(now.surplus_per_mille, wanted.surplus_per_mille);
+    fn set_connection_faults(&mut self, wanted: ConnectionFaults, turn: fn(u64, u64) -> u64) {
+        let now = &mut self.connections.faults_on_connections;
+        now.duplicates_per_mille = turn(now.duplicates_per_mille, wanted.duplicates_per_mille);
         now.resets_per_mille = turn(now.resets_per_mille, wanted.resets_per_mille);
         now.hangs_per_mille = turn(now.hangs_per_mille, wanted.hangs_per_mille);
     }
 
     /// An upstream tells that it leaves.
-    fn leave(&mut self, unit: usize) {
-        self.units[unit].condition = if self.weak.leaves_quietly {
+    fn leave(&mut self, upstream: usize) {
+        self.upstreams[upstream].condition = if self.defects.drains_unannounced {
             upstream_registry::READY
         } else {
             upstream_registry::DRAINING
         };
-        let instance = self.units[unit].instance.clone();
-        self.note(Fact::Leaving { instance });
-        self.beat_once(unit);
+        let instance = self.upstreams[upstream].instance.clone();
+        self.note(Observation::UpstreamDraining { instance });
+        self.send_heartbeat(upstream);
     }
 
     /// Power and disk of a machine are lost.
     fn wipe(&mut self, machine: usize) {
-        self.on_machine(machine).into_iter().for_each(|node| {
+        self.nodes_on_machine(machine).into_iter().for_each(|node| {
             self.kill(node);
             self.nodes[node].disk = Default::default();
         });
@@ -562,12 +584,12 @@
     pub(super) fn push_step(&mut self, at: Duration, until: Duration, fault: Fault) {
         self.plan.steps.push(Step { at, until, fault });
         let step = self.plan.steps.len() - 1;
-        self.at(at, super::world::Action::Fault { at: step });
-        self.at(until, super::world::Action::Heal { at: step });
+        self.at(at, super::world::Action::InjectFault { at: step });
+        self.at(until, super::world::Action::HealFault { at: step });
     }
 
     /// A machine is told to end and never comes back.
-    fn end_for_good(&mut self, machine: usize) {
+    fn decommission(&mut self, machine: usize) {
         let nodes: Vec<usize> = (0..self.nodes.len())
             .filter(|at| self.nodes[*at].machine == machine)
             .collect();
@@ -579,7 +601,7 @@
     }
 
     /// One more setup of a storm; after the last, all control nodes are killed.
-    fn storm_on(&mut self, left: u32) {
+    fn continue_configuration_storm(&mut self, left: u32) {
         let (next, slow_disk) = (self.now + STORM_GAP, Duration::from_millis(40));
         self.set_disk(0, |disk| disk.slowed = slow_disk);
         if left == 0 {
@@ -588,55 +610,55 @@
             return self.push_step(
                 killed_at,
                 killed_at + Duration::from_millis(300),
-                Fault::KillPostmasters,
+                Fault::KillControlNodes,
             );
         }
-        self.submit_setup(0, None);
-        self.push_step(next, next, Fault::LongStorm(left - 1));
+        self.submit_configuration(0, None);
+        self.push_step(next, next, Fault::LongConfigurationStorm(left - 1));
     }
 
-    fn first_service_garbles(&mut self, per_mille: u64) {
+    fn set_first_service_garbling(&mut self, per_mille: u64) {
         let service = self.shape.services[0].service;
         let bad = self
-            .units
+            .upstreams
             .iter_mut()
-            .filter(|unit| unit.work.service == service);
-        bad.for_each(|unit| unit.garbles_per_mille = per_mille);
+            .filter(|upstream| upstream.work.service == service);
+        bad.for_each(|upstream| upstream.garbles_per_mille = per_mille);
     }
 
     /// A proxy has just chosen this upstream and begun to connect: the moment an ambush waits for.
-    pub(super) fn spring_ambush(&mut self, proxy: usize, instance: &str) {
-        let unit = self
-            .units
+    pub(super) fn trigger_ambush(&mut self, proxy: usize, instance: &str) {
+        let upstream = self
+            .upstreams
             .iter()
-            .position(|unit| unit.instance == instance && unit.up);
-        let sprung = unit
-            .filter(|_| self.now >= LOAD_FROM)
-            .and_then(|unit| self.ambush.take().map(|how| (unit, how)));
-        sprung.into_iter().for_each(|(unit, evacuate)| {
+            .position(|upstream| upstream.instance == instance && upstream.up);
+        let sprung = upstream
+            .filter(|_| self.now >= LOAD_STARTS_AT)
+            .and_then(|upstream| self.ambush.take().map(|how| (upstream, how)));
+        sprung.into_iter().for_each(|(upstream, evacuate)| {
             let machine = self.nodes[proxy].machine;
-            self.on_machine(machine)
+            self.nodes_on_machine(machine)
                 .into_iter()
                 .for_each(|node| self.freeze(node));
             if evacuate {
-                let locality = self.units[unit].place.locality.clone();
-                self.submit(What::Evacuate {
+                let locality = self.upstreams[upstream].place.locality.clone();
+                self.submit(OperatorCommand::Evacuate {
                     locality: locality.clone(),
                     back: false,
                 });
             } else {
-                self.leave(unit);
+                self.leave(upstream);
             }
         });
     }
 
     /// A postmaster has just accepted something, and told no carrier: the moment that a restart waits for.
-    pub(super) fn spring_restart(&mut self) {
-        if std::mem::take(&mut self.restart_due) {
+    pub(super) fn trigger_restart(&mut self) {
+        if std::mem::take(&mut self.restart_on_next_acceptance) {
             self.push_step(
                 self.now,
                 self.now + Duration::from_millis(300),
-                Fault::KillPostmasters,
+                Fault::KillControlNodes,
             );
         }
     }
@@ -647,37 +669,37 @@
             let from = self.now + DISK_EVERY * machine as u32;
             self.push_step(from, from + DISK_BROKEN_FOR, fault(machine));
         });
-        self.storm_on(configurations);
+        self.continue_configuration_storm(configurations);
     }
 
     fn set_disk(&mut self, machine: usize, change: impl Fn(&mut super::nodes::Disk)) {
-        self.on_machine(machine)
+        self.nodes_on_machine(machine)
             .into_iter()
             .for_each(|node| change(&mut self.nodes[node].disk));
     }
 
-    pub(super) fn cut(&mut self, cut: Cut) {
-        self.net.cuts.push(cut);
+    pub(super) fn cut(&mut self, cut: Partition) {
+        self.network.partitions.push(cut);
     }
 
-    fn darken(&mut self, part: &str) {
-        self.in_place(part)
+    fn cut_power(&mut self, part: &str) {
+        self.nodes_at(part)
             .into_iter()
             .for_each(|node| self.kill(node));
-        let units =
-            (0..self.units.len()).filter(|unit| self.units[*unit].place.locality.starts_with(part));
-        units
+        let upstreams = (0..self.upstreams.len())
+            .filter(|upstream| self.upstreams[*upstream].place.locality.starts_with(part));
+        upstreams
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|unit| self.crash_unit(unit));
+            .for_each(|upstream| self.crash_upstream(upstream));
     }
 
     /// Whatever upstream is down comes back as a new, warm instance.
-    fn raise_units(&mut self) {
-        (0..self.units.len()).for_each(|unit| {
-            if !self.units[unit].up {
-                let work = self.units[unit].work;
-                self.replace_unit(unit, work, true);
+    fn restart_crashed_upstreams(&mut self) {
+        (0..self.upstreams.len()).for_each(|upstream| {
+            if !self.upstreams[upstream].up {
+                let work = self.upstreams[upstream].work;
+                self.replace_upstream(upstream, work, true);
             }
         });
     }
--- a/crates/simulator/src/order_faults.rs
+++ b/crates/simulator/src/command_faults.rs
@@ -1,10 +1,10 @@
 //! What goes wrong between operators and the nodes they call: answers that are lost, orders that come late, doubled and
 //! long after they were decided, and more of them than there should be.
 
-use super::operators::{Operators, What};
+use super::operators::{OperatorCommand, Operators};
 use super::world::{Action, World};
 use control_plane::ControlResponse;
-use invariants::facts::Fact;
+use invariants::observations::Observation;
 use std::time::Duration;
 
 /// How long an order, or its answer, takes.
@@ -26,7 +26,7 @@
 
 /// How operators' orders and their answers fare.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OrderDelivery {
+pub struct CommandDelivery {
     /// Of a thousand answers, how many are lost.
     pub lost_per_mille: u64,
     /// Both ways late, doubled and in any order.
@@ -35,7 +35,7 @@
 
 /// A run of orders, each sent when an earlier one was decided.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Storm {
+pub struct CommandStorm {
     left: u32,
     sent: u32,
 }
@@ -65,8 +65,8 @@
 
 impl World {
     /// How long an order takes on its way.
-    pub(super) fn order_takes(&mut self, submission: usize) -> Duration {
-        let late = if self.strays(submission) {
+    pub(super) fn command_delay(&mut self, submission: usize) -> Duration {
+        let late = if self.is_reordered(submission) {
             self.random.below(LATE_ORDER_MS)
         } else {
             0
@@ -74,21 +74,22 @@
         USUALLY_TAKES + Duration::from_millis(late)
     }
 
-    fn strays(&self, submission: usize) -> bool {
-        self.operators.delivery.scrambled && self.operators.submissions[submission].is_told_apart()
+    fn is_reordered(&self, submission: usize) -> bool {
+        self.operators.delivery.scrambled
+            && self.operators.submissions[submission].is_distinguishable()
     }
 
     /// Half of the scrambled orders come a second time, elsewhere.
-    pub(super) fn send_stray_copy(&mut self, submission: usize) {
-        if self.strays(submission) && self.random.below(2) == 0 {
+    pub(super) fn send_duplicate(&mut self, submission: usize) {
+        if self.is_reordered(submission) && self.random.below(2) == 0 {
             let late = Duration::from_millis(self.random.below(STRAY_COPY_MS));
-            self.after(late, Action::OperatorRepeat { submission });
+            self.after(late, Action::RepeatSubmission { submission });
         }
     }
 
     /// Brings an answer to its operator, unless it is lost.
-    pub(super) fn carry_answer(&mut self, submission: usize, answer: ControlResponse) {
-        let OrderDelivery {
+    pub(super) fn deliver_result(&mut self, submission: usize, answer: ControlResponse) {
+        let CommandDelivery {
             lost_per_mille,
             scrambled,
         } = self.operators.delivery;
@@ -105,7 +106,7 @@
             let takes = USUALLY_TAKES + Duration::from_millis(late);
             self.after(
                 takes,
-                Action::OperatorAnswer {
+                Action::ReceiveSubmissionResult {
                     submission,
                     answer: answer.clone(),
                 },
@@ -113,20 +114,20 @@
         });
     }
 
-    pub(super) fn start_storm(&mut self, count: u32) {
-        self.operators.storm = Storm {
+    pub(super) fn start_command_storm(&mut self, count: u32) {
+        self.operators.storm = CommandStorm {
             left: count,
             sent: 0,
         };
-        self.feed_storm();
+        self.continue_command_storm();
     }
 
-    pub(super) fn end_storm(&mut self) {
+    pub(super) fn end_command_storm(&mut self) {
         self.operators.storm.left = 0;
     }
 
     /// Sends the storm's next orders, as many as may be under way.
-    pub(super) fn feed_storm(&mut self) {
+    pub(super) fn continue_command_storm(&mut self) {
         while self.operators.storm.left > 0 && self.operators.under_way() < MAX_UNDER_WAY {
             self.operators.storm.left -= 1;
             self.operators.storm.sent += 1;
@@ -136,17 +137,17 @@
 
     fn send_next_of_storm(&mut self, sent: u32) {
         match sent % 8 {
-            0 => self.submit_setup(0, None),
+            0 => self.submit_configuration(0, None),
             3 => {
                 let locality = self.shape.locality(sent as usize / 8 % 6);
                 let evacuation = self.submit_as(
-                    What::Evacuate {
+                    OperatorCommand::Evacuate {
                         locality: locality.clone(),
                         back: false,
                     },
                     false,
                 );
-                self.operators.submissions[evacuation].then = Some(What::Evacuate {
+                self.operators.submissions[evacuation].then = Some(OperatorCommand::Evacuate {
                     locality,
                     back: true,
                 });
@@ -164,17 +165,17 @@
         // Few routes: hundreds of these come. The number tells them apart.
         let bytes = self
             .shape
-            .numbered_setup(self.operators.configurations % 8, number);
-        self.note(Fact::Offered {
+            .versioned_configuration(self.operators.configurations % 8, number);
+        self.note(Observation::VersionSubmitted {
             number,
             digest: protocol::digest(bytes.as_bytes()),
         });
         self.operators.offered.push((number, bytes.clone()));
-        self.submit_as(What::Numbered { bytes, number }, anonymous);
+        self.submit_as(OperatorCommand::Numbered { bytes, number }, anonymous);
     }
 
     /// Two operators with different setups under one number, at the same moment.
-    pub(super) fn race_equal_numbers(&mut self) {
+    pub(super) fn race_equal_versions(&mut self) {
         let number = self.operators.highest_offered() + 1;
         let anonymous = self.random.below(2) == 0;
         (0..2).for_each(|_| self.offer(number, anonymous));
@@ -185,19 +186,19 @@
     pub(super) fn resend_oldest(&mut self) {
         let submissions = self.operators.submissions.iter().enumerate();
         let told_apart = submissions
-            .filter(|(_, submission)| submission.is_told_apart())
+            .filter(|(_, submission)| submission.is_distinguishable())
             .map(|(at, _)| at);
         let oldest: Vec<usize> = told_apart.take(OLDEST).collect();
         oldest.into_iter().for_each(|submission| {
             let late = Duration::from_millis(self.random.below(STRAY_COPY_MS));
-            self.after(late, Action::OperatorRepeat { submission });
+            self.after(late, Action::RepeatSubmission { submission });
         });
     }
 
     /// The order to evacuate a zone comes again every now and then, also after the zone was taken back.
     pub(super) fn evacuate_repeatedly(&mut self, locality: String) {
         let submission = self.submit_as(
-            What::Evacuate {
+            OperatorCommand::Evacuate {
                 locality,
                 back: false,
             },
@@ -207,7 +208,7 @@
             let late = Duration::from_millis(
                 at * EVACUATION_COPY_MS + self.random.below(EVACUATION_COPY_MS),
             );
-            self.after(late, Action::OperatorRepeat { submission });
+            self.after(late, Action::RepeatSubmission { submission });
         });
     }
 
@@ -215,7 +216,7 @@
     pub(super) fn evacuate_through(&mut self, node: usize, locality: String) {
         self.submit_through(
             Some(node),
-            What::Evacuate {
+            OperatorCommand::Evacuate {
                 locality,
                 back: false,
             },
@@ -224,7 +225,7 @@
     }
 
     /// What a node reads back that asks nobody.
-    pub(super) fn read_alone(&mut self, at: usize) {
+    pub(super) fn read_local_configuration(&mut self, at: usize) {
         let node = &self.nodes[at];
         if node.up && node.frozen.is_none() {
             let accepted = &node.disk.durable.accepted;
@@ -233,7 +234,7 @@
                 accepted.digest.clone(),
                 node.name.clone(),
             );
-            self.note(Fact::ReadBack {
+            self.note(Observation::ConfigurationRead {
                 node,
                 revision,
                 digest,
--- a/crates/simulator/src/signing_off.rs
+++ b/crates/simulator/src/deregistration.rs
@@ -6,29 +6,31 @@
 
 impl World {
     /// It signs off at one control node after the other until one acknowledges it. What it holds, it holds on.
-    pub(super) fn sign_off_first(&mut self, at: usize) {
+    pub(super) fn deregister_before_draining(&mut self, at: usize) {
         let control_nodes = self.control_nodes();
         let first = control_nodes[self.random.below(control_nodes.len() as u64) as usize];
-        let unit = &mut self.units[at];
-        if !unit.up || unit.condition != upstream_registry::READY {
+        let upstream = &mut self.upstreams[at];
+        if !upstream.up || upstream.condition != upstream_registry::READY {
             return;
         }
-        unit.condition = upstream_registry::DRAINING;
-        unit.leaves_by = Some(first);
-        unit.signed_off = true;
-        self.beat_once(at);
+        upstream.condition = upstream_registry::DRAINING;
+        upstream.draining_node = Some(first);
+        upstream.deregistered = true;
+        self.send_heartbeat(at);
     }
 
     /// True where an upstream says no more: its sign-off was acknowledged.
-    pub(super) fn is_silent(&self, at: usize) -> bool {
-        let unit = &self.units[at];
-        unit.signed_off && unit.taken_at.is_some() && !self.weak.lists_nothing_once_signed_off
+    pub(super) fn is_deregistered(&self, at: usize) -> bool {
+        let upstream = &self.upstreams[at];
+        upstream.deregistered
+            && upstream.draining_acked_at.is_some()
+            && !self.defects.lists_no_keys_after_deregistering
     }
 
     /// What an upstream says in its next call.
-    pub(super) fn beat_or_sign_off(&self, at: usize, told: Upstream) -> ControlRequest {
-        let unit = &self.units[at];
-        match (unit.signed_off, unit.taken_at) {
+    pub(super) fn heartbeat_or_deregister(&self, at: usize, told: Upstream) -> ControlRequest {
+        let upstream = &self.upstreams[at];
+        match (upstream.deregistered, upstream.draining_acked_at) {
             (false, _) => ControlRequest::Heartbeat(told),
             (true, None) => ControlRequest::Deregister {
                 instance: told.instance,
--- a/crates/simulator/src/disks.rs
+++ b/crates/simulator/src/disks.rs
@@ -16,48 +16,53 @@
 
 impl World {
     /// Departures are written beside all that waits for a sync.
-    pub(super) fn keep_departures(&mut self, at: usize, write_id: u64, departures: Vec<Departure>) {
-        let life = self.nodes[at].life;
+    pub(super) fn write_departures(
+        &mut self,
+        at: usize,
+        write_id: u64,
+        departures: Vec<Departure>,
+    ) {
+        let incarnation = self.nodes[at].incarnation;
         self.after(
             UNSYNCED,
-            Action::Departures {
+            Action::WriteDepartures {
                 node: at,
-                life,
+                incarnation,
                 write_id,
                 departures,
             },
         );
     }
 
-    pub(super) fn departures_kept(
+    pub(super) fn departures_written(
         &mut self,
         at: usize,
-        life: u64,
+        incarnation: u64,
         write_id: u64,
         departures: Vec<Departure>,
     ) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        if node.life != life {
+        if node.incarnation != incarnation {
             return;
         }
-        if node.frozen.is_some() || node.disk.hung || node.disk.refuses || node.disk.broken {
+        if node.frozen.is_some() || node.disk.hung || node.disk.rejects_writes || node.disk.broken {
             return self.after(
                 RETRY_EVERY,
-                Action::Departures {
+                Action::WriteDepartures {
                     node: at,
-                    life,
+                    incarnation,
                     write_id,
                     departures,
                 },
             );
         }
         node.disk.departures = Some((now, departures));
-        self.tell_disk(at, Event::DeparturesPersisted { write_id });
+        self.notify_disk_event(at, Event::DeparturesPersisted { write_id });
     }
 
     /// What a control node that starts now finds of departures.
-    pub(super) fn departures_found(&self, at: usize) -> Vec<Departure> {
+    pub(super) fn stored_departures(&self, at: usize) -> Vec<Departure> {
         let found = self.nodes[at].disk.departures.as_ref();
         let found = found.filter(|(written_at, _)| self.now < *written_at + DEPARTURES_REMEMBERED);
         found
@@ -66,31 +71,40 @@
     }
 
     /// The first write that waits is refused: it stays, and is tried again.
-    pub(super) fn refuse_write(&mut self, at: usize) {
-        if self.weak.gives_disks_up {
+    pub(super) fn reject_write(&mut self, at: usize) {
+        if self.defects.first_disk_error_is_final {
             self.nodes[at].disk.waiting.clear();
-            return self.tell_disk(at, Event::DiskFailed);
+            return self.notify_disk_event(at, Event::DiskFailed);
         }
         let node = &mut self.nodes[at];
-        let (life, told) = (node.life, std::mem::replace(&mut node.disk.retrying, true));
-        self.after(RETRY_EVERY, Action::Disk { node: at, life });
+        let (incarnation, told) = (
+            node.incarnation,
+            std::mem::replace(&mut node.disk.retrying, true),
+        );
+        self.after(
+            RETRY_EVERY,
+            Action::FinishWrite {
+                node: at,
+                incarnation,
+            },
+        );
         if !told {
-            self.tell_disk(at, Event::DiskRetrying);
+            self.notify_disk_event(at, Event::DiskRetrying);
         }
     }
 
     /// A write that was refused is taken.
-    pub(super) fn end_retries(&mut self, at: usize) {
+    pub(super) fn end_write_retries(&mut self, at: usize) {
         if std::mem::take(&mut self.nodes[at].disk.retrying) {
-            self.tell_disk(at, Event::DiskRecovered);
+            self.notify_disk_event(at, Event::DiskRecovered);
         }
     }
 
-    fn tell_disk(&mut self, at: usize, event: Event) {
+    fn notify_disk_event(&mut self, at: usize, event: Event) {
         let local = self.nodes[at].local(self.now);
         if let Core::ControlNode(control) = &mut self.nodes[at].core {
             let effects = control.step(local, event);
-            self.run_control(at, effects);
+            self.run_control_effects(at, effects);
         }
     }
 }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,7 +1,7 @@
 //! What is broken in a run, when, and how it heals.
 
-use super::connections::Manners;
-use super::world::LOAD_FROM;
+use super::connections::ConnectionFaults;
+use super::world::LOAD_STARTS_AT;
 use random::Random;
 use std::time::Duration;
 
@@ -10,82 +10,82 @@
 pub enum Fault {
     KillMachine(usize),
     /// Several machines at once.
-    KillHerd(Vec<usize>),
+    KillMachines(Vec<usize>),
     /// Power and disk of one machine are lost; it comes back blank.
     WipeMachine(usize),
     /// Its state is found rotten when it starts again.
-    RotSetups(usize),
+    CorruptConfigurations(usize),
     Freeze(usize),
     SlowDisk(usize),
-    BreakDisk(usize),
+    FailDisk(usize),
     /// A sync hangs, and goes on much later.
     HangDisk(usize),
     /// The power goes in the middle of a write, and the state can't be read any more.
-    TearState(usize),
+    TearStateWrite(usize),
     /// Two disks are lost at the same moment, while setups are submitted.
     WipeTwo(usize),
     /// The power is lost at this write from now on, before or right after it is synced; a blank disk mends meanwhile.
-    PowerAt {
+    PowerLossAtWrite {
         machine: usize,
         write: u32,
         synced: bool,
         wiped: bool,
     },
-    CutMachine(usize),
+    PartitionMachine(usize),
     /// It hears, but nobody hears it.
-    Mute(usize),
+    DropOutbound(usize),
     /// It speaks, but hears nobody.
-    Deaf(usize),
-    CutZone(usize),
-    CutRegion(usize),
-    DarkZone(usize),
-    DarkRegion(usize),
-    Loss(u64),
+    DropInbound(usize),
+    PartitionZone(usize),
+    PartitionRegion(usize),
+    ZonePowerLoss(usize),
+    RegionPowerLoss(usize),
+    PacketLoss(u64),
     RollingRestart,
-    CrashUnits(Vec<usize>),
+    CrashUpstreams(Vec<usize>),
     /// Leave with notice, and be replaced by a new instance on the same address.
-    Release(Vec<usize>),
+    RollUpstreams(Vec<usize>),
     /// Sign off without having left before, serve on, and are replaced by a new instance on the same address.
-    SignOffFirst(Vec<usize>),
+    DeregisterBeforeDraining(Vec<usize>),
     /// Vanish, and the address is taken by another service.
     ReuseAddress(usize),
     /// Every so-many-th upstream comes back cold.
-    ColdHerd(usize),
-    LoseAnswers(usize),
-    Garble(usize),
+    RestartCold(usize),
+    LoseResponses(usize),
+    GarbleResponses(usize),
     /// Every upstream of the first service garbles: a release that went wrong.
     BadRelease,
-    PauseUnit(usize),
+    PauseUpstream(usize),
     Evacuate(usize),
     /// A zone is evacuated while it is cut off.
-    EvacuateCut(usize),
-    SetupStorm,
+    EvacuatePartitionedZone(usize),
+    ConfigurationStorm,
     OperatorRace,
-    KillPlacement,
-    FreezePlacement,
+    KillPlacementHolder,
+    FreezePlacementHolder,
     /// While the voters found themselves, some are killed, one of them with its disk.
-    InterruptFounding(Vec<usize>),
+    InterruptBootstrap(Vec<usize>),
     /// One key takes most of the traffic.
     HotKey,
     /// Every upstream of the region-bound services vanishes.
-    HomesGone,
+    CrashHomeUpstreams,
     /// The next proxy that opens a connection is frozen at that moment; meanwhile the upstream it chose leaves, or
     /// its zone is evacuated.
     Ambush {
         evacuate: bool,
     },
     /// New upstreams start empty and cold; later they leave with notice.
-    Grow(usize),
+    AddUpstreams(usize),
     /// One zone after another is evacuated and taken back, so that names move on while marks are in use.
-    MoveNames,
+    EvacuateZonesInTurn,
     /// A machine's clock jumps ahead.
     JumpClock(usize, Duration),
     /// The placement holder's clock jumps ahead.
-    JumpPlacement(Duration),
+    JumpPlacementHolderClock(Duration),
     /// A part of the answers to beats with numeric keys takes up to 1.5 s longer.
-    LateAnswers,
+    DelayGrants,
     /// A setup every 120 ms, so many in all, while a disk is slow; then all postmasters are killed.
-    LongStorm(u32),
+    LongConfigurationStorm(u32),
     /// Machines of voters, one after the other in these places, are gone for good; an empty one comes for each 1 s
     /// later, or 5 s earlier where it is planned. Meanwhile setups come.
     ReplaceVoters {
@@ -106,54 +106,54 @@
     /// The same with disks that answer nothing for a while.
     DisksStallInTurn(u32),
     /// Operators race with numbers of their own, again and again; the step tells how often.
-    NumberRace(u32),
+    VersionRace(u32),
     /// So many of a thousand answers to operators are lost; the same order is sent again, to another node.
-    LoseOrderAnswers(u64),
+    LoseCommandResults(u64),
     /// Orders and their answers come late, doubled and in any order.
-    ScrambleOrders,
+    ReorderCommands,
     /// So many orders of all kinds, up to eight under way at once.
-    OrderStorm(u32),
+    CommandStorm(u32),
     /// The same, and at the end the oldest are sent again.
-    OldOrders(u32),
+    StaleCommandStorm(u32),
     /// Two operators offer different setups under one number at the same moment, to two nodes, so many times.
-    EqualNumbers(u32),
+    EqualVersions(u32),
     /// A zone is evacuated and taken back; the order to evacuate comes again before and after that, to other nodes.
     LateEvacuation(usize),
     /// An order without an id to evacuate a zone lies in a frozen node's sockets, while the zone is evacuated by another
     /// node and taken back.
     FrozenEvacuation(usize),
     /// A setup is accepted, and all postmasters end at that moment.
-    RestartPostmasters,
-    KillPostmasters,
+    RestartControlNodes,
+    KillControlNodes,
     /// Ends politely: what it has to do, it does, and nothing is lost.
     StopMachine(usize),
     /// A control machine is cut off from the others for some twenty seconds, while operators and upstreams reach it.
-    LongCut {
+    LongPartition {
         machine: usize,
-        how: LongCut,
+        how: LongPartition,
     },
     /// One control machine is cut off from all other machines.
-    CutPeers {
+    PartitionFromPeers {
         machine: usize,
-        hears: bool,
-        speaks: bool,
+        receives: bool,
+        sends: bool,
     },
     /// Operators send orders, and upstreams say that they leave, to this machine first.
-    AskThere(usize),
+    RouteCommandsTo(usize),
     /// Proxies keep connections, and upstreams behave like this on them.
-    Connections(Manners),
+    Connections(ConnectionFaults),
     /// Proxies keep connections, and some upstreams vanish while others take their addresses.
-    ReuseKept(Vec<usize>),
+    ReuseAddressesUnderKeepAlive(Vec<usize>),
 }
 
 /// How a control machine is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LongCut {
+pub enum LongPartition {
     BothWays,
     /// It hears, but nobody hears it.
-    Mute,
+    DropOutbound,
     /// It speaks, but hears nobody.
-    Deaf,
+    DropInbound,
     /// On and off, with less than a second between.
     Flapping,
     /// Its processes are restarted meanwhile.
@@ -163,7 +163,7 @@
 }
 
 /// How long such a cut lasts.
-pub(super) const LONG_CUT: Duration = Duration::from_secs(20);
+pub(super) const LONG_PARTITION: Duration = Duration::from_secs(20);
 
 /// How long a rolling restart gives each machine.
 pub(super) const RESTART_EVERY: Duration = Duration::from_millis(4500);
@@ -186,72 +186,87 @@
 /// How long after each other addresses change hands.
 pub(super) const REUSE_EVERY: Duration = Duration::from_millis(700);
 
-type Drawer = fn(&mut Random) -> Fault;
+type DrawFault = fn(&mut Random) -> Fault;
 
 /// Every kind of fault, as a seed draws it.
-pub const FAULTS: &[(&str, Drawer)] = &[
+pub const DRAWN_FAULTS: &[(&str, DrawFault)] = &[
     ("kill-machine", |d| Fault::KillMachine(d.below(99) as usize)),
     ("kill-herd", |d| {
-        Fault::KillHerd((0..3).map(|_| d.below(99) as usize).collect())
+        Fault::KillMachines((0..3).map(|_| d.below(99) as usize).collect())
     }),
     ("wipe-machine", |d| Fault::WipeMachine(d.below(6) as usize)),
-    ("rot-setups", |d| Fault::RotSetups(d.below(6) as usize)),
+    ("rot-setups", |d| {
+        Fault::CorruptConfigurations(d.below(6) as usize)
+    }),
     ("freeze", |d| Fault::Freeze(d.below(99) as usize)),
     ("slow-disk", |d| Fault::SlowDisk(d.below(6) as usize)),
-    ("break-disk", |d| Fault::BreakDisk(d.below(6) as usize)),
+    ("break-disk", |d| Fault::FailDisk(d.below(6) as usize)),
     ("hang-disk", |d| Fault::HangDisk(d.below(6) as usize)),
-    ("torn-state", |d| Fault::TearState(d.below(6) as usize)),
+    ("torn-state", |d| Fault::TearStateWrite(d.below(6) as usize)),
     ("wipe-two", |d| Fault::WipeTwo(d.below(6) as usize)),
     ("power-at-write", |d| {
         let (machine, write) = (d.below(6) as usize, d.below(8) as u32);
-        Fault::PowerAt {
+        Fault::PowerLossAtWrite {
             machine,
             write,
             synced: d.below(2) == 0,
             wiped: d.below(3) == 0,
         }
     }),
-    ("cut-machine", |d| Fault::CutMachine(d.below(99) as usize)),
-    ("mute", |d| Fault::Mute(d.below(99) as usize)),
-    ("deaf", |d| Fault::Deaf(d.below(99) as usize)),
-    ("cut-zone", |d| Fault::CutZone(d.below(6) as usize)),
-    ("cut-region", |d| Fault::CutRegion(d.below(3) as usize)),
-    ("dark-zone", |d| Fault::DarkZone(d.below(6) as usize)),
-    ("dark-region", |d| Fault::DarkRegion(d.below(3) as usize)),
-    ("loss", |d| Fault::Loss(20 + d.below(130))),
+    ("cut-machine", |d| {
+        Fault::PartitionMachine(d.below(99) as usize)
+    }),
+    ("mute", |d| Fault::DropOutbound(d.below(99) as usize)),
+    ("deaf", |d| Fault::DropInbound(d.below(99) as usize)),
+    ("cut-zone", |d| Fault::PartitionZone(d.below(6) as usize)),
+    (
+        "cut-region",
+        |d| Fault::PartitionRegion(d.below(3) as usize),
+    ),
+    ("dark-zone", |d| Fault::ZonePowerLoss(d.below(6) as usize)),
+    ("dark-region", |d| {
+        Fault::RegionPowerLoss(d.below(3) as usize)
+    }),
+    ("loss", |d| Fault::PacketLoss(20 + d.below(130))),
     ("rolling-restart", |_| Fault::RollingRestart),
     ("crash-units", |d| {
-        Fault::CrashUnits((0..5).map(|_| d.below(99) as usize).collect())
+        Fault::CrashUpstreams((0..5).map(|_| d.below(99) as usize).collect())
     }),
     ("release", |d| {
-        Fault::Release((0..6).map(|_| d.below(99) as usize).collect())
+        Fault::RollUpstreams((0..6).map(|_| d.below(99) as usize).collect())
     }),
     ("reuse-address", |d| {
         Fault::ReuseAddress(d.below(99) as usize)
     }),
-    ("cold-herd", |_| Fault::ColdHerd(2)),
-    ("cold-all", |_| Fault::ColdHerd(1)),
-    ("lose-answers", |d| Fault::LoseAnswers(d.below(99) as usize)),
-    ("garble", |d| Fault::Garble(d.below(99) as usize)),
+    ("cold-herd", |_| Fault::RestartCold(2)),
+    ("cold-all", |_| Fault::RestartCold(1)),
+    ("lose-answers", |d| {
+        Fault::LoseResponses(d.below(99) as usize)
+    }),
+    ("garble", |d| Fault::GarbleResponses(d.below(99) as usize)),
     ("bad-release", |_| Fault::BadRelease),
-    ("pause-unit", |d| Fault::PauseUnit(d.below(99) as usize)),
+    ("pause-unit", |d| Fault::PauseUpstream(d.below(99) as usize)),
     ("evacuate", |d| Fault::Evacuate(d.below(6) as usize)),
-    ("evacuate-cut", |d| Fault::EvacuateCut(d.below(6) as usize)),
-    ("setup-storm", |_| Fault::SetupStorm),
+    ("evacuate-cut", |d| {
+        Fault::EvacuatePartitionedZone(d.below(6) as usize)
+    }),
+    ("setup-storm", |_| Fault::ConfigurationStorm),
     ("operator-race", |_| Fault::OperatorRace),
-    ("kill-placement", |_| Fault::KillPlacement),
-    ("freeze-placement", |_| Fault::FreezePlacement),
+    ("kill-placement", |_| Fault::KillPlacementHolder),
+    ("freeze-placement", |_| Fault::FreezePlacementHolder),
     ("founding", |d| {
-        Fault::InterruptFounding((0..3).map(|_| d.below(6) as usize).collect())
+        Fault::InterruptBootstrap((0..3).map(|_| d.below(6) as usize).collect())
     }),
     ("hot-key", |_| Fault::HotKey),
-    ("homes-gone", |_| Fault::HomesGone),
+    ("homes-gone", |_| Fault::CrashHomeUpstreams),
     ("ambush-leave", |_| Fault::Ambush { evacuate: false }),
     ("ambush-evacuate", |_| Fault::Ambush { evacuate: true }),
-    ("grow-shrink", |d| Fault::Grow(3 + d.below(6) as usize)),
-    ("move-names", |_| Fault::MoveNames),
+    ("grow-shrink", |d| {
+        Fault::AddUpstreams(3 + d.below(6) as usize)
+    }),
+    ("move-names", |_| Fault::EvacuateZonesInTurn),
     ("jump-placement", |d| {
-        Fault::JumpPlacement(Duration::from_millis(550 + d.below(900)))
+        Fault::JumpPlacementHolderClock(Duration::from_millis(550 + d.below(900)))
     }),
     ("jump-clock", |d| {
         Fault::JumpClock(
@@ -262,72 +277,74 @@
 ];
 
 /// Further kinds, which no seed draws by itself: so the drawn plans of known seeds stay as they were.
-pub const FURTHER: &[(&str, Drawer)] = &[
-    ("late-answers", |_| Fault::LateAnswers),
+pub const EXTRA_FAULTS: &[(&str, DrawFault)] = &[
+    ("late-answers", |_| Fault::DelayGrants),
     ("sign-off-first", |d| {
-        Fault::SignOffFirst((0..6).map(|_| d.below(99) as usize).collect())
+        Fault::DeregisterBeforeDraining((0..6).map(|_| d.below(99) as usize).collect())
     }),
-    ("number-race", |_| Fault::NumberRace(6)),
-    ("restart-postmasters", |_| Fault::RestartPostmasters),
+    ("number-race", |_| Fault::VersionRace(6)),
+    ("restart-postmasters", |_| Fault::RestartControlNodes),
     ("kept-connections", |_| {
-        Fault::Connections(Manners::default())
+        Fault::Connections(ConnectionFaults::default())
     }),
     ("surplus-answers", |_| {
-        Fault::Connections(Manners {
-            surplus_per_mille: 300,
-            ..Manners::default()
+        Fault::Connections(ConnectionFaults {
+            duplicates_per_mille: 300,
+            ..ConnectionFaults::default()
         })
     }),
     ("upstream-resets", |_| {
-        Fault::Connections(Manners {
+        Fault::Connections(ConnectionFaults {
             resets_per_mille: 60,
-            ..Manners::default()
+            ..ConnectionFaults::default()
         })
     }),
     ("upstream-hangs", |_| {
-        Fault::Connections(Manners {
+        Fault::Connections(ConnectionFaults {
             hangs_per_mille: 20,
-            ..Manners::default()
+            ..ConnectionFaults::default()
         })
     }),
     ("kept-reuse", |d| {
-        Fault::ReuseKept((0..5).map(|_| d.below(99) as usize).collect())
+        Fault::ReuseAddressesUnderKeepAlive((0..5).map(|_| d.below(99) as usize).collect())
     }),
-    ("long-cut", |d| Fault::LongCut {
+    ("long-cut", |d| Fault::LongPartition {
         machine: d.below(6) as usize,
-        how: LongCut::BothWays,
+        how: LongPartition::BothWays,
     }),
-    ("long-cut-mute", |d| Fault::LongCut {
+    ("long-cut-mute", |d| Fault::LongPartition {
         machine: d.below(6) as usize,
-        how: LongCut::Mute,
+        how: LongPartition::DropOutbound,
     }),
-    ("long-cut-deaf", |d| Fault::LongCut {
+    ("long-cut-deaf", |d| Fault::LongPartition {
         machine: d.below(6) as usize,
-        how: LongCut::Deaf,
+        how: LongPartition::DropInbound,
     }),
-    ("long-cut-flapping", |d| Fault::LongCut {
+    ("long-cut-flapping", |d| Fault::LongPartition {
         machine: d.below(6) as usize,
-        how: LongCut::Flapping,
+        how: LongPartition::Flapping,
     }),
-    ("long-cut-restarted", |d| Fault::LongCut {
+    ("long-cut-restarted", |d| Fault::LongPartition {
         machine: d.below(6) as usize,
-        how: LongCut::Restarted,
+        how: LongPartition::Restarted,
     }),
-    ("long-cut-seeds", |d| Fault::LongCut {
+    ("long-cut-seeds", |d| Fault::LongPartition {
         machine: d.below(6) as usize,
-        how: LongCut::Seeds,
+        how: LongPartition::Seeds,
     }),
     ("replace-voters", |d| drawn_replacements(d, false)),
     ("replace-planned", |d| drawn_replacements(d, true)),
-    ("long-storm", |_| Fault::LongStorm(200)),
+    ("long-storm", |_| Fault::LongConfigurationStorm(200)),
     ("refuse-disk", |d| Fault::RefuseDisk(d.below(6) as usize)),
     ("disks-full-in-turn", |_| Fault::DisksFullInTurn(100)),
     ("disks-stall-in-turn", |_| Fault::DisksStallInTurn(100)),
-    ("lost-acks", |d| Fault::LoseOrderAnswers(500 + d.below(400))),
-    ("late-orders", |_| Fault::ScrambleOrders),
-    ("order-storm", |_| Fault::OrderStorm(300)),
-    ("old-orders", |_| Fault::OldOrders(300)),
-    ("equal-numbers", |_| Fault::EqualNumbers(8)),
+    ("lost-acks", |d| {
+        Fault::LoseCommandResults(500 + d.below(400))
+    }),
+    ("late-orders", |_| Fault::ReorderCommands),
+    ("order-storm", |_| Fault::CommandStorm(300)),
+    ("old-orders", |_| Fault::StaleCommandStorm(300)),
+    ("equal-numbers", |_| Fault::EqualVersions(8)),
     ("late-evacuation", |d| {
         Fault::LateEvacuation(d.below(6) as usize)
     }),
@@ -353,7 +370,10 @@
 /// assert!(simulator::fault_names().any(|name| name == "late-answers"));
 /// ```
 pub fn fault_names() -> impl Iterator<Item = &'static str> + Clone {
-    FAULTS.iter().chain(FURTHER).map(|(name, _)| *name)
+    DRAWN_FAULTS
+        .iter()
+        .chain(EXTRA_FAULTS)
+        .map(|(name, _)| *name)
 }
 
 /// One fault and its span.
@@ -393,12 +413,12 @@
         if name == "quiet" {
             return Some(Plan::quiet());
         }
-        let drawers: Option<Vec<Drawer>> = name
+        let drawers: Option<Vec<DrawFault>> = name
             .split('+')
             .map(|part| {
-                FAULTS
+                DRAWN_FAULTS
                     .iter()
-                    .chain(FURTHER)
+                    .chain(EXTRA_FAULTS)
                     .find(|(known, _)| *known == part)
                     .map(|(_, draw)| *draw)
             })
@@ -414,7 +434,7 @@
     pub(super) fn drawn(random: &mut Random) -> Plan {
         let count = 1 + random.below(2);
         let steps = (0..count).map(|_| {
-            let (_, draw) = FAULTS[random.below(FAULTS.len() as u64) as usize];
+            let (_, draw) = DRAWN_FAULTS[random.below(DRAWN_FAULTS.len() as u64) as usize];
             Step::drawn(random, draw)
         });
         Plan {
@@ -424,26 +444,28 @@
 }
 
 impl Step {
-    fn drawn(random: &mut Random, draw: Drawer) -> Step {
+    fn drawn(random: &mut Random, draw: DrawFault) -> Step {
         let fault = draw(random);
         let at = match fault {
-            Fault::InterruptFounding(_) => Duration::from_millis(100 + random.below(1500)),
-            _ => LOAD_FROM + Duration::from_millis(2000 + random.below(6000)),
+            Fault::InterruptBootstrap(_) => Duration::from_millis(100 + random.below(1500)),
+            _ => LOAD_STARTS_AT + Duration::from_millis(2000 + random.below(6000)),
         };
         let until = match fault {
             Fault::RollingRestart => at + RESTART_EVERY * 15,
             Fault::ReplaceVoters {
                 ref places, gap, ..
             } => at + gap * (places.len() as u32 + 1),
-            Fault::LongStorm(count)
+            Fault::LongConfigurationStorm(count)
             | Fault::DisksFullInTurn(count)
             | Fault::DisksStallInTurn(count) => at + STORM_GAP * (count + 1) + STORM_SETTLES,
-            Fault::MoveNames => at + MOVE_EVERY * 6,
+            Fault::EvacuateZonesInTurn => at + MOVE_EVERY * 6,
             // The last address changes hands before it is over.
-            Fault::ReuseKept(ref units) => at + REUSE_EVERY * (units.len() as u32 + 2),
-            Fault::LongCut { .. } => at + LONG_CUT,
-            Fault::OrderStorm(_) | Fault::OldOrders(_) => at + STORM_TAKES,
-            Fault::InterruptFounding(_) => at + Duration::from_millis(200 + random.below(1000)),
+            Fault::ReuseAddressesUnderKeepAlive(ref upstreams) => {
+                at + REUSE_EVERY * (upstreams.len() as u32 + 2)
+            }
+            Fault::LongPartition { .. } => at + LONG_PARTITION,
+            Fault::CommandStorm(_) | Fault::StaleCommandStorm(_) => at + STORM_TAKES,
+            Fault::InterruptBootstrap(_) => at + Duration::from_millis(200 + random.below(1000)),
             Fault::Ambush { .. } => at + Duration::from_millis(6000 + random.below(3000)),
             _ => at + Duration::from_millis(1500 + random.below(9000)),
         };
--- a/crates/simulator/src/grants.rs
+++ b/crates/simulator/src/grants.rs
@@ -7,9 +7,9 @@
 ///
 /// ```
 /// let json = config::JsonValue::parse(r#"{"shares": [{"from": 3, "until": 5, "epoch": 7}]}"#).unwrap();
-/// assert_eq!(simulator::grants::given_slots(&json).into_iter().collect::<Vec<_>>(), [(3, 7), (4, 7)]);
+/// assert_eq!(simulator::grants::granted_slots(&json).into_iter().collect::<Vec<_>>(), [(3, 7), (4, 7)]);
 /// ```
-pub fn given_slots(json: &JsonValue) -> BTreeMap<u32, u64> {
+pub fn granted_slots(json: &JsonValue) -> BTreeMap<u32, u64> {
     json.list("shares")
         .iter()
         .filter_map(|run| Some((run.count("from")?, run.count("until")?, run.count("epoch")?)))
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -4,27 +4,27 @@
 use crate::shapes::Shape;
 
 mod breaking;
+mod command_faults;
 mod connections;
-mod cuts;
+mod deregistration;
 mod disks;
 mod faults;
 pub mod grants;
-mod net;
+mod network;
 mod nodes;
 mod operators;
-mod order_faults;
 pub mod overload;
+mod partitions;
 mod path;
-mod ranged;
+mod range_leases;
 pub mod report;
 pub mod seeds;
 pub mod shapes;
-mod signing_off;
-mod units;
+mod upstreams;
 mod world;
 
-pub use faults::{FAULTS, FURTHER, Fault, LongCut, Plan, Step, fault_names};
-pub use world::{Load, Outcome, VoterLoss, Weakness, World};
+pub use faults::{DRAWN_FAULTS, EXTRA_FAULTS, Fault, LongPartition, Plan, Step, fault_names};
+pub use world::{Defects, LoadProfile, Outcome, VoterLoss, World};
 
 /// Runs one seed under a plan; without one, the seed draws its own.
 ///
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/network.rs
@@ -7,13 +7,13 @@
 
 /// Where one end of a message stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct Endpoint {
     /// A machine's number; upstreams and origins have none.
     pub machine: Option<usize>,
     pub locality: String,
 }
 
-impl Place {
+impl Endpoint {
     fn region(&self) -> &str {
         self.locality.split('/').next().unwrap_or_default()
     }
@@ -21,52 +21,52 @@
 
 /// What keeps two ends apart.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Cut {
-    /// One machine, from everything; `hears` or `speaks` may still work.
+pub enum Partition {
+    /// One machine, from everything; `receives` or `sends` may still work.
     Machine {
         machine: usize,
-        hears: bool,
-        speaks: bool,
+        receives: bool,
+        sends: bool,
     },
     /// One machine from all other machines, while upstreams and origins still reach it.
     Peers {
         machine: usize,
-        hears: bool,
-        speaks: bool,
+        receives: bool,
+        sends: bool,
     },
     Zone(String),
     Region(String),
 }
 
-impl Cut {
-    fn blocks(&self, from: &Place, to: &Place) -> bool {
+impl Partition {
+    fn blocks(&self, from: &Endpoint, to: &Endpoint) -> bool {
         match self {
-            Cut::Peers { .. } if from.machine.is_none() || to.machine.is_none() => false,
-            Cut::Machine {
+            Partition::Peers { .. } if from.machine.is_none() || to.machine.is_none() => false,
+            Partition::Machine {
                 machine,
-                hears,
-                speaks,
+                receives,
+                sends,
             }
-            | Cut::Peers {
+            | Partition::Peers {
                 machine,
-                hears,
-                speaks,
+                receives,
+                sends,
             } => {
                 let (out, into) = (from.machine == Some(*machine), to.machine == Some(*machine));
-                out != into && ((out && !speaks) || (into && !hears))
+                out != into && ((out && !sends) || (into && !receives))
             }
-            Cut::Zone(zone) => (from.locality == *zone) != (to.locality == *zone),
-            Cut::Region(region) => (from.region() == region) != (to.region() == region),
+            Partition::Zone(zone) => (from.locality == *zone) != (to.locality == *zone),
+            Partition::Region(region) => (from.region() == region) != (to.region() == region),
         }
     }
 }
 
 /// Bytes that the nodes said to one another, by what they were about: within a zone, between the zones of a region, and
 /// between regions.
-pub type Spoken = BTreeMap<&'static str, [u64; 3]>;
+pub type TrafficByTopic = BTreeMap<&'static str, [u64; 3]>;
 
 /// What a message is about.
-pub fn about(body: &Payload) -> &'static str {
+pub fn topic(body: &Payload) -> &'static str {
     match body {
         Payload::Probe(_) | Payload::IndirectProbe(_) | Payload::ProbeReply(_) => "membership",
         Payload::Read(_)
@@ -99,23 +99,23 @@
 
 /// The network's state.
 #[derive(Default)]
-pub struct Net {
-    pub cuts: Vec<Cut>,
+pub struct Network {
+    pub partitions: Vec<Partition>,
     /// Of a thousand messages, how many are lost.
     pub loss_per_mille: u64,
-    pub spoken: Spoken,
+    pub traffic: TrafficByTopic,
     /// When the last message of a link arrives: links keep their order.
     last: BTreeMap<(usize, usize), Duration>,
 }
 
-impl Net {
+impl Network {
     /// True where nothing gets from one end to the other.
-    pub fn blocked(&self, from: &Place, to: &Place) -> bool {
-        self.cuts.iter().any(|cut| cut.blocks(from, to))
+    pub fn blocked(&self, from: &Endpoint, to: &Endpoint) -> bool {
+        self.partitions.iter().any(|cut| cut.blocks(from, to))
     }
 
     /// How long a message takes; none where it is lost.
-    pub fn delay(&self, random: &mut Random, from: &Place, to: &Place) -> Option<Duration> {
+    pub fn delay(&self, random: &mut Random, from: &Endpoint, to: &Endpoint) -> Option<Duration> {
         let lost = self.blocked(from, to) || random.below(1000) < self.loss_per_mille;
         let base = match (from.locality == to.locality, from.region() == to.region()) {
             (true, _) => 200,
@@ -127,10 +127,10 @@
     }
 
     /// Counts what was said between two ends.
-    pub fn count(&mut self, from: &Place, to: &Place, body: &Payload, bytes: usize) {
+    pub fn count(&mut self, from: &Endpoint, to: &Endpoint, body: &Payload, bytes: usize) {
         let far =
             usize::from(from.locality != to.locality) + usize::from(from.region() != to.region());
-        self.spoken.entry(about(body)).or_default()[far] += bytes as u64;
+        self.traffic.entry(topic(body)).or_default()[far] += bytes as u64;
     }
 
     /// When a message on a link arrives: never before an earlier one.
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -1,7 +1,7 @@
 //! Postmasters and carriers in the simulator: their cores, their disks, their effects.
 
-use super::net::Place;
-use super::path::Trip;
+use super::network::Endpoint;
+use super::path::Exchange;
 use super::world::{Action, World};
 use config::{Configuration, ValidationError};
 use control_plane::{ControlNode, ControlRequest, ControlResponse};
@@ -49,19 +49,19 @@
         asked_at: Duration,
     },
     Request {
-        trip: u64,
+        exchange: u64,
         request: super::path::Request,
     },
     Connected {
-        trip: u64,
+        exchange: u64,
         send: u32,
-        life: (usize, u64),
+        incarnation: (usize, u64),
     },
-    CallError {
-        trip: u64,
+    WakeUp {
+        exchange: u64,
     },
-    CallOutcome {
-        trip: u64,
+    CallEnded {
+        exchange: u64,
         send: u32,
         outcome: CallOutcome,
         reply: Option<super::path::Reply>,
@@ -86,7 +86,7 @@
     pub slowed: Duration,
     pub broken: bool,
     /// It takes no writes; each is tried again until it is done.
-    pub refuses: bool,
+    pub rejects_writes: bool,
     /// The core was told that a write is tried again.
     pub retrying: bool,
     /// A sync that was begun does not end.
@@ -95,8 +95,8 @@
     pub power_at: Option<(u32, bool)>,
     /// What a disk that lies still has after a power cut.
     pub early: DurableState,
-    /// See [`super::Weakness::drops_newest`].
-    pub drops_newest: bool,
+    /// See [`super::Defects::deletes_newest_configurations`].
+    pub deletes_newest_configurations: bool,
 }
 
 impl Disk {
@@ -111,14 +111,16 @@
                 Some(write_id)
             }
             Write::Configuration(write_id, digest, bytes) => {
-                if !self.drops_newest || self.configurations.len() < MAX_KEPT_BLINDLY {
+                if !self.deletes_newest_configurations
+                    || self.configurations.len() < MAX_KEPT_BLINDLY
+                {
                     self.configurations.insert(digest, bytes);
                 }
                 Some(write_id)
             }
             Write::Drop(digest) => {
                 self.configurations
-                    .retain(|known, _| *known != digest || self.drops_newest);
+                    .retain(|known, _| *known != digest || self.deletes_newest_configurations);
                 None
             }
         }
@@ -135,46 +137,46 @@
 pub struct Node {
     pub name: String,
     pub machine: usize,
-    pub place: Place,
+    pub place: Endpoint,
     pub up: bool,
     /// Gone for good: it never starts again.
     pub removed: bool,
     /// Counts starts, so that what belonged to an earlier life is dropped.
-    pub life: u64,
+    pub incarnation: u64,
     pub started_at: Duration,
     pub core: Core,
     pub disk: Disk,
     /// While frozen: since when, and what waits in its sockets.
     pub frozen: Option<(Duration, Vec<NodeEvent>)>,
     pub site: ProxyContext,
-    is_office: bool,
+    is_control_node: bool,
     /// When a carrier sweeps its board next, by its own clock.
     next_sweep: Duration,
     /// How its clock runs, in parts of a million more than true time.
     drift: i64,
     /// How far its clock jumped ahead, and how long it stood still, since the start.
-    pub jumped: Duration,
-    stood: Duration,
+    pub clock_jump: Duration,
+    suspended_for: Duration,
 }
 
 impl Node {
-    pub fn carrier(&self) -> Option<&DataNode> {
+    pub fn data_node(&self) -> Option<&DataNode> {
         match &self.core {
-            Core::DataNode(carrier, _) => Some(carrier),
+            Core::DataNode(data_node, _) => Some(data_node),
             _ => None,
         }
     }
 
-    pub fn is_office(&self) -> bool {
-        self.is_office
+    pub fn is_control_node(&self) -> bool {
+        self.is_control_node
     }
 
     /// What its clock says: time since its start, as it counts it.
     pub fn local(&self, now: Duration) -> Duration {
         let lived = now
             .saturating_sub(self.started_at)
-            .saturating_sub(self.stood);
-        lived.mul_f64(1.0 + self.drift as f64 / 1e6) + self.jumped
+            .saturating_sub(self.suspended_for);
+        lived.mul_f64(1.0 + self.drift as f64 / 1e6) + self.clock_jump
     }
 }
 
@@ -187,7 +189,7 @@
 }
 
 impl World {
-    pub(super) fn lay_out_nodes(&mut self) {
+    pub(super) fn create_nodes(&mut self) {
         let kinds = |machine: usize, disks: usize| {
             if machine < disks {
                 vec![true, false]
@@ -197,22 +199,26 @@
         };
         for machine in 0..self.shape.machines {
             let locality = self.shape.locality(machine);
-            for is_office in kinds(machine, self.shape.disks) {
-                self.lay_out_node(machine, &locality, is_office);
+            for is_control_node in kinds(machine, self.shape.disks) {
+                self.create_node(machine, &locality, is_control_node);
             }
         }
         (0..self.nodes.len()).for_each(|node| self.start(node));
     }
 
-    fn lay_out_node(&mut self, machine: usize, locality: &str, is_office: bool) {
+    fn create_node(&mut self, machine: usize, locality: &str, is_control_node: bool) {
         let name = format!(
             "{}-{machine}",
-            if is_office { "postmaster" } else { "carrier" }
+            if is_control_node {
+                "postmaster"
+            } else {
+                "carrier"
+            }
         );
         let zone: Locality = locality.parse().unwrap_or_default();
-        let site = ProxyContext::new(&name, zone, self.weak.stale_after, self.load.wait_for);
+        let site = ProxyContext::new(&name, zone, self.defects.stale_after, self.load.wait_for);
         let drift = self.random.below(2 * DRIFT) as i64 - DRIFT as i64;
-        let place = Place {
+        let place = Endpoint {
             machine: Some(machine),
             locality: locality.to_owned(),
         };
@@ -222,17 +228,17 @@
             place,
             up: false,
             removed: false,
-            life: 0,
+            incarnation: 0,
             started_at: Duration::ZERO,
             core: Core::Down,
             disk: Disk::default(),
             frozen: None,
             site,
-            is_office,
+            is_control_node,
             next_sweep: Duration::ZERO,
             drift,
-            jumped: Duration::ZERO,
-            stood: Duration::ZERO,
+            clock_jump: Duration::ZERO,
+            suspended_for: Duration::ZERO,
         });
     }
 
@@ -245,8 +251,8 @@
             .max()
             .unwrap_or(0);
         let locality = self.shape.locality(place_of);
-        for is_office in [true, false] {
-            self.lay_out_node(machine, &locality, is_office);
+        for is_control_node in [true, false] {
+            self.create_node(machine, &locality, is_control_node);
             self.start(self.nodes.len() - 1);
         }
     }
@@ -255,7 +261,7 @@
     pub(super) fn machine_in_place_of(&self, machine: usize) -> Option<usize> {
         let locality = self.shape.locality(machine);
         let there =
-            |node: &&Node| node.is_office && !node.removed && node.place.locality == locality;
+            |node: &&Node| node.is_control_node && !node.removed && node.place.locality == locality;
         self.nodes.iter().find(there).map(|node| node.machine)
     }
 
@@ -273,13 +279,13 @@
 
     pub(super) fn control_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len())
-            .filter(|at| self.nodes[*at].is_office() && !self.nodes[*at].removed)
+            .filter(|at| self.nodes[*at].is_control_node() && !self.nodes[*at].removed)
             .collect()
     }
 
-    pub(super) fn carriers(&self) -> Vec<usize> {
+    pub(super) fn data_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len())
-            .filter(|at| !self.nodes[*at].is_office() && !self.nodes[*at].removed)
+            .filter(|at| !self.nodes[*at].is_control_node() && !self.nodes[*at].removed)
             .collect()
     }
 
@@ -289,7 +295,7 @@
         let seeds: Vec<String> = self
             .nodes
             .iter()
-            .filter(|node| node.is_office && !node.removed)
+            .filter(|node| node.is_control_node && !node.removed)
             .take(3)
             .map(|node| node.name.clone())
             .collect();
@@ -297,27 +303,27 @@
         let settings =
             config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap_or_default();
         let initial_voter_count = self.shape.disks;
-        let reader = if self.weak.unnumbered {
+        let reader = if self.defects.ignores_versions {
             ConfigurationParser(read_unnumbered)
         } else {
             ConfigurationParser::default()
         };
         let now = self.now;
-        let departures = self.departures_found(at);
+        let departures = self.stored_departures(at);
         let node = &mut self.nodes[at];
         if node.removed {
             return;
         }
         node.up = true;
-        node.life += 1;
+        node.incarnation += 1;
         node.started_at = now;
         node.frozen = None;
         node.next_sweep = Duration::ZERO;
-        (node.jumped, node.stood) = (Duration::ZERO, Duration::ZERO);
+        (node.clock_jump, node.suspended_for) = (Duration::ZERO, Duration::ZERO);
         let me = Member {
             node: node.name.clone(),
             locality: node.place.locality.clone(),
-            roles: if node.is_office {
+            roles: if node.is_control_node {
                 "postmaster"
             } else {
                 "proxy,directory"
@@ -328,12 +334,12 @@
             http_address: node.name.clone(),
             ..Member::default()
         };
-        node.core = if node.is_office {
+        node.core = if node.is_control_node {
             let (durable, configurations) =
                 (node.disk.durable.clone(), node.disk.configurations.clone());
             node.disk.waiting.clear();
             let times = control_plane::daemon::times(&settings);
-            let longest_step = if self.weak.counts_jumps {
+            let longest_step = if self.defects.lease_counts_clock_jumps {
                 Duration::MAX
             } else {
                 times.longest_step
@@ -368,38 +374,46 @@
                 Box::default(),
             )
         };
-        let life = node.life;
+        let incarnation = node.incarnation;
         // Not all tick at the same moment.
         let first = now + Duration::from_micros(self.random.below(50_000));
-        self.at(first, Action::Tick { node: at, life });
+        self.at(
+            first,
+            Action::Tick {
+                node: at,
+                incarnation,
+            },
+        );
     }
 
     /// Kills a process: memory and unsynced writes are gone.
     pub(super) fn kill(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.up = false;
-        node.life += 1;
+        node.incarnation += 1;
         node.core = Core::Down;
         node.frozen = None;
         node.disk.waiting.clear();
-        if self.weak.disks_lie {
+        if self.defects.disks_lose_synced_writes {
             node.disk.durable = std::mem::take(&mut node.disk.early);
         }
         let gone: Vec<u64> = self
-            .trips
+            .exchanges
             .iter()
-            .filter(|(_, trip)| trip.node == at)
+            .filter(|(_, exchange)| exchange.node == at)
             .map(|(id, _)| *id)
             .collect();
         gone.into_iter().for_each(|id| {
-            let trip = self.trips.remove(&id);
-            trip.into_iter().for_each(|trip| self.lose(&trip));
+            let exchange = self.exchanges.remove(&id);
+            exchange
+                .into_iter()
+                .for_each(|exchange| self.lose(&exchange));
         });
     }
 
     /// The connection of a request dies with the process that served it.
-    fn lose(&mut self, trip: &Trip) {
-        self.reply(trip, Err(transport::CallError::ConnectionLost));
+    fn lose(&mut self, exchange: &Exchange) {
+        self.reply(exchange, Err(transport::CallError::ConnectionLost));
     }
 
     /// Asks a process to end; it does so once it owes nothing.
@@ -408,12 +422,12 @@
         match &mut self.nodes[at].core {
             Core::ControlNode(control) => {
                 let effects = control.step(local, control_plane::Event::Shutdown);
-                self.run_control(at, effects);
+                self.run_control_effects(at, effects);
                 self.end_if_done(at);
             }
-            Core::DataNode(carrier, _) => {
-                let effects = carrier.step(local, data_plane::Event::Close);
-                self.run_carrier(at, effects);
+            Core::DataNode(data_node, _) => {
+                let effects = data_node.step(local, data_plane::Event::Close);
+                self.run_data_node(at, effects);
             }
             Core::Down => {}
         }
@@ -425,9 +439,9 @@
             return self.kill(at);
         }
         let denies = self.nodes[at]
-            .carrier()
-            .is_some_and(|carrier| carrier.phase() == data_plane::Phase::Denying);
-        if denies && !self.trips.values().any(|trip| trip.node == at) {
+            .data_node()
+            .is_some_and(|data_node| data_node.phase() == data_plane::Phase::Denying);
+        if denies && !self.exchanges.values().any(|exchange| exchange.node == at) {
             self.kill(at);
         }
     }
@@ -445,25 +459,43 @@
             .frozen
             .take()
             .unwrap_or((self.now, Vec::new()));
-        if self.weak.stands_still {
-            self.nodes[at].stood += self.now - since;
+        if self.defects.clock_stops_while_suspended {
+            self.nodes[at].suspended_for += self.now - since;
         }
-        let life = self.nodes[at].life;
+        let incarnation = self.nodes[at].incarnation;
         if self.nodes[at].up {
             waiting
                 .into_iter()
                 .for_each(|event| self.after(Duration::ZERO, Action::Deliver { node: at, event }));
-            self.after(Duration::ZERO, Action::Tick { node: at, life });
-            self.after(Duration::from_millis(1), Action::Disk { node: at, life });
+            self.after(
+                Duration::ZERO,
+                Action::Tick {
+                    node: at,
+                    incarnation,
+                },
+            );
+            self.after(
+                Duration::from_millis(1),
+                Action::FinishWrite {
+                    node: at,
+                    incarnation,
+                },
+            );
         }
     }
 
-    pub(super) fn tick(&mut self, at: usize, life: u64) {
+    pub(super) fn tick(&mut self, at: usize, incarnation: u64) {
         let node = &self.nodes[at];
-        if node.life != life || node.frozen.is_some() {
+        if node.incarnation != incarnation || node.frozen.is_some() {
             return;
         }
-        self.after(TICK, Action::Tick { node: at, life });
+        self.after(
+            TICK,
+            Action::Tick {
+                node: at,
+                incarnation,
+            },
+        );
         self.step_node(at, None);
     }
 
@@ -491,19 +523,19 @@
                     Some(_) => return,
                 };
                 let effects = control.step(local, event);
-                self.run_control(at, effects);
+                self.run_control_effects(at, effects);
                 self.end_if_done(at);
             }
-            Core::DataNode(carrier, board) => {
+            Core::DataNode(data_node, proxy_stats) => {
                 use data_plane::Event;
                 if event.is_none() && local >= node.next_sweep {
                     node.next_sweep = local + Duration::from_secs(1);
-                    let counts = board.drain_key_loads();
-                    if !self.weak.uncounted {
-                        carrier.step(local, Event::Counted(counts));
+                    let counts = proxy_stats.drain_key_loads();
+                    if !self.defects.drops_key_counts {
+                        data_node.step(local, Event::Counted(counts));
                     }
-                    let view = carrier.view();
-                    board.sweep(local, |instance| {
+                    let view = data_node.view();
+                    proxy_stats.sweep(local, |instance| {
                         view.upstreams
                             .values()
                             .any(|known| known.contains_key(instance))
@@ -517,19 +549,19 @@
                     }
                     Some(_) => return,
                 };
-                let effects = carrier.step(local, event);
-                self.run_carrier(at, effects);
+                let effects = data_node.step(local, event);
+                self.run_data_node(at, effects);
                 self.end_if_done(at);
             }
             Core::Down => {}
         }
     }
 
-    fn run_carrier(&mut self, at: usize, effects: Vec<data_plane::Effect>) {
+    fn run_data_node(&mut self, at: usize, effects: Vec<data_plane::Effect>) {
         effects.into_iter().for_each(|effect| match effect {
             data_plane::Effect::Send { to, body } => self.send(at, &to, body),
             data_plane::Effect::Datagram { address, body } => self.datagram(at, &address, body),
-            data_plane::Effect::Publish => self.ring_all(at),
+            data_plane::Effect::Publish => self.wake_all(at),
             data_plane::Effect::Addresses(_)
             | data_plane::Effect::Phase(_)
             | data_plane::Effect::Log(_) => {}
@@ -537,13 +569,13 @@
     }
 
     /// Beats may have told of room.
-    fn ring_all(&self, at: usize) {
-        if let Core::DataNode(_, board) = &self.nodes[at].core {
-            board.wake_all();
+    fn wake_all(&self, at: usize) {
+        if let Core::DataNode(_, proxy_stats) = &self.nodes[at].core {
+            proxy_stats.wake_all();
         }
     }
 
-    pub(super) fn run_control(&mut self, at: usize, effects: Vec<control_plane::Effect>) {
+    pub(super) fn run_control_effects(&mut self, at: usize, effects: Vec<control_plane::Effect>) {
         effects.into_iter().for_each(|effect| match effect {
             control_plane::Effect::Send { to, body } => self.send(at, &to, body),
             control_plane::Effect::SendDatagram { address, body } => {
@@ -562,7 +594,7 @@
             control_plane::Effect::PersistDepartures {
                 write_id,
                 departures,
-            } => self.keep_departures(at, write_id, departures),
+            } => self.write_departures(at, write_id, departures),
             control_plane::Effect::DeleteConfiguration { digest } => {
                 self.write(at, Write::Drop(digest))
             }
@@ -580,27 +612,39 @@
         let micros = 800 + self.random.below(3000);
         let node = &mut self.nodes[at];
         node.disk.waiting.push_back(write);
-        let (life, idle) = (node.life, node.disk.waiting.len() == 1);
+        let (incarnation, idle) = (node.incarnation, node.disk.waiting.len() == 1);
         let takes = Duration::from_micros(micros) + node.disk.slowed;
         if idle {
-            self.after(takes, Action::Disk { node: at, life });
+            self.after(
+                takes,
+                Action::FinishWrite {
+                    node: at,
+                    incarnation,
+                },
+            );
         }
     }
 
-    pub(super) fn disk_done(&mut self, at: usize, life: u64) {
+    pub(super) fn disk_done(&mut self, at: usize, incarnation: u64) {
         let micros = 800 + self.random.below(3000);
         let now = self.now;
         let node = &mut self.nodes[at];
-        if node.life != life || node.frozen.is_some() {
+        if node.incarnation != incarnation || node.frozen.is_some() {
             return;
         }
         if node.disk.hung {
-            return self.after(Duration::from_millis(100), Action::Disk { node: at, life });
+            return self.after(
+                Duration::from_millis(100),
+                Action::FinishWrite {
+                    node: at,
+                    incarnation,
+                },
+            );
         }
-        if node.disk.refuses && !node.disk.waiting.is_empty() {
-            return self.refuse_write(at);
+        if node.disk.rejects_writes && !node.disk.waiting.is_empty() {
+            return self.reject_write(at);
         }
-        self.end_retries(at);
+        self.end_write_retries(at);
         let node = &mut self.nodes[at];
         let Some(write) = node.disk.waiting.pop_front() else {
             return;
@@ -630,14 +674,17 @@
         if more {
             self.after(
                 Duration::from_micros(micros) + slowed,
-                Action::Disk { node: at, life },
+                Action::FinishWrite {
+                    node: at,
+                    incarnation,
+                },
             );
         }
         let effects = match (&mut self.nodes[at].core, event) {
             (Core::ControlNode(control), Some(event)) => control.step(local, event),
             _ => Vec::new(),
         };
-        self.run_control(at, effects);
+        self.run_control_effects(at, effects);
     }
 
     pub(super) fn named(&self, name: &str) -> Option<usize> {
@@ -645,38 +692,38 @@
     }
 
     fn send(&mut self, from: usize, to: &str, body: Payload) {
-        if self.weak.tells_late
+        if self.defects.withholds_upstream_views
             && matches!(&body, Payload::ViewUpdate(news) if news.keeps_upstreams)
         {
             return;
         }
-        let body = self.without_placement(to, body);
+        let body = self.strip_placement(to, body);
         self.forge_agreement(from, to, &body);
-        if self.weak.keeps_voters
+        if self.defects.never_replaces_voters
             && matches!(&body, Payload::Bootstrapped(told) if !told.voter_set.contains(to))
         {
             return;
         }
-        self.parcels += 1;
-        let parcel = Envelope {
+        self.messages += 1;
+        let envelope = Envelope {
             from: self.nodes[from].name.clone(),
             body: Some(body.clone()),
         };
-        self.parcel_bytes += parcel.encoded_len() as u64;
+        self.message_bytes += envelope.encoded_len() as u64;
         let Some(to) = self.named(to) else { return };
-        self.net.count(
+        self.network.count(
             &self.nodes[from].place,
             &self.nodes[to].place,
             &body,
-            parcel.encoded_len(),
+            envelope.encoded_len(),
         );
-        let delay = self.net.delay(
+        let delay = self.network.delay(
             &mut self.random,
             &self.nodes[from].place,
             &self.nodes[to].place,
         );
         delay.into_iter().for_each(|delay| {
-            let at = self.net.in_order(from, to, self.now + delay);
+            let at = self.network.in_order(from, to, self.now + delay);
             let event = NodeEvent::Envelope {
                 from: self.nodes[from].name.clone(),
                 body: body.clone(),
@@ -686,16 +733,16 @@
     }
 
     /// In a broken system: news to the first proxy lacks what changed in the placement.
-    fn without_placement(&self, to: &str, body: Payload) -> Payload {
+    fn strip_placement(&self, to: &str, body: Payload) -> Payload {
         let is_first = || {
             self.nodes
                 .iter()
-                .find(|node| node.carrier().is_some())
+                .find(|node| node.data_node().is_some())
                 .is_some_and(|node| node.name == to)
         };
         match body {
             Payload::ViewUpdate(news)
-                if self.weak.keeps_placement && news.number > 0 && is_first() =>
+                if self.defects.withholds_placement_changes && news.number > 0 && is_first() =>
             {
                 Payload::ViewUpdate(ViewUpdate {
                     placement: None,
@@ -709,20 +756,24 @@
     /// In a broken system: an answer that nobody gave.
     fn forge_agreement(&mut self, at: usize, other: &str, body: &Payload) {
         let answer = match body {
-            Payload::Read(read) if self.weak.agrees_alone => Payload::ReadBack(ReadBack {
-                nonce: read.nonce,
-                ..ReadBack::default()
-            }),
-            Payload::DeparturesRead(asked) if self.weak.agrees_alone => {
+            Payload::Read(read) if self.defects.forges_peer_agreement => {
+                Payload::ReadBack(ReadBack {
+                    nonce: read.nonce,
+                    ..ReadBack::default()
+                })
+            }
+            Payload::DeparturesRead(asked) if self.defects.forges_peer_agreement => {
                 Payload::ReadBack(ReadBack {
                     nonce: asked.read.nonce,
                     ..ReadBack::default()
                 })
             }
-            Payload::Heartbeats(beats)
-                if self.weak.tells_departures_blindly && beats.nonce != 0 =>
+            Payload::Heartbeats(pending_heartbeats)
+                if self.defects.skips_departure_acks && pending_heartbeats.nonce != 0 =>
             {
-                Payload::HeartbeatsAck(HeartbeatsAck { nonce: beats.nonce })
+                Payload::HeartbeatsAck(HeartbeatsAck {
+                    nonce: pending_heartbeats.nonce,
+                })
             }
             _ => return,
         };
@@ -738,17 +789,17 @@
 
     fn datagram(&mut self, from: usize, to: &str, body: Payload) {
         let Some(to) = self.named(to) else { return };
-        let parcel = Envelope {
+        let envelope = Envelope {
             from: String::new(),
             body: Some(body.clone()),
         };
-        self.net.count(
+        self.network.count(
             &self.nodes[from].place,
             &self.nodes[to].place,
             &body,
-            parcel.encoded_len(),
+            envelope.encoded_len(),
         );
-        let delay = self.net.delay(
+        let delay = self.network.delay(
             &mut self.random,
             &self.nodes[from].place,
             &self.nodes[to].place,
@@ -765,7 +816,7 @@
     pub(super) fn deliver(&mut self, at: usize, event: NodeEvent) {
         let node = &mut self.nodes[at];
         if !node.up {
-            return self.unreached(event);
+            return self.reject_undeliverable(event);
         }
         if let Some((_, waiting)) = &mut node.frozen {
             return waiting.push(event);
@@ -777,26 +828,30 @@
                 place,
                 asked_at,
             } => self.lookup(at, work, &name, &place, asked_at),
-            NodeEvent::Request { trip, request } => self.request(at, trip, request),
-            NodeEvent::Connected { trip, send, life } => self.connected(at, trip, send, life),
-            NodeEvent::CallError { trip } => self.called(at, trip),
-            NodeEvent::CallOutcome {
-                trip,
+            NodeEvent::Request { exchange, request } => self.request(at, exchange, request),
+            NodeEvent::Connected {
+                exchange,
+                send,
+                incarnation,
+            } => self.connected(at, exchange, send, incarnation),
+            NodeEvent::WakeUp { exchange } => self.called(at, exchange),
+            NodeEvent::CallEnded {
+                exchange,
                 send,
                 outcome,
                 reply,
-            } => self.outcome(at, trip, send, outcome, reply),
+            } => self.outcome(at, exchange, send, outcome, reply),
             other => self.step_node(at, Some(other)),
         }
     }
 
     /// What was sent to a process that is down: the other side learns at once that it can't connect.
-    fn unreached(&mut self, event: NodeEvent) {
+    fn reject_undeliverable(&mut self, event: NodeEvent) {
         match event {
             NodeEvent::Lookup { work, asked_at, .. } => {
                 self.after(
                     Duration::from_millis(1),
-                    Action::OriginTold {
+                    Action::ReceiveLookup {
                         work,
                         listing: None,
                         asked_at,
@@ -811,14 +866,14 @@
                     code: result_code::ResultCode::NoControlNode,
                     revision: 0,
                 };
-                self.asked(request_id, answer);
+                self.control_responded(request_id, answer);
             }
             _ => {}
         }
     }
 
     fn control_answered(&mut self, at: usize, request_id: u64, answer: ControlResponse) {
-        self.note_vouched(at, request_id, &answer);
+        self.note_confirmation(at, request_id, &answer);
         if matches!(
             answer,
             ControlResponse::Outcome {
@@ -826,8 +881,8 @@
                 ..
             }
         ) {
-            self.spring_restart();
+            self.trigger_restart();
         }
-        self.asked(request_id, answer);
+        self.control_responded(request_id, answer);
     }
 }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -1,13 +1,13 @@
 //! Operators in the simulator: they submit, evacuate, race, ask again when the outcome is unknown, read back.
 
+use super::command_faults::{CommandDelivery, CommandStorm};
 use super::faults::{Fault, Step};
 use super::nodes::NodeEvent;
-use super::order_faults::{OrderDelivery, Storm};
 use super::world::{Action, World};
-use crate::shapes::MARKS;
+use crate::shapes::MARKERS;
 use control_plane::{ControlRequest, ControlResponse};
-use invariants::facts::Fact;
-use invariants::history::{Order, Reply};
+use invariants::history::{Command, CommandResult};
+use invariants::observations::Observation;
 use quorum_register::ChangeId;
 use result_code::ResultCode;
 use std::collections::BTreeMap;
@@ -26,18 +26,18 @@
     /// How many orders the operators knew to be decided when it was first sent.
     since: u64,
     submitted_at: Duration,
-    what: What,
+    what: OperatorCommand,
     pub(super) decided: bool,
     asked: u32,
     asks_again: bool,
     /// Submitted once this one is decided.
-    pub(super) then: Option<What>,
+    pub(super) then: Option<OperatorCommand>,
 }
 
 impl Submission {
     /// True where an order that strays on its way can be told from a new one: by its id or its number.
-    pub(super) fn is_told_apart(&self) -> bool {
-        !self.anonymous || matches!(self.what, What::Numbered { .. })
+    pub(super) fn is_distinguishable(&self) -> bool {
+        !self.anonymous || matches!(self.what, OperatorCommand::Numbered { .. })
     }
 
     fn ask(&self) -> ControlRequest {
@@ -51,19 +51,21 @@
             id
         };
         match self.what.clone() {
-            What::Configuration { bytes, base, .. } => ControlRequest::SubmitConfiguration {
-                id,
-                base,
-                bytes: bytes.into_bytes(),
-                in_force: false,
-            },
-            What::Numbered { bytes, .. } => ControlRequest::SubmitConfiguration {
+            OperatorCommand::Configuration { bytes, base, .. } => {
+                ControlRequest::SubmitConfiguration {
+                    id,
+                    base,
+                    bytes: bytes.into_bytes(),
+                    in_force: false,
+                }
+            }
+            OperatorCommand::Numbered { bytes, .. } => ControlRequest::SubmitConfiguration {
                 id,
                 base: None,
                 bytes: bytes.into_bytes(),
                 in_force: false,
             },
-            What::Evacuate { locality, back } => ControlRequest::Evacuate {
+            OperatorCommand::Evacuate { locality, back } => ControlRequest::Evacuate {
                 id,
                 locality,
                 back,
@@ -73,20 +75,20 @@
     }
 
     /// The same, as the checker of histories has it.
-    fn order(&self) -> Order {
+    fn command(&self) -> Command {
         let digest = |bytes: &str| protocol::digest(bytes.as_bytes());
         match &self.what {
-            What::Configuration { bytes, base, .. } => Order::Configuration {
+            OperatorCommand::Configuration { bytes, base, .. } => Command::Configuration {
                 number: None,
                 base: *base,
                 digest: digest(bytes),
             },
-            What::Numbered { bytes, number } => Order::Configuration {
+            OperatorCommand::Numbered { bytes, number } => Command::Configuration {
                 number: Some(*number),
                 base: None,
                 digest: digest(bytes),
             },
-            What::Evacuate { locality, back } => Order::Evacuate {
+            OperatorCommand::Evacuate { locality, back } => Command::Evacuate {
                 locality: locality.clone(),
                 back: *back,
             },
@@ -95,11 +97,11 @@
 }
 
 #[derive(Clone)]
-pub enum What {
+pub enum OperatorCommand {
     Configuration {
         bytes: String,
         base: Option<u64>,
-        mark: usize,
+        marker: usize,
     },
     /// With the operator's own number.
     Numbered {
@@ -116,14 +118,14 @@
 #[derive(Default)]
 pub struct Operators {
     pub(super) submissions: Vec<Submission>,
-    pub(super) delivery: OrderDelivery,
-    pub(super) storm: Storm,
+    pub(super) delivery: CommandDelivery,
+    pub(super) storm: CommandStorm,
     /// Orders with an id that are known to be decided.
     decided: u64,
     /// Which submission, or which node's read-back, a token stands for.
     tokens: BTreeMap<u64, (usize, usize)>,
     read_backs: BTreeMap<u64, (usize, Duration)>,
-    pub(super) beats: BTreeMap<u64, (usize, u64, u64, Duration, usize)>,
+    pub(super) pending_heartbeats: BTreeMap<u64, (usize, u64, u64, Duration, usize)>,
     pub(super) revision: u64,
     pub(super) configurations: usize,
     /// Numbered setups offered so far.
@@ -139,32 +141,32 @@
 
 impl World {
     /// The first setup, and then read-backs for as long as the run goes on.
-    pub(super) fn operate(&mut self) {
+    pub(super) fn run_operators(&mut self) {
         if self.operators.submissions.is_empty() {
-            self.submit_setup(0, None);
+            self.submit_configuration(0, None);
         }
-        self.read_back();
-        self.after(Duration::from_millis(700), Action::Operator);
+        self.read_configurations();
+        self.after(Duration::from_millis(700), Action::RunOperators);
     }
 
     /// Submits a new setup, larger by some routes.
-    pub(super) fn submit_setup(&mut self, extra: usize, base: Option<u64>) {
+    pub(super) fn submit_configuration(&mut self, extra: usize, base: Option<u64>) {
         self.operators.configurations += 1;
         let mut shape = self.shape.clone();
-        if self.weak.homeless {
+        if self.defects.omits_home_regions {
             shape.services.iter_mut().for_each(|work| work.homes = 0);
         }
         let extra = extra + self.operators.configurations;
         let bytes = shape.configuration(extra);
-        self.submit(What::Configuration {
+        self.submit(OperatorCommand::Configuration {
             bytes,
             base,
-            mark: extra % MARKS.len(),
+            marker: extra % MARKERS.len(),
         });
     }
 
     /// Operators race with their own numbers: new ones in no order, two with the same, and old ones again.
-    pub(super) fn race_numbers(&mut self) {
+    pub(super) fn race_versions(&mut self) {
         let most = self
             .operators
             .offered
@@ -175,18 +177,18 @@
         [3, 1, 5, 5, 4].into_iter().for_each(|ahead| {
             self.operators.configurations += 1;
             let (number, extra) = (most + ahead, self.operators.configurations);
-            let bytes = self.shape.numbered_setup(extra, number);
-            self.note(Fact::Offered {
+            let bytes = self.shape.versioned_configuration(extra, number);
+            self.note(Observation::VersionSubmitted {
                 number,
                 digest: protocol::digest(bytes.as_bytes()),
             });
             self.operators.offered.push((number, bytes.clone()));
-            self.submit(What::Numbered { bytes, number });
+            self.submit(OperatorCommand::Numbered { bytes, number });
         });
         (0..3).for_each(|_| {
             let at = self.random.below(self.operators.offered.len() as u64) as usize;
             let (number, bytes) = self.operators.offered[at].clone();
-            self.submit(What::Numbered { bytes, number });
+            self.submit(OperatorCommand::Numbered { bytes, number });
         });
     }
 
@@ -197,21 +199,21 @@
         let bytes = self.shape.configuration(extra);
         self.submit_through(
             Some(node),
-            What::Configuration {
+            OperatorCommand::Configuration {
                 bytes,
                 base: None,
-                mark: extra % MARKS.len(),
+                marker: extra % MARKERS.len(),
             },
             false,
         );
     }
 
-    pub(super) fn submit(&mut self, what: What) {
+    pub(super) fn submit(&mut self, what: OperatorCommand) {
         self.submit_as(what, false);
     }
 
     /// Submits an order, without its id where it is anonymous; gives its number.
-    pub(super) fn submit_as(&mut self, what: What, anonymous: bool) -> usize {
+    pub(super) fn submit_as(&mut self, what: OperatorCommand, anonymous: bool) -> usize {
         self.submit_through(None, what, anonymous)
     }
 
@@ -219,16 +221,16 @@
     pub(super) fn submit_through(
         &mut self,
         first_node: Option<usize>,
-        what: What,
+        what: OperatorCommand,
         anonymous: bool,
     ) -> usize {
         // Work may go there from the moment it is asked for: the yes comes later.
-        if let What::Evacuate {
+        if let OperatorCommand::Evacuate {
             locality,
             back: true,
         } = &what
         {
-            self.note(Fact::Evacuated {
+            self.note(Observation::Evacuation {
                 locality: locality.clone(),
                 back: true,
             });
@@ -247,32 +249,32 @@
             asks_again: false,
             then: None,
         });
-        let order = self.operators.submissions[at].order();
-        self.note(Fact::CallError { call: id, order });
+        let command = self.operators.submissions[at].command();
+        self.note(Observation::CommandInvoked { call: id, command });
         let node = first_node.unwrap_or_else(|| self.some_control_node());
-        self.ask_submission_at(at, node);
+        self.send_submission_to(at, node);
         at
     }
 
-    pub(super) fn ask_submission(&mut self, at: usize) {
+    pub(super) fn send_submission(&mut self, at: usize) {
         let submission = &mut self.operators.submissions[at];
         submission.asks_again = false;
         if !submission.decided {
             let node = self.some_control_node();
-            self.ask_submission_at(at, node);
+            self.send_submission_to(at, node);
         }
     }
 
-    fn ask_submission_at(&mut self, at: usize, node: usize) {
+    fn send_submission_to(&mut self, at: usize, node: usize) {
         self.operators.submissions[at].asked += 1;
-        self.send_order_to(at, node);
-        self.send_stray_copy(at);
+        self.send_command_to(at, node);
+        self.send_duplicate(at);
         // No answer at all: ask again with the same id, elsewhere.
         let unknown = ControlResponse::Outcome {
             code: ResultCode::ChangeOutcomeUnknown,
             revision: 0,
         };
-        let impatient = |step: &Step| matches!(step.fault, Fault::LongCut { .. });
+        let impatient = |step: &Step| matches!(step.fault, Fault::LongPartition { .. });
         let impatient = self.plan.steps.iter().any(impatient);
         let silence = if impatient {
             CUT_SILENCE
@@ -281,7 +283,7 @@
         };
         self.after(
             silence,
-            Action::OperatorAnswer {
+            Action::ReceiveSubmissionResult {
                 submission: at,
                 answer: unknown,
             },
@@ -289,24 +291,24 @@
     }
 
     /// Sends an order once, to some node.
-    pub(super) fn send_order(&mut self, at: usize) {
+    pub(super) fn send_command(&mut self, at: usize) {
         let node = self.some_control_node();
-        self.send_order_to(at, node);
+        self.send_command_to(at, node);
     }
 
-    fn send_order_to(&mut self, at: usize, node: usize) {
+    fn send_command_to(&mut self, at: usize, node: usize) {
         let request_id = self.id();
         self.operators.tokens.insert(request_id, (at, node));
         let mut ask = self.operators.submissions[at].ask();
         if let (
             true,
             ControlRequest::SubmitConfiguration { id, .. } | ControlRequest::Evacuate { id, .. },
-        ) = (self.weak.redoes_orders, &mut ask)
+        ) = (self.defects.reexecutes_commands, &mut ask)
             && !id.id.is_empty()
         {
             id.id = format!("{}-{request_id}", id.id);
         }
-        let takes = self.order_takes(at);
+        let takes = self.command_delay(at);
         self.after(
             takes,
             Action::Deliver {
@@ -322,9 +324,9 @@
     }
 
     /// An answer of a postmaster, by token.
-    pub(super) fn asked(&mut self, request_id: u64, answer: ControlResponse) {
-        if let Some(beat) = self.operators.beats.remove(&request_id) {
-            return self.beat_answered(beat, answer);
+    pub(super) fn control_responded(&mut self, request_id: u64, answer: ControlResponse) {
+        if let Some(heartbeat) = self.operators.pending_heartbeats.remove(&request_id) {
+            return self.heartbeat_answered(heartbeat, answer);
         }
         if let Some((node, asked_at)) = self.operators.read_backs.remove(&request_id) {
             let read = match answer {
@@ -340,7 +342,7 @@
             };
             read.into_iter().for_each(|(revision, digest)| {
                 let node = self.nodes[node].name.clone();
-                self.note(Fact::ReadBack {
+                self.note(Observation::ConfigurationRead {
                     node,
                     revision,
                     digest,
@@ -354,7 +356,7 @@
             ControlResponse::Outcome {
                 code: ResultCode::VersionConflict,
                 revision,
-            } if self.weak.confirms_taken => ControlResponse::Outcome {
+            } if self.defects.confirms_version_conflicts => ControlResponse::Outcome {
                 code: ResultCode::Success,
                 revision,
             },
@@ -362,17 +364,17 @@
         };
         submission
             .into_iter()
-            .for_each(|(submission, _)| self.carry_answer(submission, answer.clone()));
+            .for_each(|(submission, _)| self.deliver_result(submission, answer.clone()));
     }
 
-    pub(super) fn operator_told(&mut self, at: usize, answer: ControlResponse) {
+    pub(super) fn operator_received(&mut self, at: usize, answer: ControlResponse) {
         if let ControlResponse::Redirect { to } = &answer {
             let node = self
                 .named(to)
                 .filter(|_| !self.operators.submissions[at].decided);
             return node
                 .into_iter()
-                .for_each(|node| self.ask_submission_at(at, node));
+                .for_each(|node| self.send_submission_to(at, node));
         }
         let ControlResponse::Outcome { code, revision } = answer else {
             return;
@@ -392,9 +394,9 @@
             // Without an id the answer may be to a later sending than the one that was decided.
             let revision = Some(revision).filter(|_| !submission.anonymous);
             let call = submission.id.clone();
-            self.note(Fact::Returned {
+            self.note(Observation::CommandReturned {
                 call,
-                reply: Reply::Decided { code, revision },
+                reply: CommandResult::Decided { code, revision },
             });
         }
         if already_decided {
@@ -407,7 +409,7 @@
                 && self.operators.submissions[at].asked < MAX_ASKS =>
             {
                 self.operators.submissions[at].asks_again = true;
-                self.after(ASK_AGAIN, Action::OperatorAsk { submission: at });
+                self.after(ASK_AGAIN, Action::SendSubmission { submission: at });
             }
             _ => {}
         }
@@ -422,45 +424,47 @@
         let (what, took) = (submission.what.clone(), self.now - submitted_at);
         self.operators.decided += u64::from(remembered);
         self.operators.revision = self.operators.revision.max(revision);
-        self.feed_storm();
+        self.continue_command_storm();
         if !matches!(code, ResultCode::Success | ResultCode::Superseded) {
             return;
         }
         match what {
-            What::Configuration { bytes, mark, .. } => {
+            OperatorCommand::Configuration { bytes, marker, .. } => {
                 let digest = protocol::digest(bytes.as_bytes());
-                self.note(Fact::Submitted {
+                self.note(Observation::ConfigurationAccepted {
                     revision,
                     digest,
-                    mark,
+                    marker,
                     took,
                 });
             }
-            What::Numbered { number, .. } => self.note(Fact::Acknowledged { number }),
+            OperatorCommand::Numbered { number, .. } => {
+                self.note(Observation::VersionAcknowledged { number })
+            }
             // Where another operator took the place back meanwhile, nobody outside knows which came first; the whole
             // history of calls is judged by a rule of its own.
-            What::Evacuate {
+            OperatorCommand::Evacuate {
                 locality,
                 back: false,
-            } if self.taken_back_since(&locality, submitted_at) => {}
-            What::Evacuate {
+            } if self.evacuation_ended_since(&locality, submitted_at) => {}
+            OperatorCommand::Evacuate {
                 locality,
                 back: false,
-            } => self.note(Fact::Evacuated {
+            } => self.note(Observation::Evacuation {
                 locality,
                 back: false,
             }),
-            What::Evacuate { back: true, .. } => {}
+            OperatorCommand::Evacuate { back: true, .. } => {}
         }
         if code == ResultCode::Success {
-            self.note(Fact::Accepted { revision });
+            self.note(Observation::RevisionAccepted { revision });
         }
         then.into_iter().for_each(|then| self.submit(then));
     }
 
     /// True where an operator asked to take a place back at this moment or later.
-    fn taken_back_since(&self, place: &str, since: Duration) -> bool {
-        let takes_back = |what: &What| matches!(what, What::Evacuate { locality, back: true } if locality == place);
+    fn evacuation_ended_since(&self, place: &str, since: Duration) -> bool {
+        let takes_back = |what: &OperatorCommand| matches!(what, OperatorCommand::Evacuate { locality, back: true } if locality == place);
         self.operators
             .submissions
             .iter()
@@ -468,9 +472,9 @@
     }
 
     /// An operator takes a zone back only after the evacuation was decided.
-    pub(super) fn take_back(&mut self, zone: String) {
+    pub(super) fn end_evacuation(&mut self, zone: String) {
         let (locality, back) = (zone.clone(), true);
-        let evacuates = |submission: &&mut Submission| matches!(&submission.what, What::Evacuate { locality, back: false } if *locality == zone);
+        let evacuates = |submission: &&mut Submission| matches!(&submission.what, OperatorCommand::Evacuate { locality, back: false } if *locality == zone);
         let open = self
             .operators
             .submissions
@@ -478,17 +482,19 @@
             .rfind(evacuates)
             .filter(|submission| !submission.decided);
         match open {
-            Some(submission) => submission.then = Some(What::Evacuate { locality, back }),
-            None => self.submit(What::Evacuate { locality, back }),
+            Some(submission) => {
+                submission.then = Some(OperatorCommand::Evacuate { locality, back })
+            }
+            None => self.submit(OperatorCommand::Evacuate { locality, back }),
         }
     }
 
     /// Asks every node at once: each gives the same answer, or says that it can't know.
-    fn read_back(&mut self) {
+    fn read_configurations(&mut self) {
         let control_nodes = self.control_nodes();
         control_nodes.into_iter().for_each(|node| {
-            if self.weak.reads_alone {
-                return self.read_alone(node);
+            if self.defects.reads_local_disk_only {
+                return self.read_local_configuration(node);
             }
             let request_id = self.id();
             self.operators
--- a/crates/simulator/src/overload.rs
+++ b/crates/simulator/src/overload.rs
@@ -1,8 +1,8 @@
 //! A site asked for more than its upstreams can bear, in the simulator: what is done, for whom, and how fast.
 
 use crate::shapes::{ROADWISE, Shape};
-use crate::{Load, Outcome, Plan, World};
-use invariants::facts::Fact;
+use crate::{LoadProfile, Outcome, Plan, World};
+use invariants::observations::Observation;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -78,26 +78,26 @@
 ];
 
 /// The ways to compare: today's, without a waitlist, and with every origin coming back after 1 s.
-fn ways() -> [(&'static str, Load); 3] {
+fn ways() -> [(&'static str, LoadProfile); 3] {
     let ms = Duration::from_millis;
-    let load = Load {
+    let load = LoadProfile {
         slots: 2,
         takes: (ms(60), ms(100)),
         some_slow: true,
-        ..Load::default()
+        ..LoadProfile::default()
     };
     [
         ("today's", load),
         (
             "no waitlist",
-            Load {
+            LoadProfile {
                 wait_for: Duration::ZERO,
                 ..load
             },
         ),
         (
             "back after 1 s",
-            Load {
+            LoadProfile {
                 retry_after_for: Some(ms(1000)),
                 ..load
             },
@@ -130,7 +130,7 @@
     });
 }
 
-fn one(case: &Case, load: Load, seed: u64) -> Outcome {
+fn one(case: &Case, load: LoadProfile, seed: u64) -> Outcome {
     let mut shape: Shape = ROADWISE;
     shape.per_second = case.per_second;
     shape
@@ -184,20 +184,27 @@
         .map(|work| share(work.service).to_string())
         .join("/");
     let (mut denied, mut arrived, mut first) = (0usize, 0usize, std::collections::BTreeSet::new());
-    let mut tries: BTreeMap<(usize, u128), usize> = BTreeMap::new();
+    let mut attempts: BTreeMap<(usize, u128), usize> = BTreeMap::new();
     outcomes.iter().enumerate().for_each(|(run, outcome)| {
-        outcome.seen.iter().for_each(|(at, fact)| match fact {
-            Fact::Answered { not_run: true, .. } => denied += 1,
-            Fact::Arrived { try_id, .. } => {
-                arrived += 1;
-                first.insert((run, try_id.as_str()));
-            }
-            Fact::Tried { .. } => *tries.entry((run, at.as_millis() / 100)).or_default() += 1,
-            _ => {}
-        });
+        outcome
+            .seen
+            .iter()
+            .for_each(|(at, observation)| match observation {
+                Observation::AttemptAnswered {
+                    not_executed: true, ..
+                } => denied += 1,
+                Observation::RequestArrived { attempt_id, .. } => {
+                    arrived += 1;
+                    first.insert((run, attempt_id.as_str()));
+                }
+                Observation::AttemptStarted { .. } => {
+                    *attempts.entry((run, at.as_millis() / 100)).or_default() += 1
+                }
+                _ => {}
+            });
     });
-    let mean = tries.values().sum::<usize>() as f64 / tries.len().max(1) as f64;
-    let burst = tries.values().max().copied().unwrap_or(0) as f64 / mean;
+    let mean = attempts.values().sum::<usize>() as f64 / attempts.len().max(1) as f64;
+    let burst = attempts.values().max().copied().unwrap_or(0) as f64 / mean;
     let violations: usize = outcomes
         .iter()
         .map(|outcome| outcome.violations.len())
