--- a/crates/simulator/src/cuts.rs
+++ b/crates/simulator/src/partitions.rs
@@ -1,13 +1,13 @@
 //! Control machines that are cut off from the others while operators and upstreams still reach them, and what they
 //! answer meanwhile.
 
-use super::faults::{Fault, LongCut};
-use super::net::Cut;
+use super::faults::{Fault, LongPartition};
+use super::network::Partition;
 use super::nodes::Core;
-use super::operators::What;
+use super::operators::OperatorCommand;
 use super::world::World;
 use control_plane::{ControlRequest, ControlResponse, Event};
-use invariants::facts::{Fact, Vouched};
+use invariants::observations::{Confirmation, Observation};
 use result_code::ResultCode;
 use std::time::Duration;
 
@@ -22,24 +22,32 @@
 const RESTART_AFTER: Duration = Duration::from_secs(3);
 const RESTART_LASTS: Duration = Duration::from_millis(300);
 /// How many upstreams leave each time.
-const LEAVERS: usize = 2;
+const DRAINING_AT_ONCE: usize = 2;
 
 impl World {
     /// The steps of a long cut.
-    pub(super) fn plan_long_cut(&mut self, machine: usize, how: LongCut, until: Duration) {
+    pub(super) fn plan_long_partition(
+        &mut self,
+        machine: usize,
+        how: LongPartition,
+        until: Duration,
+    ) {
         let machine = machine % self.shape.disks;
-        let (hears, speaks) = (how == LongCut::Mute, how == LongCut::Deaf);
+        let (receives, sends) = (
+            how == LongPartition::DropOutbound,
+            how == LongPartition::DropInbound,
+        );
         let now = self.now;
-        if how == LongCut::Flapping {
+        if how == LongPartition::Flapping {
             let mut from = now;
             while from + FLAP_LASTS < until {
                 self.push_step(
                     from,
                     from + FLAP_LASTS,
-                    Fault::CutPeers {
+                    Fault::PartitionFromPeers {
                         machine,
-                        hears,
-                        speaks,
+                        receives,
+                        sends,
                     },
                 );
                 from += FLAP_EVERY;
@@ -48,24 +56,24 @@
             self.push_step(
                 now,
                 until,
-                Fault::CutPeers {
+                Fault::PartitionFromPeers {
                     machine,
-                    hears,
-                    speaks,
+                    receives,
+                    sends,
                 },
             );
         }
         ASKED_AFTER_MS.into_iter().for_each(|after| {
             let at = now + Duration::from_millis(after);
-            self.push_step(at, at + LEAVING_LASTS, Fault::AskThere(machine));
+            self.push_step(at, at + LEAVING_LASTS, Fault::RouteCommandsTo(machine));
         });
         let restarted = match how {
-            LongCut::Restarted => Some(machine),
-            LongCut::Seeds => Some((machine + 1) % self.shape.disks),
+            LongPartition::Restarted => Some(machine),
+            LongPartition::Seeds => Some((machine + 1) % self.shape.disks),
             _ => None,
         };
-        if how == LongCut::Seeds {
-            self.name_as_seed(machine);
+        if how == LongPartition::Seeds {
+            self.list_first_as_seed(machine);
         }
         restarted.into_iter().for_each(|machine| {
             let at = now + RESTART_AFTER;
@@ -74,11 +82,11 @@
     }
 
     /// From now on the settings of all name this machine first.
-    fn name_as_seed(&mut self, machine: usize) {
+    fn list_first_as_seed(&mut self, machine: usize) {
         let there = self
-            .on_machine(machine)
+            .nodes_on_machine(machine)
             .into_iter()
-            .filter(|node| self.nodes[*node].is_office());
+            .filter(|node| self.nodes[*node].is_control_node());
         let first: Vec<String> = there.map(|node| self.nodes[node].name.clone()).collect();
         let others = self
             .control_nodes()
@@ -96,8 +104,8 @@
                 Core::ControlNode(control) => {
                     drop(control.step(local, Event::SeedsChanged(seeds.clone())))
                 }
-                Core::DataNode(carrier, _) => {
-                    drop(carrier.step(local, data_plane::Event::Seeds(seeds.clone())))
+                Core::DataNode(data_node, _) => {
+                    drop(data_node.step(local, data_plane::Event::Seeds(seeds.clone())))
                 }
                 Core::Down => {}
             }
@@ -105,37 +113,37 @@
     }
 
     fn control_node_on(&self, machine: usize) -> Option<usize> {
-        self.on_machine(machine)
+        self.nodes_on_machine(machine)
             .into_iter()
-            .find(|node| self.nodes[*node].is_office())
+            .find(|node| self.nodes[*node].is_control_node())
     }
 
-    pub(super) fn cut_peers(&mut self, machine: usize, hears: bool, speaks: bool) {
-        self.cut(Cut::Peers {
+    pub(super) fn partition_from_peers(&mut self, machine: usize, receives: bool, sends: bool) {
+        self.cut(Partition::Peers {
             machine,
-            hears,
-            speaks,
+            receives,
+            sends,
         });
         if let Some(node) = self.control_node_on(machine) {
             self.isolated.insert(node);
             let node = self.nodes[node].name.clone();
-            self.note(Fact::Isolated { node });
+            self.note(Observation::NodeIsolated { node });
         }
     }
 
-    pub(super) fn join_peers(&mut self, machine: usize) {
-        self.net
-            .cuts
-            .retain(|cut| !matches!(cut, Cut::Peers { machine: other, .. } if *other == machine));
+    pub(super) fn reconnect_peers(&mut self, machine: usize) {
+        self.network.partitions.retain(
+            |cut| !matches!(cut, Partition::Peers { machine: other, .. } if *other == machine),
+        );
         if let Some(node) = self.control_node_on(machine) {
             self.isolated.remove(&node);
             let node = self.nodes[node].name.clone();
-            self.note(Fact::Joined { node });
+            self.note(Observation::NodeReconnected { node });
         }
     }
 
     /// An operator's orders and upstreams that leave, there first.
-    pub(super) fn ask_there(&mut self, machine: usize) {
+    pub(super) fn route_commands_to(&mut self, machine: usize) {
         let Some(node) = self.control_node_on(machine) else {
             return;
         };
@@ -143,52 +151,62 @@
         let zone = self.shape.locality(machine + 1);
         self.submit_through(
             Some(node),
-            What::Evacuate {
+            OperatorCommand::Evacuate {
                 locality: zone.clone(),
                 back: false,
             },
             false,
         );
-        self.take_back(zone);
-        let ready = |unit: &usize| {
-            self.units[*unit].up && self.units[*unit].condition == upstream_registry::READY
+        self.end_evacuation(zone);
+        let ready = |upstream: &usize| {
+            self.upstreams[*upstream].up
+                && self.upstreams[*upstream].condition == upstream_registry::READY
         };
-        let ready: Vec<usize> = (0..self.units.len()).filter(ready).collect();
-        (0..LEAVERS.min(ready.len())).for_each(|_| {
-            let unit = ready[self.random.below(ready.len() as u64) as usize];
-            self.units[unit].condition = upstream_registry::DRAINING;
-            self.units[unit].leaves_by = Some(node);
-            self.beat_once(unit);
+        let ready: Vec<usize> = (0..self.upstreams.len()).filter(ready).collect();
+        (0..DRAINING_AT_ONCE.min(ready.len())).for_each(|_| {
+            let upstream = ready[self.random.below(ready.len() as u64) as usize];
+            self.upstreams[upstream].condition = upstream_registry::DRAINING;
+            self.upstreams[upstream].draining_node = Some(node);
+            self.send_heartbeat(upstream);
         });
     }
 
     /// Those that left at a cut-off machine are gone by now, and others come in their place.
-    pub(super) fn replace_leavers(&mut self) {
-        let left = |unit: &usize| {
-            self.units[*unit].leaves_by.is_some() && self.units[*unit].taken_at.is_some()
+    pub(super) fn replace_draining_upstreams(&mut self) {
+        let left = |upstream: &usize| {
+            self.upstreams[*upstream].draining_node.is_some()
+                && self.upstreams[*upstream].draining_acked_at.is_some()
         };
-        let over = |unit: &usize| {
-            self.units[*unit]
-                .taken_at
+        let over = |upstream: &usize| {
+            self.upstreams[*upstream]
+                .draining_acked_at
                 .is_some_and(|at| self.now >= at + LEAVING_LASTS)
         };
-        let left: Vec<usize> = (0..self.units.len()).filter(left).filter(over).collect();
-        left.into_iter().for_each(|unit| {
-            self.crash_unit(unit);
-            let work = self.units[unit].work;
-            self.replace_unit(unit, work, true);
+        let left: Vec<usize> = (0..self.upstreams.len())
+            .filter(left)
+            .filter(over)
+            .collect();
+        left.into_iter().for_each(|upstream| {
+            self.crash_upstream(upstream);
+            let work = self.upstreams[upstream].work;
+            self.replace_upstream(upstream, work, true);
         });
     }
 
     fn is_taken(&self, instance: &str) -> bool {
-        self.units
+        self.upstreams
             .iter()
-            .any(|unit| unit.instance == instance && unit.taken_at.is_some())
+            .any(|upstream| upstream.instance == instance && upstream.draining_acked_at.is_some())
     }
 
     /// Notes what a node vouches for while it is cut off from all others.
-    pub(super) fn note_vouched(&mut self, at: usize, request_id: u64, answer: &ControlResponse) {
-        let Some((asked_at, what)) = self.asked.remove(&request_id) else {
+    pub(super) fn note_confirmation(
+        &mut self,
+        at: usize,
+        request_id: u64,
+        answer: &ControlResponse,
+    ) {
+        let Some((asked_at, what)) = self.requests_while_isolated.remove(&request_id) else {
             return;
         };
         let vouches = match answer {
@@ -205,7 +223,7 @@
         };
         if vouches && self.isolated.contains(&at) {
             let node = self.nodes[at].name.clone();
-            self.note(Fact::Vouched {
+            self.note(Observation::NodeConfirmed {
                 node,
                 what,
                 asked_at,
@@ -217,22 +235,25 @@
     pub(super) fn note_asked(&mut self, at: usize, request_id: u64, ask: &ControlRequest) {
         let what = match ask {
             ControlRequest::SubmitConfiguration { .. } | ControlRequest::Evacuate { .. } => {
-                Vouched::Order
+                Confirmation::Command
             }
             ControlRequest::Heartbeat(upstream)
                 if upstream.condition == upstream_registry::READY =>
             {
-                Vouched::Heartbeat
+                Confirmation::Heartbeat
             }
             // One that was told already that all know goes on beating.
             ControlRequest::Heartbeat(upstream) if self.is_taken(&upstream.instance) => {
-                Vouched::Heartbeat
+                Confirmation::Heartbeat
+            }
+            ControlRequest::Heartbeat(_) | ControlRequest::Deregister { .. } => {
+                Confirmation::Draining
             }
-            ControlRequest::Heartbeat(_) | ControlRequest::Deregister { .. } => Vouched::Leaving,
-            _ => Vouched::Reading,
+            _ => Confirmation::Read,
         };
         if self.isolated.contains(&at) {
-            self.asked.insert(request_id, (self.now, what));
+            self.requests_while_isolated
+                .insert(request_id, (self.now, what));
         }
     }
 }
--- a/crates/simulator/src/path.rs
+++ b/crates/simulator/src/path.rs
@@ -1,10 +1,10 @@
 //! The path of a request in the simulator: origin, directory, proxy, upstream, and back.
 
 use super::nodes::{Core, NodeEvent};
-use super::ranged::busy_key;
+use super::range_leases::skewed_key;
 use super::world::{Action, World};
-use invariants::facts::Ended;
-use invariants::facts::Fact;
+use invariants::observations::FinishedOperation;
+use invariants::observations::Observation;
 use locality::Locality;
 use name_directory::{LookupAnswer, View};
 use protocol::Upstream;
@@ -16,16 +16,16 @@
 use std::time::Duration;
 use transport::CallError;
 
-const WITHIN: Duration = Duration::from_millis(3000);
-const MAX_TRIES: u32 = 4;
-const SOON: Duration = Duration::from_millis(200);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
+const MAX_ATTEMPTS: u32 = 4;
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// An answer on its way, as the wire would carry it.
 #[derive(Clone, Debug)]
 pub struct Reply {
     pub status: u16,
     pub code: Option<ResultCode>,
-    pub try_id: String,
+    pub attempt_id: String,
     pub instance: String,
     pub seal: String,
     pub body: String,
@@ -35,13 +35,14 @@
 }
 
 impl Reply {
-    pub fn sealed(try_id: &str, instance: &str, status: u16, body: &str) -> Reply {
-        let seal = protocol::seal(try_id, instance, status, body.as_bytes());
-        let (try_id, instance, body) = (try_id.to_owned(), instance.to_owned(), body.to_owned());
+    pub fn sealed(attempt_id: &str, instance: &str, status: u16, body: &str) -> Reply {
+        let seal = protocol::seal(attempt_id, instance, status, body.as_bytes());
+        let (attempt_id, instance, body) =
+            (attempt_id.to_owned(), instance.to_owned(), body.to_owned());
         Reply {
             status,
             code: Some(ResultCode::Success),
-            try_id,
+            attempt_id,
             instance,
             seal,
             body,
@@ -50,13 +51,13 @@
         }
     }
 
-    fn coded(try_id: &str, code: ResultCode, retry_after: Option<Duration>) -> Reply {
-        let (try_id, instance) = (try_id.to_owned(), String::new());
+    fn coded(attempt_id: &str, code: ResultCode, retry_after: Option<Duration>) -> Reply {
+        let (attempt_id, instance) = (attempt_id.to_owned(), String::new());
         let (seal, body) = (String::new(), String::new());
         Reply {
             status: code.status(),
             code: Some(code),
-            try_id,
+            attempt_id,
             instance,
             seal,
             body,
@@ -78,7 +79,7 @@
     pub(super) fn headers(&self) -> hyper::HeaderMap {
         let mut headers = hyper::HeaderMap::new();
         [
-            ("x-try-id", &self.try_id),
+            ("x-try-id", &self.attempt_id),
             ("x-instance", &self.instance),
             ("x-seal", &self.seal),
         ]
@@ -95,21 +96,21 @@
     }
 
     /// The daemons' own judgement of it.
-    pub(super) fn judge(&self, try_id: &str, instance: Option<&str>) -> CallOutcome {
+    pub(super) fn judge(&self, attempt_id: &str, instance: Option<&str>) -> CallOutcome {
         let reply = transport::Reply {
             status: self.status,
             headers: self.headers(),
             body: self.body.clone().into(),
         };
         let called = self.failed.map(Err).unwrap_or(Ok(reply));
-        data_plane::judge_response(&called, try_id, instance)
+        data_plane::judge_response(&called, attempt_id, instance)
     }
 }
 
 /// A request on its way to a proxy.
 #[derive(Clone, Debug)]
 pub struct Request {
-    pub try_id: String,
+    pub attempt_id: String,
     pub work: String,
     pub service: &'static str,
     pub key: String,
@@ -122,13 +123,13 @@
 pub enum From {
     Origin {
         work: u64,
-        try_number: u32,
+        attempt: u32,
     },
     /// Nobody: a probe shows by where it arrives.
     Nobody,
     /// Another proxy forwarded it.
     Proxy {
-        trip: u64,
+        exchange: u64,
         send: u32,
         node: usize,
     },
@@ -137,7 +138,7 @@
 /// What a call carries to an upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Sent {
-    pub try_id: String,
+    pub attempt_id: String,
     pub work: String,
     pub path: &'static str,
     pub key: String,
@@ -145,9 +146,9 @@
 }
 
 /// One request at one proxy.
-pub struct Trip {
+pub struct Exchange {
     pub node: usize,
-    pub journey: RequestState,
+    pub routing: RequestState,
     pub request: Request,
     pub sent: Sent,
     /// Counts calls, so that an answer to an earlier one is dropped.
@@ -155,46 +156,46 @@
     pub instance: Option<String>,
     /// Where the connection leads: the address, and the life of whoever accepted it.
     pub address: String,
-    pub life: Option<(usize, u64)>,
+    pub incarnation: Option<(usize, u64)>,
     /// The connection, where they are kept, and whether a kept one may be taken.
     pub connection: Option<u64>,
     pub may_reuse: bool,
     /// How many answers to other requests were read past.
-    pub passed: usize,
+    pub skipped: usize,
     pub waiting: bool,
     /// In a world that does not judge again: what it chose by.
     pub chosen_by: Option<(Duration, View)>,
 }
 
 /// What a journey is told.
-enum Told {
+enum RoutingEvent {
     Start,
     Connected {
         /// Its kept connection ended, or something came on it, before it was written to.
         unwritable: bool,
     },
-    CallError,
-    CallOutcome(CallOutcome, Option<Reply>),
+    WokenUp,
+    CallEnded(CallOutcome, Option<Reply>),
 }
 
 /// Where one origin stands with its work.
 #[derive(Clone, Copy, PartialEq)]
-enum Stand {
-    Resting,
-    Asking { asked_at: Duration },
-    Trying { try_number: u32 },
+enum OperationStage {
+    Idle,
+    LookingUp { asked_at: Duration },
+    Attempting { attempt: u32 },
     Done,
 }
 
-struct WorkState {
+struct OperationState {
     service: &'static str,
     place: String,
     key: String,
     started_at: Duration,
-    tries: u32,
+    attempts: u32,
     last: Option<ResultCode>,
     random: Random,
-    stand: Stand,
+    stage: OperationStage,
 }
 
 #[derive(Clone)]
@@ -207,7 +208,7 @@
 /// All origins' state.
 #[derive(Default)]
 pub struct Origins {
-    works: BTreeMap<u64, WorkState>,
+    operations: BTreeMap<u64, OperationState>,
     known: BTreeMap<(String, &'static str), Known>,
 }
 
@@ -225,37 +226,37 @@
         let place = self.shape.locality(random.below(6) as usize);
         let hot = self.hot_key && random.below(100) < 70;
         let key = match (self.shape.services[at.unwrap_or(0)].numbered, hot) {
-            (true, hot) => busy_key(self.now, hot, &mut random).to_string(),
+            (true, hot) => skewed_key(self.now, hot, &mut random).to_string(),
             (false, true) => "key-hot".to_owned(),
             (false, false) => format!("key-{}", random.below(400)),
         };
-        let (started_at, stand) = (self.now, Stand::Resting);
-        let state = WorkState {
+        let (started_at, stage) = (self.now, OperationStage::Idle);
+        let state = OperationState {
             service,
             place,
             key,
             started_at,
-            tries: 0,
+            attempts: 0,
             last: None,
             random,
-            stand,
+            stage,
         };
-        self.origins.works.insert(number, state);
+        self.origins.operations.insert(number, state);
         self.origin_try(number);
     }
 
     pub(super) fn origin_try(&mut self, work: u64) {
         let now = self.now;
-        let carriers = self.carriers();
+        let data_nodes = self.data_nodes();
         let Some(state) = self
             .origins
-            .works
+            .operations
             .get_mut(&work)
-            .filter(|state| state.stand == Stand::Resting)
+            .filter(|state| state.stage == OperationStage::Idle)
         else {
             return;
         };
-        if state.tries >= MAX_TRIES || now >= state.started_at + WITHIN {
+        if state.attempts >= MAX_ATTEMPTS || now >= state.started_at + REQUEST_TIMEOUT {
             return self.origin_end(work);
         }
         let id = (state.place.clone(), state.service);
@@ -268,8 +269,8 @@
         if let Some(known) = live {
             return self.origin_send(work, &known);
         }
-        state.stand = Stand::Asking { asked_at: now };
-        let node = carriers[state.random.below(carriers.len() as u64) as usize];
+        state.stage = OperationStage::LookingUp { asked_at: now };
+        let node = data_nodes[state.random.below(data_nodes.len() as u64) as usize];
         let name = format!("{}.{}.example", state.service, self.shape.name);
         let event = NodeEvent::Lookup {
             work,
@@ -281,7 +282,7 @@
         // A directory node that says nothing is given up on after a while.
         self.after(
             Duration::from_millis(700),
-            Action::OriginTold {
+            Action::ReceiveLookup {
                 work,
                 listing: None,
                 asked_at: now,
@@ -297,10 +298,10 @@
         place: &str,
         asked_at: Duration,
     ) {
-        let (stale_after, lifetime) = (self.weak.stale_after, self.weak.lifetime);
+        let (stale_after, lifetime) = (self.defects.stale_after, self.defects.lifetime);
         let node = &self.nodes[at];
         let origin: Locality = place.parse().unwrap_or_default();
-        let view = node.carrier().map(|carrier| carrier.view());
+        let view = node.data_node().map(|data_node| data_node.view());
         let fresh = view.filter(|view| view.is_fresh(node.local(self.now), stale_after));
         let listing = fresh.and_then(|view| {
             name_directory::lookup(
@@ -314,7 +315,7 @@
         });
         self.after(
             Duration::from_millis(8),
-            Action::OriginTold {
+            Action::ReceiveLookup {
                 work,
                 listing,
                 asked_at,
@@ -329,13 +330,13 @@
         asked_at: Duration,
     ) {
         let now = self.now;
-        let Some(state) = self.origins.works.get_mut(&work) else {
+        let Some(state) = self.origins.operations.get_mut(&work) else {
             return;
         };
-        if state.stand != (Stand::Asking { asked_at }) {
+        if state.stage != (OperationStage::LookingUp { asked_at }) {
             return;
         }
-        state.stand = Stand::Resting;
+        state.stage = OperationStage::Idle;
         let known = listing.map(|listing| Known {
             proxies: listing.proxies,
             asked_at,
@@ -349,75 +350,75 @@
                 self.origin_send(work, &known);
             }
             None => {
-                state.tries += 1;
+                state.attempts += 1;
                 state.last = Some(ResultCode::NoOwner);
-                self.after(SOON, Action::OriginTry { work });
+                self.after(RETRY_DELAY, Action::StartAttempt { work });
             }
         }
     }
 
     fn origin_send(&mut self, work: u64, known: &Known) {
         let now = self.now;
-        let Some(state) = self.origins.works.get_mut(&work) else {
+        let Some(state) = self.origins.operations.get_mut(&work) else {
             return;
         };
-        state.tries += 1;
-        let try_number = state.tries;
-        state.stand = Stand::Trying { try_number };
+        state.attempts += 1;
+        let attempt = state.attempts;
+        state.stage = OperationStage::Attempting { attempt };
         let address =
             known.proxies[state.random.below(known.proxies.len() as u64) as usize].clone();
-        let remaining = (state.started_at + WITHIN)
+        let remaining = (state.started_at + REQUEST_TIMEOUT)
             .saturating_sub(now)
             .max(Duration::from_millis(1));
         let request = Request {
-            try_id: format!("try-{work}-{try_number}"),
+            attempt_id: format!("try-{work}-{attempt}"),
             work: format!("work-{work}"),
             service: state.service,
             key: state.key.clone(),
             remaining,
-            from: From::Origin { work, try_number },
+            from: From::Origin { work, attempt },
         };
-        self.note(Fact::AddressUsed {
+        self.note(Observation::AddressUsed {
             age: now - known.asked_at,
         });
-        self.note(Fact::Tried {
+        self.note(Observation::AttemptStarted {
             work: request.work.clone(),
-            try_id: request.try_id.clone(),
+            attempt_id: request.attempt_id.clone(),
         });
         let patience = remaining + Duration::from_millis(500);
         let failed = Reply::failed(CallError::TimedOut);
         self.after(
             patience,
-            Action::OriginAnswer {
+            Action::ReceiveResponse {
                 work,
-                try_number,
+                attempt,
                 answer: failed,
             },
         );
-        let trip = self.id();
+        let exchange = self.id();
         let node = self.nodes.iter().position(|node| node.name == address);
         node.into_iter().for_each(|node| {
             let event = NodeEvent::Request {
-                trip,
+                exchange,
                 request: request.clone(),
             };
             self.after(Duration::from_millis(8), Action::Deliver { node, event });
         });
     }
 
-    pub(super) fn origin_answer(&mut self, work: u64, try_number: u32, answer: Reply) {
-        let Some(state) = self.origins.works.get_mut(&work) else {
+    pub(super) fn origin_answer(&mut self, work: u64, attempt: u32, answer: Reply) {
+        let Some(state) = self.origins.operations.get_mut(&work) else {
             return;
         };
-        if state.stand != (Stand::Trying { try_number }) {
+        if state.stage != (OperationStage::Attempting { attempt }) {
             return;
         }
-        state.stand = Stand::Resting;
-        let (try_id, body) = (format!("try-{work}-{try_number}"), format!("work-{work}"));
+        state.stage = OperationStage::Idle;
+        let (attempt_id, body) = (format!("try-{work}-{attempt}"), format!("work-{work}"));
         if answer.failed == Some(CallError::NotConnected) {
             state.last = None;
             self.origins.known.clear();
-            return self.after(SOON, Action::OriginTry { work });
+            return self.after(RETRY_DELAY, Action::StartAttempt { work });
         }
         let code = answer
             .code
@@ -425,23 +426,25 @@
             .unwrap_or(ResultCode::ResponseLost);
         state.last = Some(code);
         let success = answer.failed.is_none() && answer.status == 200;
-        let whole = answer.judge(&try_id, None) == CallOutcome::Complete && answer.body == body;
-        let not_run = !success && answer.failed.is_none() && code.kind() == Execution::NotExecuted;
+        let complete =
+            answer.judge(&attempt_id, None) == CallOutcome::Complete && answer.body == body;
+        let not_executed =
+            !success && answer.failed.is_none() && code.kind() == Execution::NotExecuted;
         if answer.failed.is_none() {
-            self.note(Fact::Answered {
-                try_id,
+            self.note(Observation::AttemptAnswered {
+                attempt_id,
                 code: code.number(),
                 success,
-                whole,
-                not_run,
+                complete,
+                not_executed,
             });
         }
-        if not_run {
+        if not_executed {
             let told = answer
                 .retry_after
                 .map(|told| self.load.retry_after_for.unwrap_or(told));
-            let wait = told.unwrap_or(SOON);
-            self.after(wait, Action::OriginTry { work });
+            let wait = told.unwrap_or(RETRY_DELAY);
+            self.after(wait, Action::StartAttempt { work });
         } else {
             self.origin_end(work);
         }
@@ -451,40 +454,40 @@
         let now = self.now;
         let state = self
             .origins
-            .works
+            .operations
             .get_mut(&work)
-            .filter(|state| state.stand != Stand::Done);
+            .filter(|state| state.stage != OperationStage::Done);
         let ended = state.map(|state| {
-            state.stand = Stand::Done;
-            let (service, tries) = (state.service, state.tries);
-            Ended {
+            state.stage = OperationStage::Done;
+            let (service, attempts) = (state.service, state.attempts);
+            FinishedOperation {
                 at: now,
                 took: now - state.started_at,
                 service,
                 code: state.last.map(ResultCode::number).unwrap_or(0),
-                tries,
+                attempts,
             }
         });
         self.ended.extend(ended);
-        self.origins.works.remove(&work);
+        self.origins.operations.remove(&work);
     }
 
     /// One probe through every carrier, once there was more than one setup.
     pub(super) fn probe(&mut self) {
         let several = self.operators.configurations() > 1;
-        self.carriers()
+        self.data_nodes()
             .into_iter()
             .filter(|_| several)
             .for_each(|node| {
-                let trip = self.id();
-                let (try_id, work, key) = (
-                    format!("probe-{trip}"),
-                    format!("probe-{trip}"),
+                let exchange = self.id();
+                let (attempt_id, work, key) = (
+                    format!("probe-{exchange}"),
+                    format!("probe-{exchange}"),
                     String::from("probe"),
                 );
                 let remaining = Duration::from_millis(1000);
                 let request = Request {
-                    try_id,
+                    attempt_id,
                     work,
                     service: "probe",
                     key,
@@ -496,27 +499,30 @@
                     delay,
                     Action::Deliver {
                         node,
-                        event: NodeEvent::Request { trip, request },
+                        event: NodeEvent::Request { exchange, request },
                     },
                 );
             });
     }
 
     /// A request reaches a proxy.
-    pub(super) fn request(&mut self, at: usize, trip: u64, request: Request) {
+    pub(super) fn request(&mut self, at: usize, exchange: u64, request: Request) {
         let node = &self.nodes[at];
         if node
-            .carrier()
-            .is_some_and(|carrier| carrier.phase() == data_plane::Phase::Denying)
+            .data_node()
+            .is_some_and(|data_node| data_node.phase() == data_plane::Phase::Denying)
         {
-            let retry_after =
-                request_routing::retry_after_for(ResultCode::ShuttingDown, 0.0, &request.try_id);
-            let denied = Reply::coded(&request.try_id, ResultCode::ShuttingDown, retry_after);
+            let retry_after = request_routing::retry_after_for(
+                ResultCode::ShuttingDown,
+                0.0,
+                &request.attempt_id,
+            );
+            let denied = Reply::coded(&request.attempt_id, ResultCode::ShuttingDown, retry_after);
             return self.answer(&request, Some(at), denied);
         }
-        let rung = self.rung.clone();
+        let wake_ups = self.wake_ups.clone();
         let order = RequestInfo {
-            attempt_id: request.try_id.clone(),
+            attempt_id: request.attempt_id.clone(),
             name: match request.from {
                 From::Nobody => request.service.to_owned(),
                 _ => format!("{}.{}.example", request.service, self.shape.name),
@@ -528,62 +534,64 @@
             body_bytes: request.work.len() as u64,
             forwarded: matches!(request.from, From::Proxy { .. }),
             wake_up: WakeUp::new(move || {
-                rung.lock()
+                wake_ups
+                    .lock()
                     .unwrap_or_else(PoisonError::into_inner)
-                    .push(trip)
+                    .push(exchange)
             }),
         };
-        let journey = RequestState::new(order, node.site.clone());
+        let routing = RequestState::new(order, node.site.clone());
         let sent = Sent {
-            try_id: request.try_id.clone(),
+            attempt_id: request.attempt_id.clone(),
             work: request.work.clone(),
             path: request.service,
             key: request.key.clone(),
             epoch: None,
         };
-        let (address, instance, life, waiting, chosen_by) =
+        let (address, instance, incarnation, waiting, chosen_by) =
             (String::new(), None, None, false, None);
-        let made = Trip {
+        let made = Exchange {
             node: at,
-            journey,
+            routing,
             request,
             sent,
             send: 0,
             instance,
             address,
-            life,
+            incarnation,
             connection: None,
             may_reuse: true,
-            passed: 0,
+            skipped: 0,
             waiting,
             chosen_by,
         };
-        self.trips.insert(trip, made);
-        self.decide(trip, Told::Start);
+        self.exchanges.insert(exchange, made);
+        self.decide(exchange, RoutingEvent::Start);
     }
 
     /// Whoever waits for a seat and was called, or waited long enough.
     pub(super) fn called(&mut self, at: usize, id: u64) {
         let waits = self
-            .trips
+            .exchanges
             .get(&id)
-            .is_some_and(|trip| trip.node == at && trip.waiting);
+            .is_some_and(|exchange| exchange.node == at && exchange.waiting);
         if waits {
-            self.decide(id, Told::CallError);
+            self.decide(id, RoutingEvent::WokenUp);
         }
     }
 
     /// The bells that rang while the last thing happened.
-    pub(super) fn answer_bells(&mut self) {
-        let rung = std::mem::take(&mut *self.rung.lock().unwrap_or_else(PoisonError::into_inner));
-        rung.into_iter().for_each(|trip| {
-            let node = self.trips.get(&trip).map(|trip| trip.node);
+    pub(super) fn deliver_wake_ups(&mut self) {
+        let wake_ups =
+            std::mem::take(&mut *self.wake_ups.lock().unwrap_or_else(PoisonError::into_inner));
+        wake_ups.into_iter().for_each(|exchange| {
+            let node = self.exchanges.get(&exchange).map(|exchange| exchange.node);
             node.into_iter().for_each(|node| {
                 self.after(
                     Duration::ZERO,
                     Action::Deliver {
                         node,
-                        event: NodeEvent::CallError { trip },
+                        event: NodeEvent::WakeUp { exchange },
                     },
                 )
             });
@@ -591,38 +599,37 @@
     }
 
     /// The connection that a proxy asked for came up.
-    pub(super) fn connected(&mut self, at: usize, id: u64, send: u32, life: (usize, u64)) {
-        let mine = self
-            .trips
-            .get_mut(&id)
-            .filter(|trip| trip.node == at && trip.send == send && trip.life.is_none());
-        let opened = mine.map(|trip| {
-            trip.life = Some(life);
-            (trip.address.clone(), trip.connection)
+    pub(super) fn connected(&mut self, at: usize, id: u64, send: u32, incarnation: (usize, u64)) {
+        let mine = self.exchanges.get_mut(&id).filter(|exchange| {
+            exchange.node == at && exchange.send == send && exchange.incarnation.is_none()
+        });
+        let opened = mine.map(|exchange| {
+            exchange.incarnation = Some(incarnation);
+            (exchange.address.clone(), exchange.connection)
         });
         opened.into_iter().for_each(|(address, kept)| {
-            let connection = kept.or_else(|| self.open_kept(at, &address, life));
+            let connection = kept.or_else(|| self.open_connection(at, &address, incarnation));
             let unwritable = connection.is_some_and(|connection| self.is_unwritable(connection));
-            self.trips
+            self.exchanges
                 .get_mut(&id)
                 .into_iter()
-                .for_each(|trip| trip.connection = connection);
-            self.decide(id, Told::Connected { unwritable });
+                .for_each(|exchange| exchange.connection = connection);
+            self.decide(id, RoutingEvent::Connected { unwritable });
         });
     }
 
     /// Steps a journey.
-    fn decide(&mut self, id: u64, told: Told) {
-        let Some(trip) = self.trips.get_mut(&id) else {
+    fn decide(&mut self, id: u64, told: RoutingEvent) {
+        let Some(exchange) = self.exchanges.get_mut(&id) else {
             return;
         };
-        let node = &self.nodes[trip.node];
-        let Core::DataNode(carrier, board) = &node.core else {
+        let node = &self.nodes[exchange.node];
+        let Core::DataNode(data_node, proxy_stats) = &node.core else {
             return;
         };
         let local = node.local(self.now);
-        let mut view = carrier.view().clone();
-        if self.weak.forgets_warm_up {
+        let mut view = data_node.view().clone();
+        if self.defects.ignores_warm_up {
             let warm = |upstream: &Arc<Upstream>| {
                 Arc::new(Upstream {
                     warm: true,
@@ -637,55 +644,66 @@
                         .for_each(|upstream| *upstream = warm(upstream));
                 });
         }
-        trip.waiting = false;
+        exchange.waiting = false;
         let mut reply = None;
         let next = match told {
-            Told::Start => trip.journey.start(local, &view, board),
-            Told::CallError => trip.journey.on_wake_up(local, &view, board),
-            Told::Connected { unwritable } => {
-                let (judged_at, judged_by) = trip.chosen_by.take().unwrap_or((local, view.clone()));
-                match trip.journey.on_connected(judged_at, &judged_by, board) {
+            RoutingEvent::Start => exchange.routing.start(local, &view, proxy_stats),
+            RoutingEvent::WokenUp => exchange.routing.on_wake_up(local, &view, proxy_stats),
+            RoutingEvent::Connected { unwritable } => {
+                let (judged_at, judged_by) =
+                    exchange.chosen_by.take().unwrap_or((local, view.clone()));
+                match exchange
+                    .routing
+                    .on_connected(judged_at, &judged_by, proxy_stats)
+                {
                     NextStep::Send { .. } if unwritable => {
-                        trip.may_reuse = false;
-                        trip.journey.on_not_written(local)
+                        exchange.may_reuse = false;
+                        exchange.routing.on_not_written(local)
                     }
                     next => next,
                 }
             }
-            Told::CallOutcome(outcome, came) => {
+            RoutingEvent::CallEnded(outcome, came) => {
                 reply = came;
-                if self.weak.spendthrift {
-                    let desk = board.service(trip.request.service);
-                    (0..1000).for_each(|_| desk.first_sends.add(local));
+                if self.defects.unlimited_retry_budget {
+                    let service = proxy_stats.service(exchange.request.service);
+                    (0..1000).for_each(|_| service.first_sends.add(local));
                 }
-                trip.journey.on_outcome(local, &view, board, outcome)
+                exchange
+                    .routing
+                    .on_outcome(local, &view, proxy_stats, outcome)
             }
         };
         match next {
             NextStep::Connect { upstream, within } => {
-                trip.send += 1;
-                trip.instance = Some(upstream.instance.clone());
-                (trip.address, trip.life, trip.connection, trip.passed) =
-                    (upstream.address.clone(), None, None, 0);
-                trip.chosen_by = Some((local, view)).filter(|_| self.weak.hasty);
-                let (send, at, may_reuse) = (trip.send, trip.node, trip.may_reuse);
+                exchange.send += 1;
+                exchange.instance = Some(upstream.instance.clone());
+                (
+                    exchange.address,
+                    exchange.incarnation,
+                    exchange.connection,
+                    exchange.skipped,
+                ) = (upstream.address.clone(), None, None, 0);
+                exchange.chosen_by =
+                    Some((local, view)).filter(|_| self.defects.skips_check_after_connect);
+                let (send, at, may_reuse) = (exchange.send, exchange.node, exchange.may_reuse);
                 let kept = if may_reuse {
-                    self.take_kept(at, &upstream.address)
+                    self.reuse_connection(at, &upstream.address)
                 } else {
                     None
                 };
-                if let Some((connection, life)) = kept {
-                    self.trips
+                if let Some((connection, incarnation)) = kept {
+                    self.exchanges
                         .get_mut(&id)
                         .into_iter()
-                        .for_each(|trip| trip.connection = Some(connection));
+                        .for_each(|exchange| exchange.connection = Some(connection));
                     let event = NodeEvent::Connected {
-                        trip: id,
+                        exchange: id,
                         send,
-                        life,
+                        incarnation,
                     };
                     self.after(Duration::ZERO, Action::Deliver { node: at, event });
-                    return self.spring_ambush(at, &upstream.instance);
+                    return self.trigger_ambush(at, &upstream.instance);
                 }
                 let (delay, cut) = self.way_to(
                     at,
@@ -694,8 +712,8 @@
                 );
                 self.after(
                     delay,
-                    Action::UnitConnect {
-                        trip: id,
+                    Action::AcceptConnection {
+                        exchange: id,
                         send,
                         address: upstream.address.clone(),
                         cut,
@@ -703,18 +721,18 @@
                 );
                 let late = (CallOutcome::NotConnected, None);
                 self.after_outcome(id, send, late, within.min(transport::CONNECT_TIMEOUT));
-                self.spring_ambush(at, &upstream.instance);
+                self.trigger_ambush(at, &upstream.instance);
             }
             NextStep::Send { share, within } => {
                 // From here on an answer to the connecting is of no interest.
-                trip.send += 1;
-                trip.sent.epoch = share.map(|share| share.epoch);
-                let (send, at, address) = (trip.send, trip.node, trip.address.clone());
+                exchange.send += 1;
+                exchange.sent.epoch = share.map(|share| share.epoch);
+                let (send, at, address) = (exchange.send, exchange.node, exchange.address.clone());
                 let (delay, cut) = self.way_to(at, &address, transport::CONNECT_TIMEOUT);
                 self.after(
                     delay,
-                    Action::UnitCall {
-                        trip: id,
+                    Action::ReceiveCall {
+                        exchange: id,
                         send,
                         cut,
                     },
@@ -722,29 +740,29 @@
                 self.after_outcome(id, send, (CallOutcome::TimedOut, None), within);
             }
             NextStep::Wait { within } => {
-                trip.waiting = true;
-                let node = trip.node;
+                exchange.waiting = true;
+                let node = exchange.node;
                 self.after(
                     within,
                     Action::Deliver {
                         node,
-                        event: NodeEvent::CallError { trip: id },
+                        event: NodeEvent::WakeUp { exchange: id },
                     },
                 );
             }
             NextStep::Forward { proxies, within } => {
-                trip.send += 1;
-                trip.instance = None;
-                let (send, at) = (trip.send, trip.node);
+                exchange.send += 1;
+                exchange.instance = None;
+                let (send, at) = (exchange.send, exchange.node);
                 let from = From::Proxy {
-                    trip: id,
+                    exchange: id,
                     send,
                     node: at,
                 };
                 let request = Request {
                     remaining: within,
                     from,
-                    ..trip.request.clone()
+                    ..exchange.request.clone()
                 };
                 let reachable = proxies
                     .iter()
@@ -752,7 +770,7 @@
                 let mut reachable = reachable.filter(|to| self.nodes[*to].up);
                 let to = reachable.next();
                 let delay = to.and_then(|to| {
-                    self.net
+                    self.network
                         .delay(
                             &mut self.random,
                             &self.nodes[at].place,
@@ -768,7 +786,7 @@
                             Action::Deliver {
                                 node,
                                 event: NodeEvent::Request {
-                                    trip: next,
+                                    exchange: next,
                                     request,
                                 },
                             },
@@ -779,17 +797,17 @@
                         id,
                         send,
                         (CallOutcome::NotConnected, None),
-                        within.min(SOON),
+                        within.min(RETRY_DELAY),
                     ),
                 }
             }
-            NextStep::PassResponse => self.end_trip(
+            NextStep::PassResponse => self.end_exchange(
                 id,
                 reply.unwrap_or_else(|| Reply::coded("", ResultCode::ResponseLost, None)),
             ),
             NextStep::Answer { code, retry_after } => {
-                let try_id = trip.request.try_id.clone();
-                self.end_trip(id, Reply::coded(&try_id, code, retry_after));
+                let attempt_id = exchange.request.attempt_id.clone();
+                self.end_exchange(id, Reply::coded(&attempt_id, code, retry_after));
             }
         }
     }
@@ -799,12 +817,12 @@
     fn way_to(&mut self, from: usize, address: &str, patience: Duration) -> (Duration, bool) {
         let from = self.nodes[from].place.clone();
         let to = self
-            .units
+            .upstreams
             .iter()
-            .find(|unit| unit.address == address)
-            .map(|unit| unit.place.clone());
-        let cut = to.as_ref().is_none_or(|to| self.net.blocked(&from, to));
-        let delay = to.and_then(|to| self.net.delay(&mut self.random, &from, &to));
+            .find(|upstream| upstream.address == address)
+            .map(|upstream| upstream.place.clone());
+        let cut = to.as_ref().is_none_or(|to| self.network.blocked(&from, to));
+        let delay = to.and_then(|to| self.network.delay(&mut self.random, &from, &to));
         // TCP sends a lost packet again; only a cut keeps it from arriving at all.
         (
             delay.unwrap_or(if cut {
@@ -816,59 +834,69 @@
         )
     }
 
-    fn end_trip(&mut self, id: u64, reply: Reply) {
-        let trip = self.trips.remove(&id);
-        trip.into_iter()
-            .for_each(|trip| self.answer(&trip.request, Some(trip.node), reply.clone()));
+    fn end_exchange(&mut self, id: u64, reply: Reply) {
+        let exchange = self.exchanges.remove(&id);
+        exchange.into_iter().for_each(|exchange| {
+            self.answer(&exchange.request, Some(exchange.node), reply.clone())
+        });
     }
 
     /// Sends an answer back to whoever waits for it.
     fn answer(&mut self, request: &Request, node: Option<usize>, reply: Reply) {
         match &request.from {
-            From::Origin { work, try_number } => {
-                let (work, try_number) = (*work, *try_number);
+            From::Origin { work, attempt } => {
+                let (work, attempt) = (*work, *attempt);
                 self.after(
                     Duration::from_millis(8),
-                    Action::OriginAnswer {
+                    Action::ReceiveResponse {
                         work,
-                        try_number,
+                        attempt,
                         answer: reply,
                     },
                 );
             }
             From::Nobody => {}
             From::Proxy {
-                trip,
+                exchange,
                 send,
                 node: to,
             } => {
-                let (trip, send, to) = (*trip, *send, *to);
+                let (exchange, send, to) = (*exchange, *send, *to);
                 let places =
                     node.map(|node| (self.nodes[node].place.clone(), self.nodes[to].place.clone()));
                 let delay = match places {
                     None => Some(Duration::from_millis(1)),
-                    Some((from, to)) => self.net.delay(&mut self.random, &from, &to),
+                    Some((from, to)) => self.network.delay(&mut self.random, &from, &to),
                 };
                 let code = reply.code.filter(|_| reply.failed.is_none());
                 let denied =
                     reply.seal.is_empty() && code.is_some_and(|code| code != ResultCode::Success);
-                let judged = reply.judge(&request.try_id, None);
+                let judged = reply.judge(&request.attempt_id, None);
                 let outcome = if denied || judged == CallOutcome::NotExecuted {
                     CallOutcome::Complete
                 } else {
                     judged
                 };
                 delay.into_iter().for_each(|delay| {
-                    self.after_outcome(trip, send, (outcome.clone(), Some(reply.clone())), delay);
+                    self.after_outcome(
+                        exchange,
+                        send,
+                        (outcome.clone(), Some(reply.clone())),
+                        delay,
+                    );
                 });
             }
         }
     }
 
     /// A process died, or was down, with this request.
-    pub(super) fn reply(&mut self, trip: &Trip, called: Result<(), CallError>) {
+    pub(super) fn reply(&mut self, exchange: &Exchange, called: Result<(), CallError>) {
         called.err().into_iter().for_each(|called| {
-            self.answer(&trip.request, Some(trip.node), Reply::failed(called));
+            self.answer(
+                &exchange.request,
+                Some(exchange.node),
+                Reply::failed(called),
+            );
         });
     }
 
@@ -881,16 +909,16 @@
 
     fn after_outcome(
         &mut self,
-        trip: u64,
+        exchange: u64,
         send: u32,
         outcome: (CallOutcome, Option<Reply>),
         span: Duration,
     ) {
-        let node = self.trips.get(&trip).map(|trip| trip.node);
+        let node = self.exchanges.get(&exchange).map(|exchange| exchange.node);
         node.into_iter().for_each(|node| {
             let (outcome, reply) = outcome.clone();
-            let event = NodeEvent::CallOutcome {
-                trip,
+            let event = NodeEvent::CallEnded {
+                exchange,
                 send,
                 outcome,
                 reply,
@@ -902,49 +930,49 @@
     /// What came of a call to an upstream, on its way back to the proxy.
     pub(super) fn back(
         &mut self,
-        trip: u64,
+        exchange: u64,
         send: u32,
         called: Result<Reply, CallError>,
         delay: Duration,
     ) {
-        let Some(waiting) = self.trips.get(&trip) else {
+        let Some(waiting) = self.exchanges.get(&exchange) else {
             return;
         };
         let reply = called.unwrap_or_else(Reply::failed);
-        if self.weak.trusting {
+        if self.defects.trusts_any_response {
             let outcome = reply
                 .failed
                 .map(|_| CallOutcome::NotExecuted)
                 .unwrap_or(CallOutcome::Complete);
-            return self.after_outcome(trip, send, (outcome, Some(reply)), delay);
+            return self.after_outcome(exchange, send, (outcome, Some(reply)), delay);
         }
-        let outcome = reply.judge(&waiting.sent.try_id, waiting.instance.as_deref());
-        self.after_outcome(trip, send, (outcome, Some(reply)), delay);
+        let outcome = reply.judge(&waiting.sent.attempt_id, waiting.instance.as_deref());
+        self.after_outcome(exchange, send, (outcome, Some(reply)), delay);
     }
 
     pub(super) fn outcome(
         &mut self,
         at: usize,
-        trip: u64,
+        exchange: u64,
         send: u32,
         outcome: CallOutcome,
         reply: Option<Reply>,
     ) {
         let mine = self
-            .trips
-            .get(&trip)
-            .is_some_and(|trip| trip.node == at && trip.send == send);
+            .exchanges
+            .get(&exchange)
+            .is_some_and(|exchange| exchange.node == at && exchange.send == send);
         if mine {
             let connection = self
-                .trips
-                .get_mut(&trip)
-                .and_then(|trip| trip.connection.take());
+                .exchanges
+                .get_mut(&exchange)
+                .and_then(|exchange| exchange.connection.take());
             let answered = reply.as_ref().is_some_and(|reply| reply.failed.is_none());
             let expected = answered && outcome != CallOutcome::InvalidResponse;
             connection
                 .into_iter()
-                .for_each(|connection| self.end_kept(connection, expected));
-            self.decide(trip, Told::CallOutcome(outcome, reply));
+                .for_each(|connection| self.release_connection(connection, expected));
+            self.decide(exchange, RoutingEvent::CallEnded(outcome, reply));
         }
     }
 }
--- a/crates/simulator/src/ranged.rs
+++ b/crates/simulator/src/range_leases.rs
@@ -1,9 +1,9 @@
 //! Numeric keys at a stand-in: what it holds, what it lets go, and how requests lie over the keys.
 
 use super::nodes::true_span;
-use super::units::Unit;
+use super::upstreams::SimulatedUpstream;
 use super::world::{Action, World};
-use invariants::facts::Fact;
+use invariants::observations::Observation;
 use key_space::KEY_COUNT;
 use protocol::KeyShare;
 use random::Random;
@@ -22,7 +22,7 @@
 
 /// What one stand-in holds of numeric keys.
 #[derive(Default)]
-pub struct Ranged {
+pub struct RangeLeases {
     /// Keys and their fences.
     rows: Vec<(Range<u32>, u64)>,
     /// Keys that it was asked for and still works on.
@@ -54,7 +54,7 @@
     parts.filter(|(part, _)| !part.is_empty()).collect()
 }
 
-impl Ranged {
+impl RangeLeases {
     /// All keys that it has not let go.
     pub fn keys(&self) -> Vec<Range<u32>> {
         self.rows
@@ -128,7 +128,7 @@
     }
 
     /// Lets go of keys that nobody works on any more.
-    fn let_go(&mut self, token: &str) -> Vec<Range<u32>> {
+    fn release_keys(&mut self, token: &str) -> Vec<Range<u32>> {
         let working = &self.working;
         let busy = |keys: &Range<u32>| working.values().any(|key| keys.contains(key));
         let (ending, gone): (Vec<_>, Vec<_>) =
@@ -157,7 +157,7 @@
 }
 
 /// A key of the moving load: of ten, six of a busy run, one the hot one, three anywhere.
-pub(super) fn busy_key(now: Duration, hot: bool, random: &mut Random) -> u64 {
+pub(super) fn skewed_key(now: Duration, hot: bool, random: &mut Random) -> u64 {
     let (part, at) = (
         random.below(10),
         now.as_millis() as u64 * MOVES_PER_SECOND / 1000,
@@ -172,33 +172,37 @@
 
 impl World {
     /// Lets go of what it was asked for, as far as no work on it goes on.
-    pub(super) fn let_go(&mut self, at: usize) {
+    pub(super) fn release_keys(&mut self, at: usize) {
         let now = self.now;
-        let unit = &mut self.units[at];
-        unit.ranged.run_out(now);
-        let token = format!("{}@{}", unit.instance, unit.beat);
-        let (service, instance) = (unit.work.service.to_owned(), unit.instance.clone());
-        unit.ranged.let_go(&token).into_iter().for_each(|keys| {
-            self.note(Fact::LetGo {
-                service: service.clone(),
-                keys,
-                instance: instance.clone(),
+        let upstream = &mut self.upstreams[at];
+        upstream.range_leases.run_out(now);
+        let token = format!("{}@{}", upstream.instance, upstream.heartbeat);
+        let (service, instance) = (upstream.work.service.to_owned(), upstream.instance.clone());
+        upstream
+            .range_leases
+            .release_keys(&token)
+            .into_iter()
+            .for_each(|keys| {
+                self.note(Observation::KeysReleased {
+                    service: service.clone(),
+                    keys,
+                    instance: instance.clone(),
+                });
             });
-        });
     }
 
     /// A postmaster's answer to a beat sets out; without shares it says nothing.
-    pub(super) fn ranges_answered(
+    pub(super) fn send_range_grants(
         &mut self,
         from: (usize, u64, u64, Duration, usize),
         shares: Option<Vec<KeyShare>>,
         span: Duration,
     ) {
-        let (unit, life, beat, sent_at, node) = from;
-        let delay = self.net.delay(
+        let (upstream, incarnation, heartbeat, sent_at, node) = from;
+        let delay = self.network.delay(
             &mut self.random,
             &self.nodes[node].place,
-            &self.units[unit].place,
+            &self.upstreams[upstream].place,
         );
         let late = self.late_answers && self.random.below(4) == 0;
         let more = Duration::from_millis(if late { self.random.below(1500) } else { 0 });
@@ -209,10 +213,10 @@
             .for_each(|(delay, shares)| {
                 self.after(
                     delay,
-                    Action::RangesAnswer {
-                        unit,
-                        life,
-                        beat,
+                    Action::ReceiveRangeGrants {
+                        upstream,
+                        incarnation,
+                        heartbeat,
                         sent_at,
                         shares,
                         span,
@@ -222,32 +226,32 @@
     }
 
     /// Only an answer in time, and only to the latest beat, counts.
-    pub(super) fn ranges_answer(
+    pub(super) fn receive_range_grants(
         &mut self,
         from: (usize, u64, u64, Duration),
         shares: Vec<KeyShare>,
         span: Duration,
     ) {
-        let (at, life, beat, sent_at) = from;
+        let (at, incarnation, heartbeat, sent_at) = from;
         let now = self.now;
-        let Unit {
+        let SimulatedUpstream {
             up,
-            life: lives,
+            incarnation: lives,
             paused_until,
             drift,
-            beat: latest,
+            heartbeat: latest,
             ..
-        } = self.units[at];
-        if !up || lives != life {
+        } = self.upstreams[at];
+        if !up || lives != incarnation {
             return;
         }
         if now < paused_until {
             return self.at(
                 paused_until,
-                Action::RangesAnswer {
-                    unit: at,
-                    life,
-                    beat,
+                Action::ReceiveRangeGrants {
+                    upstream: at,
+                    incarnation,
+                    heartbeat,
                     sent_at,
                     shares,
                     span,
@@ -255,30 +259,30 @@
             );
         }
         let late = now >= sent_at + true_span(ANSWER_WITHIN, drift);
-        if !self.weak.takes_late && (late || beat != latest) {
+        if !self.defects.accepts_late_grants && (late || heartbeat != latest) {
             return;
         }
-        let until = sent_at + true_span(span, drift) + self.weak.holds_on;
-        let unit = &mut self.units[at];
-        unit.ranged.run_out(now);
-        unit.ranged.released.clear();
-        unit.ranged.take(
+        let until = sent_at + true_span(span, drift) + self.defects.lease_overrun;
+        let upstream = &mut self.upstreams[at];
+        upstream.range_leases.run_out(now);
+        upstream.range_leases.released.clear();
+        upstream.range_leases.take(
             shares
                 .into_iter()
                 .map(|share| (share.from..share.until, share.epoch))
                 .collect(),
             until,
         );
-        let asked = !unit.ranged.ending.is_empty();
+        let asked = !upstream.range_leases.ending.is_empty();
         let (service, instance, keys) = (
-            unit.work.service.to_owned(),
-            unit.instance.clone(),
-            unit.ranged.spans(),
+            upstream.work.service.to_owned(),
+            upstream.instance.clone(),
+            upstream.range_leases.spans(),
         );
         keys.into_iter()
             .filter(|(_, until)| now < *until)
             .for_each(|(keys, until)| {
-                self.note(Fact::Holds {
+                self.note(Observation::KeysHeld {
                     service: service.clone(),
                     keys,
                     instance: instance.clone(),
@@ -289,10 +293,10 @@
             let wait = Duration::from_micros(self.random.below(AGAIN_MICROS));
             self.after(
                 wait,
-                Action::BeatAgain {
-                    unit: at,
-                    life,
-                    beat,
+                Action::RetryHeartbeat {
+                    upstream: at,
+                    incarnation,
+                    heartbeat,
                 },
             );
         }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,7 +1,7 @@
 //! What a run comes to.
 
-use invariants::facts::Ended;
-use invariants::facts::{Fact, Seen};
+use invariants::observations::FinishedOperation;
+use invariants::observations::{Observation, TimedObservation};
 use invariants::rules::{CHECKERS, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,7 +12,12 @@
 /// ```
 /// simulator::report::print("empty", &[], &[], &[]);
 /// ```
-pub fn print(title: &str, seen: &[Seen], ended: &[Ended], violations: &[Violation]) {
+pub fn print(
+    title: &str,
+    seen: &[TimedObservation],
+    ended: &[FinishedOperation],
+    violations: &[Violation],
+) {
     println!("== {title}");
     let mut codes: BTreeMap<u32, u64> = BTreeMap::new();
     ended
@@ -39,7 +44,7 @@
         .for_each(|v| println!("  rule {} at {:?}: {}", v.rule, v.at, v.text));
 }
 
-fn print_latency(ended: &[Ended]) {
+fn print_latency(ended: &[FinishedOperation]) {
     let mut took: Vec<Duration> = ended
         .iter()
         .filter(|ended| ended.code == 1000)
@@ -60,29 +65,31 @@
     );
 }
 
-fn print_sends(seen: &[Seen], ended: &[Ended]) {
+fn print_sends(seen: &[TimedObservation], ended: &[FinishedOperation]) {
     let arrived: Vec<&str> = seen
         .iter()
-        .filter_map(|(_, fact)| match fact {
-            Fact::Arrived { try_id, .. } => Some(try_id.as_str()),
+        .filter_map(|(_, observation)| match observation {
+            Observation::RequestArrived { attempt_id, .. } => Some(attempt_id.as_str()),
             _ => None,
         })
         .collect();
     let firsts = arrived.iter().collect::<BTreeSet<_>>().len();
-    let tries: u32 = ended.iter().map(|ended| ended.tries).sum();
+    let attempts: u32 = ended.iter().map(|ended| ended.attempts).sum();
     println!(
-        "tries by origins: {tries}; arrivals at upstreams: {}; of them sent again: {}",
+        "tries by origins: {attempts}; arrivals at upstreams: {}; of them sent again: {}",
         arrived.len(),
         arrived.len() - firsts
     );
 }
 
 /// The share served in the 5 s before and each of the seconds after a fault, and when it was steady again.
-fn print_faults(seen: &[Seen], ended: &[Ended]) {
-    let faults = seen.iter().filter_map(|(at, fact)| match fact {
-        Fact::Fault { what } => Some((*at, what)),
-        _ => None,
-    });
+fn print_faults(seen: &[TimedObservation], ended: &[FinishedOperation]) {
+    let faults = seen
+        .iter()
+        .filter_map(|(at, observation)| match observation {
+            Observation::Fault { what } => Some((*at, what)),
+            _ => None,
+        });
     faults.for_each(|(at, what)| {
         let share = |from: Duration, until: Duration| {
             let part = ended.iter().filter(|ended| {
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -62,10 +62,10 @@
                     if let Some(show) = &sim.show {
                         show_facts(&outcome, show);
                     }
-                    let told = Told::from((name.clone(), outcome));
+                    let summary = RunSummary::from((name.clone(), outcome));
                     done.lock()
                         .unwrap_or_else(|poisoned| poisoned.into_inner())
-                        .push(told);
+                        .push(summary);
                 }
             });
         });
@@ -77,24 +77,24 @@
     tell(&done)
 }
 
-struct Told {
+struct RunSummary {
     name: String,
     seed: u64,
-    fine: bool,
+    passed: bool,
     text: String,
     violations: usize,
     resumed_ms: u64,
     served_per_mille: [u64; 3],
     works: usize,
-    parcels: u64,
+    messages: u64,
     /// Of the voters that went for good, how many, and after how many ms each was replaced.
     losses: usize,
     replaced_ms: Vec<u64>,
     digest: String,
 }
 
-impl From<(Option<String>, Outcome)> for Told {
-    fn from((name, outcome): (Option<String>, Outcome)) -> Told {
+impl From<(Option<String>, Outcome)> for RunSummary {
+    fn from((name, outcome): (Option<String>, Outcome)) -> RunSummary {
         let plan = name
             .as_ref()
             .map(|name| format!(" --plan {name}"))
@@ -117,7 +117,7 @@
             .iter()
             .take(4)
             .for_each(|v| text += &format!("\n    rule {} at {:?}: {}", v.rule, v.at, v.text));
-        if !outcome.fine() && outcome.violations.is_empty() {
+        if !outcome.passed() && outcome.violations.is_empty() {
             let (healed, again) = (outcome.healed_at, outcome.resumed_after);
             text += &format!(
                 "\n    healed at {healed:?}, served again after {again:?}, {:?} ‰",
@@ -131,16 +131,16 @@
                 .take(5);
             late.for_each(|ended| text += &format!("\n    {ended:?}"));
         }
-        Told {
+        RunSummary {
             name: name.unwrap_or_else(|| "drawn".into()),
             seed,
-            fine: outcome.fine(),
+            passed: outcome.passed(),
             text,
             violations: outcome.violations.len(),
             resumed_ms: outcome.resumed_after.as_millis() as u64,
             served_per_mille: outcome.served_per_mille,
             works: outcome.ended.len(),
-            parcels: outcome.parcels,
+            messages: outcome.messages,
             losses: outcome.losses.len(),
             replaced_ms: replaced_ms(&outcome),
             digest: outcome.digest,
@@ -155,8 +155,8 @@
 }
 
 fn show_facts(outcome: &Outcome, show: &str) {
-    outcome.seen.iter().for_each(|(at, fact)| {
-        let text = format!("{fact:?}");
+    outcome.seen.iter().for_each(|(at, observation)| {
+        let text = format!("{observation:?}");
         if text.contains(show) {
             println!("{at:?} {text}");
         }
@@ -164,11 +164,11 @@
 }
 
 /// How long voters that went for good went on counting.
-fn tell_replacements(done: &[Told]) {
-    let losses: usize = done.iter().map(|told| told.losses).sum();
+fn tell_replacements(done: &[RunSummary]) {
+    let losses: usize = done.iter().map(|summary| summary.losses).sum();
     let mut took: Vec<u64> = done
         .iter()
-        .flat_map(|told| told.replaced_ms.iter().copied())
+        .flat_map(|summary| summary.replaced_ms.iter().copied())
         .collect();
     took.sort_unstable();
     if let (Some(median), Some(most)) = (took.get(took.len() / 2), took.last()) {
@@ -179,36 +179,37 @@
     }
 }
 
-fn tell(done: &[Told]) -> bool {
+fn tell(done: &[RunSummary]) -> bool {
     done.iter()
-        .filter(|told| !told.fine)
+        .filter(|summary| !summary.passed)
         .take(40)
-        .for_each(|told| println!("FAILED {}", told.text));
-    let mut groups: BTreeMap<&str, Vec<&Told>> = BTreeMap::new();
+        .for_each(|summary| println!("FAILED {}", summary.text));
+    let mut groups: BTreeMap<&str, Vec<&RunSummary>> = BTreeMap::new();
     done.iter()
-        .for_each(|told| groups.entry(&told.name).or_default().push(told));
+        .for_each(|summary| groups.entry(&summary.name).or_default().push(summary));
     println!(
         "{:<34} {:>5} {:>6} {:>5}  {:>20}  {:>22}",
         "plan", "seeds", "failed", "viol.", "resumed ms p50/most", "least ‰ before/in/after"
     );
-    groups.into_iter().for_each(|(name, told)| {
-        let sorted = |value: fn(&Told) -> u64| {
-            let mut all: Vec<u64> = told.iter().map(|told| value(told)).collect();
+    groups.into_iter().for_each(|(name, summary)| {
+        let sorted = |value: fn(&RunSummary) -> u64| {
+            let mut all: Vec<u64> = summary.iter().map(|summary| value(summary)).collect();
             all.sort_unstable();
             all
         };
-        let resumed = sorted(|told| told.resumed_ms);
+        let resumed = sorted(|summary| summary.resumed_ms);
         let least = |part: usize| {
-            told.iter()
-                .map(|told| told.served_per_mille[part])
+            summary
+                .iter()
+                .map(|summary| summary.served_per_mille[part])
                 .min()
                 .unwrap_or(0)
         };
-        let failed = told.iter().filter(|told| !told.fine).count();
-        let violations: usize = told.iter().map(|told| told.violations).sum();
+        let failed = summary.iter().filter(|summary| !summary.passed).count();
+        let violations: usize = summary.iter().map(|summary| summary.violations).sum();
         println!(
             "{name:<34} {:>5} {failed:>6} {violations:>5}  {:>10} / {:>7}  {:>8} / {:>4} / {:>4}",
-            told.len(),
+            summary.len(),
             resumed[resumed.len() / 2],
             resumed[resumed.len() - 1],
             least(0),
@@ -217,14 +218,14 @@
         );
     });
     tell_replacements(done);
-    let digests: String = done.iter().map(|told| told.digest.as_str()).collect();
-    let (works, parcels): (usize, u64) = (
+    let digests: String = done.iter().map(|summary| summary.digest.as_str()).collect();
+    let (works, messages): (usize, u64) = (
         done.iter().map(|t| t.works).sum(),
-        done.iter().map(|t| t.parcels).sum(),
+        done.iter().map(|t| t.messages).sum(),
     );
-    let failed = done.iter().filter(|told| !told.fine).count();
+    let failed = done.iter().filter(|summary| !summary.passed).count();
     println!(
-        "{} runs, {failed} failed; {works} works, {parcels} parcels; digest {}",
+        "{} runs, {failed} failed; {works} works, {messages} parcels; digest {}",
         done.len(),
         &protocol::digest(digests.as_bytes())[..16]
     );
--- a/crates/simulator/src/shapes.rs
+++ b/crates/simulator/src/shapes.rs
@@ -1,6 +1,6 @@
 //! The sites' shapes: places, machines, upstreams and traffic.
 
-use invariants::rules::Terms;
+use invariants::rules::RuleParameters;
 use std::collections::BTreeSet;
 
 /// One site.
@@ -16,14 +16,14 @@
     /// One way, in microseconds: within a region, and between regions.
     pub near_micros: u64,
     pub far_micros: u64,
-    pub services: [Work; 3],
+    pub services: [ServiceProfile; 3],
 }
 
 /// One service and its part of the traffic.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct ServiceProfile {
     pub service: &'static str,
-    pub once: bool,
+    pub at_most_once: bool,
     pub keyed: bool,
     /// Keys are whole numbers, held in ranges; else they fall into slots.
     pub numbered: bool,
@@ -32,10 +32,16 @@
     pub percent: u64,
 }
 
-const fn work(service: &'static str, once: bool, keyed: bool, homes: usize, percent: u64) -> Work {
-    Work {
+const fn work(
+    service: &'static str,
+    at_most_once: bool,
+    keyed: bool,
+    homes: usize,
+    percent: u64,
+) -> ServiceProfile {
+    ServiceProfile {
         service,
-        once,
+        at_most_once,
         keyed,
         numbered: false,
         homes,
@@ -44,8 +50,8 @@
 }
 
 /// The same with numeric keys.
-const fn numbered(work: Work) -> Work {
-    Work {
+const fn numbered(work: ServiceProfile) -> ServiceProfile {
+    ServiceProfile {
         keyed: true,
         numbered: true,
         ..work
@@ -108,7 +114,7 @@
 
 /// Services of one upstream each. Every setup leads the name `probe` to one of them, so that arrivals there show
 /// which setup a proxy served by.
-pub const MARKS: [Work; 5] = [
+pub const MARKERS: [ServiceProfile; 5] = [
     work("mark-0", false, false, 0, 0),
     work("mark-1", false, false, 0, 0),
     work("mark-2", false, false, 0, 0),
@@ -119,11 +125,11 @@
 /// The number of a marking service.
 ///
 /// ```
-/// assert_eq!(simulator::shapes::mark_of("mark-3"), Some(3));
-/// assert_eq!(simulator::shapes::mark_of("booking"), None);
+/// assert_eq!(simulator::shapes::marker_index("mark-3"), Some(3));
+/// assert_eq!(simulator::shapes::marker_index("booking"), None);
 /// ```
-pub fn mark_of(service: &str) -> Option<usize> {
-    MARKS.iter().position(|mark| mark.service == service)
+pub fn marker_index(service: &str) -> Option<usize> {
+    MARKERS.iter().position(|marker| marker.service == service)
 }
 
 impl Shape {
@@ -172,21 +178,21 @@
     /// let shape = simulator::shapes::ROADWISE;
     /// assert_eq!(shape.homes(&shape.services[1]), ["north", "middle"]);
     /// ```
-    pub fn homes(&self, work: &Work) -> &[&'static str] {
+    pub fn homes(&self, work: &ServiceProfile) -> &[&'static str] {
         &self.regions[..work.homes]
     }
 
     /// All that its upstreams do, those that only mark setups last, and how many there are of each.
     ///
     /// ```
-    /// assert_eq!(simulator::shapes::ROADWISE.works().map(|(_, count)| count).sum::<usize>(), 36 + 5);
+    /// assert_eq!(simulator::shapes::ROADWISE.profiles().map(|(_, count)| count).sum::<usize>(), 36 + 5);
     /// ```
-    pub fn works(&self) -> impl Iterator<Item = (Work, usize)> {
-        let marks = MARKS.into_iter().map(|mark| (mark, 1));
+    pub fn profiles(&self) -> impl Iterator<Item = (ServiceProfile, usize)> {
+        let markers = MARKERS.into_iter().map(|marker| (marker, 1));
         self.services
             .into_iter()
             .map(|work| (work, self.per_service))
-            .chain(marks)
+            .chain(markers)
     }
 
     /// The site's setup. `extra` adds that many further routes, for larger ones, and chooses which service the name
@@ -202,20 +208,20 @@
     /// The same with an operator's own number, and without `probe`: whether it is in force can't be told by its number.
     ///
     /// ```
-    /// let configuration = simulator::shapes::KALAM.numbered_setup(3, 7);
-    /// assert_eq!(config::Configuration::parse(configuration.as_bytes()).unwrap().number, Some(7));
+    /// let configuration = simulator::shapes::KALAM.versioned_configuration(3, 7);
+    /// assert_eq!(config::Configuration::parse(configuration.as_bytes()).unwrap().version, Some(7));
     /// ```
-    pub fn numbered_setup(&self, extra: usize, number: u64) -> String {
+    pub fn versioned_configuration(&self, extra: usize, number: u64) -> String {
         self.written(extra, Some(number))
     }
 
     fn written(&self, extra: usize, number: Option<u64>) -> String {
-        let services = self.services.iter().chain(&MARKS).map(|work| {
+        let services = self.services.iter().chain(&MARKERS).map(|work| {
             let homes = self.homes(work).iter().map(|home| format!("\"{home}\"")).collect::<Vec<_>>().join(", ");
             format!(
                 r#"    {{"name": "{}", "work": "{}", "keyed": {}, "numbered": {}, "warmUpPerSecond": {WARM_UP_PER_SECOND}, "homeRegions": [{homes}]}}"#,
                 work.service,
-                if work.once { "once" } else { "repeatable" },
+                if work.at_most_once { "once" } else { "repeatable" },
                 work.keyed,
                 work.numbered
             )
@@ -233,7 +239,7 @@
                 work.service,
             )
         });
-        let marked = MARKS[extra % MARKS.len()].service;
+        let marked = MARKERS[extra % MARKERS.len()].service;
         let probe = Some(())
             .filter(|()| number.is_none())
             .map(|()| route("probe-route".into(), "probe", "/probe".into(), marked));
@@ -266,9 +272,9 @@
     /// What the checkers hold the system to.
     ///
     /// ```
-    /// assert_eq!(simulator::shapes::KALAM.terms().homes.len(), 1);
+    /// assert_eq!(simulator::shapes::KALAM.rule_parameters().homes.len(), 1);
     /// ```
-    pub fn terms(&self) -> Terms {
+    pub fn rule_parameters(&self) -> RuleParameters {
         let bound = self.services.iter().filter(|work| work.homes > 0);
         let homes = bound.map(|work| {
             let homes: BTreeSet<String> = self
@@ -278,7 +284,7 @@
                 .collect();
             (work.service.to_owned(), homes)
         });
-        Terms {
+        RuleParameters {
             homes: homes.collect(),
             warm_up_per_second: WARM_UP_PER_SECOND,
         }
--- a/crates/simulator/tests/configurations.rs
+++ b/crates/simulator/tests/configurations.rs
@@ -1,8 +1,8 @@
 //! Configurations in the simulator: with numbers of their operators, and across a restart of all postmasters.
 
-use invariants::facts::Fact;
+use invariants::observations::Observation;
 use simulator::shapes::ROADWISE;
-use simulator::{FAULTS, Outcome, Plan, Weakness, World, run};
+use simulator::{DRAWN_FAULTS, Defects, Outcome, Plan, World, run};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 fn failures(jobs: impl Iterator<Item = (String, u64)>) -> Vec<String> {
     let outcomes = jobs.map(|(plan, seed)| (played(&plan, seed), plan, seed));
-    let failed = outcomes.filter(|(outcome, ..)| !outcome.fine());
+    let failed = outcomes.filter(|(outcome, ..)| !outcome.passed());
     failed
         .map(|(outcome, plan, seed)| format!("{plan} seed {seed}: {:?}", outcome.violations))
         .collect()
@@ -21,15 +21,15 @@
 #[test]
 fn of_numbered_configurations_the_highest_holds() {
     let outcome = played("number-race", 1);
-    let most = |wanted: fn(&Fact) -> Option<u64>| {
+    let most = |wanted: fn(&Observation) -> Option<u64>| {
         outcome
             .seen
             .iter()
-            .filter_map(|(_, fact)| wanted(fact))
+            .filter_map(|(_, observation)| wanted(observation))
             .max()
     };
-    let acknowledged = most(|fact| match fact {
-        Fact::Acknowledged { number } => Some(*number),
+    let acknowledged = most(|observation| match observation {
+        Observation::VersionAcknowledged { number } => Some(*number),
         _ => None,
     });
     assert_eq!(
@@ -37,14 +37,21 @@
         Some(30),
         "six rounds, each to five above the last"
     );
-    let last = outcome.seen.iter().rev().find_map(|(_, fact)| match fact {
-        Fact::ReadBack { digest, .. } => Some(digest.clone()),
-        _ => None,
-    });
-    let holds = outcome.seen.iter().any(|(_, fact)| match fact {
-        Fact::Offered { number: 30, digest } => last.as_ref() == Some(digest),
-        _ => false,
-    });
+    let last = outcome
+        .seen
+        .iter()
+        .rev()
+        .find_map(|(_, observation)| match observation {
+            Observation::ConfigurationRead { digest, .. } => Some(digest.clone()),
+            _ => None,
+        });
+    let holds = outcome
+        .seen
+        .iter()
+        .any(|(_, observation)| match observation {
+            Observation::VersionSubmitted { number: 30, digest } => last.as_ref() == Some(digest),
+            _ => false,
+        });
     assert!(holds);
     assert_eq!(
         failures((1..7).map(|seed| ("number-race".to_owned(), seed))),
@@ -54,7 +61,7 @@
 
 #[test]
 fn numbers_and_any_other_fault_break_no_rule() {
-    let jobs = FAULTS
+    let jobs = DRAWN_FAULTS
         .iter()
         .map(|(name, _)| (format!("number-race+{name}"), 1));
     assert_eq!(failures(jobs), Vec::<String>::new());
@@ -62,12 +69,13 @@
 
 #[test]
 fn a_system_that_forgets_the_numbers_is_caught() {
-    let weak = Weakness {
-        unnumbered: true,
-        ..Weakness::default()
+    let defects = Defects {
+        ignores_versions: true,
+        ..Defects::default()
     };
-    let mut runs = (1..4)
-        .map(|seed| World::weakened(seed, Plan::named("number-race", seed).unwrap(), weak).run());
+    let mut runs = (1..4).map(|seed| {
+        World::with_defects(seed, Plan::named("number-race", seed).unwrap(), defects).run()
+    });
     assert!(runs.any(|run| {
         run.violations
             .iter()
@@ -78,20 +86,23 @@
 /// How long after the restart of all postmasters the last accepted configuration was in force on every carrier; none
 /// where some never had it.
 fn in_force_after(outcome: &Outcome) -> Option<Duration> {
-    let restart = |fact: &Fact| matches!(fact, Fact::Fault { what } if what.contains("healed: KillPostmasters"));
+    let restart = |observation: &Observation| matches!(observation, Observation::Fault { what } if what.contains("healed: KillControlNodes"));
     let restarted = outcome
         .seen
         .iter()
-        .find(|(_, fact)| restart(fact))
+        .find(|(_, observation)| restart(observation))
         .map(|(at, _)| *at)?;
-    let accepted = outcome.seen.iter().filter_map(|(_, fact)| match fact {
-        Fact::Accepted { revision } => Some(*revision),
-        _ => None,
-    });
+    let accepted = outcome
+        .seen
+        .iter()
+        .filter_map(|(_, observation)| match observation {
+            Observation::RevisionAccepted { revision } => Some(*revision),
+            _ => None,
+        });
     let accepted = accepted.max()?;
     let before = outcome.seen.iter().filter(|(at, _)| *at < restarted);
     let early = before.filter(
-        |(_, fact)| matches!(fact, Fact::InForce { revision, .. } if *revision >= accepted),
+        |(_, observation)| matches!(observation, Observation::RevisionInForce { revision, .. } if *revision >= accepted),
     );
     assert_eq!(early.count(), 0, "no carrier was told before the restart");
     let mut since: BTreeMap<&str, Duration> = BTreeMap::new();
@@ -99,8 +110,8 @@
         .seen
         .iter()
         .filter(|(at, _)| *at >= restarted)
-        .for_each(|(at, fact)| match fact {
-            Fact::InForce { node, revision } if *revision >= accepted => {
+        .for_each(|(at, observation)| match observation {
+            Observation::RevisionInForce { node, revision } if *revision >= accepted => {
                 since.entry(node).or_insert(*at);
             }
             _ => {}
@@ -120,7 +131,7 @@
     (1..9).for_each(|seed| {
         let outcome = played("restart-postmasters", seed);
         assert!(
-            outcome.fine(),
+            outcome.passed(),
             "seed {seed}: {:?} after {:?}",
             outcome.violations,
             outcome.resumed_after
@@ -132,12 +143,13 @@
             in_force_after(&outcome)
         );
     });
-    let weak = Weakness {
-        tells_late: true,
-        ..Weakness::default()
+    let defects = Defects {
+        withholds_upstream_views: true,
+        ..Defects::default()
     };
     let plan = |seed| Plan::named("restart-postmasters", seed).expect("a known plan");
-    let late = (1..4).map(|seed| in_force_after(&World::weakened(seed, plan(seed), weak).run()));
+    let late =
+        (1..4).map(|seed| in_force_after(&World::with_defects(seed, plan(seed), defects).run()));
     assert!(
         late.clone().all(|late| !within(late)),
         "{:?}",
--- a/crates/simulator/tests/cuts.rs
+++ b/crates/simulator/tests/cuts.rs
@@ -1,8 +1,8 @@
 //! A control machine is cut off from the others for some twenty seconds, while operators and upstreams reach it.
 
-use invariants::facts::Fact;
+use invariants::observations::Observation;
 use simulator::shapes::ROADWISE;
-use simulator::{Outcome, Plan, Weakness, World, run};
+use simulator::{Defects, Outcome, Plan, World, run};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
                     "{plan} seed {seed}: {:?}, agreed {}, resumed after {:?}, slowest order {slow:?}",
                     outcome.violations, outcome.agreed, outcome.resumed_after
                 );
-                (!outcome.fine() || slow > ORDER_WITHIN).then_some(told)
+                (!outcome.passed() || slow > ORDER_WITHIN).then_some(told)
             })
             .collect::<Vec<_>>()
     };
@@ -46,10 +46,13 @@
 }
 
 fn slowest_order(outcome: &Outcome) -> Duration {
-    let took = outcome.seen.iter().filter_map(|(_, fact)| match fact {
-        Fact::Submitted { took, .. } => Some(*took),
-        _ => None,
-    });
+    let took = outcome
+        .seen
+        .iter()
+        .filter_map(|(_, observation)| match observation {
+            Observation::ConfigurationAccepted { took, .. } => Some(*took),
+            _ => None,
+        });
     took.max().unwrap_or_default()
 }
 
@@ -82,9 +85,14 @@
     assert_eq!(failures(&jobs), Vec::<String>::new());
 }
 
-fn breaches(weak: Weakness, rule: u32) -> usize {
+fn breaches(defects: Defects, rule: u32) -> usize {
     let runs = (1..4).map(|seed| {
-        World::weakened(seed, Plan::named("long-cut", seed).expect("a plan"), weak).run()
+        World::with_defects(
+            seed,
+            Plan::named("long-cut", seed).expect("a plan"),
+            defects,
+        )
+        .run()
     });
     runs.filter(|outcome| {
         outcome
@@ -99,9 +107,9 @@
 fn a_node_that_takes_the_others_for_agreed_is_caught() {
     assert!(
         breaches(
-            Weakness {
-                agrees_alone: true,
-                ..Weakness::default()
+            Defects {
+                forges_peer_agreement: true,
+                ..Defects::default()
             },
             14
         ) > 0
@@ -110,18 +118,18 @@
 
 #[test]
 fn an_acknowledged_leaving_that_nobody_heard_is_caught() {
-    let weak = Weakness {
-        tells_departures_blindly: true,
-        ..Weakness::default()
+    let defects = Defects {
+        skips_departure_acks: true,
+        ..Defects::default()
     };
-    assert!(breaches(weak, 14) > 0, "a node vouched for it alone");
+    assert!(breaches(defects, 14) > 0, "a node vouched for it alone");
     // Where it does not notice the cut either, the upstream goes on beating there, and nobody else hears.
-    let weak = Weakness {
-        agrees_alone: true,
-        ..weak
+    let defects = Defects {
+        forges_peer_agreement: true,
+        ..defects
     };
     assert!(
-        breaches(weak, 5) > 0,
+        breaches(defects, 5) > 0,
         "an upstream that left was sent requests"
     );
 }
--- a/crates/simulator/tests/disks.rs
+++ b/crates/simulator/tests/disks.rs
@@ -1,7 +1,7 @@
 //! Disks that are full or stalled, one machine after the other, under a storm of setups, and then a restart of all.
 
 use simulator::shapes::{KALAM, ROADWISE, Shape};
-use simulator::{Outcome, Plan, Weakness, World, run};
+use simulator::{Defects, Outcome, Plan, World, run};
 use std::time::Duration;
 
 /// Of a thousand requests, how many must be served while two disks of six at most are broken.
@@ -19,7 +19,7 @@
         resumed_after,
         ..
     } = outcome;
-    (!outcome.fine() || *resumed_after > RESTART_TAKES)
+    (!outcome.passed() || *resumed_after > RESTART_TAKES)
         .then(|| format!("{seed}: {violations:?} {agreed} {served_per_mille:?} {resumed_after:?}"))
 }
 
@@ -55,19 +55,19 @@
 }
 
 /// Until all are killed the majority is there: two disks of six are broken at once at most.
-fn served_meanwhile(weak: Weakness) -> u64 {
+fn served_meanwhile(defects: Defects) -> u64 {
     let plan = Plan::named("disks-full-in-turn", 1).expect("a known plan");
-    World::weakened(1, plan, weak).run().served_per_mille[1]
+    World::with_defects(1, plan, defects).run().served_per_mille[1]
 }
 
 #[test]
 fn a_disk_that_is_given_up_for_good_shows() {
-    let whole = served_meanwhile(Weakness::default());
-    let given_up = served_meanwhile(Weakness {
-        gives_disks_up: true,
-        ..Weakness::default()
+    let complete = served_meanwhile(Defects::default());
+    let given_up = served_meanwhile(Defects {
+        first_disk_error_is_final: true,
+        ..Defects::default()
     });
-    println!("served {whole}, given up {given_up}");
-    assert!(whole >= SERVED_PER_MILLE, "{whole}");
+    println!("served {complete}, given up {given_up}");
+    assert!(complete >= SERVED_PER_MILLE, "{complete}");
     assert!(given_up < SERVED_PER_MILLE, "{given_up}");
 }
--- a/crates/simulator/tests/kept.rs
+++ b/crates/simulator/tests/kept.rs
@@ -1,7 +1,7 @@
 //! Kept connections in the simulator: surplus answers, resets, hangs, and addresses that change hands.
 
 use simulator::shapes::{LEDGER, ROADWISE, Shape};
-use simulator::{Outcome, Plan, Weakness, World, run};
+use simulator::{Defects, Outcome, Plan, World, run};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 const KINDS: [&str; 5] = [
@@ -31,7 +31,7 @@
                 "{name} seed {seed}: {:?} after {:?}",
                 outcome.violations, outcome.resumed_after
             );
-            (!outcome.fine()).then_some(told)
+            (!outcome.passed()).then_some(told)
         });
         broken.collect::<Vec<_>>()
     };
@@ -86,24 +86,24 @@
 
 #[test]
 fn a_surplus_answer_costs_the_request_that_meets_it_nothing() {
-    let mut passed_over = 0;
+    let mut skipped_responses = 0;
     SEEDS.for_each(|seed| {
         let outcome = played("surplus-answers", seed, ROADWISE);
         assert_eq!(outcome.served_per_mille, [1000; 3], "seed {seed}");
-        assert!(outcome.reused > 0, "seed {seed}");
-        passed_over += outcome.passed_over;
+        assert!(outcome.reused_connections > 0, "seed {seed}");
+        skipped_responses += outcome.skipped_responses;
     });
-    assert!(passed_over > 0, "some request met one");
+    assert!(skipped_responses > 0, "some request met one");
 }
 
 #[test]
 fn a_proxy_that_takes_whatever_comes_next_is_caught() {
-    let weak = Weakness {
-        takes_next: true,
-        ..Weakness::default()
+    let defects = Defects {
+        accepts_any_response_on_connection: true,
+        ..Defects::default()
     };
     let runs = SEEDS.map(|seed| {
-        World::weakened(seed, Plan::named("surplus-answers", seed).unwrap(), weak).run()
+        World::with_defects(seed, Plan::named("surplus-answers", seed).unwrap(), defects).run()
     });
     assert!(
         runs.flat_map(|run| run.violations)
--- a/crates/simulator/tests/numbered.rs
+++ b/crates/simulator/tests/numbered.rs
@@ -1,9 +1,9 @@
 //! Numeric keys in ranges, in the simulator: a site whose accounts are numbers, under every fault.
 
-use invariants::facts::Fact;
+use invariants::observations::Observation;
 use random::Random;
 use simulator::shapes::LEDGER;
-use simulator::{FAULTS, FURTHER, Fault, Outcome, Plan, Step, Weakness, World, run};
+use simulator::{DRAWN_FAULTS, Defects, EXTRA_FAULTS, Fault, Outcome, Plan, Step, World, run};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -41,9 +41,9 @@
 
 /// No rule was broken, all nodes agree, and everything was served before the fault.
 fn unlawful(outcome: &Outcome) -> Option<String> {
-    let fine =
+    let passed =
         outcome.violations.is_empty() && outcome.agreed && outcome.served_per_mille[0] == 1000;
-    (!fine).then(|| {
+    (!passed).then(|| {
         format!(
             "{:?}, agreed {}, {:?}",
             outcome.violations, outcome.agreed, outcome.served_per_mille
@@ -53,9 +53,9 @@
 
 #[test]
 fn every_fault_alone_breaks_no_rule_where_keys_are_numbers() {
-    let jobs = FAULTS
+    let jobs = DRAWN_FAULTS
         .iter()
-        .chain(FURTHER)
+        .chain(EXTRA_FAULTS)
         .map(|(name, _)| (Some((*name).to_owned()), 1));
     assert_eq!(told(jobs.collect(), unlawful), Vec::<String>::new());
 }
@@ -72,22 +72,23 @@
 fn a_quiet_site_serves_every_numbered_request() {
     let jobs = (1..7).map(|seed| (Some("quiet".to_owned()), seed));
     let unserved = |outcome: &Outcome| {
-        (!outcome.fine() || outcome.served_per_mille != [1000; 3]).then(String::new)
+        (!outcome.passed() || outcome.served_per_mille != [1000; 3]).then(String::new)
     };
     assert_eq!(told(jobs.collect(), unserved), Vec::<String>::new());
 }
 
 /// What the busiest upstream had of all requests with numeric keys late in a quiet run, of 1000; over some seeds.
-fn busiest_per_mille(weak: Weakness) -> u64 {
-    let outcomes = (1..7).map(|seed| World::weakened_site(seed, Plan::quiet(), LEDGER, weak).run());
+fn busiest_per_mille(defects: Defects) -> u64 {
+    let outcomes =
+        (1..7).map(|seed| World::site_with_defects(seed, Plan::quiet(), LEDGER, defects).run());
     let parts = outcomes.map(|outcome| {
         let mut arrived: BTreeMap<String, u64> = BTreeMap::new();
         outcome
             .seen
             .iter()
             .filter(|(at, _)| at.as_secs() >= 24)
-            .for_each(|(_, fact)| match fact {
-                Fact::Arrived {
+            .for_each(|(_, observation)| match observation {
+                Observation::RequestArrived {
                     service, instance, ..
                 } if service == "account" => {
                     *arrived.entry(instance.clone()).or_default() += 1;
@@ -103,14 +104,14 @@
 /// carriers count.
 #[test]
 fn the_division_follows_a_load_that_moves() {
-    let counted = busiest_per_mille(Weakness::default());
-    let uncounted = busiest_per_mille(Weakness {
-        uncounted: true,
-        ..Weakness::default()
+    let counted = busiest_per_mille(Defects::default());
+    let drops_key_counts = busiest_per_mille(Defects {
+        drops_key_counts: true,
+        ..Defects::default()
     });
     assert!(
-        counted * 4 / 3 < uncounted,
-        "the busiest has {counted} of 1000 requests, and uncounted {uncounted}"
+        counted * 4 / 3 < drops_key_counts,
+        "the busiest has {counted} of 1000 requests, and uncounted {drops_key_counts}"
     );
 }
 
@@ -120,14 +121,19 @@
     let runs = |keys: &Range<u32>| (keys.start.div_ceil(RUN)..keys.end / RUN).collect::<Vec<_>>();
     let mut free: BTreeMap<u32, Duration> = BTreeMap::new();
     let mut longest = (Duration::ZERO, 0);
-    outcome.seen.iter().for_each(|(at, fact)| match fact {
-        Fact::LetGo { keys, .. } => free.extend(runs(keys).into_iter().map(|run| (run, *at))),
-        Fact::Holds { keys, .. } => runs(keys).into_iter().for_each(|run| {
-            let gap = free.remove(&run).map(|since| (*at - since, run * RUN));
-            longest = longest.max(gap.unwrap_or_default());
-        }),
-        _ => {}
-    });
+    outcome
+        .seen
+        .iter()
+        .for_each(|(at, observation)| match observation {
+            Observation::KeysReleased { keys, .. } => {
+                free.extend(runs(keys).into_iter().map(|run| (run, *at)))
+            }
+            Observation::KeysHeld { keys, .. } => runs(keys).into_iter().for_each(|run| {
+                let gap = free.remove(&run).map(|since| (*at - since, run * RUN));
+                longest = longest.max(gap.unwrap_or_default());
+            }),
+            _ => {}
+        });
     longest
 }
 
@@ -154,12 +160,12 @@
             Step {
                 at: from,
                 until,
-                fault: Fault::PauseUnit(account),
+                fault: Fault::PauseUpstream(account),
             },
             Step {
                 at: from + ms(300),
                 until,
-                fault: Fault::JumpPlacement(ms(450)),
+                fault: Fault::JumpPlacementHolderClock(ms(450)),
             },
         ];
         run(at as u64 + 1, Some(Plan { steps }), LEDGER).violations
@@ -175,11 +181,11 @@
     let (from, until) = (ms(18_000 + random.below(500)), ms(26_000));
     let first = from + ms(100 + random.below(500));
     let second = first + ms(200 + random.below(1500));
-    let jump = Fault::JumpPlacement(ms(450));
+    let jump = Fault::JumpPlacementHolderClock(ms(450));
     let silent = Step {
         at: from,
         until,
-        fault: Fault::PauseUnit(account),
+        fault: Fault::PauseUpstream(account),
     };
     let jumps = [first, second].map(|at| Step {
         at,
@@ -193,12 +199,12 @@
 
 #[test]
 fn small_jumps_of_the_lease_holders_clock_do_not_add_up() {
-    let counting = Weakness {
-        counts_jumps: true,
-        ..Weakness::default()
+    let counting = Defects {
+        lease_counts_clock_jumps: true,
+        ..Defects::default()
     };
     assert_eq!(
-        seeds_that_give_twice(two_jumps, Weakness::default()),
+        seeds_that_give_twice(two_jumps, Defects::default()),
         Vec::<u64>::new()
     );
     assert_ne!(
@@ -208,13 +214,13 @@
 }
 
 /// Of 48 seeds, side by side, those in which a world gives a key to two.
-fn seeds_that_give_twice(plan: fn(u64) -> Plan, weak: Weakness) -> Vec<u64> {
+fn seeds_that_give_twice(plan: fn(u64) -> Plan, defects: Defects) -> Vec<u64> {
     let next = AtomicUsize::new(1);
     let work = || {
         std::iter::from_fn(|| {
             Some(next.fetch_add(1, Ordering::Relaxed) as u64).filter(|seed| *seed <= 48)
         })
-        .filter(|seed| gives_twice_on(plan(*seed), *seed, weak))
+        .filter(|seed| gives_twice_on(plan(*seed), *seed, defects))
         .collect::<Vec<u64>>()
     };
     let threads = std::thread::available_parallelism()
@@ -229,38 +235,38 @@
     })
 }
 
-fn gives_twice_on(plan: Plan, seed: u64, weak: Weakness) -> bool {
-    let run = World::weakened_site(seed, plan, LEDGER, weak).run();
+fn gives_twice_on(plan: Plan, seed: u64, defects: Defects) -> bool {
+    let run = World::site_with_defects(seed, plan, LEDGER, defects).run();
     run.violations.iter().any(|violation| violation.rule == 11)
 }
 
 /// True where a world that lacks one thing they rest on gives a key to two.
-fn gives_twice(plan: impl Fn(u64) -> Plan, weak: Weakness) -> bool {
-    (1..13).any(|seed| gives_twice_on(plan(seed), seed, weak))
+fn gives_twice(plan: impl Fn(u64) -> Plan, defects: Defects) -> bool {
+    (1..13).any(|seed| gives_twice_on(plan(seed), seed, defects))
 }
 
 #[test]
 fn upstreams_that_break_the_contract_are_caught() {
-    let (real, named) = (Weakness::default(), |plan| {
+    let (real, named) = (Defects::default(), |plan| {
         move |seed| Plan::named(plan, seed).expect("a known plan")
     });
-    let holds_on = Weakness {
-        holds_on: Duration::from_secs(5),
+    let lease_overrun = Defects {
+        lease_overrun: Duration::from_secs(5),
         ..real
     };
-    assert!(gives_twice(named("pause-unit"), holds_on));
-    assert!(gives_twice(named("cut-zone"), holds_on));
+    assert!(gives_twice(named("pause-unit"), lease_overrun));
+    assert!(gives_twice(named("cut-zone"), lease_overrun));
     assert!(gives_twice(
         named("pause-unit"),
-        Weakness {
-            stands_still: true,
+        Defects {
+            clock_stops_while_suspended: true,
             ..real
         }
     ));
     assert!(gives_twice(
         named("late-answers+move-names"),
-        Weakness {
-            takes_late: true,
+        Defects {
+            accepts_late_grants: true,
             ..real
         }
     ));
@@ -268,10 +274,10 @@
 }
 
 /// The plan in which upstreams sign off first, on eight seeds side by side: the rules that were broken.
-fn signed_off_first(weak: Weakness) -> Vec<u32> {
+fn signed_off_first(defects: Defects) -> Vec<u32> {
     let rules_broken = |seed| {
         let plan = Plan::named("sign-off-first", seed).expect("a known plan");
-        let outcome = World::weakened_site(seed, plan, LEDGER, weak).run();
+        let outcome = World::site_with_defects(seed, plan, LEDGER, defects).run();
         outcome
             .violations
             .into_iter()
@@ -291,15 +297,15 @@
 
 #[test]
 fn keys_of_an_upstream_that_signed_off_first_have_one_holder() {
-    assert_eq!(signed_off_first(Weakness::default()), Vec::<u32>::new());
+    assert_eq!(signed_off_first(Defects::default()), Vec::<u32>::new());
 }
 
 #[test]
 fn keys_that_are_free_at_a_sign_off_are_caught() {
-    let weak = Weakness {
-        lists_nothing_once_signed_off: true,
-        ..Weakness::default()
+    let defects = Defects {
+        lists_no_keys_after_deregistering: true,
+        ..Defects::default()
     };
-    let broken = signed_off_first(weak);
+    let broken = signed_off_first(defects);
     assert!(broken.contains(&11), "{broken:?}");
 }
--- a/crates/simulator/tests/orders.rs
+++ b/crates/simulator/tests/orders.rs
@@ -1,11 +1,11 @@
 //! Operators whose answers are lost and whose orders come late, doubled, by the hundred and under one number: what they
 //! are told must look as if each order had been done once, at one moment.
 
-use invariants::facts::Fact;
-use invariants::history::Reply;
+use invariants::history::CommandResult;
+use invariants::observations::Observation;
 use result_code::ResultCode;
 use simulator::shapes::ROADWISE;
-use simulator::{Outcome, Plan, Weakness, World, run};
+use simulator::{Defects, Outcome, Plan, World, run};
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -44,8 +44,8 @@
 }
 
 fn unlawful(outcome: &Outcome) -> Option<String> {
-    let fine = outcome.violations.is_empty() && outcome.agreed;
-    (!fine).then(|| format!("{:?}, agreed {}", outcome.violations, outcome.agreed))
+    let passed = outcome.violations.is_empty() && outcome.agreed;
+    (!passed).then(|| format!("{:?}, agreed {}", outcome.violations, outcome.agreed))
 }
 
 fn seeds(
@@ -118,13 +118,16 @@
 fn answers_on(seed: u64, plan: &str, code: ResultCode) -> (usize, usize) {
     let outcome = run(seed, Plan::named(plan, seed), ROADWISE);
     let mut known = BTreeSet::new();
-    let told = outcome.seen.iter().filter_map(|(_, fact)| match fact {
-        Fact::Returned {
-            call,
-            reply: Reply::Decided { code: told, .. },
-        } if *told == code => Some(call.clone()),
-        _ => None,
-    });
+    let told = outcome
+        .seen
+        .iter()
+        .filter_map(|(_, observation)| match observation {
+            Observation::CommandReturned {
+                call,
+                reply: CommandResult::Decided { code: told, .. },
+            } if *told == code => Some(call.clone()),
+            _ => None,
+        });
     let (first, again): (Vec<_>, Vec<_>) = told.partition(|call| known.insert(call.clone()));
     (first.len(), again.len())
 }
@@ -155,12 +158,16 @@
 /// has overtaken both before either was decided.
 fn numbers_are_raced_for() {
     let count = |code| answers("equal-numbers", code).0;
-    let (fine, taken, overtaken) = (
+    let (passed, taken, overtaken) = (
         count(ResultCode::Success),
         count(ResultCode::VersionConflict),
         count(ResultCode::Superseded),
     );
-    assert_eq!(fine, 1 + taken, "the site's first setup is the one besides");
+    assert_eq!(
+        passed,
+        1 + taken,
+        "the site's first setup is the one besides"
+    );
     assert_eq!(
         2 * taken + overtaken,
         16,
@@ -170,26 +177,26 @@
 }
 
 /// How many of a few seeds break the rule on operators' calls in a weakened world.
-fn caught(plan: &str, weak: Weakness) -> usize {
+fn caught(plan: &str, defects: Defects) -> usize {
     let plan = |seed| Plan::named(plan, seed).expect("a known plan");
-    let runs = (1..5).map(|seed| World::weakened(seed, plan(seed), weak).run());
+    let runs = (1..5).map(|seed| World::with_defects(seed, plan(seed), defects).run());
     runs.filter(|run| run.violations.iter().any(|violation| violation.rule == 13))
         .count()
 }
 
 #[test]
 fn a_system_that_treats_orders_wrongly_is_caught() {
-    let alone = Weakness {
-        reads_alone: true,
-        ..Weakness::default()
+    let alone = Defects {
+        reads_local_disk_only: true,
+        ..Defects::default()
     };
-    let confirms = Weakness {
-        confirms_taken: true,
-        ..Weakness::default()
+    let confirms = Defects {
+        confirms_version_conflicts: true,
+        ..Defects::default()
     };
-    let redoes = Weakness {
-        redoes_orders: true,
-        ..Weakness::default()
+    let redoes = Defects {
+        reexecutes_commands: true,
+        ..Defects::default()
     };
     let cases = [
         (
@@ -216,7 +223,7 @@
     ];
     let missed = cases
         .into_iter()
-        .filter(|(plan, weak, _)| caught(plan, *weak) == 0)
+        .filter(|(plan, defects, _)| caught(plan, *defects) == 0)
         .map(|(plan, _, what)| (plan, what));
     assert_eq!(missed.collect::<Vec<_>>(), Vec::<(&str, &str)>::new());
 }
--- a/crates/simulator/tests/replacements.rs
+++ b/crates/simulator/tests/replacements.rs
@@ -1,7 +1,7 @@
 //! Voters that are gone for good: their places are taken, by agreement, and the next loss may come.
 
 use simulator::shapes::{KALAM, ROADWISE, Shape};
-use simulator::{Fault, Outcome, Plan, Step, Weakness, World, run};
+use simulator::{Defects, Fault, Outcome, Plan, Step, World, run};
 use std::time::Duration;
 
 const VOTERS: usize = 6;
@@ -13,7 +13,7 @@
 fn lacks(outcome: &Outcome) -> Option<String> {
     let replaced = outcome.voters.len() == VOTERS && outcome.voters_gone.is_empty();
     let served = outcome.served_per_mille[2] == 1000;
-    (!outcome.fine() || !replaced || !served).then(|| {
+    (!outcome.passed() || !replaced || !served).then(|| {
         let Outcome {
             seed,
             violations,
@@ -111,11 +111,11 @@
 /// Where nobody takes the places of those that are gone, the third loss ends the majority, and the test sees it.
 #[test]
 fn voters_that_are_never_replaced_are_caught() {
-    let weak = Weakness {
-        keeps_voters: true,
-        ..Weakness::default()
+    let defects = Defects {
+        never_replaces_voters: true,
+        ..Defects::default()
     };
-    let outcome = World::weakened(1, named("replace-voters")(1), weak).run();
+    let outcome = World::with_defects(1, named("replace-voters")(1), defects).run();
     assert!(lacks(&outcome).is_some());
 }
 
@@ -125,12 +125,12 @@
     let step = Step {
         at: Duration::from_secs(17),
         until: Duration::from_secs(60),
-        fault: Fault::DarkRegion(1),
+        fault: Fault::RegionPowerLoss(1),
     };
     let outcome = run(3, Some(Plan { steps: vec![step] }), ROADWISE);
     let founded = (0..VOTERS).map(|at| format!("postmaster-{at}")).collect();
     assert_eq!(outcome.voters, founded);
-    assert!(outcome.fine(), "{:?}", outcome.violations);
+    assert!(outcome.passed(), "{:?}", outcome.violations);
 }
 
 /// A run of the larger site that ends just after the last marks of a moved name have run out: some carriers have been told,
@@ -145,11 +145,11 @@
 
 #[test]
 fn news_on_its_way_at_the_end_is_waited_for() {
-    let outcome = World::weakened_site(
+    let outcome = World::site_with_defects(
         MARKS_RUN_OUT_SEED,
         ends_while_marks_run_out(),
         KALAM,
-        Weakness::default(),
+        Defects::default(),
     )
     .run();
     assert!(
@@ -160,15 +160,15 @@
 
 #[test]
 fn a_carrier_that_takes_no_change_of_the_placement_is_caught() {
-    let weak = Weakness {
-        keeps_placement: true,
-        ..Weakness::default()
+    let defects = Defects {
+        withholds_placement_changes: true,
+        ..Defects::default()
     };
-    let outcome = World::weakened_site(
+    let outcome = World::site_with_defects(
         1,
         Plan::named("move-names", 1).expect("a plan"),
         ROADWISE,
-        weak,
+        defects,
     )
     .run();
     assert!(!outcome.agreed);
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -1,8 +1,8 @@
 //! The fixed set of simulator seeds, and every seed that once showed a failure.
 
-use invariants::facts::Fact;
+use invariants::observations::Observation;
 use simulator::shapes::ROADWISE;
-use simulator::{FAULTS, Fault, Plan, Step, Weakness, World, run};
+use simulator::{DRAWN_FAULTS, Defects, Fault, Plan, Step, World, run};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
                     "{name:?} seed {seed}: {:?} after {:?}",
                     outcome.violations, outcome.resumed_after
                 );
-                (!outcome.fine()).then_some(told)
+                (!outcome.passed()).then_some(told)
             })
             .collect::<Vec<_>>()
     };
@@ -39,7 +39,7 @@
 
 #[test]
 fn every_fault_alone_breaks_no_rule_and_service_resumes() {
-    let jobs = FAULTS
+    let jobs = DRAWN_FAULTS
         .iter()
         .flat_map(|(name, _)| (1..4).map(|seed| (Some((*name).to_owned()), seed)));
     assert_eq!(failures(jobs.collect()), Vec::<String>::new());
@@ -174,7 +174,7 @@
     let step = |region| Step {
         at,
         until,
-        fault: Fault::DarkRegion(region),
+        fault: Fault::RegionPowerLoss(region),
     };
     Plan {
         steps: (0..3).map(step).collect(),
@@ -188,7 +188,7 @@
     let steps = |synced: bool| {
         (0..10u32).flat_map(move |write| {
             let at = |ms: u64, wiped| {
-                let fault = Fault::PowerAt {
+                let fault = Fault::PowerLossAtWrite {
                     machine: write as usize,
                     write,
                     synced,
@@ -213,7 +213,7 @@
         );
         assert_eq!(outcome.violations, vec![], "{step:?}");
         assert!(
-            outcome.fine(),
+            outcome.passed(),
             "{step:?}: served again only after {:?}",
             outcome.resumed_after
         );
@@ -238,20 +238,24 @@
             ROADWISE,
         );
         assert!(
-            outcome.fine(),
+            outcome.passed(),
             "seed {seed}: {:?} after {:?}",
             outcome.violations,
             outcome.resumed_after
         );
-        let digests = |at: &dyn Fn(&Fact) -> Option<String>| {
-            outcome.seen.iter().filter_map(|(_, fact)| at(fact)).last()
+        let digests = |at: &dyn Fn(&Observation) -> Option<String>| {
+            outcome
+                .seen
+                .iter()
+                .filter_map(|(_, observation)| at(observation))
+                .last()
         };
-        let accepted = digests(&|fact| match fact {
-            Fact::Submitted { digest, .. } => Some(digest.clone()),
+        let accepted = digests(&|observation| match observation {
+            Observation::ConfigurationAccepted { digest, .. } => Some(digest.clone()),
             _ => None,
         });
-        let back = digests(&|fact| match fact {
-            Fact::ReadBack {
+        let back = digests(&|observation| match observation {
+            Observation::ConfigurationRead {
                 digest, revision, ..
             } if *revision > 1000 => Some(digest.clone()),
             _ => None,
@@ -269,7 +273,7 @@
         let outcome = run(seed, Some(blackout()), ROADWISE);
         assert_eq!(outcome.violations, vec![], "seed {seed}");
         assert!(
-            outcome.fine(),
+            outcome.passed(),
             "seed {seed}: served again only after {:?}",
             outcome.resumed_after
         );
@@ -294,24 +298,24 @@
 #[test]
 fn disks_that_thin_out_by_themselves_are_caught() {
     let plan = Plan::named("long-storm", 1).expect("a known plan");
-    let outcome = World::weakened(
+    let outcome = World::with_defects(
         1,
         plan,
-        Weakness {
-            drops_newest: true,
-            ..Weakness::default()
+        Defects {
+            deletes_newest_configurations: true,
+            ..Defects::default()
         },
     )
     .run();
     assert!(
-        !outcome.fine(),
+        !outcome.passed(),
         "served again after {:?}",
         outcome.resumed_after
     );
 }
 
 /// Rules broken by a world that lacks one thing they rest on, over a few seeds.
-fn broken_by(plan: &str, weak: Weakness) -> Vec<u32> {
+fn broken_by(plan: &str, defects: Defects) -> Vec<u32> {
     let plan = |seed| {
         if plan == "blackout" {
             blackout()
@@ -319,7 +323,7 @@
             Plan::named(plan, seed).expect("a known plan")
         }
     };
-    let runs = (1..7).map(|seed| World::weakened(seed, plan(seed), weak).run());
+    let runs = (1..7).map(|seed| World::with_defects(seed, plan(seed), defects).run());
     let mut broken: Vec<u32> = runs
         .flat_map(|run| run.violations.into_iter().map(|v| v.rule))
         .collect();
@@ -334,128 +338,128 @@
     let cases = [
         (
             "garble+lose-answers",
-            Weakness {
-                trusting: true,
-                ..Weakness::default()
+            Defects {
+                trusts_any_response: true,
+                ..Defects::default()
             },
             vec![1, 2, 3],
         ),
         (
             "quiet",
-            Weakness {
+            Defects {
                 lifetime: Duration::from_secs(7),
-                ..Weakness::default()
+                ..Defects::default()
             },
             vec![4],
         ),
         (
             "evacuate-cut",
-            Weakness {
+            Defects {
                 stale_after: long,
-                ..Weakness::default()
+                ..Defects::default()
             },
             vec![6, 7],
         ),
         (
             "cut-zone+setup-storm",
-            Weakness {
+            Defects {
                 stale_after: long,
-                unwatched: true,
-                ..Weakness::default()
+                revisions_unobserved: true,
+                ..Defects::default()
             },
             vec![7],
         ),
         (
             "release",
-            Weakness {
-                leaves_quietly: true,
-                ..Weakness::default()
+            Defects {
+                drains_unannounced: true,
+                ..Defects::default()
             },
             vec![5],
         ),
         (
             "quiet",
-            Weakness {
-                homeless: true,
-                ..Weakness::default()
+            Defects {
+                omits_home_regions: true,
+                ..Defects::default()
             },
             vec![12],
         ),
         (
             "blackout",
-            Weakness {
-                disks_lie: true,
-                ..Weakness::default()
+            Defects {
+                disks_lose_synced_writes: true,
+                ..Defects::default()
             },
             vec![8],
         ),
         (
             "ambush-leave",
-            Weakness {
-                hasty: true,
-                ..Weakness::default()
+            Defects {
+                skips_check_after_connect: true,
+                ..Defects::default()
             },
             vec![5],
         ),
         (
             "ambush-evacuate",
-            Weakness {
-                hasty: true,
-                ..Weakness::default()
+            Defects {
+                skips_check_after_connect: true,
+                ..Defects::default()
             },
             vec![6],
         ),
         (
             "ambush-leave",
-            Weakness {
-                stands_still: true,
-                ..Weakness::default()
+            Defects {
+                clock_stops_while_suspended: true,
+                ..Defects::default()
             },
             vec![5],
         ),
         (
             "ambush-evacuate",
-            Weakness {
-                stands_still: true,
-                ..Weakness::default()
+            Defects {
+                clock_stops_while_suspended: true,
+                ..Defects::default()
             },
             vec![6],
         ),
         (
             "pause-unit",
-            Weakness {
-                stands_still: true,
-                ..Weakness::default()
+            Defects {
+                clock_stops_while_suspended: true,
+                ..Defects::default()
             },
             vec![11],
         ),
         (
             "bad-release",
-            Weakness {
-                spendthrift: true,
-                ..Weakness::default()
+            Defects {
+                unlimited_retry_budget: true,
+                ..Defects::default()
             },
             vec![9],
         ),
         (
             "cold-all",
-            Weakness {
-                forgets_warm_up: true,
-                ..Weakness::default()
+            Defects {
+                ignores_warm_up: true,
+                ..Defects::default()
             },
             vec![10],
         ),
         (
             "pause-unit",
-            Weakness {
-                holds_on: long,
-                ..Weakness::default()
+            Defects {
+                lease_overrun: long,
+                ..Defects::default()
             },
             vec![11],
         ),
     ];
-    let missed = cases.into_iter().filter_map(|(plan, weak, rules)| {
-        let broken = broken_by(plan, weak);
+    let missed = cases.into_iter().filter_map(|(plan, defects, rules)| {
+        let broken = broken_by(plan, defects);
         let told = format!("{plan}: {rules:?} expected, {broken:?} seen");
         (!rules.iter().all(|rule| broken.contains(rule))).then_some(told)
     });
--- a/crates/simulator/tests/spoken.rs
+++ b/crates/simulator/tests/spoken.rs
@@ -4,19 +4,19 @@
 use simulator::{Plan, run};
 
 /// Bytes within zones, between zones and between regions, of a whole run.
-fn spoken(plan: &str) -> [u64; 3] {
+fn traffic(plan: &str) -> [u64; 3] {
     let steps = if plan == "quiet" {
         Some(Plan { steps: Vec::new() })
     } else {
         Plan::named(plan, 1)
     };
     let outcome = run(1, steps, ROADWISE);
-    assert!(outcome.fine(), "{plan}: {:?}", outcome.violations);
-    let sum = |at: usize| outcome.spoken.values().map(|bytes| bytes[at]).sum::<u64>();
+    assert!(outcome.passed(), "{plan}: {:?}", outcome.violations);
+    let sum = |at: usize| outcome.traffic.values().map(|bytes| bytes[at]).sum::<u64>();
     let all = [sum(0), sum(1), sum(2)];
     println!(
         "{plan}: {all:?} bytes in {:?}: {:?}",
-        outcome.lasted, outcome.spoken
+        outcome.lasted, outcome.traffic
     );
     all
 }
@@ -31,7 +31,7 @@
         ("dark-zone", 500_000, 1_100_000),
     ];
     bounds.into_iter().for_each(|(plan, zones, regions)| {
-        let said = spoken(plan);
+        let said = traffic(plan);
         assert!(said[1] <= zones && said[2] <= regions, "{plan}: {said:?}");
     });
 }
--- a/crates/test-harness/src/hollow/units.rs
+++ b/crates/test-harness/src/hollow/units.rs
@@ -3,7 +3,7 @@
 use super::count::Role;
 use super::fleet::Fleet;
 use super::queue::Happening;
-use crate::upstreams::given_slots;
+use crate::upstreams::granted_slots;
 use config::JsonValue;
 use control_plane::{ControlRequest, ControlResponse};
 use protocol::{KeyShare, Upstream};
@@ -161,7 +161,7 @@
         let new_holder = unit.told.holder != holder;
         unit.told.holder = holder;
         if json.get("shares").is_some() {
-            let given = given_slots(&json).into_iter();
+            let given = granted_slots(&json).into_iter();
             unit.told.holds = given
                 .map(|(slot, epoch)| KeyShare {
                     from: slot,
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod upstreams;
 pub mod wires;
 
-pub use invariants::{facts, history, rules};
+pub use invariants::{history, observations, rules};
 pub use simulator as sim;
 pub use simulator::{report, shapes};
--- a/crates/test-harness/src/measure.rs
+++ b/crates/test-harness/src/measure.rs
@@ -9,8 +9,8 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use test_harness::facts::Record;
 use test_harness::fleet::Fleet;
+use test_harness::observations::ObservationLog;
 use test_harness::origins::Origins;
 use test_harness::shapes::{KALAM, ROADWISE, Shape};
 use test_harness::sim::{Plan, World};
@@ -24,7 +24,7 @@
 /// Runs all measurements and prints them.
 pub async fn all() -> Result<(), String> {
     messages();
-    let record = Record::default();
+    let record = ObservationLog::default();
     let clock = Clock::default();
     let programs = std::env::current_exe()
         .map_err(|e| e.to_string())?
@@ -100,8 +100,8 @@
                 "  {} times {times}: {machines} machines, {upstreams} upstreams: {:.1} parcels and {:.0} bytes a second and \
                  node; {} of {} served; after the cut served again in {:?}, {} violations",
                 site.name,
-                quiet.parcels as f64 / nodes / seconds,
-                quiet.parcel_bytes as f64 / nodes / seconds,
+                quiet.messages as f64 / nodes / seconds,
+                quiet.message_bytes as f64 / nodes / seconds,
                 quiet.ended.iter().filter(|ended| ended.code == 1000).count(),
                 quiet.ended.len(),
                 cut.resumed_after,
@@ -144,7 +144,7 @@
             took
         });
         let shared = median(shared.collect());
-        let whole = (0..2000).map(|_| {
+        let complete = (0..2000).map(|_| {
             let started_at = Instant::now();
             let copy: Vec<Upstream> = view
                 .upstreams
@@ -157,7 +157,7 @@
         });
         println!(
             "  {count} upstreams: {shared:?} sharing them, {:?} copying them",
-            median(whole.collect())
+            median(complete.collect())
         );
     });
 }
@@ -233,7 +233,7 @@
 }
 
 /// From the asking to the edition in force at the last carrier.
-async fn news(record: &Record, clock: &Clock, nodes: &[String]) -> Result<(), String> {
+async fn news(record: &ObservationLog, clock: &Clock, nodes: &[String]) -> Result<(), String> {
     let carriers = &nodes[..ROADWISE.machines];
     println!(
         "a setup, from the asking until the yes and until it is in force at all {} carriers:",
--- a/crates/test-harness/src/origins.rs
+++ b/crates/test-harness/src/origins.rs
@@ -1,6 +1,6 @@
 //! Stand-in origins: they ask a directory node, keep its answer for its lifetime, and try through a proxy.
 
-use crate::facts::{Ended, Fact, Record};
+use crate::observations::{FinishedOperation, Observation, ObservationLog};
 use crate::shapes::Shape;
 use config::JsonValue;
 use random::Random;
@@ -28,10 +28,10 @@
     pub shape: Shape,
     pub directories: Vec<String>,
     pub clock: Clock,
-    pub record: Record,
+    pub record: ObservationLog,
     client: HttpClient,
     known: Mutex<HashMap<(String, &'static str), Known>>,
-    ended: Mutex<Vec<Ended>>,
+    ended: Mutex<Vec<FinishedOperation>>,
     next: AtomicU64,
 }
 
@@ -41,7 +41,7 @@
         shape: Shape,
         directories: Vec<String>,
         clock: Clock,
-        record: Record,
+        record: ObservationLog,
     ) -> Arc<Origins> {
         Arc::new(Origins {
             shape,
@@ -70,7 +70,7 @@
     }
 
     /// How all work ended so far.
-    pub fn ended(&self) -> Vec<Ended> {
+    pub fn ended(&self) -> Vec<FinishedOperation> {
         self.ended
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -92,13 +92,13 @@
         let key = format!("key-{}", random.below(KEYS));
         let (name, id) = (format!("work-{number}"), work.service);
         let started_at = self.clock.now();
-        let (mut last, mut tries) = (0, 0);
-        while tries < MAX_TRIES && self.clock.now() < started_at + WITHIN {
-            tries += 1;
+        let (mut last, mut attempts) = (0, 0);
+        while attempts < MAX_TRIES && self.clock.now() < started_at + WITHIN {
+            attempts += 1;
             let left = (started_at + WITHIN).saturating_sub(self.clock.now());
-            let try_id = format!("try-{number}-{tries}");
+            let attempt_id = format!("try-{number}-{attempts}");
             let (code, wait) = self
-                .attempt(&mut random, id, &place, &key, &name, &try_id, left)
+                .attempt(&mut random, id, &place, &key, &name, &attempt_id, left)
                 .await;
             last = code.map(ResultCode::number).unwrap_or(0);
             if code.is_some_and(|code| code.kind() != Execution::NotExecuted) {
@@ -111,12 +111,12 @@
             tokio::time::sleep(wait).await;
         }
         let now = self.clock.now();
-        let ended = Ended {
+        let ended = FinishedOperation {
             at: now,
             took: now - started_at,
             service: work.service,
             code: last,
-            tries,
+            attempts,
         };
         self.ended
             .lock()
@@ -133,7 +133,7 @@
         place: &str,
         key: &str,
         work: &str,
-        try_id: &str,
+        attempt_id: &str,
         left: Duration,
     ) -> (Option<ResultCode>, Duration) {
         let soon = Duration::from_millis(200);
@@ -143,20 +143,20 @@
         let at = random.below(known.proxies.len() as u64) as usize;
         self.record.note(
             self.clock.now(),
-            Fact::AddressUsed {
+            Observation::AddressUsed {
                 age: self.clock.now() - known.asked_at,
             },
         );
         self.record.note(
             self.clock.now(),
-            Fact::Tried {
+            Observation::AttemptStarted {
                 work: work.into(),
-                try_id: try_id.into(),
+                attempt_id: attempt_id.into(),
             },
         );
         let remaining = left.as_millis().max(1).to_string();
         let headers = [
-            ("x-try-id", try_id),
+            ("x-try-id", attempt_id),
             ("x-remaining-ms", remaining.as_str()),
             ("x-key", key),
         ];
@@ -192,22 +192,22 @@
                     .and_then(ResultCode::from_number);
                 let success = reply.status == 200;
                 let seal = protocol::seal(
-                    try_id,
+                    attempt_id,
                     reply.header("x-instance"),
                     reply.status,
                     &reply.body,
                 );
-                let whole = reply.header("x-seal") == seal
-                    && reply.header("x-try-id") == try_id
+                let complete = reply.header("x-seal") == seal
+                    && reply.header("x-try-id") == attempt_id
                     && reply.body == work.as_bytes();
                 let code = code.unwrap_or(ResultCode::InvalidResponse);
-                let not_run = !success && code.kind() == Execution::NotExecuted;
-                let answered = Fact::Answered {
-                    try_id: try_id.into(),
+                let not_executed = !success && code.kind() == Execution::NotExecuted;
+                let answered = Observation::AttemptAnswered {
+                    attempt_id: attempt_id.into(),
                     code: code.number(),
                     success,
-                    whole,
-                    not_run,
+                    complete,
+                    not_executed,
                 };
                 self.record.note(self.clock.now(), answered);
                 let wait = reply
--- a/crates/test-harness/src/plans.rs
+++ b/crates/test-harness/src/plans.rs
@@ -5,8 +5,8 @@
 use config::JsonValue;
 use std::sync::Arc;
 use std::time::Duration;
-use test_harness::facts::{Fact, Record};
 use test_harness::fleet::{Fleet, Process};
+use test_harness::observations::{Observation, ObservationLog};
 use test_harness::shapes::Shape;
 use test_harness::upstreams::{ANY, Ill, Unit};
 use test_harness::wires::{Cut, Wires};
@@ -105,7 +105,7 @@
     pub fleet: &'a mut Fleet,
     pub units: &'a mut Vec<Arc<Unit>>,
     pub shape: &'a Shape,
-    pub record: &'a Record,
+    pub record: &'a ObservationLog,
     pub clock: Clock,
     pub span: Duration,
 }
@@ -113,7 +113,7 @@
 impl Scene<'_> {
     fn note(&self, what: &str) {
         self.record
-            .note(self.clock.now(), Fact::Fault { what: what.into() });
+            .note(self.clock.now(), Observation::Fault { what: what.into() });
     }
 
     async fn wait(&self) {
@@ -609,7 +609,7 @@
                 // Work may go there from the moment it is asked for.
                 self.record.note(
                     self.clock.now(),
-                    Fact::Evacuated {
+                    Observation::Evacuation {
                         locality: place.clone(),
                         back,
                     },
@@ -635,13 +635,14 @@
             if !back {
                 self.record.note(
                     at,
-                    Fact::Evacuated {
+                    Observation::Evacuation {
                         locality: place.clone(),
                         back,
                     },
                 );
             }
-            self.record.note(at, Fact::Accepted { revision });
+            self.record
+                .note(at, Observation::RevisionAccepted { revision });
             self.note(if back {
                 "zone taken back"
             } else {
--- a/crates/test-harness/src/runs.rs
+++ b/crates/test-harness/src/runs.rs
@@ -7,10 +7,10 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
-use test_harness::facts::{Fact, Record};
 use test_harness::fleet::{Fleet, Process};
+use test_harness::observations::{Observation, ObservationLog};
 use test_harness::origins::Origins;
-use test_harness::shapes::{MARKS, Shape, mark_of};
+use test_harness::shapes::{MARKERS, Shape, marker_index};
 use test_harness::upstreams::{ANY, Unit};
 use test_harness::{report, rules};
 use transport::{Clock, HttpClient};
@@ -43,7 +43,7 @@
 
 async fn bring_up(run: Run) -> Result<bool, String> {
     let clock = Clock::default();
-    let record = Record::default();
+    let record = ObservationLog::default();
     let programs = std::env::current_exe()
         .map_err(|e| e.to_string())?
         .parent()
@@ -73,9 +73,9 @@
     submit(&client, &record, &clock, &nodes[0], "first", &run.shape, 0).await?;
     println!("first setup in force after {:?}", clock.now());
     let mut units = Vec::new();
-    for (work, count) in run.shape.works() {
+    for (work, count) in run.shape.profiles() {
         for at in 0..count {
-            let at = mark_of(work.service).unwrap_or(at);
+            let at = marker_index(work.service).unwrap_or(at);
             let unit = Unit::start(
                 ANY,
                 work,
@@ -125,7 +125,7 @@
     prober.abort();
     let alike = read_back_all(&client, &record, &clock, &fleet).await;
     let seen = record.all();
-    let violations = rules::judge(&seen, &run.shape.terms());
+    let violations = rules::check_all(&seen, &run.shape.rule_parameters());
     let ended: Vec<_> = origins.ended().into_iter().skip(warm_up).collect();
     let title = format!(
         "{} at {per_second}/s for {span:?}, plan {}",
@@ -137,7 +137,7 @@
         .all(|violation| run.untimed && rules::TIMED.contains(&violation.rule));
     let healed_at = seen
         .iter()
-        .filter(|(_, fact)| matches!(fact, Fact::Fault { .. }))
+        .filter(|(_, observation)| matches!(observation, Observation::Fault { .. }))
         .map(|(at, _)| *at)
         .max();
     let failed = ended
@@ -164,12 +164,12 @@
     };
     let (carriers, postmasters) = (peak(&fleet.carriers), peak(&fleet.postmasters));
     println!("most memory of one carrier: {carriers} MiB, of one postmaster: {postmasters} MiB");
-    let whole = alike == fleet.postmasters.len();
+    let complete = alike == fleet.postmasters.len();
     units.iter().for_each(|unit| unit.crash());
     if run.keep.is_none() {
         fleet.remove();
     }
-    Ok(fine && whole && !ended.is_empty())
+    Ok(fine && complete && !ended.is_empty())
 }
 
 /// While the voters found themselves: two are killed, one of them loses its disk, and both come back.
@@ -189,15 +189,18 @@
 /// Submits a setup and waits until it is in force.
 pub async fn submit(
     client: &HttpClient,
-    record: &Record,
+    record: &ObservationLog,
     clock: &Clock,
     node: &str,
     id: &str,
     shape: &Shape,
     extra: usize,
 ) -> Result<u64, String> {
-    let (configuration, mark, submitted_at) =
-        (shape.configuration(extra), extra % MARKS.len(), clock.now());
+    let (configuration, marker, submitted_at) = (
+        shape.configuration(extra),
+        extra % MARKERS.len(),
+        clock.now(),
+    );
     let digest = protocol::digest(configuration.as_bytes());
     let path = format!("/setup?id={id}");
     // Unknown or not yet possible: the same id is asked again, and is decided once.
@@ -220,14 +223,14 @@
             let took = clock.now() - submitted_at;
             record.note(
                 clock.now(),
-                Fact::Submitted {
+                Observation::ConfigurationAccepted {
                     revision,
                     digest,
-                    mark,
+                    marker,
                     took,
                 },
             );
-            record.note(clock.now(), Fact::Accepted { revision });
+            record.note(clock.now(), Observation::RevisionAccepted { revision });
             return Ok(revision);
         }
         if code == Some(u64::from(ResultCode::RevisionConflict.number())) {
@@ -265,13 +268,16 @@
     let client = HttpClient::default();
     for number in 0u64.. {
         for (at, carrier) in carriers.iter().enumerate() {
-            let (try_id, client, carrier) = (
+            let (attempt_id, client, carrier) = (
                 format!("probe-{number}-{at}"),
                 client.clone(),
                 carrier.clone(),
             );
             tokio::spawn(async move {
-                let headers = [("x-try-id", try_id.as_str()), ("x-remaining-ms", "1000")];
+                let headers = [
+                    ("x-try-id", attempt_id.as_str()),
+                    ("x-remaining-ms", "1000"),
+                ];
                 let within = Duration::from_secs(2);
                 let _ = client
                     .call(
@@ -291,7 +297,7 @@
 }
 
 /// Reads the setup back from every node, again and again: each gives the same answer, or says that it can't know.
-async fn read_everywhere(nodes: Arc<Vec<String>>, record: Record, clock: Clock) {
+async fn read_everywhere(nodes: Arc<Vec<String>>, record: ObservationLog, clock: Clock) {
     loop {
         nodes.iter().for_each(|node| {
             let (node, record) = (node.clone(), record.clone());
@@ -310,7 +316,7 @@
                         let digest = protocol::digest(&reply.body);
                         record.note(
                             clock.now(),
-                            Fact::ReadBack {
+                            Observation::ConfigurationRead {
                                 node: node.clone(),
                                 revision,
                                 digest,
@@ -325,7 +331,7 @@
 }
 
 /// Notes the edition in force at each carrier that says it serves.
-async fn watch_editions(nodes: Vec<String>, record: Record, clock: Clock) {
+async fn watch_editions(nodes: Vec<String>, record: ObservationLog, clock: Clock) {
     let client = HttpClient::default();
     loop {
         for node in &nodes {
@@ -350,7 +356,7 @@
                 .for_each(|revision| {
                     record.note(
                         clock.now(),
-                        Fact::InForce {
+                        Observation::RevisionInForce {
                             node: node.clone(),
                             revision,
                         },
@@ -364,7 +370,7 @@
 /// How many postmasters read the same setup back as the first.
 async fn read_back_all(
     client: &HttpClient,
-    record: &Record,
+    record: &ObservationLog,
     clock: &Clock,
     fleet: &Fleet,
 ) -> usize {
@@ -383,7 +389,7 @@
         if let Some(reply) = called.await.ok().filter(|reply| reply.status == 200) {
             let revision = reply.header("x-edition").parse().unwrap_or(0);
             let digest = protocol::digest(&reply.body);
-            let back = Fact::ReadBack {
+            let back = Observation::ConfigurationRead {
                 node: process.node.clone(),
                 revision,
                 digest: digest.clone(),
--- a/crates/test-harness/src/upstreams.rs
+++ b/crates/test-harness/src/upstreams.rs
@@ -1,14 +1,14 @@
 //! Stand-in back ends: they beat, do work, seal verdicts, and hold key shares by the rules of the interface.
 
-use crate::facts::{Fact, Record};
-use crate::shapes::{Work, mark_of};
+use crate::observations::{Observation, ObservationLog};
+use crate::shapes::{ServiceProfile, marker_index};
 use bytes::Bytes;
 use config::JsonValue;
 use http_body_util::Full;
 use hyper::Response;
 use protocol::KeyShare;
 use random::Random;
-pub use simulator::grants::given_slots;
+pub use simulator::grants::granted_slots;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -28,12 +28,12 @@
 
 /// One running stand-in.
 pub struct Unit {
-    pub work: Work,
+    pub work: ServiceProfile,
     pub instance: String,
     pub locality: String,
     pub address: String,
     clock: Clock,
-    record: Record,
+    record: ObservationLog,
     busy: AtomicU32,
     warm: AtomicBool,
     /// 0 ready, 1 leaving, 2 gone.
@@ -64,13 +64,13 @@
     #[allow(clippy::too_many_arguments)]
     pub async fn start(
         at: &str,
-        work: Work,
+        work: ServiceProfile,
         instance: String,
         locality: String,
         warm: bool,
         nodes: Arc<Vec<String>>,
         clock: Clock,
-        record: Record,
+        record: ObservationLog,
     ) -> std::io::Result<Arc<Unit>> {
         let socket = TcpListener::bind(at).await?;
         let (close, closing) = watch::channel(false);
@@ -109,7 +109,7 @@
         self.condition.store(1, Ordering::Release);
         self.record.note(
             self.clock.now(),
-            Fact::Leaving {
+            Observation::UpstreamDraining {
                 instance: self.instance.clone(),
             },
         );
@@ -243,7 +243,7 @@
         };
         let until = sent_at + Duration::from_millis(span_ms);
         let now = self.clock.now();
-        let given = given_slots(json);
+        let given = granted_slots(json);
         let mut holds = self.holds.lock().unwrap_or_else(PoisonError::into_inner);
         let service = self.work.service.to_owned();
         holds.retain(|slot, _| {
@@ -252,7 +252,7 @@
                 let (service, instance) = (service.clone(), self.instance.clone());
                 self.record.note(
                     now,
-                    Fact::LetGo {
+                    Observation::KeysReleased {
                         service,
                         keys: *slot..slot + 1,
                         instance,
@@ -267,7 +267,7 @@
                 let (service, instance) = (service.clone(), self.instance.clone());
                 self.record.note(
                     now,
-                    Fact::Holds {
+                    Observation::KeysHeld {
                         service,
                         keys: slot..slot + 1,
                         instance,
@@ -302,28 +302,32 @@
         if lost(&ill.deaf_to) {
             return std::future::pending().await;
         }
-        let try_id = enquiry.header("x-try-id").to_owned();
-        let arrived = Fact::Arrived {
-            try_id: try_id.clone(),
+        let attempt_id = enquiry.header("x-try-id").to_owned();
+        let arrived = Observation::RequestArrived {
+            attempt_id: attempt_id.clone(),
             service: enquiry.path.trim_start_matches('/').into(),
             instance: self.instance.clone(),
             locality: self.locality.clone(),
             cold: !self.warm.load(Ordering::Acquire),
         };
         self.record.note(self.clock.now(), arrived);
-        mark_of(self.work.service).into_iter().for_each(|mark| {
-            let node = enquiry.header("x-proxy").to_owned();
-            self.record
-                .note(self.clock.now(), Fact::Probed { node, mark });
-        });
+        marker_index(self.work.service)
+            .into_iter()
+            .for_each(|marker| {
+                let node = enquiry.header("x-proxy").to_owned();
+                self.record.note(
+                    self.clock.now(),
+                    Observation::MarkerReached { node, marker },
+                );
+            });
         let busy = self.busy.fetch_add(1, Ordering::AcqRel);
         let runs = busy < SLOTS && self.may_run(&enquiry);
         let body = if runs {
             let work = String::from_utf8_lossy(&enquiry.body).into_owned();
-            let ran = Fact::Ran {
+            let ran = Observation::OperationExecuted {
                 work: work.clone(),
-                try_id: try_id.clone(),
-                once: self.work.once,
+                attempt_id: attempt_id.clone(),
+                at_most_once: self.work.at_most_once,
             };
             self.record.note(self.clock.now(), ran);
             tokio::time::sleep(WORK_TAKES).await;
@@ -333,27 +337,27 @@
         };
         self.busy.fetch_sub(1, Ordering::AcqRel);
         let status = if runs { 200 } else { 503 };
-        let mut random = Random::new(random::stable_hash(&try_id));
+        let mut random = Random::new(random::stable_hash(&attempt_id));
         let garbled = random.below(1000) < ill.garbles_per_mille;
         match (lost(&ill.mute_to), garbled.then(|| random.below(4))) {
             (true, _) | (_, Some(0)) => std::future::pending().await,
             (_, Some(1)) => self.sealed("try-of-another", status, "work-of-another".into()),
             (_, Some(2)) => Response::new(Full::new(Bytes::from("noise"))),
             (_, Some(_)) => {
-                let mut short = self.sealed(&try_id, status, body.clone());
+                let mut short = self.sealed(&attempt_id, status, body.clone());
                 *short.body_mut() = Full::new(Bytes::from(body[..body.len() / 2].to_owned()));
                 short
             }
-            _ => self.sealed(&try_id, status, body),
+            _ => self.sealed(&attempt_id, status, body),
         }
     }
 
-    fn sealed(&self, try_id: &str, status: u16, body: String) -> Response<Full<Bytes>> {
-        let seal = protocol::seal(try_id, &self.instance, status, body.as_bytes());
+    fn sealed(&self, attempt_id: &str, status: u16, body: String) -> Response<Full<Bytes>> {
+        let seal = protocol::seal(attempt_id, &self.instance, status, body.as_bytes());
         let mut response = Response::new(Full::new(Bytes::from(body)));
         *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
         let named = [
-            ("x-try-id", try_id.to_owned()),
+            ("x-try-id", attempt_id.to_owned()),
             ("x-instance", self.instance.clone()),
             ("x-seal", seal),
         ];
