--- a/crates/control-plane/src/daemon/event_loop.rs
+++ b/crates/control-plane/src/daemon/event_loop.rs
@@ -100,7 +100,7 @@
                         None => continue,
                     }
                 }
-                seeds = inputs.reload.seeds() => Event::SeedsChanged(seeds),
+                seeds = inputs.reload.changed_seeds() => Event::SeedsChanged(seeds),
                 _ = &mut stop, if !stopping => {
                     log::info!("close: asked to stop");
                     self.handlers.set_shutting_down();
--- a/crates/data-plane/src/shell.rs
+++ b/crates/data-plane/src/shell.rs
@@ -260,7 +260,7 @@
                     None => continue,
                 }
             }
-            seeds = reload.seeds() => Event::Seeds(seeds),
+            seeds = reload.changed_seeds() => Event::Seeds(seeds),
             _ = &mut stop, if carrier.phase() == Phase::Serving => Event::Close,
         };
         let now = clock.now();
--- a/crates/transport/src/http_client.rs
+++ b/crates/transport/src/http_client.rs
@@ -1,5 +1,5 @@
-//! Calls over HTTP. Nothing is ever sent twice, and what surely did not reach the other side is told apart from what
-//! may have.
+//! Calls over HTTP. No request is ever sent twice, and a request that certainly did not reach the other side is told
+//! apart from one that may have.
 
 use crate::connection::{Connection, Exchange, OutboundRequest};
 use crate::pool::ConnectionPool;
@@ -9,11 +9,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A whole reply.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Reply {
+    /// HTTP status.
     pub status: u16,
+    /// All headers.
     pub headers: HeaderMap,
+    /// The body; empty for none.
     pub body: Bytes,
 }
 
@@ -49,15 +52,15 @@
     InvalidResponse,
 }
 
-/// Makes calls, and keeps a few idle connections for those that may use them.
+/// Makes calls, and keeps a few idle connections for those that may reuse them.
 #[derive(Clone, Default)]
 pub struct HttpClient {
     idle: Arc<ConnectionPool>,
 }
 
 impl HttpClient {
-    /// Calls an address once. `reuse` may take an idle connection, whose death after the write can't be told
-    /// from a lost reply; without it the connection is new, and carries nothing else.
+    /// Sends a request to an address once. With `reuse` it may go over an idle connection, whose end after the write
+    /// can't be told from a lost response; without it the connection is new, and carries nothing else.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
@@ -76,7 +79,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
-        within: Duration,
+        timeout: Duration,
         reuse: bool,
     ) -> Result<Reply, CallError> {
         let outbound = OutboundRequest {
@@ -86,25 +89,17 @@
             body,
             id: None,
         };
-        let deadline = Instant::now() + within;
-        let left = || deadline.saturating_duration_since(Instant::now());
-        let kept = if reuse {
-            self.idle.take(address).await
-        } else {
-            None
-        };
-        if let Some(connection) = kept {
-            match connection.exchange(outbound.clone(), left()).await {
-                // It was closed before a byte went out.
-                Exchange {
-                    result: Err(CallError::NotConnected),
-                    ..
-                } => {}
-                exchange => return self.keep_connection(exchange),
+        let deadline = Instant::now() + timeout;
+        let remaining = || deadline.saturating_duration_since(Instant::now());
+        if reuse && let Some(connection) = self.idle.take(address).await {
+            let exchange = connection.exchange(outbound.clone(), remaining()).await;
+            // Where the idle connection was closed before a byte went out, a new one may carry the request.
+            if !matches!(exchange.result, Err(CallError::NotConnected)) {
+                return self.keep_connection(exchange);
             }
         }
-        let connection = Connection::open(address, left()).await?;
-        let mut exchange = connection.exchange(outbound, left()).await;
+        let connection = Connection::open(address, remaining()).await?;
+        let mut exchange = connection.exchange(outbound, remaining()).await;
         exchange.connection = exchange.connection.filter(|_| reuse);
         self.keep_connection(exchange)
     }
--- a/crates/transport/src/listeners.rs
+++ b/crates/transport/src/listeners.rs
@@ -1,4 +1,4 @@
-//! Where a daemon is reached, and why it could not start.
+//! The sockets that a process listens on, and why it could not start.
 
 use config::Settings;
 use error_stack::{FrameKind, Report, ResultExt};
@@ -28,10 +28,13 @@
 
 impl std::error::Error for StartError {}
 
-/// The sockets that both daemons listen on.
+/// The sockets that every node listens on.
 pub struct Listeners {
+    /// HTTP: operators, clients or upstreams.
     pub http: TcpListener,
+    /// Links from other nodes.
     pub link: TcpListener,
+    /// Datagrams of membership's failure detection, on the same address as links.
     pub probe: UdpSocket,
 }
 
@@ -49,13 +52,14 @@
     /// # });
     /// ```
     pub async fn open(settings: &Settings) -> Result<Listeners, Report<StartError>> {
-        let shut = || StartError::new(format!("link: can't listen on {}", settings.get("link")));
+        let cannot_listen =
+            || StartError::new(format!("link: can't listen on {}", settings.get("link")));
         Ok(Listeners {
             http: listen(settings, "http").await?,
             link: listen(settings, "link").await?,
             probe: UdpSocket::bind(settings.get("link"))
                 .await
-                .change_context_lazy(shut)?,
+                .change_context_lazy(cannot_listen)?,
         })
     }
 }
@@ -71,13 +75,14 @@
 /// # });
 /// ```
 pub async fn listen(settings: &Settings, name: &str) -> Result<TcpListener, Report<StartError>> {
-    let shut = || StartError::new(format!("{name}: can't listen on {}", settings.get(name)));
+    let cannot_listen =
+        || StartError::new(format!("{name}: can't listen on {}", settings.get(name)));
     TcpListener::bind(settings.get(name))
         .await
-        .change_context_lazy(shut)
+        .change_context_lazy(cannot_listen)
 }
 
-/// A failure and what led to it, in one line.
+/// A failure and what caused it, in one line.
 ///
 /// ```
 /// use error_stack::Report;
@@ -92,7 +97,7 @@
     frames.collect::<Vec<_>>().join(": ")
 }
 
-/// Tells why a daemon ended, where it could not start, and ends the process.
+/// Ends the process where it could not start, and says why in the log and on standard error.
 ///
 /// ```
 /// transport::exit_on_start_error("data-plane", Ok(()));
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -1,4 +1,7 @@
-//! Idle connections that wait for their next call.
+//! A pool of idle connections.
+//!
+//! A connection that was taken has one owner until it is put back; one that the other side closed, or on which
+//! anything arrived meanwhile, is never handed out.
 
 use crate::connection::Connection;
 use std::collections::HashMap;
@@ -11,7 +14,7 @@
 /// Idle connections by address, each with when it became idle.
 type Idle = HashMap<String, Vec<(Instant, Connection)>>;
 
-/// Connections that wait for their next call, by address; the last one used is the first taken.
+/// Idle connections by address; the last one used is the first taken.
 #[derive(Default)]
 pub struct ConnectionPool(Mutex<Idle>);
 
@@ -20,7 +23,7 @@
         change(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// A connection on which nothing stands against another call; none where a new one must be opened.
+    /// A connection that may carry another request; none where a new one must be opened.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
@@ -31,13 +34,13 @@
         loop {
             let (since, mut connection) =
                 self.with(|idle| idle.get_mut(address).and_then(Vec::pop))?;
-            if since.elapsed() < connection.keep_for() && connection.is_quiet().await {
+            if since.elapsed() < connection.idle_timeout && connection.is_quiet().await {
                 return Some(connection);
             }
         }
     }
 
-    /// Keeps a connection for the next call.
+    /// Keeps a connection for the next request.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
@@ -58,15 +61,16 @@
         });
     }
 
-    /// Closes those that lay idle for too long.
+    /// Closes connections that were idle for too long.
     ///
     /// ```
     /// transport::ConnectionPool::default().sweep();
     /// ```
     pub fn sweep(&self) {
         self.with(|idle| {
-            idle.values_mut()
-                .for_each(|kept| kept.retain(|(since, kept)| since.elapsed() < kept.keep_for()));
+            for kept in idle.values_mut() {
+                kept.retain(|(since, connection)| since.elapsed() < connection.idle_timeout);
+            }
             idle.retain(|_, kept| !kept.is_empty());
         });
     }
--- a/crates/transport/src/response_match.rs
+++ b/crates/transport/src/response_match.rs
@@ -1,60 +1,62 @@
-//! To which request an answer on a connection belongs.
+//! Which request a response on a connection belongs to.
 
 use hyper::HeaderMap;
 
-/// The lowest status of a refusal.
-const FIRST_REFUSAL: u16 = 400;
+/// The lowest status of an error response.
+const FIRST_ERROR_STATUS: u16 = 400;
 
-/// The header by which the answer to a request is known, and its value.
+/// The header by which the response to a request is recognised, and its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseId<'a> {
+    /// Name of the header.
     pub header: &'static str,
+    /// Its value in the response to this request.
     pub value: &'a str,
 }
 
-/// How an answer came, beside what it says.
+/// How a response arrived, beside what it says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseContext {
-    /// It is the first answer on a connection that carried one request.
+    /// It is the first response on a connection that carried one request.
     pub is_first_on_connection: bool,
-    /// It began before the request was out whole.
+    /// It began before the request was sent completely.
     pub before_request_complete: bool,
 }
 
-/// To which request an answer belongs.
+/// Which request a response belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMatch {
-    /// To the request under way.
+    /// The request in flight.
     CurrentRequest,
-    /// To another one, by its id: the one that is due may follow.
+    /// Another one, by its id; the response that is due may follow.
     OtherRequest,
-    /// Nobody can tell.
+    /// It can't be told.
     Unknown,
 }
 
-/// What an answer says of the request that it is for.
-enum Whose {
-    This,
-    Another,
+/// What a response says about the request that it answers.
+enum StatedRequest {
+    Current,
+    Other,
     /// It names none, or several.
-    Unsaid,
+    Unstated,
 }
 
 impl ResponseId<'_> {
-    fn whose(&self, headers: &HeaderMap) -> Whose {
+    fn stated_request(&self, headers: &HeaderMap) -> StatedRequest {
         let mut values = headers.get_all(self.header).iter();
         match (values.next(), values.next()) {
-            (Some(value), None) if value.is_empty() => Whose::Unsaid,
-            (Some(value), None) if value == self.value => Whose::This,
-            (Some(_), None) => Whose::Another,
-            _ => Whose::Unsaid,
+            (Some(value), None) if value.is_empty() => StatedRequest::Unstated,
+            (Some(value), None) if value == self.value => StatedRequest::Current,
+            (Some(_), None) => StatedRequest::Other,
+            _ => StatedRequest::Unstated,
         }
     }
 }
 
-/// Judges an answer. Where ids are told, one with another id is another request's, and one without belongs to the
-/// request under way only if no other was ever sent on this connection. An answer that began before the request was
-/// out and names nobody can at most be a refusal.
+/// Matches a response with the request in flight. Where the other side returns ids, a response with another id is
+/// another request's, and one without belongs to the request in flight only if no other was ever sent on this
+/// connection. A response that began before the request was sent and names no request can only be an error.
 ///
 /// ```
 /// use transport::{ResponseId, ResponseMatch, ResponseContext, match_response, header_map};
@@ -69,15 +71,19 @@
     headers: &HeaderMap,
     status: u16,
     id: Option<ResponseId<'_>>,
-    came: ResponseContext,
+    context: ResponseContext,
 ) -> ResponseMatch {
-    match id.map_or(Whose::Unsaid, |id| id.whose(headers)) {
-        Whose::This => ResponseMatch::CurrentRequest,
-        Whose::Another => ResponseMatch::OtherRequest,
-        Whose::Unsaid if id.is_some() && !came.is_first_on_connection => ResponseMatch::Unknown,
-        Whose::Unsaid if came.before_request_complete && status < FIRST_REFUSAL => {
+    match id.map_or(StatedRequest::Unstated, |id| id.stated_request(headers)) {
+        StatedRequest::Current => ResponseMatch::CurrentRequest,
+        StatedRequest::Other => ResponseMatch::OtherRequest,
+        StatedRequest::Unstated if id.is_some() && !context.is_first_on_connection => {
             ResponseMatch::Unknown
         }
-        Whose::Unsaid => ResponseMatch::CurrentRequest,
+        StatedRequest::Unstated
+            if context.before_request_complete && status < FIRST_ERROR_STATUS =>
+        {
+            ResponseMatch::Unknown
+        }
+        StatedRequest::Unstated => ResponseMatch::CurrentRequest,
     }
 }
