--- a/crates/control-plane/src/anonymous_orders.rs
+++ b/crates/control-plane/src/anonymous_orders.rs
@@ -12,18 +12,18 @@
 use result_code::ResultCode;
 use std::time::Duration;
 
-const MAX_WAITING: usize = 256;
+const MAX_PENDING: usize = 256;
 /// How long an order waits for the confirmation.
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 /// A process that took no step for so long stood still: nearly as long as callers wait before they ask elsewhere.
-const STOOD_STILL: Duration = Duration::from_millis(900);
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(900);
 /// How long after that orders may come that were sent before.
 const BACKLOG: Duration = Duration::from_millis(500);
 
 /// An order that waits for a confirmation asked after it came.
 struct Waiting {
     request_id: u64,
-    came_at: Duration,
+    received_at: Duration,
     locality: String,
     back: bool,
 }
@@ -33,20 +33,20 @@
 pub(crate) struct AnonymousOrders {
     waiting: Vec<Waiting>,
     last_step: Duration,
-    awake_since: Duration,
+    resumed_at: Duration,
 }
 
 impl AnonymousOrders {
     /// Called at each step of the node, first of all.
     pub(crate) fn note_step(&mut self, now: Duration) {
-        if now >= self.last_step + STOOD_STILL {
-            self.awake_since = now;
+        if now >= self.last_step + FREEZE_THRESHOLD {
+            self.resumed_at = now;
         }
         self.last_step = now;
     }
 
-    fn may_be_old(&self, now: Duration) -> bool {
-        !self.awake_since.is_zero() && now < self.awake_since + BACKLOG
+    fn may_predate_freeze(&self, now: Duration) -> bool {
+        !self.resumed_at.is_zero() && now < self.resumed_at + BACKLOG
     }
 }
 
@@ -58,13 +58,13 @@
         locality: String,
         back: bool,
     ) {
-        self.open_order(request_id);
-        if self.anonymous.may_be_old(now) || self.anonymous.waiting.len() >= MAX_WAITING {
-            return self.deny_anonymous(now, request_id);
+        self.open_change(request_id);
+        if self.anonymous.may_predate_freeze(now) || self.anonymous.waiting.len() >= MAX_PENDING {
+            return self.reject_anonymous(now, request_id);
         }
         self.anonymous.waiting.push(Waiting {
             request_id,
-            came_at: now,
+            received_at: now,
             locality,
             back,
         });
@@ -72,7 +72,7 @@
     }
 
     /// Goes on with the orders whose confirmation came, and gives up on old ones.
-    pub(crate) fn go_on_with_anonymous(&mut self, now: Duration) {
+    pub(crate) fn tick_anonymous_evacuations(&mut self, now: Duration) {
         if self.anonymous.waiting.is_empty() {
             return;
         }
@@ -80,32 +80,32 @@
             .anonymous
             .waiting
             .drain(..)
-            .partition(|wait| now >= wait.came_at + PATIENCE);
+            .partition(|wait| now >= wait.received_at + TIMEOUT);
         let (confirmed, waiting): (Vec<Waiting>, Vec<Waiting>) = waiting
             .into_iter()
-            .partition(|wait| self.register.is_confirmed_since(wait.came_at));
+            .partition(|wait| self.register.is_confirmed_since(wait.received_at));
         self.anonymous.waiting = waiting;
         late.into_iter()
-            .for_each(|wait| self.deny_anonymous(now, wait.request_id));
+            .for_each(|wait| self.reject_anonymous(now, wait.request_id));
         confirmed
             .into_iter()
-            .for_each(|wait| self.evacuate_confirmed(now, wait));
+            .for_each(|wait| self.submit_confirmed_evacuation(now, wait));
     }
 
-    fn evacuate_confirmed(&mut self, now: Duration, wait: Waiting) {
+    fn submit_confirmed_evacuation(&mut self, now: Duration, wait: Waiting) {
         let Waiting {
             request_id,
             locality,
             back,
             ..
         } = wait;
-        if !self.is_open_order(request_id) {
+        if !self.is_open_change(request_id) {
             // Contact was lost meanwhile, and its caller was told to ask elsewhere.
             return;
         }
         let revision = self.register.state().revision;
         if self.register.state().evacuated.contains(&locality) != back {
-            return self.decided(
+            return self.handle_decision(
                 now,
                 request_id,
                 Decision {
@@ -115,7 +115,7 @@
             );
         }
         let (id, seen) = (ChangeId::default(), Some(revision));
-        self.change(
+        self.submit_change(
             now,
             request_id,
             Change::Evacuate {
@@ -128,9 +128,9 @@
         );
     }
 
-    fn deny_anonymous(&mut self, now: Duration, request_id: u64) {
+    fn reject_anonymous(&mut self, now: Duration, request_id: u64) {
         let revision = self.register.state().revision;
-        self.decided(
+        self.handle_decision(
             now,
             request_id,
             Decision {
--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -4,7 +4,7 @@
 //! majorities share a voter; so whoever is confirmed by a question asked after the acknowledgement knows of it, and so
 //! do the carriers that follow it.
 
-use crate::node::{BATCH_EVERY, CONTROL_NODE_ROLE, ControlNode, Effect};
+use crate::node::{CONTROL_NODE_ROLE, ControlNode, DIGEST_INTERVAL, Effect};
 use protocol::{
     Departure, DeparturesRead, DeparturesReadBack, Heartbeats, HeartbeatsAck, Payload, Read,
     ReadBack, Upstream,
@@ -16,26 +16,26 @@
 use upstream_registry::{DEREGISTERED, READY};
 
 /// How long an acknowledgement may take: within the second that callers wait for one.
-const PATIENCE: Duration = Duration::from_millis(700);
+const ACK_TIMEOUT: Duration = Duration::from_millis(700);
 /// How often the nodes that did not answer are told again.
-const TELL_EVERY: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 /// Most departures that wait for their acknowledgement, and most answers that wait for the disk.
-const MAX_WAITING: usize = 4096;
+const MAX_PENDING: usize = 4096;
 /// How long it is remembered that a majority knows, and of how many at most.
-const REMEMBERED: Duration = Duration::from_secs(60);
-const MAX_REMEMBERED: usize = 20_000;
+const KNOWN_DEPARTURE_LIFETIME: Duration = Duration::from_secs(60);
+const MAX_KNOWN_DEPARTURES: usize = 20_000;
 
 /// A departure whose caller waits until a majority knows.
-struct Wait {
+struct PendingDeparture {
     request_id: u64,
     upstream: Upstream,
-    taken_by: BTreeSet<String>,
+    acknowledged_by: BTreeSet<String>,
     until: Duration,
-    next_tell: Duration,
+    next_send_at: Duration,
 }
 
 /// What waits until the departures taken in here outlive this process.
-enum AfterKept {
+enum AfterPersist {
     /// The acknowledgement to the control node that told of one.
     Ack { to: String, nonce: u64 },
     /// A departure that was told here counts this node among those that took it in.
@@ -45,16 +45,16 @@
 /// Departures on their way to a majority, and those that it knows.
 #[derive(Default)]
 pub(crate) struct Departures {
-    waiting: BTreeMap<u64, Wait>,
+    waiting: BTreeMap<u64, PendingDeparture>,
     /// Condition, and when a majority was found to know, by service and instance.
     known: BTreeMap<(String, String), (u32, Duration)>,
     /// The digest that came with the question being answered.
-    asked_with: u64,
+    requested_digest: u64,
     /// The last write of departures, and what waits for it; nothing where it is done.
     write_id: u64,
-    being_kept: Vec<AfterKept>,
+    in_flight: Vec<AfterPersist>,
     /// What waits for the write after it.
-    to_keep: Vec<AfterKept>,
+    queued: Vec<AfterPersist>,
 }
 
 /// Stands for a set of departures, in whatever order.
@@ -76,7 +76,7 @@
 
 impl ControlNode {
     /// True where the caller has to wait until a majority knows of it.
-    pub(crate) fn is_unknown_departure(&self, upstream: &Upstream) -> bool {
+    pub(crate) fn needs_departure_quorum(&self, upstream: &Upstream) -> bool {
         let id = (upstream.service.clone(), upstream.instance.clone());
         let known = self
             .departures
@@ -87,36 +87,41 @@
     }
 
     /// Tells every control node of a departure, and the caller once a majority of the voters knows.
-    pub(crate) fn tell_departure(&mut self, now: Duration, request_id: u64, upstream: Upstream) {
-        if self.departures.waiting.len() >= MAX_WAITING {
-            return self.refuse(now, request_id, ResultCode::StaleView);
+    pub(crate) fn replicate_departure(
+        &mut self,
+        now: Duration,
+        request_id: u64,
+        upstream: Upstream,
+    ) {
+        if self.departures.waiting.len() >= MAX_PENDING {
+            return self.reject_or_redirect(now, request_id, ResultCode::StaleView);
         }
         let nonce = self.random.next_u64().max(1);
-        let wait = Wait {
+        let wait = PendingDeparture {
             request_id,
             upstream,
-            taken_by: BTreeSet::new(),
-            until: now + PATIENCE,
-            next_tell: now,
+            acknowledged_by: BTreeSet::new(),
+            until: now + ACK_TIMEOUT,
+            next_send_at: now,
         };
         self.departures.waiting.insert(nonce, wait);
-        self.keep_departures(now, AfterKept::Own { nonce });
-        self.tell_waiting(now, nonce);
+        self.persist_departures(now, AfterPersist::Own { nonce });
+        self.send_departure(now, nonce);
     }
 
     /// Writes the departures known here; one write at a time takes all that came meanwhile.
-    fn keep_departures(&mut self, now: Duration, then: AfterKept) {
-        if self.departures.to_keep.len() < MAX_WAITING {
-            self.departures.to_keep.push(then);
+    fn persist_departures(&mut self, now: Duration, then: AfterPersist) {
+        if self.departures.queued.len() < MAX_PENDING {
+            self.departures.queued.push(then);
         }
-        self.begin_keeping(now);
+        self.start_departure_write(now);
     }
 
-    fn begin_keeping(&mut self, now: Duration) {
-        if !self.departures.being_kept.is_empty() || self.departures.to_keep.is_empty() {
+    fn start_departure_write(&mut self, now: Duration) {
+        if !self.departures.in_flight.is_empty() || self.departures.queued.is_empty() {
             return;
         }
-        self.departures.being_kept = std::mem::take(&mut self.departures.to_keep);
+        self.departures.in_flight = std::mem::take(&mut self.departures.queued);
         self.departures.write_id += 1;
         let (write_id, departures) = (self.departures.write_id, self.recent_departures(now));
         self.effects.push_back(Effect::PersistDepartures {
@@ -126,30 +131,30 @@
     }
 
     /// What was known of departures when this write began is known in the next life of this process too.
-    pub(crate) fn departures_kept(&mut self, now: Duration, write_id: u64) {
+    pub(crate) fn handle_departures_persisted(&mut self, now: Duration, write_id: u64) {
         if write_id != self.departures.write_id {
             return;
         }
-        std::mem::take(&mut self.departures.being_kept)
+        std::mem::take(&mut self.departures.in_flight)
             .into_iter()
             .for_each(|then| match then {
-                AfterKept::Ack { to, nonce } => {
+                AfterPersist::Ack { to, nonce } => {
                     let body = Payload::HeartbeatsAck(HeartbeatsAck { nonce });
                     self.effects.push_back(Effect::Send { to, body });
                 }
-                AfterKept::Own { nonce } => {
-                    self.beats_taken(now, self.me.node.clone(), HeartbeatsAck { nonce })
+                AfterPersist::Own { nonce } => {
+                    self.handle_heartbeats_ack(now, self.me.node.clone(), HeartbeatsAck { nonce })
                 }
             });
-        self.begin_keeping(now);
+        self.start_departure_write(now);
     }
 
     /// Tells those that did not answer yet.
-    fn tell_waiting(&mut self, now: Duration, nonce: u64) {
+    fn send_departure(&mut self, now: Duration, nonce: u64) {
         let Some(wait) = self.departures.waiting.get_mut(&nonce) else {
             return;
         };
-        wait.next_tell = now + TELL_EVERY;
+        wait.next_send_at = now + RESEND_INTERVAL;
         let upstream = Upstream {
             holds: Vec::new(),
             released: Vec::new(),
@@ -169,7 +174,7 @@
         let all: BTreeSet<&String> = voters.chain(members).collect();
         let others = all
             .into_iter()
-            .filter(|node| **node != self.me.node && !wait.taken_by.contains(*node));
+            .filter(|node| **node != self.me.node && !wait.acknowledged_by.contains(*node));
         let sends = others.map(|node| Effect::Send {
             to: node.clone(),
             body: body.clone(),
@@ -178,16 +183,16 @@
     }
 
     /// Takes in beats that another control node tells of.
-    pub(crate) fn beats_told(&mut self, now: Duration, from: String, beats: Heartbeats) {
+    pub(crate) fn handle_heartbeats(&mut self, now: Duration, from: String, beats: Heartbeats) {
         let dropped = beats
             .upstreams
             .into_iter()
-            .filter(|upstream| !self.take_told(now, upstream.clone()))
+            .filter(|upstream| !self.record_relayed_upstream(now, upstream.clone()))
             .count();
         if dropped == 0 && beats.nonce != 0 {
-            self.keep_departures(
+            self.persist_departures(
                 now,
-                AfterKept::Ack {
+                AfterPersist::Ack {
                     to: from,
                     nonce: beats.nonce,
                 },
@@ -196,7 +201,7 @@
     }
 
     /// True where a departure is known here from now on.
-    pub(crate) fn take_told(&mut self, now: Duration, upstream: Upstream) -> bool {
+    pub(crate) fn record_relayed_upstream(&mut self, now: Duration, upstream: Upstream) -> bool {
         let departure = Some(&upstream)
             .filter(|upstream| upstream.condition != READY)
             .map(departure);
@@ -206,26 +211,31 @@
         departure.is_none_or(|departure| self.registry.record_departure(now, &departure))
     }
 
-    pub(crate) fn beats_taken(&mut self, now: Duration, from: String, ack: HeartbeatsAck) {
+    pub(crate) fn handle_heartbeats_ack(
+        &mut self,
+        now: Duration,
+        from: String,
+        ack: HeartbeatsAck,
+    ) {
         if let Some(wait) = self.departures.waiting.get_mut(&ack.nonce) {
-            wait.taken_by.insert(from);
-            self.settle_departure(now, ack.nonce);
+            wait.acknowledged_by.insert(from);
+            self.complete_departure(now, ack.nonce);
         }
     }
 
     /// Acknowledges a departure that a majority knows.
-    fn settle_departure(&mut self, now: Duration, nonce: u64) {
+    fn complete_departure(&mut self, now: Duration, nonce: u64) {
         let Some(wait) = self.departures.waiting.get(&nonce) else {
             return;
         };
         if !self
             .register
             .voter_set()
-            .is_quorum(|voter| wait.taken_by.contains(voter))
+            .is_quorum(|voter| wait.acknowledged_by.contains(voter))
         {
             return;
         }
-        let Some(Wait {
+        let Some(PendingDeparture {
             request_id,
             upstream,
             ..
@@ -233,17 +243,17 @@
         else {
             return;
         };
-        if self.departures.known.len() < MAX_REMEMBERED {
+        if self.departures.known.len() < MAX_KNOWN_DEPARTURES {
             let id = (upstream.service.clone(), upstream.instance.clone());
             self.departures.known.insert(id, (upstream.condition, now));
         }
-        self.answer_taken_beat(now, request_id, upstream);
+        self.respond_to_heartbeat(now, request_id, upstream);
     }
 
     pub(crate) fn tick_departures(&mut self, now: Duration) {
         self.departures
             .known
-            .retain(|_, (_, known_at)| now < *known_at + REMEMBERED);
+            .retain(|_, (_, known_at)| now < *known_at + KNOWN_DEPARTURE_LIFETIME);
         let late = self
             .departures
             .waiting
@@ -252,33 +262,34 @@
         let late: Vec<u64> = late.map(|(nonce, _)| *nonce).collect();
         late.into_iter().for_each(|nonce| {
             let wait = self.departures.waiting.remove(&nonce);
-            wait.into_iter()
-                .for_each(|wait| self.refuse(now, wait.request_id, ResultCode::StaleView));
+            wait.into_iter().for_each(|wait| {
+                self.reject_or_redirect(now, wait.request_id, ResultCode::StaleView)
+            });
         });
         let due = self
             .departures
             .waiting
             .iter()
-            .filter(|(_, wait)| now >= wait.next_tell);
+            .filter(|(_, wait)| now >= wait.next_send_at);
         let due: Vec<u64> = due.map(|(nonce, _)| *nonce).collect();
         due.into_iter()
-            .for_each(|nonce| self.tell_waiting(now, nonce));
+            .for_each(|nonce| self.send_departure(now, nonce));
     }
 
     /// Departures that a node may lack which held for current until now: whoever lacks an older one has dropped the
     /// upstream as silent since, or heard of it in a batch.
     fn recent_departures(&self, now: Duration) -> Vec<Departure> {
         self.registry
-            .recent_departures(now, self.times.upstream_silent + BATCH_EVERY * 3)
+            .recent_departures(now, self.times.upstream_silent + DIGEST_INTERVAL * 3)
     }
 
     /// A message of the register to another voter: with a reading goes a digest of the departures known here, with the
     /// answer those that the reader may lack.
-    pub(crate) fn send_of_register(&mut self, now: Duration, to: String, body: Payload) {
+    pub(crate) fn send_register_message(&mut self, now: Duration, to: String, body: Payload) {
         let body = match body {
             Payload::Read(read) => self.read_with_digest(now, read),
             Payload::ReadBack(read_back) => self.read_back_with_departures(now, read_back),
-            Payload::Prepare(_) if !self.may_begin_rounds(now) => return,
+            Payload::Prepare(_) if !self.may_start_round(now) => return,
             other => other,
         };
         self.effects.push_back(Effect::Send { to, body });
@@ -293,7 +304,7 @@
 
     fn read_back_with_departures(&self, now: Duration, read_back: ReadBack) -> Payload {
         let departures = self.recent_departures(now);
-        if departures.is_empty() || digest(&departures) == self.departures.asked_with {
+        if departures.is_empty() || digest(&departures) == self.departures.requested_digest {
             return Payload::ReadBack(read_back);
         }
         Payload::DeparturesReadBack(DeparturesReadBack {
@@ -303,8 +314,8 @@
     }
 
     /// A voter's question what was accepted here.
-    pub(crate) fn read_asked(&mut self, now: Duration, from: String, read: Read, digest: u64) {
-        self.departures.asked_with = digest;
+    pub(crate) fn handle_read(&mut self, now: Duration, from: String, read: Read, digest: u64) {
+        self.departures.requested_digest = digest;
         self.run_register(
             now,
             quorum_register::Event::Received {
@@ -315,13 +326,13 @@
     }
 
     /// What the voter knows of departures counts before its confirmation does.
-    pub(crate) fn read_answered(
+    pub(crate) fn handle_read_back(
         &mut self,
         now: Duration,
         from: String,
         response: DeparturesReadBack,
     ) {
-        self.note_answered(now, &from);
+        self.record_voter_response(now, &from);
         let dropped = response
             .departures
             .iter()
@@ -352,7 +363,7 @@
 }
 
 /// The record of an instance that signed off. It is new with every life, so no later beat can be meant.
-pub(crate) fn signed_off(instance: String, known: Option<Upstream>) -> Upstream {
+pub(crate) fn deregistered_record(instance: String, known: Option<Upstream>) -> Upstream {
     let known = known.unwrap_or_else(|| Upstream {
         instance,
         ..Upstream::default()
--- a/crates/control-plane/src/gossip.rs
+++ b/crates/control-plane/src/gossip.rs
@@ -1,21 +1,21 @@
 //! What postmasters tell one another of upstreams: news at once and in full, going on in batches of marks.
 
-use crate::node::{BATCH_EVERY, CONTROL_NODE_ROLE, ControlNode, Effect};
+use crate::node::{CONTROL_NODE_ROLE, ControlNode, DIGEST_INTERVAL, Effect};
 use protocol::{HeartbeatDigest, Heartbeats, Payload, Upstream, UpstreamsReply, UpstreamsRequest};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Each beat goes to other regions with so many batches, so that a lost one does no harm.
-const TOLD_TIMES: u32 = 2;
+const DIGEST_REPEATS: u32 = 2;
 /// Most records asked for at a time.
-const MAX_WANTED: usize = 256;
+const MAX_REQUESTED_RECORDS: usize = 256;
 
 impl ControlNode {
     /// Takes in a beat that came here; false where a newer one is known.
-    pub(crate) fn record_beat(&mut self, now: Duration, upstream: &Upstream) -> bool {
+    pub(crate) fn record_heartbeat(&mut self, now: Duration, upstream: &Upstream) -> bool {
         let newer = self.registry.apply_heartbeat(now, upstream.clone());
         if newer {
-            self.heard_here.insert(
+            self.recent_heartbeats.insert(
                 (upstream.service.clone(), upstream.instance.clone()),
                 (upstream.beat, now),
             );
@@ -24,12 +24,12 @@
     }
 
     /// Takes in a beat that came here; what is news about it goes to all at once.
-    pub(crate) fn take_beat(&mut self, now: Duration, upstream: &Upstream) {
+    pub(crate) fn relay_heartbeat(&mut self, now: Duration, upstream: &Upstream) {
         let before = self
             .registry
             .get(now, upstream)
             .map(|known| upstream_registry::digest(&known));
-        if !self.record_beat(now, upstream) {
+        if !self.record_heartbeat(now, upstream) {
             return;
         }
         // With its age as it is known here: this beat may have lain in a frozen process.
@@ -43,7 +43,7 @@
                 released: Vec::new(),
                 ..known
             }];
-            self.tell_postmasters(Payload::Heartbeats(Heartbeats {
+            self.send_to_control_nodes(Payload::Heartbeats(Heartbeats {
                 upstreams,
                 nonce: 0,
             }));
@@ -52,14 +52,14 @@
 
     /// Tells which upstreams beat here lately, and which are gone: to the own region, and to one postmaster of each
     /// other region, another one each time, which tells it on there.
-    pub(crate) fn tell_alive(&mut self, now: Duration) {
-        self.heard_here
-            .retain(|_, (_, heard_at)| now < *heard_at + BATCH_EVERY * TOLD_TIMES);
+    pub(crate) fn send_heartbeat_digests(&mut self, now: Duration) {
+        self.recent_heartbeats
+            .retain(|_, (_, heard_at)| now < *heard_at + DIGEST_INTERVAL * DIGEST_REPEATS);
         let (far, near) = (
-            self.batch(now, BATCH_EVERY * TOLD_TIMES),
-            self.batch(now, BATCH_EVERY),
+            self.heartbeat_digest(now, DIGEST_INTERVAL * DIGEST_REPEATS),
+            self.heartbeat_digest(now, DIGEST_INTERVAL),
         );
-        self.batches += 1;
+        self.digest_rounds += 1;
         let mut regions: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         let there = self
             .members
@@ -74,7 +74,7 @@
         let mine = region(&self.me.locality);
         let sends = regions.into_iter().flat_map(|(there, nodes)| {
             let (tell_on, count) = (there != mine, nodes.len());
-            let turn = self.batches % count.max(1);
+            let turn = self.digest_rounds % count.max(1);
             let chosen = nodes
                 .into_iter()
                 .enumerate()
@@ -97,9 +97,9 @@
     }
 
     /// Those that beat here within a span and nowhere else since, and those gone lately.
-    fn batch(&self, now: Duration, span: Duration) -> HeartbeatDigest {
+    fn heartbeat_digest(&self, now: Duration, span: Duration) -> HeartbeatDigest {
         let heard = self
-            .heard_here
+            .recent_heartbeats
             .iter()
             .filter(|(_, (_, heard_at))| now < *heard_at + span);
         let heard = heard.filter_map(|((service, instance), (beat, _))| {
@@ -118,7 +118,7 @@
             .collect();
         HeartbeatDigest {
             marks: told.iter().map(upstream_registry::digest).collect(),
-            beats: told.iter().map(told_beat).collect(),
+            beats: told.iter().map(encode_heartbeat_number).collect(),
             ages_ms: told.iter().map(|upstream| upstream.age_ms).collect(),
             tell_on: false,
         }
@@ -126,18 +126,23 @@
 
     /// Takes a batch in, tells on what is new in it where that is wanted, and asks its sender for the records that are
     /// not as they are known here.
-    pub(crate) fn alive_told(&mut self, now: Duration, from: String, alive: HeartbeatDigest) {
+    pub(crate) fn handle_heartbeat_digest(
+        &mut self,
+        now: Duration,
+        from: String,
+        alive: HeartbeatDigest,
+    ) {
         let (mut wanted, mut new) = (Vec::new(), HeartbeatDigest::default());
         let told = alive.marks.iter().zip(&alive.beats).zip(&alive.ages_ms);
-        told.for_each(|((mark, told_beat), age_ms)| {
-            let beat = meant_beat(*mark, *told_beat);
+        told.for_each(|((mark, encode_heartbeat_number), age_ms)| {
+            let beat = decode_heartbeat_number(*mark, *encode_heartbeat_number);
             if self
                 .registry
                 .find_by_digest(now, *mark)
                 .is_none_or(|known| known.beat < beat)
             {
                 new.marks.push(*mark);
-                new.beats.push(*told_beat);
+                new.beats.push(*encode_heartbeat_number);
                 new.ages_ms.push(*age_ms);
             }
             if !self
@@ -162,7 +167,7 @@
             self.effects.extend(sends.collect::<Vec<_>>());
         }
         if !wanted.is_empty() {
-            wanted.truncate(MAX_WANTED);
+            wanted.truncate(MAX_REQUESTED_RECORDS);
             self.effects.push_back(Effect::Send {
                 to: from,
                 body: Payload::UpstreamsRequest(UpstreamsRequest {
@@ -173,12 +178,17 @@
         }
     }
 
-    pub(crate) fn roll_asked(&mut self, now: Duration, from: String, request: UpstreamsRequest) {
+    pub(crate) fn handle_upstreams_request(
+        &mut self,
+        now: Duration,
+        from: String,
+        request: UpstreamsRequest,
+    ) {
         if !request.marks.is_empty() {
             let wanted = request
                 .marks
                 .iter()
-                .take(MAX_WANTED)
+                .take(MAX_REQUESTED_RECORDS)
                 .filter_map(|mark| self.registry.find_by_digest(now, *mark));
             let upstreams = wanted
                 .map(|known| Upstream {
@@ -194,8 +204,8 @@
                     nonce: 0,
                 }),
             });
-        } else if self.is_settled(now) {
-            let (placement, placed_by) = (self.placement.clone(), self.placed_by.clone());
+        } else if self.knows_upstreams(now) {
+            let (placement, placed_by) = (self.placement.clone(), self.placement_holder.clone());
             let told = UpstreamsReply {
                 upstreams: self.registry.snapshot(now),
                 placement,
@@ -212,14 +222,18 @@
 
 /// An upstream's last beat as a batch tells it. One that signed off has the last beat there can be, a long number on the
 /// wire; its mark says that it is gone, so it goes as none.
-fn told_beat(upstream: &Upstream) -> u64 {
-    let signed_off =
+fn encode_heartbeat_number(upstream: &Upstream) -> u64 {
+    let deregistered_record =
         upstream.condition == upstream_registry::DEREGISTERED && upstream.beat == u64::MAX;
-    if signed_off { 0 } else { upstream.beat }
+    if deregistered_record {
+        0
+    } else {
+        upstream.beat
+    }
 }
 
 /// The beat that a batch means. Of an upstream that is gone it decides only whether its record is asked for.
-fn meant_beat(mark: u64, told: u64) -> u64 {
+fn decode_heartbeat_number(mark: u64, told: u64) -> u64 {
     if told == 0 && upstream_registry::is_deregistered_digest(mark) {
         u64::MAX
     } else {
--- a/crates/control-plane/src/keys.rs
+++ b/crates/control-plane/src/keys.rs
@@ -1,7 +1,7 @@
 //! Numeric keys: what carriers count of them, and the division that follows it.
 
 use crate::node::{ControlNode, Effect};
-use crate::placement::{DECIDE_EVERY, PlacementLease};
+use crate::placement::{DECISION_INTERVAL, PlacementLease};
 use key_space::{KEY_COUNT, LOAD_BUCKET_COUNT};
 use protocol::{KeyLoad, KeyLoads, KeyShare, Payload, ServiceKeyShares, Upstream};
 use std::collections::BTreeMap;
@@ -13,11 +13,11 @@
 };
 
 /// An upstream that heard no answer for so long asks elsewhere, and takes a later one for nothing.
-const ANSWER_WITHIN: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Added to every span that is waited out, beyond the lease's margin: a clock that jumps by less goes unnoticed.
 const MARGIN: Duration = Duration::from_millis(50);
 /// Least time between two moves for balance.
-const SETTLE: Duration = Duration::from_millis(2500);
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(2500);
 /// After this long a request counts for half.
 const HALF_LIFE: Duration = Duration::from_secs(6);
 /// Counts are kept in so many parts of a request.
@@ -27,9 +27,9 @@
 
 /// Requests by equal parts of the keys, for each service.
 #[derive(Default)]
-pub(crate) struct KeyCounts(BTreeMap<String, BTreeMap<u32, f64>>);
+pub(crate) struct KeyLoadCounts(BTreeMap<String, BTreeMap<u32, f64>>);
 
-impl KeyCounts {
+impl KeyLoadCounts {
     pub(crate) fn add(&mut self, load: KeyLoad) {
         if self.0.len() >= MAX_SERVICES && !self.0.contains_key(&load.service) {
             return;
@@ -61,7 +61,7 @@
     }
 
     /// Lets what is past count for less.
-    pub(crate) fn fade(&mut self, span: Duration) {
+    pub(crate) fn decay(&mut self, span: Duration) {
         let left = 0.5f64.powf(span.as_secs_f64() / HALF_LIFE.as_secs_f64());
         self.0.values_mut().for_each(|counts| {
             counts.values_mut().for_each(|count| *count *= left);
@@ -86,23 +86,25 @@
 
 impl ControlNode {
     /// Requests by key that a carrier counted, or another postmaster told on.
-    pub(crate) fn count_keys(&mut self, loads: Vec<KeyLoad>) {
-        match self.duty.as_mut() {
-            Some(duty) => loads.into_iter().for_each(|load| duty.counts.add(load)),
+    pub(crate) fn count_key_loads(&mut self, loads: Vec<KeyLoad>) {
+        match self.placement_lease.as_mut() {
+            Some(placement_lease) => loads
+                .into_iter()
+                .for_each(|load| placement_lease.key_loads.add(load)),
             None => loads.into_iter().for_each(|load| self.loads.add(load)),
         }
     }
 
     /// Tells them on to the holder of the duty.
-    pub(crate) fn tell_loads(&mut self) {
+    pub(crate) fn forward_key_loads(&mut self) {
         let loads = self.loads.drain();
         if loads.is_empty() {
             return;
         }
-        if self.duty.is_some() {
-            return self.count_keys(loads);
+        if self.placement_lease.is_some() {
+            return self.count_key_loads(loads);
         }
-        let to = Some(self.placed_by.clone())
+        let to = Some(self.placement_holder.clone())
             .filter(|holder| !holder.is_empty() && *holder != self.me.node);
         let send = to.map(|to| Effect::Send {
             to,
@@ -113,7 +115,7 @@
 
     /// Who holds which numeric keys by the upstreams' own state: what is told while no placement is known here, as after
     /// all postmasters started anew. It gives nothing; a request that comes to the wrong one is not run.
-    pub(crate) fn heard_shares(&self, now: Duration) -> Vec<ServiceKeyShares> {
+    pub(crate) fn claimed_shares(&self, now: Duration) -> Vec<ServiceKeyShares> {
         let numbered = self
             .configuration
             .services
@@ -139,7 +141,7 @@
     }
 
     /// All keys that an upstream holds from now on, in answer to its beat.
-    pub(crate) fn give_ranges(
+    pub(crate) fn grant_key_ranges(
         &mut self,
         now: Duration,
         upstream: &Upstream,
@@ -148,9 +150,9 @@
         let held_at = self.grant_clock.now();
         let terms = KeyLeaseTerms {
             lease_duration: self.times.share_span,
-            response_timeout: ANSWER_WITHIN,
+            response_timeout: RESPONSE_TIMEOUT,
             margin: self.times.lease.safety_margin + MARGIN,
-            rebalance_interval: SETTLE,
+            rebalance_interval: REBALANCE_INTERVAL,
             accepts_late_responses: false,
         };
         // Whoever else may be given keys is known well enough for a while; of this one the newest counts.
@@ -158,11 +160,16 @@
             .registry
             .get(now, upstream)
             .filter(|me| self.may_hold(me));
-        let duty = self.duty.as_ref().filter(|duty| duty.epoch == epoch)?;
-        let known = duty.inputs.get(&upstream.service);
+        let placement_lease = self
+            .placement_lease
+            .as_ref()
+            .filter(|placement_lease| placement_lease.epoch == epoch)?;
+        let known = placement_lease.inputs.get(&upstream.service);
         let inputs = match known.filter(|known| known.is_good(now, upstream, me.is_some())) {
             Some(known) => known.clone(),
-            None => Arc::new(self.division_inputs(now, &upstream.service, &duty.counts)),
+            None => {
+                Arc::new(self.division_inputs(now, &upstream.service, &placement_lease.key_loads))
+            }
         };
         let PlacementLease {
             since,
@@ -170,7 +177,7 @@
             ranges,
             inputs: all_inputs,
             ..
-        } = self.duty.as_mut()?;
+        } = self.placement_lease.as_mut()?;
         all_inputs.insert(upstream.service.clone(), inputs.clone());
         let new = || KeyRangeAssigner::new(*since, terms, KEY_COUNT, epoch, *founding);
         let ranges = ranges.entry(upstream.service.clone()).or_insert_with(new);
@@ -191,7 +198,12 @@
         upstream.condition == READY && !self.register.state().evacuated.contains(&upstream.locality)
     }
 
-    fn division_inputs(&self, now: Duration, service: &str, counts: &KeyCounts) -> DivisionInputs {
+    fn division_inputs(
+        &self,
+        now: Duration,
+        service: &str,
+        counts: &KeyLoadCounts,
+    ) -> KeyDivisionInputs {
         let capacity = |upstream: &Upstream| upstream.slots.max(upstream.free_slots).max(1);
         let all = self
             .registry
@@ -200,7 +212,7 @@
         let ready = all
             .map(|upstream| (upstream.instance.clone(), capacity(upstream)))
             .collect();
-        DivisionInputs {
+        KeyDivisionInputs {
             read_at: now,
             ready,
             load: counts.load(service),
@@ -209,17 +221,18 @@
 }
 
 /// What a service's keys are divided by: made anew as often as decisions are, not for each beat.
-pub(crate) struct DivisionInputs {
+pub(crate) struct KeyDivisionInputs {
     read_at: Duration,
     /// Who may be given keys, and their capacity.
     ready: BTreeMap<String, u32>,
     load: LoadHistogram,
 }
 
-impl DivisionInputs {
+impl KeyDivisionInputs {
     /// True while it is young, and right about this upstream.
     fn is_good(&self, now: Duration, upstream: &Upstream, ready: bool) -> bool {
-        now < self.read_at + DECIDE_EVERY && self.ready.contains_key(&upstream.instance) == ready
+        now < self.read_at + DECISION_INTERVAL
+            && self.ready.contains_key(&upstream.instance) == ready
     }
 }
 
@@ -254,7 +267,7 @@
 }
 
 /// Who holds which keys of a service, as shares to be told on.
-pub(crate) fn held(ranges: &KeyRangeAssigner, now: Duration) -> Vec<KeyShare> {
+pub(crate) fn assigned_shares(ranges: &KeyRangeAssigner, now: Duration) -> Vec<KeyShare> {
     let share = |holding: upstream_registry::KeyAssignment| KeyShare {
         from: holding.from,
         until: holding.to + 1,
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -2,11 +2,11 @@
 //! news to carriers, as one reducer.
 
 use crate::anonymous_orders::AnonymousOrders;
-use crate::contact::Contact;
+use crate::contact::QuorumContact;
 use crate::departures::Departures;
-use crate::keys::KeyCounts;
+use crate::keys::KeyLoadCounts;
 use crate::placement::PlacementLease;
-use crate::updates::Reader;
+use crate::updates::UpdateStream;
 use crate::voters::VoterChanges;
 use config::{Configuration, JsonValue, ValidationError};
 use lease::BoundedStepClock;
@@ -28,7 +28,7 @@
 /// The role of a control node in `Member.roles`: part of the wire format, so it keeps its old word.
 pub(crate) const CONTROL_NODE_ROLE: &str = "postmaster";
 /// How often upstreams that go on beating are told on.
-pub(crate) const BATCH_EVERY: Duration = Duration::from_millis(500);
+pub(crate) const DIGEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A postmaster's time values.
 #[derive(Clone, Copy, Debug)]
@@ -198,7 +198,7 @@
     LogError(String),
 }
 
-pub(crate) struct InForce {
+pub(crate) struct InForceWait {
     pub request_id: u64,
     pub response: ControlResponse,
     pub revision: u64,
@@ -211,7 +211,7 @@
     pub asked_at: Duration,
 }
 
-pub(crate) struct BeatWait {
+pub(crate) struct HeartbeatWait {
     pub request_id: u64,
     /// Who was asked.
     pub asked: String,
@@ -220,12 +220,12 @@
 
 /// What a postmaster did since its start, beside its membership.
 #[derive(Default)]
-pub(crate) struct Counts {
-    pub beats: u64,
-    pub leases_held: u64,
-    pub placements_told: u64,
+pub(crate) struct Statistics {
+    pub heartbeats: u64,
+    pub leases_acquired: u64,
+    pub placements_published: u64,
     pub names_moved: u64,
-    pub images: u64,
+    pub snapshots: u64,
     pub changes: u64,
 }
 
@@ -233,7 +233,7 @@
 pub struct ControlNode {
     pub(crate) me: Member,
     /// Tells this life of the process from earlier ones of the same name.
-    life: u64,
+    incarnation: u64,
     pub(crate) times: Times,
     pub(crate) reader: ConfigurationParser,
     pub(crate) owners: OwnershipMode,
@@ -242,42 +242,42 @@
     pub(crate) membership: Membership,
     pub(crate) lease: Lease,
     pub(crate) registry: UpstreamRegistry,
-    pub(crate) duty: Option<PlacementLease>,
+    pub(crate) placement_lease: Option<PlacementLease>,
     /// Requests by key that carriers told of, to be told on to the holder of the duty.
-    pub(crate) loads: KeyCounts,
+    pub(crate) loads: KeyLoadCounts,
     /// The last placement heard of, and who holds the duty.
     pub(crate) placement: Placement,
-    pub(crate) placed_by: String,
+    pub(crate) placement_holder: String,
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) members: Vec<Member>,
-    pub(crate) readers: BTreeMap<String, Reader>,
+    pub(crate) update_streams: BTreeMap<String, UpdateStream>,
     /// The edition that each carrier acknowledged, to whichever postmaster.
-    pub(crate) kept: BTreeMap<String, u64>,
-    pub(crate) waiting_force: Vec<InForce>,
+    pub(crate) acknowledged_revisions: BTreeMap<String, u64>,
+    pub(crate) in_force_waits: Vec<InForceWait>,
     pub(crate) read_waits: Vec<ReadWait>,
     pub(crate) anonymous: AnonymousOrders,
-    pub(crate) beat_waits: BTreeMap<u64, BeatWait>,
-    pub(crate) contact: Contact,
+    pub(crate) heartbeat_waits: BTreeMap<u64, HeartbeatWait>,
+    pub(crate) contact: QuorumContact,
     pub(crate) departures: Departures,
     /// Upstreams whose beats came here of late: which beat, and when.
-    pub(crate) heard_here: BTreeMap<(String, String), (u64, Duration)>,
-    pub(crate) batches: usize,
-    pub(crate) next_sweep: Duration,
-    pub(crate) next_news: Duration,
+    pub(crate) recent_heartbeats: BTreeMap<(String, String), (u64, Duration)>,
+    pub(crate) digest_rounds: usize,
+    pub(crate) next_relay_at: Duration,
+    pub(crate) next_update_at: Duration,
     pub(crate) effects: VecDeque<Effect>,
-    told: VoterPhase,
+    logged_phase: VoterPhase,
     /// True once another postmaster told all it knows of upstreams, or all of them had time to beat.
-    pub(crate) roll_told: bool,
-    pub(crate) held_epoch: u64,
+    pub(crate) registry_synced: bool,
+    pub(crate) placement_epoch: u64,
     /// By which the holds that this node gave are waited out.
     pub(crate) grant_clock: BoundedStepClock,
-    pub(crate) counts: Counts,
+    pub(crate) statistics: Statistics,
     /// A write failed and is tried again: nothing new is promised or accepted here meanwhile.
-    pub(crate) disk_fails: bool,
+    pub(crate) disk_failing: bool,
     /// The state accepted here names a setup whose bytes are not here.
-    lacks_setup: bool,
+    configuration_missing: bool,
     /// True once it was told to end: whoever asks is sent elsewhere.
-    pub(crate) closing: bool,
+    pub(crate) shutting_down: bool,
     pub(crate) voter_changes: VoterChanges,
 }
 
@@ -291,7 +291,7 @@
     /// assert_eq!(control_plane::ControlNode::new(start).revision(), 0);
     /// ```
     pub fn new(start: Start) -> Self {
-        let life = random::stable_hash(&format!("life {}", start.seed)).max(1);
+        let incarnation = random::stable_hash(&format!("life {}", start.seed)).max(1);
         let mut random = Random::new(start.seed);
         let Start {
             me,
@@ -321,40 +321,40 @@
             grant_clock: BoundedStepClock::new(times.longest_step),
             membership: Membership::new(me.clone(), seeds, times.membership, random.next_u64()),
             lease: Lease::new(me.node.clone(), times.lease, random.next_u64()),
-            told: register.phase().clone(),
+            logged_phase: register.phase().clone(),
             members: vec![me.clone()],
             me,
-            life,
+            incarnation,
             times,
             reader,
             owners,
             random,
             register,
             registry,
-            duty: None,
-            loads: KeyCounts::default(),
+            placement_lease: None,
+            loads: KeyLoadCounts::default(),
             placement: Placement::default(),
-            placed_by: String::new(),
+            placement_holder: String::new(),
             configuration: Arc::default(),
-            readers: BTreeMap::new(),
-            kept: BTreeMap::new(),
-            waiting_force: Vec::new(),
+            update_streams: BTreeMap::new(),
+            acknowledged_revisions: BTreeMap::new(),
+            in_force_waits: Vec::new(),
             read_waits: Vec::new(),
             anonymous: AnonymousOrders::default(),
-            beat_waits: BTreeMap::new(),
-            contact: Contact::default(),
+            heartbeat_waits: BTreeMap::new(),
+            contact: QuorumContact::default(),
             departures: Departures::default(),
-            heard_here: BTreeMap::new(),
-            batches: 0,
-            next_sweep: Duration::ZERO,
-            next_news: Duration::ZERO,
+            recent_heartbeats: BTreeMap::new(),
+            digest_rounds: 0,
+            next_relay_at: Duration::ZERO,
+            next_update_at: Duration::ZERO,
             effects: VecDeque::new(),
-            roll_told: false,
-            held_epoch: 0,
-            counts: Counts::default(),
-            disk_fails: false,
-            lacks_setup: false,
-            closing: false,
+            registry_synced: false,
+            placement_epoch: 0,
+            statistics: Statistics::default(),
+            disk_failing: false,
+            configuration_missing: false,
+            shutting_down: false,
             voter_changes: VoterChanges::default(),
         }
     }
@@ -388,15 +388,15 @@
         self.anonymous.note_step(now);
         match event {
             Event::Tick => self.tick(now),
-            Event::Received { from, body } => self.take(now, from, body),
+            Event::Received { from, body } => self.handle_message(now, from, body),
             Event::Datagram { address, body } => {
                 let effects = self
                     .membership
                     .step(now, membership::Event::Received { address, body });
                 self.run_membership(now, effects);
             }
-            Event::ControlRequest { request_id, .. } if self.closing => {
-                self.refuse(now, request_id, ResultCode::ShuttingDown)
+            Event::ControlRequest { request_id, .. } if self.shutting_down => {
+                self.reject_or_redirect(now, request_id, ResultCode::ShuttingDown)
             }
             Event::ControlRequest {
                 request_id,
@@ -405,15 +405,17 @@
             Event::WriteCompleted { write_id } => {
                 self.run_register(now, quorum_register::Event::WriteCompleted { write_id })
             }
-            Event::DeparturesPersisted { write_id } => self.departures_kept(now, write_id),
+            Event::DeparturesPersisted { write_id } => {
+                self.handle_departures_persisted(now, write_id)
+            }
             Event::DiskFailed => self.run_register(now, quorum_register::Event::DiskFailed),
-            Event::DiskRetrying => self.disk_fails = true,
-            Event::DiskRecovered => self.disk_fails = false,
+            Event::DiskRetrying => self.disk_failing = true,
+            Event::DiskRecovered => self.disk_failing = false,
             Event::SeedsChanged(seeds) => self.membership.learn_seeds(seeds),
-            Event::Shutdown => self.close(now),
+            Event::Shutdown => self.shut_down(now),
         }
-        self.answer_reads(now);
-        self.go_on_with_anonymous(now);
+        self.complete_reads(now);
+        self.tick_anonymous_evacuations(now);
         std::mem::take(&mut self.effects).into()
     }
 
@@ -422,39 +424,39 @@
         self.run_membership(now, effects);
         self.run_register(now, quorum_register::Event::Tick);
         if *self.register.phase() == VoterPhase::Active {
-            self.tell_lease_voters(now);
+            self.update_lease_voters(now);
             self.run_lease(now, lease::Event::Tick);
         }
         self.tick_voters(now);
-        if now >= self.next_sweep {
-            self.next_sweep = now + BATCH_EVERY;
+        if now >= self.next_relay_at {
+            self.next_relay_at = now + DIGEST_INTERVAL;
             // What others hear of comes with their next batch.
             self.registry
-                .expire_silent(now, self.times.upstream_silent + BATCH_EVERY);
-            if !self.is_settled(now) {
-                let life = self.life;
-                self.tell_postmasters(Payload::UpstreamsRequest(UpstreamsRequest {
+                .expire_silent(now, self.times.upstream_silent + DIGEST_INTERVAL);
+            if !self.knows_upstreams(now) {
+                let life = self.incarnation;
+                self.send_to_control_nodes(Payload::UpstreamsRequest(UpstreamsRequest {
                     life,
                     ..Default::default()
                 }));
             }
-            self.tell_loads();
-            self.tell_alive(now);
+            self.forward_key_loads();
+            self.send_heartbeat_digests(now);
         }
-        self.tick_duty(now);
-        self.tick_news(now);
-        self.tick_waits(now);
-        self.tick_contact(now);
+        self.tick_placement(now);
+        self.tick_updates(now);
+        self.tick_pending_requests(now);
+        self.tick_quorum_contact(now);
         self.tick_departures(now);
-        self.note_standing();
-        self.note_missing_setup();
+        self.log_voter_phase();
+        self.log_missing_configuration();
     }
 
     /// Until its bytes are here this node can't answer with the state it holds: it asks the others for them.
-    fn note_missing_setup(&mut self) {
+    fn log_missing_configuration(&mut self) {
         let lacks = self.register.is_missing_accepted_configuration();
-        if lacks != self.lacks_setup {
-            self.lacks_setup = lacks;
+        if lacks != self.configuration_missing {
+            self.configuration_missing = lacks;
             self.effects.push_back(match lacks {
                 true => Effect::LogError(
                     "the configuration of the state on this disk is missing or damaged; the other nodes are asked for it".into(),
@@ -464,10 +466,10 @@
         }
     }
 
-    fn note_standing(&mut self) {
+    fn log_voter_phase(&mut self) {
         let now = self.register.phase();
-        if std::mem::discriminant(now) != std::mem::discriminant(&self.told) {
-            self.told = now.clone();
+        if std::mem::discriminant(now) != std::mem::discriminant(&self.logged_phase) {
+            self.logged_phase = now.clone();
             let text = match now {
                 VoterPhase::Blank { .. } => "the disk is blank",
                 VoterPhase::Bootstrapping { .. } => "voted for a bootstrap",
@@ -480,37 +482,37 @@
         }
     }
 
-    fn take(&mut self, now: Duration, from: String, body: Payload) {
-        self.note_holder(now, &from, &body);
+    fn handle_message(&mut self, now: Duration, from: String, body: Payload) {
+        self.observe_lease_holder(now, &from, &body);
         match body {
             Payload::LeaseRequest(_) | Payload::LeaseReply(_) | Payload::LeaseRelease(_) => {
                 // A voter that has lost its disk has forgotten the epochs it granted.
                 if *self.register.phase() == VoterPhase::Active {
-                    self.tell_lease_voters(now);
+                    self.update_lease_voters(now);
                     self.run_lease(now, lease::Event::Received { from, body });
                 }
             }
-            Payload::Heartbeats(beats) => self.beats_told(now, from, beats),
-            Payload::HeartbeatsAck(ack) => self.beats_taken(now, from, ack),
-            Payload::Read(read) => self.read_asked(now, from, read, 0),
-            Payload::DeparturesRead(asked) => self.read_asked(now, from, asked.read, asked.digest),
-            Payload::DeparturesReadBack(response) => self.read_answered(now, from, response),
-            Payload::HeartbeatDigest(alive) => self.alive_told(now, from, alive),
-            Payload::UpstreamsRequest(request) => self.roll_asked(now, from, request),
-            Payload::UpstreamsReply(told) => self.roll_told(now, told),
-            Payload::LeaseHolder(holder) => self.hear_holder(from, holder.epoch),
-            Payload::SharesRequest(request) => self.shares_asked(now, from, request),
-            Payload::SharesReply(given) => self.shares_given(&from, given),
-            Payload::PlacementRequest(_) => self.placement_asked(from),
-            Payload::Placement(placement) => self.take_placement(from, placement),
-            Payload::VoterLeaving(_) => self.voter_leaving(now, from),
-            Payload::KeyLoads(told) => self.count_keys(told.loads),
-            Payload::UpdateRequest(request) => self.news_asked(now, from, request),
-            Payload::UpdateAck(kept) => self.news_kept(&from, &kept),
-            Payload::DataPlaneAck(kept) => self.carrier_kept(kept),
+            Payload::Heartbeats(beats) => self.handle_heartbeats(now, from, beats),
+            Payload::HeartbeatsAck(ack) => self.handle_heartbeats_ack(now, from, ack),
+            Payload::Read(read) => self.handle_read(now, from, read, 0),
+            Payload::DeparturesRead(asked) => self.handle_read(now, from, asked.read, asked.digest),
+            Payload::DeparturesReadBack(response) => self.handle_read_back(now, from, response),
+            Payload::HeartbeatDigest(alive) => self.handle_heartbeat_digest(now, from, alive),
+            Payload::UpstreamsRequest(request) => self.handle_upstreams_request(now, from, request),
+            Payload::UpstreamsReply(reply) => self.handle_upstreams_reply(now, reply),
+            Payload::LeaseHolder(holder) => self.record_lease_holder(from, holder.epoch),
+            Payload::SharesRequest(request) => self.handle_shares_request(now, from, request),
+            Payload::SharesReply(given) => self.handle_shares_reply(&from, given),
+            Payload::PlacementRequest(_) => self.handle_placement_request(from),
+            Payload::Placement(placement) => self.handle_placement(from, placement),
+            Payload::VoterLeaving(_) => self.handle_voter_leaving(now, from),
+            Payload::KeyLoads(key_loads) => self.count_key_loads(key_loads.loads),
+            Payload::UpdateRequest(request) => self.handle_update_request(now, from, request),
+            Payload::UpdateAck(kept) => self.handle_update_ack(&from, &kept),
+            Payload::DataPlaneAck(kept) => self.handle_data_plane_ack(kept),
             other => {
                 if matches!(other, Payload::ReadBack(_)) {
-                    self.note_answered(now, &from);
+                    self.record_voter_response(now, &from);
                 }
                 self.run_register(now, quorum_register::Event::Received { from, body: other });
             }
@@ -528,7 +530,7 @@
         if changed {
             self.members = self.membership.members().cloned().collect();
             let present = |node: &String| self.members.iter().any(|member| member.node == *node);
-            self.kept.retain(|node, _| present(node));
+            self.acknowledged_revisions.retain(|node, _| present(node));
             let book = self
                 .members
                 .iter()
@@ -547,7 +549,7 @@
     pub(crate) fn run_register(&mut self, now: Duration, event: quorum_register::Event) {
         let effects = self.register.step(now, event);
         effects.into_iter().for_each(|effect| match effect {
-            quorum_register::Effect::Send { to, body } => self.send_of_register(now, to, body),
+            quorum_register::Effect::Send { to, body } => self.send_register_message(now, to, body),
             quorum_register::Effect::Persist { write_id, durable } => {
                 self.effects
                     .push_back(Effect::Persist { write_id, durable });
@@ -569,8 +571,8 @@
             quorum_register::Effect::Decided {
                 request_id,
                 decision,
-            } => self.decided(now, request_id, decision),
-            quorum_register::Effect::StateChanged => self.adopted(),
+            } => self.handle_decision(now, request_id, decision),
+            quorum_register::Effect::StateChanged => self.handle_state_changed(),
             quorum_register::Effect::LeaseEpochPersisted { request_id } => {
                 self.run_lease(now, lease::Event::LeaseEpochPersisted { request_id })
             }
@@ -578,7 +580,7 @@
     }
 
     /// Whom the lease asks, and what it may grant, follows every newer state at once.
-    fn tell_lease_voters(&mut self, now: Duration) {
+    fn update_lease_voters(&mut self, now: Duration) {
         let voter_set = self.register.voter_set().clone();
         let persisted_epoch = self.register.lease_epoch();
         self.run_lease(
@@ -604,20 +606,20 @@
     }
 
     /// A newer state is in force: read its setup once, and tell the carriers with the next news.
-    fn adopted(&mut self) {
+    fn handle_state_changed(&mut self) {
         let read = self
             .register
             .configuration()
             .map(self.reader.0)
             .and_then(Result::ok);
         self.configuration = read.map(Arc::new).unwrap_or_default();
-        self.next_news = Duration::ZERO;
+        self.next_update_at = Duration::ZERO;
         let revision = self.register.state().revision;
         self.effects
             .push_back(Effect::Log(format!("revision {revision} is in force")));
     }
 
-    pub(crate) fn tell_postmasters(&mut self, body: Payload) {
+    pub(crate) fn send_to_control_nodes(&mut self, body: Payload) {
         let others = self
             .members
             .iter()
@@ -629,14 +631,14 @@
         self.effects.extend(sends.collect::<Vec<_>>());
     }
 
-    pub(crate) fn change(
+    pub(crate) fn submit_change(
         &mut self,
         now: Duration,
         request_id: u64,
         change: Change,
         bytes: Option<Vec<u8>>,
     ) {
-        self.open_order(request_id);
+        self.open_change(request_id);
         self.run_register(
             now,
             quorum_register::Event::Submit {
@@ -648,20 +650,20 @@
     }
 
     /// True once this node knows the upstreams well enough to tell carriers of them.
-    pub(crate) fn is_settled(&self, now: Duration) -> bool {
-        self.roll_told || now >= self.times.upstream_silent
+    pub(crate) fn knows_upstreams(&self, now: Duration) -> bool {
+        self.registry_synced || now >= self.times.upstream_silent
     }
 
-    fn roll_told(&mut self, now: Duration, told: UpstreamsReply) {
+    fn handle_upstreams_reply(&mut self, now: Duration, reply: UpstreamsReply) {
         // An answer to an earlier life's question may be from before that life's end.
-        if told.life != 0 && told.life != self.life {
+        if reply.life != 0 && reply.life != self.incarnation {
             return;
         }
-        told.upstreams.into_iter().for_each(|upstream| {
+        reply.upstreams.into_iter().for_each(|upstream| {
             self.registry.apply_heartbeat(now, upstream);
         });
-        self.take_placement(told.placed_by, told.placement);
-        self.roll_told = true;
+        self.handle_placement(reply.placed_by, reply.placement);
+        self.registry_synced = true;
     }
 
     /// True while a majority confirmed the state lately.
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -1,6 +1,6 @@
 //! The placement duty, done by whichever postmaster holds its lease.
 
-use crate::keys::{DivisionInputs, KeyCounts};
+use crate::keys::{KeyDivisionInputs, KeyLoadCounts};
 use crate::node::{ControlNode, Effect};
 use config::Configuration;
 use name_directory::{OwnershipMode, PlacementInputs, ZoneAssigner};
@@ -13,9 +13,9 @@
 use upstream_registry::{DEREGISTERED, KeyRangeAssigner, SlotAssigner};
 
 /// How long a new holder listens before it decides, so that beats and the last placement can reach it.
-const LISTEN: Duration = Duration::from_millis(1200);
-pub(crate) const DECIDE_EVERY: Duration = Duration::from_millis(200);
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const LISTEN_DURATION: Duration = Duration::from_millis(1200);
+pub(crate) const DECISION_INTERVAL: Duration = Duration::from_millis(200);
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The holder's working state, thrown away when the lease ends.
 pub(crate) struct PlacementLease {
@@ -25,17 +25,17 @@
     /// True where nothing was ever given before: nobody held the lease before.
     pub(crate) founding: bool,
     /// Requests by key.
-    pub(crate) counts: KeyCounts,
+    pub(crate) key_loads: KeyLoadCounts,
     /// By service, where keys are numbers.
     pub(crate) ranges: BTreeMap<String, KeyRangeAssigner>,
     /// By the same services.
-    pub(crate) inputs: BTreeMap<String, Arc<DivisionInputs>>,
+    pub(crate) inputs: BTreeMap<String, Arc<KeyDivisionInputs>>,
     listen_until: Duration,
     assigner: Option<ZoneAssigner>,
     shares: BTreeMap<String, SlotAssigner>,
     told: Vec<ServiceKeyShares>,
     next_decide: Duration,
-    next_tell: Duration,
+    next_send_at: Duration,
 }
 
 impl ControlNode {
@@ -51,58 +51,63 @@
         self.lease.held_epoch(now).is_some()
     }
 
-    pub(crate) fn tick_duty(&mut self, now: Duration) {
+    pub(crate) fn tick_placement(&mut self, now: Duration) {
         let Some(epoch) = self.lease.held_epoch(now) else {
-            let lost = self
-                .duty
-                .take()
-                .map(|duty| Effect::Log(format!("placement: lease of epoch {} lost", duty.epoch)));
+            let lost = self.placement_lease.take().map(|placement_lease| {
+                Effect::Log(format!(
+                    "placement: lease of epoch {} lost",
+                    placement_lease.epoch
+                ))
+            });
             self.effects.extend(lost);
             return;
         };
-        if epoch > self.held_epoch {
+        if epoch > self.placement_epoch {
             // Beats find their way here at once, long before the first decision.
             let me = self.me.node.clone();
-            self.counts.leases_held += 1;
+            self.statistics.leases_acquired += 1;
             self.effects.push_back(Effect::Log(format!(
                 "placement: lease held under epoch {epoch}"
             )));
-            self.hear_holder(me, epoch);
-            self.tell_postmasters(Payload::LeaseHolder(LeaseHolder { epoch }));
+            self.record_lease_holder(me, epoch);
+            self.send_to_control_nodes(Payload::LeaseHolder(LeaseHolder { epoch }));
         }
         let founding = self.lease.is_first_holder(epoch);
-        let mut duty = self
-            .duty
+        let mut placement_lease = self
+            .placement_lease
             .take()
-            .filter(|duty| duty.epoch == epoch)
+            .filter(|placement_lease| placement_lease.epoch == epoch)
             .unwrap_or_else(|| PlacementLease {
                 epoch,
                 since: self.grant_clock.now(),
                 founding,
-                counts: KeyCounts::default(),
+                key_loads: KeyLoadCounts::default(),
                 ranges: BTreeMap::new(),
                 inputs: BTreeMap::new(),
-                listen_until: now + LISTEN,
+                listen_until: now + LISTEN_DURATION,
                 assigner: None,
                 shares: BTreeMap::new(),
                 told: Vec::new(),
                 next_decide: now,
-                next_tell: now,
+                next_send_at: now,
             });
         // Without a current state it might decide from an old one.
-        if now >= duty.next_decide && now >= duty.listen_until && self.is_current(now) {
-            duty.next_decide = now + DECIDE_EVERY;
-            self.decide(now, &mut duty);
+        if now >= placement_lease.next_decide
+            && now >= placement_lease.listen_until
+            && self.is_current(now)
+        {
+            placement_lease.next_decide = now + DECISION_INTERVAL;
+            self.decide(now, &mut placement_lease);
         }
-        self.duty = Some(duty);
+        self.placement_lease = Some(placement_lease);
     }
 
-    fn decide(&mut self, now: Duration, duty: &mut PlacementLease) {
+    fn decide(&mut self, now: Duration, placement_lease: &mut PlacementLease) {
         let (last, times) = (&self.placement, self.times.placement);
-        let mut assigner = duty
+        let mut assigner = placement_lease
             .assigner
             .take()
-            .unwrap_or_else(|| ZoneAssigner::new(now, duty.epoch, last, times));
+            .unwrap_or_else(|| ZoneAssigner::new(now, placement_lease.epoch, last, times));
         let served = self
             .members
             .iter()
@@ -130,26 +135,30 @@
                 .get(name)
                 .filter(|service| service.keyed)
         };
-        duty.shares
+        placement_lease
+            .shares
             .retain(|name, _| keyed(name).is_some_and(|service| !service.numeric_keys));
-        duty.ranges
+        placement_lease
+            .ranges
             .retain(|name, _| keyed(name).is_some_and(|service| service.numeric_keys));
-        duty.inputs.retain(|name, _| duty.ranges.contains_key(name));
-        duty.counts.fade(DECIDE_EVERY);
-        let shares = self.told_shares(now, duty);
-        self.counts.names_moved += u64::from(moved);
-        let changed = moved || shares != duty.told;
-        if changed || now >= duty.next_tell {
-            duty.next_tell = now + TELL_EVERY;
-            self.tell_placement(now, &mut assigner, changed, &shares);
-            duty.told = shares;
+        placement_lease
+            .inputs
+            .retain(|name, _| placement_lease.ranges.contains_key(name));
+        placement_lease.key_loads.decay(DECISION_INTERVAL);
+        let shares = self.published_shares(now, placement_lease);
+        self.statistics.names_moved += u64::from(moved);
+        let changed = moved || shares != placement_lease.told;
+        if changed || now >= placement_lease.next_send_at {
+            placement_lease.next_send_at = now + PUBLISH_INTERVAL;
+            self.publish_placement(now, &mut assigner, changed, &shares);
+            placement_lease.told = shares;
         }
-        duty.assigner = Some(assigner);
+        placement_lease.assigner = Some(assigner);
     }
 
     /// What changed since the last, where that is shares alone; else the whole. Where nothing did, its number alone,
     /// so that whoever missed one asks.
-    fn tell_placement(
+    fn publish_placement(
         &mut self,
         now: Duration,
         assigner: &mut ZoneAssigner,
@@ -161,36 +170,43 @@
         if changed || !ageless || self.placement.number == 0 {
             assigner.count();
         }
-        self.counts.placements_told += 1;
+        self.statistics.placements_published += 1;
         let placement = assigner.placement(now, shares.to_vec());
         let change =
             name_directory::placement_delta(&self.placement, &placement).filter(|_| ageless);
-        self.tell_postmasters(Payload::Placement(
+        self.send_to_control_nodes(Payload::Placement(
             change.unwrap_or_else(|| placement.clone()),
         ));
         let me = self.me.node.clone();
-        self.take_placement(me, placement);
+        self.handle_placement(me, placement);
     }
 
     /// Who holds which keys, to be told on. Until everything given by an earlier holder has run out, what it told of
     /// last is told on for the slots that nobody claimed here yet: their upstreams hold them, or say that they don't.
-    fn told_shares(&self, now: Duration, duty: &PlacementLease) -> Vec<ServiceKeyShares> {
+    fn published_shares(
+        &self,
+        now: Duration,
+        placement_lease: &PlacementLease,
+    ) -> Vec<ServiceKeyShares> {
         let keyed = self
             .configuration
             .services
             .values()
             .filter(|service| service.keyed);
         let heard = if self.placement.epoch == 0 {
-            self.heard_shares(now)
+            self.claimed_shares(now)
         } else {
             Vec::new()
         };
         let held_at = self.grant_clock.now();
         let told = keyed.map(|service| {
             let name = &service.name;
-            let known = match (duty.ranges.get(name), duty.shares.get(name)) {
+            let known = match (
+                placement_lease.ranges.get(name),
+                placement_lease.shares.get(name),
+            ) {
                 (Some(ranges), _) => Some((
-                    crate::keys::held(ranges, held_at),
+                    crate::keys::assigned_shares(ranges, held_at),
                     ranges.awaits_earlier_leases(held_at),
                 )),
                 (None, shares) => shares.map(|shares| {
@@ -214,7 +230,7 @@
         told.collect()
     }
 
-    pub(crate) fn take_placement(&mut self, from: String, placement: Placement) {
+    pub(crate) fn handle_placement(&mut self, from: String, placement: Placement) {
         let (at, known) = (
             (placement.epoch, placement.number),
             (self.placement.epoch, self.placement.number),
@@ -222,7 +238,7 @@
         if at <= known {
             return;
         }
-        self.hear_holder(from.clone(), placement.epoch);
+        self.record_lease_holder(from.clone(), placement.epoch);
         if !placement.partial {
             self.placement = placement;
         } else if (placement.epoch, placement.after) == known {
@@ -236,7 +252,7 @@
         }
     }
 
-    pub(crate) fn placement_asked(&mut self, from: String) {
+    pub(crate) fn handle_placement_request(&mut self, from: String) {
         let placement = self.placement.clone();
         self.effects.push_back(Effect::Send {
             to: from,
@@ -245,15 +261,15 @@
     }
 
     /// Who holds the duty; a lower epoch was overtaken.
-    pub(crate) fn hear_holder(&mut self, from: String, epoch: u64) {
-        if epoch > self.held_epoch {
-            self.held_epoch = epoch;
-            self.placed_by = from;
+    pub(crate) fn record_lease_holder(&mut self, from: String, epoch: u64) {
+        if epoch > self.placement_epoch {
+            self.placement_epoch = epoch;
+            self.placement_holder = from;
         }
     }
 
     /// Shares for a beat; none where this node does not hold the duty, so that nobody takes it for an answer.
-    pub(crate) fn give_shares(
+    pub(crate) fn grant_key_shares(
         &mut self,
         now: Duration,
         upstream: &Upstream,
@@ -269,7 +285,7 @@
             .get(&upstream.service)
             .is_some_and(|service| service.numeric_keys)
         {
-            return self.give_ranges(now, upstream, epoch);
+            return self.grant_key_ranges(now, upstream, epoch);
         }
         let (span, held_at) = (self.times.share_span, self.grant_clock.now());
         let ready = self
@@ -277,8 +293,11 @@
             .of_service(&upstream.service)
             .filter(|other| self.may_hold(other));
         let ready: BTreeSet<String> = ready.map(|other| other.instance.clone()).collect();
-        let duty = self.duty.as_mut().filter(|duty| duty.epoch == epoch)?;
-        let shares = duty
+        let placement_lease = self
+            .placement_lease
+            .as_mut()
+            .filter(|placement_lease| placement_lease.epoch == epoch)?;
+        let shares = placement_lease
             .shares
             .entry(upstream.service.clone())
             .or_insert_with(|| SlotAssigner::new(held_at, span, epoch));
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -1,8 +1,8 @@
 //! What operators and upstreams ask.
 
-use crate::departures::signed_off;
+use crate::departures::deregistered_record;
 use crate::node::{
-    BeatWait, ControlNode, ControlRequest, ControlResponse, Effect, InForce, ReadWait,
+    ControlNode, ControlRequest, ControlResponse, Effect, HeartbeatWait, InForceWait, ReadWait,
 };
 use config::JsonValue;
 use protocol::{Heartbeats, Payload, SharesReply, SharesRequest, Upstream};
@@ -10,11 +10,11 @@
 use result_code::ResultCode;
 use std::time::Duration;
 
-const MAX_BEAT_WAITS: usize = 4096;
+const MAX_HEARTBEAT_WAITS: usize = 4096;
 const MAX_READ_WAITS: usize = 256;
 /// A caller waits for a second and goes on to another node.
-const READ_PATIENCE: Duration = Duration::from_millis(900);
-const BEAT_PATIENCE: Duration = Duration::from_millis(700);
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl ControlNode {
     pub(crate) fn handle_request(
@@ -43,8 +43,8 @@
                 Ok(configuration) => {
                     let number = configuration.version;
                     let digest = protocol::digest(&bytes);
-                    self.wait_for_force(now, request_id, in_force);
-                    self.change(
+                    self.wait_until_in_force(now, request_id, in_force);
+                    self.submit_change(
                         now,
                         request_id,
                         Change::Configuration {
@@ -63,11 +63,11 @@
                 back,
                 in_force,
             } => {
-                self.wait_for_force(now, request_id, in_force);
+                self.wait_until_in_force(now, request_id, in_force);
                 if id.id.is_empty() {
                     self.evacuate_anonymously(now, request_id, locality, back);
                 } else {
-                    self.change(
+                    self.submit_change(
                         now,
                         request_id,
                         Change::Evacuate {
@@ -101,7 +101,7 @@
                 }
             }
             ControlRequest::Status => {
-                let json = self.status(now);
+                let json = self.status_json(now);
                 self.respond(request_id, ControlResponse::Json(json));
             }
             ControlRequest::Upstreams => {
@@ -109,7 +109,7 @@
                     .registry
                     .snapshot(now)
                     .iter()
-                    .map(upstream_sheet)
+                    .map(upstream_json)
                     .collect();
                 self.respond(request_id, ControlResponse::Json(json));
             }
@@ -137,10 +137,10 @@
                 let json = json.collect();
                 self.respond(request_id, ControlResponse::Json(json));
             }
-            ControlRequest::Heartbeat(upstream) => self.beat(now, request_id, upstream),
+            ControlRequest::Heartbeat(upstream) => self.handle_heartbeat(now, request_id, upstream),
             ControlRequest::Deregister { instance } => {
-                let gone = self.sign_off(now, instance);
-                self.tell_departure(now, request_id, gone);
+                let gone = self.deregister(now, instance);
+                self.replicate_departure(now, request_id, gone);
             }
         }
     }
@@ -165,32 +165,32 @@
                     );
                 }
             }
-            ControlRequest::Heartbeat(upstream) => self.take_beat(now, &upstream),
+            ControlRequest::Heartbeat(upstream) => self.relay_heartbeat(now, &upstream),
             ControlRequest::Deregister { instance } => {
-                let gone = self.sign_off(now, instance);
+                let gone = self.deregister(now, instance);
                 let (upstreams, nonce) = (vec![gone], 0);
-                self.tell_postmasters(Payload::Heartbeats(Heartbeats { upstreams, nonce }));
+                self.send_to_control_nodes(Payload::Heartbeats(Heartbeats { upstreams, nonce }));
             }
             _ => {}
         }
-        self.refuse(now, request_id, ResultCode::StaleView);
+        self.reject_or_redirect(now, request_id, ResultCode::StaleView);
     }
 
     /// Records that an instance is gone, known here or not.
-    fn sign_off(&mut self, now: Duration, instance: String) -> Upstream {
+    fn deregister(&mut self, now: Duration, instance: String) -> Upstream {
         let known = self
             .registry
             .snapshot(now)
             .into_iter()
             .find(|upstream| upstream.instance == instance);
-        let gone = signed_off(instance, known);
-        self.take_told(now, gone.clone());
+        let gone = deregistered_record(instance, known);
+        self.record_relayed_upstream(now, gone.clone());
         gone
     }
 
     /// Answers the read-backs whose state was confirmed since they were asked, and gives up on old ones.
-    pub(crate) fn answer_reads(&mut self, now: Duration) {
-        let late = |wait: &ReadWait| now >= wait.asked_at + READ_PATIENCE;
+    pub(crate) fn complete_reads(&mut self, now: Duration) {
+        let late = |wait: &ReadWait| now >= wait.asked_at + READ_TIMEOUT;
         let (done, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.read_waits)
             .into_iter()
             .partition(|wait| self.register.is_confirmed_since(wait.asked_at) || late(wait));
@@ -199,7 +199,9 @@
             let revision = self.register.state().revision;
             let confirmed = self.register.is_confirmed_since(wait.asked_at);
             let response = match self.register.configuration() {
-                _ if !confirmed => return self.refuse(now, wait.request_id, ResultCode::StaleView),
+                _ if !confirmed => {
+                    return self.reject_or_redirect(now, wait.request_id, ResultCode::StaleView);
+                }
                 None => ControlResponse::Outcome {
                     code: ResultCode::NoConfiguration,
                     revision,
@@ -221,14 +223,14 @@
     }
 
     /// The operator wants to hear only once the change is in force everywhere that still serves.
-    fn wait_for_force(&mut self, now: Duration, request_id: u64, in_force: bool) {
+    fn wait_until_in_force(&mut self, now: Duration, request_id: u64, in_force: bool) {
         if in_force {
             let response = ControlResponse::Outcome {
                 code: ResultCode::ChangeOutcomeUnknown,
                 revision: 0,
             };
             let until = now + self.times.register.change_timeout * 2;
-            self.waiting_force.push(InForce {
+            self.in_force_waits.push(InForceWait {
                 request_id,
                 response,
                 revision: u64::MAX,
@@ -237,8 +239,8 @@
         }
     }
 
-    pub(crate) fn decided(&mut self, now: Duration, request_id: u64, decision: Decision) {
-        if !self.close_order(request_id) {
+    pub(crate) fn handle_decision(&mut self, now: Duration, request_id: u64, decision: Decision) {
+        if !self.close_change(request_id) {
             return;
         }
         let Decision { code, revision } = decision;
@@ -251,13 +253,13 @@
                 .push_back(Effect::Log(format!("a change was rejected: {code}")));
         }
         let waiting = self
-            .waiting_force
+            .in_force_waits
             .iter_mut()
             .find(|waiting| waiting.request_id == request_id && code == ResultCode::Success);
         match waiting {
             Some(waiting) => {
                 // Every view that was not told has aged out by then.
-                *waiting = InForce {
+                *waiting = InForceWait {
                     request_id,
                     response,
                     revision,
@@ -265,54 +267,61 @@
                 };
             }
             None => {
-                self.waiting_force
+                self.in_force_waits
                     .retain(|waiting| waiting.request_id != request_id);
                 self.respond(request_id, response);
             }
         }
     }
 
-    pub(crate) fn tick_waits(&mut self, now: Duration) {
-        let (done, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting_force)
+    pub(crate) fn tick_pending_requests(&mut self, now: Duration) {
+        let (done, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_force_waits)
             .into_iter()
-            .partition(|waiting| now >= waiting.until || self.all_kept(waiting.revision));
-        self.waiting_force = waiting;
+            .partition(|waiting| {
+                now >= waiting.until || self.is_acknowledged_by_all(waiting.revision)
+            });
+        self.in_force_waits = waiting;
         done.into_iter()
             .for_each(|done| self.respond(done.request_id, done.response));
         let late: Vec<u64> = self
-            .beat_waits
+            .heartbeat_waits
             .iter()
             .filter(|(_, wait)| now >= wait.until)
             .map(|(nonce, _)| *nonce)
             .collect();
         late.into_iter().for_each(|nonce| {
-            let wait = self.beat_waits.remove(&nonce);
+            let wait = self.heartbeat_waits.remove(&nonce);
             wait.into_iter()
-                .for_each(|wait| self.answer_without_holder(now, wait.request_id));
+                .for_each(|wait| self.respond_without_lease_holder(now, wait.request_id));
         });
     }
 
     /// The holder of the placement did not answer. Where it is heard, it is this node's way to it that is cut: the
     /// upstream finds its keys there. Else nobody gives any at present.
-    fn answer_without_holder(&mut self, now: Duration, request_id: u64) {
+    fn respond_without_lease_holder(&mut self, now: Duration, request_id: u64) {
         match self.address_in_contact(now) {
             Some(to) => self.respond(request_id, ControlResponse::Redirect { to }),
-            None => self.answer_beat(request_id, 0, None),
+            None => self.send_heartbeat_response(request_id, 0, None),
         }
     }
 
-    fn beat(&mut self, now: Duration, request_id: u64, upstream: Upstream) {
-        self.counts.beats += 1;
-        if self.is_unknown_departure(&upstream) {
-            self.record_beat(now, &upstream);
-            return self.tell_departure(now, request_id, upstream);
+    fn handle_heartbeat(&mut self, now: Duration, request_id: u64, upstream: Upstream) {
+        self.statistics.heartbeats += 1;
+        if self.needs_departure_quorum(&upstream) {
+            self.record_heartbeat(now, &upstream);
+            return self.replicate_departure(now, request_id, upstream);
         }
-        self.take_beat(now, &upstream);
-        self.answer_taken_beat(now, request_id, upstream);
+        self.relay_heartbeat(now, &upstream);
+        self.respond_to_heartbeat(now, request_id, upstream);
     }
 
     /// The answer to a beat that was taken in: with the keys that the upstream holds from now on, where it has any.
-    pub(crate) fn answer_taken_beat(&mut self, now: Duration, request_id: u64, upstream: Upstream) {
+    pub(crate) fn respond_to_heartbeat(
+        &mut self,
+        now: Duration,
+        request_id: u64,
+        upstream: Upstream,
+    ) {
         let may_hold = upstream.condition != upstream_registry::DEREGISTERED;
         let keyed = may_hold
             && self
@@ -320,21 +329,24 @@
                 .services
                 .get(&upstream.service)
                 .is_some_and(|service| service.keyed);
-        if !keyed || self.placed_by.is_empty() || self.beat_waits.len() >= MAX_BEAT_WAITS {
-            return self.answer_beat(request_id, 0, None);
+        if !keyed
+            || self.placement_holder.is_empty()
+            || self.heartbeat_waits.len() >= MAX_HEARTBEAT_WAITS
+        {
+            return self.send_heartbeat_response(request_id, 0, None);
         }
-        if self.placed_by == self.me.node {
-            let given = self.give_shares(now, &upstream);
-            return self.answer_beat(request_id, self.held_epoch, given);
+        if self.placement_holder == self.me.node {
+            let given = self.grant_key_shares(now, &upstream);
+            return self.send_heartbeat_response(request_id, self.placement_epoch, given);
         }
         let nonce = self.random.next_u64();
-        let to = self.placed_by.clone();
-        self.beat_waits.insert(
+        let to = self.placement_holder.clone();
+        self.heartbeat_waits.insert(
             nonce,
-            BeatWait {
+            HeartbeatWait {
                 request_id,
                 asked: to.clone(),
-                until: now + BEAT_PATIENCE,
+                until: now + HEARTBEAT_TIMEOUT,
             },
         );
         self.effects.push_back(Effect::Send {
@@ -343,12 +355,17 @@
         });
     }
 
-    pub(crate) fn shares_asked(&mut self, now: Duration, from: String, request: SharesRequest) {
+    pub(crate) fn handle_shares_request(
+        &mut self,
+        now: Duration,
+        from: String,
+        request: SharesRequest,
+    ) {
         self.registry.apply_heartbeat(now, request.upstream.clone());
         let Some(epoch) = self.lease.held_epoch(now) else {
             return;
         };
-        let shares = self.give_shares(now, &request.upstream);
+        let shares = self.grant_key_shares(now, &request.upstream);
         let span_ms = shares
             .as_ref()
             .map(|_| self.times.share_span.as_millis() as u64)
@@ -365,22 +382,23 @@
         });
     }
 
-    pub(crate) fn shares_given(&mut self, from: &str, given: SharesReply) {
+    pub(crate) fn handle_shares_reply(&mut self, from: &str, given: SharesReply) {
         if self
-            .beat_waits
+            .heartbeat_waits
             .get(&given.nonce)
             .is_none_or(|wait| wait.asked != from)
         {
             return;
         }
-        let wait = self.beat_waits.remove(&given.nonce);
+        let wait = self.heartbeat_waits.remove(&given.nonce);
         let shares = Some(given.shares).filter(|_| given.span_ms > 0);
-        wait.into_iter()
-            .for_each(|wait| self.answer_beat(wait.request_id, given.holder, shares.clone()));
+        wait.into_iter().for_each(|wait| {
+            self.send_heartbeat_response(wait.request_id, given.holder, shares.clone())
+        });
     }
 
     /// Without `shares` the upstream learns nothing new, and what it holds runs out by itself.
-    fn answer_beat(
+    fn send_heartbeat_response(
         &mut self,
         request_id: u64,
         holder: u64,
@@ -396,7 +414,7 @@
         );
     }
 
-    fn status(&self, now: Duration) -> JsonValue {
+    fn status_json(&self, now: Duration) -> JsonValue {
         let phase = match self.register.phase() {
             VoterPhase::Blank { .. } => "blank",
             VoterPhase::Bootstrapping { .. } => "founding",
@@ -422,7 +440,7 @@
                 ),
             ])
         });
-        let readers = self.readers.iter().map(|(node, reader)| {
+        let update_streams = self.update_streams.iter().map(|(node, reader)| {
             JsonValue::object([
                 ("node", node.as_str().into()),
                 ("edition", reader.revision.into()),
@@ -434,7 +452,12 @@
             ("standing", phase.into()),
             (
                 "disk",
-                if self.disk_fails { "failing" } else { "works" }.into(),
+                if self.disk_failing {
+                    "failing"
+                } else {
+                    "works"
+                }
+                .into(),
             ),
             (
                 "setupMissing",
@@ -467,34 +490,34 @@
                     .map(|voter| JsonValue::from(voter.as_str()))
                     .collect(),
             ),
-            ("voters", self.show_voters(now)),
-            ("placement", self.placed_by.as_str().into()),
-            ("placementEpoch", self.held_epoch.into()),
-            ("counts", self.show_counts()),
+            ("voters", self.voters_json(now)),
+            ("placement", self.placement_holder.as_str().into()),
+            ("placementEpoch", self.placement_epoch.into()),
+            ("counts", self.counters_json()),
             ("members", members.collect()),
-            ("readers", readers.collect()),
+            ("readers", update_streams.collect()),
         ])
     }
 }
 
 impl ControlNode {
-    fn show_counts(&self) -> JsonValue {
-        let (statistics, counts) = (self.register.statistics(), &self.counts);
+    fn counters_json(&self) -> JsonValue {
+        let (register, node) = (self.register.statistics(), &self.statistics);
         JsonValue::object([
-            ("rounds", statistics.rounds_started.into()),
-            ("roundsLost", statistics.rounds_lost.into()),
-            ("writes", statistics.disk_writes.into()),
-            ("beats", counts.beats.into()),
-            ("claimsHeld", counts.leases_held.into()),
-            ("placementsTold", counts.placements_told.into()),
-            ("namesMoved", counts.names_moved.into()),
-            ("images", counts.images.into()),
-            ("changes", counts.changes.into()),
+            ("rounds", register.rounds_started.into()),
+            ("roundsLost", register.rounds_lost.into()),
+            ("writes", register.disk_writes.into()),
+            ("beats", node.heartbeats.into()),
+            ("claimsHeld", node.leases_acquired.into()),
+            ("placementsTold", node.placements_published.into()),
+            ("namesMoved", node.names_moved.into()),
+            ("images", node.snapshots.into()),
+            ("changes", node.changes.into()),
         ])
     }
 }
 
-fn upstream_sheet(upstream: &Upstream) -> JsonValue {
+fn upstream_json(upstream: &Upstream) -> JsonValue {
     let condition = match upstream.condition {
         upstream_registry::READY => "ready",
         upstream_registry::DRAINING => "leaving",
--- a/crates/control-plane/src/updates.rs
+++ b/crates/control-plane/src/updates.rs
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const NEWS_EVERY: Duration = Duration::from_millis(100);
-const MAX_READERS: usize = 4096;
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_STREAMS: usize = 4096;
 /// A carrier that did not ask for so long has gone elsewhere.
-const READER_PATIENCE: Duration = Duration::from_secs(5);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A carrier that follows the news here.
-pub(crate) struct Reader {
+pub(crate) struct UpdateStream {
     stream: u64,
     number: u64,
     asked_at: Duration,
@@ -48,26 +48,31 @@
 }
 
 impl ControlNode {
-    pub(crate) fn news_asked(&mut self, now: Duration, from: String, request: UpdateRequest) {
-        self.count_keys(request.loads);
+    pub(crate) fn handle_update_request(
+        &mut self,
+        now: Duration,
+        from: String,
+        request: UpdateRequest,
+    ) {
+        self.count_key_loads(request.loads);
         if !self.is_current(now) {
             return;
         }
         // What the answer vouches for goes out ahead of it.
-        self.tell_news(now);
-        let settled = self.is_settled(now);
-        let known = self.readers.get(&from).is_some_and(|reader| {
+        self.send_updates(now);
+        let settled = self.knows_upstreams(now);
+        let known = self.update_streams.get(&from).is_some_and(|reader| {
             reader.stream == request.stream
                 && request.number <= reader.number
                 && reader.whole == settled
         });
         // Acknowledgements run behind by what is on the way; a real gap shows at the carrier, which then
         // asks with stream 0.
-        if !known && self.readers.len() < MAX_READERS {
+        if !known && self.update_streams.len() < MAX_STREAMS {
             self.send_snapshot(now, &from, request.nonce);
         }
         let age_ms = self.confirmation_age_ms(now).unwrap_or(u64::MAX);
-        if let Some(reader) = self.readers.get_mut(&from) {
+        if let Some(reader) = self.update_streams.get_mut(&from) {
             reader.asked_at = now;
             let fresh = Freshness {
                 nonce: request.nonce,
@@ -89,11 +94,14 @@
     }
 
     fn send_snapshot(&mut self, now: Duration, to: &str, asked: u64) {
-        self.counts.images += 1;
+        self.statistics.snapshots += 1;
         let stream = self.random.next_u64().max(1);
-        let state = carrier_state(self.register.state());
-        let (placement, revision, whole) =
-            (Arc::new(self.bare_placement(now)), 0, self.is_settled(now));
+        let state = data_plane_state(self.register.state());
+        let (placement, revision, whole) = (
+            Arc::new(self.placement_without_ages(now)),
+            0,
+            self.knows_upstreams(now),
+        );
         // What it keeps of before must not hold those that departed meanwhile.
         let departed = self.registry.departed_without_entry().filter(|_| !whole);
         let snapshot = ViewUpdate {
@@ -106,14 +114,14 @@
                 .snapshot(now)
                 .into_iter()
                 .chain(departed)
-                .map(plain)
+                .map(without_local_fields)
                 .collect(),
             placement: Some(Placement::clone(&placement)),
             keeps_upstreams: !whole,
             age_ms: self.confirmation_age_ms(now),
             asked,
         };
-        let reader = Reader {
+        let reader = UpdateStream {
             stream,
             number: 0,
             asked_at: now,
@@ -122,32 +130,32 @@
             whole,
             revision,
         };
-        self.readers.insert(to.to_owned(), reader);
+        self.update_streams.insert(to.to_owned(), reader);
         self.effects.push_back(Effect::Send {
             to: to.to_owned(),
             body: Payload::ViewUpdate(snapshot),
         });
     }
 
-    pub(crate) fn tick_news(&mut self, now: Duration) {
-        if now >= self.next_news {
-            self.next_news = now + NEWS_EVERY;
-            self.readers
-                .retain(|_, reader| now < reader.asked_at + READER_PATIENCE);
-            self.tell_news(now);
+    pub(crate) fn tick_updates(&mut self, now: Duration) {
+        if now >= self.next_update_at {
+            self.next_update_at = now + UPDATE_INTERVAL;
+            self.update_streams
+                .retain(|_, reader| now < reader.asked_at + STREAM_IDLE_TIMEOUT);
+            self.send_updates(now);
         }
     }
 
-    fn tell_news(&mut self, now: Duration) {
+    fn send_updates(&mut self, now: Duration) {
         let changed: Vec<Upstream> = self
             .registry
             .drain_changes(now)
             .into_iter()
-            .map(plain)
+            .map(without_local_fields)
             .collect();
         let current = &self.register.state().digest;
         let wanted = self
-            .readers
+            .update_streams
             .values()
             .any(|reader| reader.state.digest != *current);
         let compressed = if wanted {
@@ -155,13 +163,13 @@
         } else {
             None
         };
-        let state = carrier_state(self.register.state());
-        let placement = Arc::new(self.bare_placement(now));
+        let state = data_plane_state(self.register.state());
+        let placement = Arc::new(self.placement_without_ages(now));
         let mut changes = PlacementChanges {
             new: &placement,
             known: Vec::new(),
         };
-        for (node, reader) in &mut self.readers {
+        for (node, reader) in &mut self.update_streams {
             let new_word = Some(&state).filter(|state| **state != reader.state);
             let new_setup = new_word
                 .filter(|state| state.digest != reader.state.digest)
@@ -182,7 +190,7 @@
                 continue;
             }
             reader.number += 1;
-            self.counts.changes += 1;
+            self.statistics.changes += 1;
             reader.state = news.state.clone().unwrap_or_else(|| reader.state.clone());
             self.effects.push_back(Effect::Send {
                 to: node.clone(),
@@ -193,10 +201,10 @@
 
     /// The placement without ages, which change all the time and matter to nobody but the next holder. Its
     /// number is left out too: one epoch's placements reach a carrier in order.
-    fn bare_placement(&self, now: Duration) -> Placement {
+    fn placement_without_ages(&self, now: Duration) -> Placement {
         let mut bare = self.placement.clone();
         if bare.epoch == 0 {
-            bare.shares = self.heard_shares(now);
+            bare.shares = self.claimed_shares(now);
         }
         bare.number = 0;
         bare.reservations
@@ -206,9 +214,9 @@
         bare
     }
 
-    pub(crate) fn news_kept(&mut self, from: &str, kept: &UpdateAck) {
+    pub(crate) fn handle_update_ack(&mut self, from: &str, kept: &UpdateAck) {
         let reader = self
-            .readers
+            .update_streams
             .get_mut(from)
             .filter(|reader| reader.stream == kept.stream);
         let newer = reader
@@ -221,31 +229,31 @@
                 }
             });
         newer.into_iter().for_each(|kept| {
-            self.tell_postmasters(Payload::DataPlaneAck(kept.clone()));
-            self.carrier_kept(kept);
+            self.send_to_control_nodes(Payload::DataPlaneAck(kept.clone()));
+            self.handle_data_plane_ack(kept);
         });
     }
 
-    pub(crate) fn carrier_kept(&mut self, kept: DataPlaneAck) {
+    pub(crate) fn handle_data_plane_ack(&mut self, kept: DataPlaneAck) {
         let known = self.members.iter().any(|member| member.node == kept.node);
         let revision = kept.revision;
         Some(kept.node)
             .filter(|_| known)
             .into_iter()
             .for_each(|node| {
-                let last = self.kept.entry(node).or_insert(0);
+                let last = self.acknowledged_revisions.entry(node).or_insert(0);
                 *last = revision.max(*last);
             });
     }
 
     /// True where every carrier that membership knows has acknowledged this edition to some postmaster.
-    pub(crate) fn all_kept(&self, revision: u64) -> bool {
+    pub(crate) fn is_acknowledged_by_all(&self, revision: u64) -> bool {
         let mut carriers = self
             .members
             .iter()
             .filter(|member| member.roles != CONTROL_NODE_ROLE);
         carriers.all(|member| {
-            self.kept
+            self.acknowledged_revisions
                 .get(&member.node)
                 .is_some_and(|kept| *kept >= revision)
         })
@@ -253,7 +261,7 @@
 }
 
 /// What carriers need of the state: what is remembered of orders stays with the voters.
-fn carrier_state(state: &ClusterState) -> ClusterState {
+fn data_plane_state(state: &ClusterState) -> ClusterState {
     let ClusterState {
         revision,
         digest,
@@ -271,7 +279,7 @@
 }
 
 /// Ages and key lists stay here; carriers want what requests need.
-fn plain(upstream: Upstream) -> Upstream {
+fn without_local_fields(upstream: Upstream) -> Upstream {
     Upstream {
         age_ms: 0,
         born_ms: 0,
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -16,45 +16,45 @@
 use std::time::Duration;
 
 /// How often the voters are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A voter that said nothing for so long is replaced, where a node of its locality can take its place.
 const REPLACE_AFTER: Duration = Duration::from_millis(2500);
 /// The same, where only a node of another locality can.
-const REPLACE_ELSEWHERE_AFTER: Duration = Duration::from_secs(30);
+const REPLACE_FROM_ELSEWHERE_AFTER: Duration = Duration::from_secs(30);
 /// A node that was silent for this long doesn't take a place.
-const HEARD_WITHIN: Duration = Duration::from_millis(1500);
+const HEARD_RECENTLY: Duration = Duration::from_millis(1500);
 /// How long a voter that is told to end waits for its place to be taken.
-const HAND_OVER_WITHIN: Duration = Duration::from_millis(3000);
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(3000);
 /// How long the word of a voter that it leaves counts.
-const LEAVING_FOR: Duration = Duration::from_secs(6);
+const LEAVING_EXPIRY: Duration = Duration::from_secs(6);
 /// Most control nodes whose localities are remembered.
 const MAX_LOCALITIES: usize = 256;
 
 /// What is known for changes of the voters.
 #[derive(Default)]
 pub(crate) struct VoterChanges {
-    next_look: Duration,
+    next_check: Duration,
     /// Where control nodes stood, also those that are gone.
     localities: BTreeMap<String, String>,
     /// Voters that are about to end, and when they said so.
     leaving: BTreeMap<String, Duration>,
     /// Until when this node, told to end, waits for another to take its place.
-    hand_over_until: Option<Duration>,
+    handover_deadline: Option<Duration>,
 }
 
 impl ControlNode {
     pub(crate) fn tick_voters(&mut self, now: Duration) {
-        if now < self.voter_changes.next_look {
+        if now < self.voter_changes.next_check {
             return;
         }
-        self.voter_changes.next_look = now + LOOK_EVERY;
+        self.voter_changes.next_check = now + CHECK_INTERVAL;
         self.remember_localities();
         self.voter_changes
             .leaving
-            .retain(|_, said_at| now < *said_at + LEAVING_FOR);
-        self.finish_hand_over(now);
+            .retain(|_, announced_at| now < *announced_at + LEAVING_EXPIRY);
+        self.finish_handover(now);
         if self.lease.held_epoch(now).is_some() && self.is_current(now) {
-            self.mind_voters(now);
+            self.manage_voters(now);
         }
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Completes a change that is under way, or begins one where a voter is gone and its place can be taken.
-    fn mind_voters(&mut self, now: Duration) {
+    fn manage_voters(&mut self, now: Duration) {
         let voter_set = self.register.state().voter_set.clone();
         let epoch = voter_set.epoch;
         if voter_set.is_joint() {
@@ -112,7 +112,7 @@
             Err(code) => self.respond(request_id, ControlResponse::Outcome { code, revision }),
             Ok(voters) => {
                 let epoch = self.register.state().voter_set.epoch;
-                self.change(now, request_id, Change::BeginVoters { epoch, voters }, None);
+                self.submit_change(now, request_id, Change::BeginVoters { epoch, voters }, None);
             }
         }
     }
@@ -196,7 +196,7 @@
         });
         let heard = others.filter(|member| {
             member.node == self.me.node
-                || self.register.time_since_heard(now, &member.node) < HEARD_WITHIN
+                || self.register.time_since_heard(now, &member.node) < HEARD_RECENTLY
         });
         heard.map(|member| member.node.clone()).collect()
     }
@@ -210,51 +210,51 @@
 
     fn is_gone(&self, now: Duration, voter: &str, near: bool) -> bool {
         if voter == self.me.node {
-            return self.closing;
+            return self.shutting_down;
         }
         let patience = if near {
             REPLACE_AFTER
         } else {
-            REPLACE_ELSEWHERE_AFTER
+            REPLACE_FROM_ELSEWHERE_AFTER
         };
         let leaves = near && self.voter_changes.leaving.contains_key(voter);
         leaves || self.register.time_since_heard(now, voter) >= patience
     }
 
-    pub(crate) fn voter_leaving(&mut self, now: Duration, from: String) {
+    pub(crate) fn handle_voter_leaving(&mut self, now: Duration, from: String) {
         if self.register.voter_set().contains(&from) {
             self.voter_changes.leaving.insert(from, now);
-            self.voter_changes.next_look = now;
+            self.voter_changes.next_check = now;
         }
     }
 
     /// Told to end. A voter whose place can be taken says so and votes on until it is; any other node leaves at once.
-    pub(crate) fn close(&mut self, now: Duration) {
-        self.closing = true;
+    pub(crate) fn shut_down(&mut self, now: Duration) {
+        self.shutting_down = true;
         let candidates = self.candidates(now);
         let replaceable = candidates
             .iter()
             .any(|candidate| self.share_locality(&self.me.node, candidate));
         if replaceable && self.register.is_voter() {
-            self.voter_changes.hand_over_until = Some(now + HAND_OVER_WITHIN);
-            self.tell_postmasters(Payload::VoterLeaving(VoterLeaving {}));
-            self.voter_changes.next_look = now;
+            self.voter_changes.handover_deadline = Some(now + HANDOVER_TIMEOUT);
+            self.send_to_control_nodes(Payload::VoterLeaving(VoterLeaving {}));
+            self.voter_changes.next_check = now;
         } else {
-            self.leave(now);
+            self.leave_cluster(now);
         }
     }
 
-    fn finish_hand_over(&mut self, now: Duration) {
-        let Some(until) = self.voter_changes.hand_over_until else {
+    fn finish_handover(&mut self, now: Duration) {
+        let Some(until) = self.voter_changes.handover_deadline else {
             return;
         };
         if now >= until || !self.register.is_voter() {
-            self.voter_changes.hand_over_until = None;
-            self.leave(now);
+            self.voter_changes.handover_deadline = None;
+            self.leave_cluster(now);
         }
     }
 
-    fn leave(&mut self, now: Duration) {
+    fn leave_cluster(&mut self, now: Duration) {
         let effects = self.membership.step(now, membership::Event::Leave);
         self.run_membership(now, effects);
         self.run_lease(now, lease::Event::Shutdown);
@@ -272,7 +272,7 @@
     /// assert!(control.is_shut_down());
     /// ```
     pub fn is_shut_down(&self) -> bool {
-        self.closing && self.voter_changes.hand_over_until.is_none()
+        self.shutting_down && self.voter_changes.handover_deadline.is_none()
     }
 
     /// Who votes, as far as this node knows.
@@ -288,7 +288,7 @@
     }
 
     /// The voters and the control nodes beside them, for the status page.
-    pub(crate) fn show_voters(&self, now: Duration) -> JsonValue {
+    pub(crate) fn voters_json(&self, now: Duration) -> JsonValue {
         let voter_set = self.register.voter_set();
         let role = |node: &str| match (
             voter_set.voters.iter().any(|voter| voter == node),
