--- a/crates/data-plane/src/node.rs
+++ b/crates/data-plane/src/node.rs
@@ -220,8 +220,8 @@
             .map(|counters| {
                 JsonValue::object([
                     ("service", counters.service.into()),
-                    ("serving", counters.serving.into()),
-                    ("waiting", counters.waiting.into()),
+                    ("serving", counters.in_progress.into()),
+                    ("waiting", counters.queued.into()),
                     ("firstsIn10s", counters.first_sends.into()),
                     ("resendsIn10s", counters.retries.into()),
                     ("deniedIn10s", counters.rejected.into()),
--- a/crates/data-plane/src/shell.rs
+++ b/crates/data-plane/src/shell.rs
@@ -8,7 +8,7 @@
 use locality::Locality;
 use name_directory::OwnershipMode;
 use protocol::{Envelope, Member, Message};
-use request_routing::ProxyContext;
+use request_routing::{DistanceCost, ProxyContext};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -198,10 +198,10 @@
         OwnershipMode::PerClientZone
     };
     site.serve_stale_view = settings.get("out-of-touch") == "serve";
-    site.far_ms = (
-        settings.count("far-zone-ms") as f64,
-        settings.count("far-region-ms") as f64,
-    );
+    site.distance_cost = DistanceCost {
+        other_zone_ms: settings.count("far-zone-ms") as f64,
+        other_region_ms: settings.count("far-region-ms") as f64,
+    };
     let reader = api_adapter.reader;
     let keeps_connections = settings.get("keep-connections") == "yes";
     let node = Node::new(
--- a/crates/request-routing/src/admission_queue.rs
+++ b/crates/request-routing/src/admission_queue.rs
@@ -1,28 +1,30 @@
-//! Those who wait for a seat of one service: first come, first served, with a bound on all and on one key.
+//! The admission queue of one service: requests wait for a free slot in the order they came, with a bound on all and
+//! on one key.
 
 use std::collections::VecDeque;
 use std::fmt;
 use std::sync::Arc;
 
-/// Most requests that wait for one service at one proxy, and most of them for one key.
-const MAX_WAITING: usize = 128;
-const MAX_OF_A_KEY: usize = 16;
+/// Most requests queued for one service at one proxy.
+const MAX_QUEUED: usize = 128;
+/// Most of them for one key, so that a single key can't fill the queue.
+const MAX_QUEUED_PER_KEY: usize = 16;
 
-/// What is done to tell a waiting request that a seat may be free.
+/// How a queued request is told that a slot may be free.
 #[derive(Clone)]
 pub struct WakeUp(Arc<dyn Fn() + Send + Sync>);
 
 impl WakeUp {
-    /// A bell that does this when it rings.
+    /// A wake-up that calls this function.
     ///
     /// ```
-    /// request_routing::WakeUp::new(|| println!("a seat may be free")).wake();
+    /// request_routing::WakeUp::new(|| println!("a slot may be free")).wake();
     /// ```
     pub fn new(wake: impl Fn() + Send + Sync + 'static) -> Self {
         WakeUp(Arc::new(wake))
     }
 
-    /// Rings.
+    /// Calls the function.
     ///
     /// ```
     /// request_routing::WakeUp::default().wake();
@@ -40,114 +42,119 @@
 
 impl fmt::Debug for WakeUp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Bell")
+        f.write_str("WakeUp")
     }
 }
 
-struct Waiting {
+struct QueuedRequest {
     ticket: u64,
-    key: u64,
-    /// Only this upstream will do: it holds the key.
-    wants: Option<String>,
+    key_hash: u64,
+    /// The only upstream that will do, where the request's key is assigned to one.
+    instance: Option<String>,
     wake_up: WakeUp,
 }
 
-/// Waiting requests in the order they came.
+/// Queued requests in the order they came.
 #[derive(Default)]
 pub struct AdmissionQueue {
-    line: VecDeque<Waiting>,
-    next: u64,
+    requests: VecDeque<QueuedRequest>,
+    last_ticket: u64,
 }
 
 impl AdmissionQueue {
-    /// Takes a place at the end; none where the list, or this key's part of it, is full.
+    /// Appends a request and gives its ticket; none where the queue, or this key's part of it, is full.
     ///
     /// ```
-    /// let mut list = request_routing::AdmissionQueue::default();
-    /// let join = |list: &mut request_routing::AdmissionQueue, key| list.join(key, None, request_routing::WakeUp::default());
-    /// (0..16).for_each(|_| assert!(join(&mut list, 7).is_some()));
-    /// assert_eq!(join(&mut list, 7), None, "one key may not take the whole list");
-    /// assert!(join(&mut list, 8).is_some());
-    /// ```
-    pub fn join(&mut self, key: u64, wants: Option<&str>, wake_up: WakeUp) -> Option<u64> {
-        let of_key = self
-            .line
+    /// let mut queue = request_routing::AdmissionQueue::default();
+    /// let enqueue = |queue: &mut request_routing::AdmissionQueue, key| queue.enqueue(key, None, request_routing::WakeUp::default());
+    /// (0..16).for_each(|_| assert!(enqueue(&mut queue, 7).is_some()));
+    /// assert_eq!(enqueue(&mut queue, 7), None, "one key may not take the whole queue");
+    /// assert!(enqueue(&mut queue, 8).is_some());
+    /// ```
+    pub fn enqueue(
+        &mut self,
+        key_hash: u64,
+        instance: Option<&str>,
+        wake_up: WakeUp,
+    ) -> Option<u64> {
+        let of_this_key = self
+            .requests
             .iter()
-            .filter(|waiting| waiting.key == key)
+            .filter(|request| request.key_hash == key_hash)
             .count();
-        if self.line.len() >= MAX_WAITING || of_key >= MAX_OF_A_KEY {
+        if self.requests.len() >= MAX_QUEUED || of_this_key >= MAX_QUEUED_PER_KEY {
             return None;
         }
-        self.next += 1;
-        self.line.push_back(Waiting {
-            ticket: self.next,
-            key,
-            wants: wants.map(str::to_owned),
+        self.last_ticket += 1;
+        self.requests.push_back(QueuedRequest {
+            ticket: self.last_ticket,
+            key_hash,
+            instance: instance.map(str::to_owned),
             wake_up,
         });
-        Some(self.next)
+        Some(self.last_ticket)
     }
 
-    /// Gives the place up.
+    /// Removes a request.
     ///
     /// ```
-    /// let mut list = request_routing::AdmissionQueue::default();
-    /// let ticket = list.join(1, None, request_routing::WakeUp::default()).unwrap();
-    /// list.leave(ticket);
-    /// assert!(list.is_empty());
+    /// let mut queue = request_routing::AdmissionQueue::default();
+    /// let ticket = queue.enqueue(1, None, request_routing::WakeUp::default()).unwrap();
+    /// queue.dequeue(ticket);
+    /// assert!(queue.is_empty());
     /// ```
-    pub fn leave(&mut self, ticket: u64) {
-        self.line.retain(|waiting| waiting.ticket != ticket);
+    pub fn dequeue(&mut self, ticket: u64) {
+        self.requests.retain(|request| request.ticket != ticket);
     }
 
-    /// The bell of the first who would take a seat at this upstream, or anywhere.
+    /// The wake-up of the first request that could use a slot freed at this instance, or at any.
     ///
     /// ```
-    /// let mut list = request_routing::AdmissionQueue::default();
-    /// list.join(1, Some("a"), request_routing::WakeUp::default());
-    /// assert!(list.first(Some("b")).is_none(), "it wants a seat at a only");
-    /// assert!(list.first(Some("a")).is_some());
+    /// let mut queue = request_routing::AdmissionQueue::default();
+    /// queue.enqueue(1, Some("a"), request_routing::WakeUp::default());
+    /// assert!(queue.first_for(Some("b")).is_none(), "it needs a slot at a");
+    /// assert!(queue.first_for(Some("a")).is_some());
     /// ```
-    pub fn first(&self, freed: Option<&str>) -> Option<WakeUp> {
-        let fits = |waiting: &&Waiting| {
-            let wants = waiting.wants.as_deref();
-            wants.zip(freed).is_none_or(|(wants, freed)| wants == freed)
+    pub fn first_for(&self, freed_instance: Option<&str>) -> Option<WakeUp> {
+        let can_use_it = |request: &&QueuedRequest| match (&request.instance, freed_instance) {
+            (Some(needed), Some(freed)) => needed == freed,
+            _ => true,
         };
-        self.line
+        self.requests
             .iter()
-            .find(fits)
-            .map(|waiting| waiting.wake_up.clone())
+            .find(can_use_it)
+            .map(|request| request.wake_up.clone())
     }
 
-    /// True where one who wants the same is there already: who comes now goes behind.
+    /// True where a request that needs the same instance is queued already: one that comes now goes behind it.
     ///
     /// ```
-    /// let mut list = request_routing::AdmissionQueue::default();
-    /// list.join(1, Some("a"), request_routing::WakeUp::default());
-    /// assert!(list.has(Some("a")));
-    /// assert!(!list.has(Some("b")));
+    /// let mut queue = request_routing::AdmissionQueue::default();
+    /// queue.enqueue(1, Some("a"), request_routing::WakeUp::default());
+    /// assert!(queue.has_queued(Some("a")));
+    /// assert!(!queue.has_queued(Some("b")));
     /// ```
-    pub fn has(&self, wants: Option<&str>) -> bool {
-        self.line
+    pub fn has_queued(&self, instance: Option<&str>) -> bool {
+        self.requests
             .iter()
-            .any(|waiting| waiting.wants.as_deref() == wants)
+            .any(|request| request.instance.as_deref() == instance)
     }
 
-    /// How many wait.
+    /// How many requests are queued.
     ///
     /// ```
     /// assert_eq!(request_routing::AdmissionQueue::default().len(), 0);
     /// ```
     pub fn len(&self) -> usize {
-        self.line.len()
+        self.requests.len()
     }
 
-    /// True where nobody waits.
+    /// True where none is queued.
     ///
     /// ```
     /// assert!(request_routing::AdmissionQueue::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
-        self.line.is_empty()
+        self.requests.is_empty()
     }
 }
--- a/crates/request-routing/src/request_state.rs
+++ b/crates/request-routing/src/request_state.rs
@@ -1,90 +1,104 @@
-//! One request's way: an explicit state and one function for every change of it.
+//! The state of one request, and the rules that all its transitions share.
 
-use crate::choosing::Place;
+use crate::permits::{AdmissionPermit, QueueEntry, SlotPermit};
 use crate::proxy_context::ProxyContext;
 use crate::request_info::RequestInfo;
 use crate::retry_after::retry_after_for;
-use crate::stats::{ProxyStats, ServiceStats, UpstreamStats};
-use crate::steps::{NextStep, RequestStage};
+use crate::service_stats::ServiceStats;
+use crate::stage::{NextStep, RequestStage};
 use crate::trace::TraceEvent;
 use config::{Route, Service};
-use name_directory::View;
 use protocol::{KeyShare, Upstream};
 use result_code::{Execution, ResultCode};
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// One request under way.
+/// What a request was written to last.
+pub(crate) struct WrittenTo {
+    pub(crate) upstream: Arc<Upstream>,
+    pub(crate) share: Option<KeyShare>,
+}
+
+/// The load at an upstream when a request was written to it, from which the duration of its work is estimated.
+pub(crate) struct LoadAtSend {
+    pub(crate) sent_at: Duration,
+    pub(crate) load: f64,
+    pub(crate) slots: u32,
+}
+
+/// One request under way. It holds its slot, its queue entry and its admission as long as it needs them; one whose
+/// client hung up gives them back when it is dropped.
 pub struct RequestState {
+    // Dropped in this order: the slot first, which wakes a queued request, and the admission last.
+    pub(crate) slot: Option<SlotPermit>,
+    pub(crate) queue_entry: Option<QueueEntry>,
+    pub(crate) admission: Option<AdmissionPermit>,
     pub(crate) request: RequestInfo,
-    pub(crate) site: ProxyContext,
-    pub(crate) stage: RequestStage,
-    /// The route and the service it is for, as of this edition.
+    pub(crate) proxy: ProxyContext,
+    stage: RequestStage,
+    /// The route and the service it is for, as of `revision` of the configuration.
     pub(crate) route: Option<Arc<Route>>,
     pub(crate) service: Option<Arc<Service>>,
     pub(crate) revision: u64,
-    pub(crate) calls: u32,
+    /// Connections tried, those that never came up included.
+    pub(crate) call_count: u32,
     /// How many upstreams it was written to.
-    pub(crate) sends: u32,
-    /// What it was written to last.
-    pub(crate) sent_to: Option<(Arc<Upstream>, Option<KeyShare>)>,
-    /// When it was written last, and to how many requests on how many slots.
-    pub(crate) sent_at: Option<(Duration, f64, u32)>,
-    /// True once its try id was noted.
-    pub(crate) opened: bool,
+    pub(crate) send_count: u32,
+    pub(crate) written_to: Option<WrittenTo>,
+    pub(crate) load_at_send: Option<LoadAtSend>,
+    /// True once its attempt id was registered.
+    pub(crate) is_registered: bool,
     /// True once it was written to any upstream.
-    pub(crate) written: bool,
+    pub(crate) was_written: bool,
+    /// Instances that were tried.
     pub(crate) tried: Vec<String>,
-    pub(crate) seat: Option<(Arc<UpstreamStats>, String)>,
-    pub(crate) desk: Option<Arc<ServiceStats>>,
-    pub(crate) place: Option<Place>,
+    /// The end of the time that it may spend in the admission queue.
     pub(crate) wait_until: Option<Duration>,
-    /// A send whose outcome nobody knows: from then on it can't be said that nothing ran.
-    pub(crate) doubt: Option<ResultCode>,
-    pub(crate) notes: Vec<TraceEvent>,
+    /// A send after which nobody knows whether the request was executed: from then on "not executed" can't be said.
+    pub(crate) ambiguous_outcome: Option<ResultCode>,
+    pub(crate) trace: Vec<TraceEvent>,
 }
 
 impl RequestState {
-    /// A request that was just enrolled.
+    /// A request that just came in.
     ///
     /// ```
     /// use request_routing::{RequestState, RequestInfo, ProxyContext, RequestStage};
     /// use std::time::Duration;
-    /// let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// assert_eq!(*RequestState::new(RequestInfo::default(), site).stage(), RequestStage::Waiting);
+    /// let proxy = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// assert_eq!(*RequestState::new(RequestInfo::default(), proxy).stage(), RequestStage::Waiting);
     /// ```
-    pub fn new(request: RequestInfo, site: ProxyContext) -> Self {
+    pub fn new(request: RequestInfo, proxy: ProxyContext) -> Self {
         RequestState {
+            slot: None,
+            queue_entry: None,
+            admission: None,
             request,
-            site,
+            proxy,
             stage: RequestStage::Waiting,
             route: None,
             service: None,
             revision: 0,
-            calls: 0,
-            sends: 0,
-            sent_to: None,
-            sent_at: None,
-            opened: false,
-            written: false,
+            call_count: 0,
+            send_count: 0,
+            written_to: None,
+            load_at_send: None,
+            is_registered: false,
+            was_written: false,
             tried: Vec::new(),
-            seat: None,
-            desk: None,
-            place: None,
             wait_until: None,
-            doubt: None,
-            notes: Vec::new(),
+            ambiguous_outcome: None,
+            trace: Vec::new(),
         }
     }
 
-    /// Where it stands.
+    /// The stage that it is in.
     ///
     /// ```
     /// # use request_routing::{RequestState, RequestInfo, ProxyContext, RequestStage};
     /// # use std::time::Duration;
-    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// let mut request_state = RequestState::new(RequestInfo::default(), site);
+    /// # let proxy = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// let mut request_state = RequestState::new(RequestInfo::default(), proxy);
     /// request_state.start(Duration::ZERO, &Default::default(), &Default::default());
     /// assert!(matches!(request_state.stage(), RequestStage::Answered { .. }));
     /// ```
@@ -92,116 +106,65 @@
         &self.stage
     }
 
-    /// What was decided on the way, for a trace.
+    /// What was decided on the way, in order.
     ///
     /// ```
     /// # use request_routing::{RequestState, RequestInfo, ProxyContext};
     /// # use std::time::Duration;
-    /// # let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-    /// assert!(RequestState::new(RequestInfo::default(), site).into_trace().is_empty());
+    /// # let proxy = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
+    /// assert!(RequestState::new(RequestInfo::default(), proxy).into_trace().is_empty());
     /// ```
-    pub fn into_trace(mut self) -> Vec<TraceEvent> {
-        std::mem::take(&mut self.notes)
+    pub fn into_trace(self) -> Vec<TraceEvent> {
+        self.trace
     }
 
-    /// The one place where the stage changes. An answered request stays answered, and after the first send
-    /// only an outcome of that send can answer it.
-    pub(crate) fn turn(&mut self, stage: RequestStage) {
+    /// The one place where the stage changes. An answered request stays answered.
+    pub(crate) fn set_stage(&mut self, stage: RequestStage) {
         if !matches!(self.stage, RequestStage::Answered { .. }) {
             self.stage = stage;
         }
     }
 
+    /// Answers the request and gives back all that it holds. After a send whose outcome is ambiguous, a code that says
+    /// "not executed" is replaced by that outcome.
     pub(crate) fn answer(&mut self, now: Duration, code: ResultCode) -> NextStep {
-        let code = self
-            .doubt
-            .filter(|_| code.kind() == Execution::NotExecuted)
-            .unwrap_or(code);
-        // Only a denial for want of room asks for the pressure: it sums whole windows.
-        let crowded = self
-            .desk
-            .as_ref()
-            .filter(|_| code == ResultCode::Overloaded);
-        let pressure = crowded.map(|desk| {
-            desk.rejected.add(now);
-            desk.pressure(now)
-        });
-        let pressure = pressure.unwrap_or_default();
-        let retry_after = retry_after_for(code, pressure, &self.request.attempt_id);
-        self.leave_seat();
-        self.leave_place();
-        self.leave_desk();
-        self.turn(RequestStage::Answered { code });
-        self.notes.push(TraceEvent::Answered { code });
+        let code = match self.ambiguous_outcome {
+            Some(ambiguous) if code.kind() == Execution::NotExecuted => ambiguous,
+            _ => code,
+        };
+        let retry_after = self.retry_after(now, code);
+        self.slot = None;
+        self.queue_entry = None;
+        self.admission = None;
+        self.set_stage(RequestStage::Answered { code });
+        self.trace.push(TraceEvent::Answered { code });
         NextStep::Answer { code, retry_after }
     }
 
-    pub(crate) fn leave_desk(&mut self) {
-        self.desk.take().iter().for_each(|desk| {
-            desk.serving.fetch_sub(1, Ordering::AcqRel);
-        });
-    }
-
-    /// Gives the seat back and calls whoever waits for it first.
-    pub(crate) fn leave_seat(&mut self) {
-        self.seat.take().iter().for_each(|(seat, instance)| {
-            seat.release();
-            self.desk.iter().for_each(|desk| desk.wake(Some(instance)));
-        });
+    fn retry_after(&self, now: Duration, code: ResultCode) -> Option<Duration> {
+        // Only a rejection for lack of capacity needs the ratio: it sums whole windows.
+        let rejection_ratio = match &self.admission {
+            Some(admission) if code == ResultCode::Overloaded => {
+                let service_stats = admission.service_stats();
+                service_stats.rejected.add(now);
+                service_stats.rejection_ratio(now)
+            }
+            _ => 0.0,
+        };
+        retry_after_for(code, rejection_ratio, &self.request.attempt_id)
     }
 
-    pub(crate) fn leave_place(&mut self) {
-        self.place
-            .take()
-            .iter()
-            .for_each(|place| place.desk.leave(place.ticket));
-    }
-
-    pub(crate) fn left(&self, now: Duration) -> Duration {
+    /// The time left until the client's deadline, or the route's time-out where that comes first.
+    pub(crate) fn remaining(&self, now: Duration) -> Duration {
         let timeout = self.route.as_ref().and_then(|route| route.policy.timeout);
-        let given = timeout.map_or(self.request.remaining, |timeout| {
-            timeout.min(self.request.remaining)
-        });
+        let given = match timeout {
+            Some(timeout) => timeout.min(self.request.remaining),
+            None => self.request.remaining,
+        };
         (self.request.arrived_at + given).saturating_sub(now)
     }
-}
-
-/// What would be decided for a request at this moment, with the seats, ejections and budgets as they are; nothing is
-/// taken, counted or noted of it.
-///
-/// ```
-/// use request_routing::{ProxyStats, RequestInfo, ProxyContext, explain};
-/// use std::time::Duration;
-/// let site = ProxyContext::new("p", "n/1".parse().unwrap(), Duration::from_secs(2), Duration::ZERO);
-/// let stats = ProxyStats::default();
-/// let notes = explain(RequestInfo::default(), &site, Duration::ZERO, &Default::default(), &stats);
-/// assert!(notes[0].to_string().starts_with("answered: 1202"));
-/// ```
-pub fn explain(
-    request: RequestInfo,
-    site: &ProxyContext,
-    now: Duration,
-    view: &View,
-    stats: &ProxyStats,
-) -> Vec<TraceEvent> {
-    // A copy of the counts takes what the real ones would have given.
-    let copy = stats.copy();
-    let mut request_state = RequestState::new(
-        request,
-        ProxyContext {
-            wait_for: Duration::ZERO,
-            ..site.clone()
-        },
-    );
-    request_state.start(now, view, &copy);
-    request_state.into_trace()
-}
 
-/// A request whose origin hung up gives its places back.
-impl Drop for RequestState {
-    fn drop(&mut self) {
-        self.leave_seat();
-        self.leave_place();
-        self.leave_desk();
+    pub(crate) fn service_stats(&self) -> Option<&Arc<ServiceStats>> {
+        self.admission.as_ref().map(AdmissionPermit::service_stats)
     }
 }
--- a/crates/request-routing/src/sliding_window.rs
+++ b/crates/request-routing/src/sliding_window.rs
@@ -1,10 +1,14 @@
-//! Sliding counts, kept in atomics.
+//! Event counts over a sliding window, kept in atomics.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
+/// A few more than the window holds, so that a bucket is not reused while it counts.
 const BUCKETS: usize = 128;
 const BUCKET: Duration = Duration::from_millis(100);
+/// How many buckets the window of 10 s holds.
+const WINDOW_BUCKETS: u64 = 100;
+const COUNT_MASK: u64 = 0xffff_ffff;
 
 /// Counts events over the last 10 s in buckets of a tenth of a second. Each bucket packs its own number
 /// with its count, so that an old one is never read as a new one.
@@ -36,7 +40,7 @@
     /// ```
     pub fn add(&self, now: Duration) {
         let number = Self::number(now);
-        let cell = &self.0[number as usize % BUCKETS];
+        let bucket = &self.0[number as usize % BUCKETS];
         let next = |old: u64| {
             if old >> 32 == number {
                 old + 1
@@ -44,10 +48,10 @@
                 (number << 32) | 1
             }
         };
-        let _ = cell.fetch_update(Ordering::AcqRel, Ordering::Acquire, |old| Some(next(old)));
+        let _ = bucket.fetch_update(Ordering::AcqRel, Ordering::Acquire, |old| Some(next(old)));
     }
 
-    /// How many events the last 10 s hold; a bucket that began 10 s ago still counts whole.
+    /// How many events the last 10 s hold; a bucket that began 10 s ago still counts in full.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -55,16 +59,17 @@
     /// ```
     pub fn sum(&self, now: Duration) -> u64 {
         let number = Self::number(now);
-        let recent = |packed: u64| (packed >> 32) + 100 >= number && packed >> 32 <= number;
-        let packed = self.0.iter().map(|cell| cell.load(Ordering::Acquire));
+        let recent =
+            |packed: u64| (packed >> 32) + WINDOW_BUCKETS >= number && packed >> 32 <= number;
+        let packed = self.0.iter().map(|bucket| bucket.load(Ordering::Acquire));
         packed
             .filter(|packed| recent(*packed))
-            .map(|packed| packed & 0xffff_ffff)
+            .map(|packed| packed & COUNT_MASK)
             .sum()
     }
 
     fn number(now: Duration) -> u64 {
         // From 1, so that an untouched bucket belongs to no time.
-        (now.as_millis() / BUCKET.as_millis()) as u64 + 101
+        (now.as_millis() / BUCKET.as_millis()) as u64 + WINDOW_BUCKETS + 1
     }
 }
--- a/crates/request-routing/src/trace.rs
+++ b/crates/request-routing/src/trace.rs
@@ -1,4 +1,6 @@
-//! Why a request went where it went: compact while it is noted, text only once somebody asks.
+//! Why a request went where it went: compact while it is recorded, text only once somebody asks.
+//!
+//! The texts are an interface of operators (`/trace`): they stay as they are, also where newer terms exist.
 
 use config::Route;
 use protocol::Upstream;
@@ -10,16 +12,23 @@
 /// Why an upstream was passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
+    /// It is draining, or deregistered.
     Draining,
+    /// Its locality is evacuated.
     Evacuated,
+    /// Its locality is outside the home regions of the service or the route.
     OutsideHomes,
+    /// Another instance owns the request's key.
     KeyOwnedElsewhere,
+    /// This request was sent to it before.
     AlreadyTried,
     /// Another instance answered at its address.
     InstanceReplaced,
+    /// It has no free slot for this proxy.
     NoSlot,
+    /// It is warming up, and this proxy's part of its slow-start rate is used up.
     WarmingUp,
-    /// It stood in the view when it was chosen, and does not any more.
+    /// It was in the view when it was selected, and is not any more.
     Removed,
 }
 
@@ -39,51 +48,81 @@
     }
 }
 
-/// One decision on a request's way.
+/// One decision on a request.
 #[derive(Clone, Debug)]
 pub enum TraceEvent {
+    /// The name and path lead to a route.
     RouteResolved {
+        /// The name asked for.
         name: String,
+        /// The route.
         route: Arc<Route>,
+        /// The configuration's revision.
         revision: u64,
     },
+    /// One locality owns the name.
     Owner {
+        /// The locality.
         locality: String,
+        /// The epoch since which it does.
         epoch: u64,
     },
+    /// The name was owned here before.
     Tombstone {
+        /// The locality that it moved to.
         to: String,
+        /// The epoch of the move.
         epoch: u64,
     },
+    /// The request goes to a proxy of another locality.
     Forwarded {
+        /// The locality that owns the name.
         to: String,
     },
+    /// An upstream was passed over.
     UpstreamRejected {
+        /// The upstream.
         upstream: Arc<Upstream>,
-        why: RejectReason,
+        /// Why.
+        reason: RejectReason,
     },
+    /// An upstream was selected.
     Connecting {
+        /// The upstream.
         upstream: Arc<Upstream>,
     },
+    /// The connection came up, but the upstream may not be used any more.
     SelectionWithdrawn {
+        /// The upstream.
         upstream: Arc<Upstream>,
-        why: RejectReason,
+        /// Why.
+        reason: RejectReason,
     },
+    /// The request is written.
     Sent {
+        /// The upstream.
         upstream: Arc<Upstream>,
     },
     /// The connection turned out to be closed before a byte went out.
     NotWritten {
+        /// The upstream.
         upstream: Arc<Upstream>,
     },
+    /// No slot is free: the request is queued.
     Queued {
+        /// The most that it waits.
         within: Duration,
     },
+    /// A slot may be free, or the wait is over.
     WokenUp,
+    /// The request goes to another upstream.
     Retried {
+        /// What the last one came to.
         after: ResultCode,
     },
+    /// The client has its answer.
     Answered {
+        /// The answer's code.
         code: ResultCode,
     },
 }
@@ -107,18 +146,18 @@
                 write!(f, "mark here: moved to {to} at epoch {epoch}")
             }
             TraceEvent::Forwarded { to } => write!(f, "forwarded to {to} by the mark"),
-            TraceEvent::UpstreamRejected { upstream, why } => {
-                write!(f, "{} passed over: {why}", upstream.instance)
+            TraceEvent::UpstreamRejected { upstream, reason } => {
+                write!(f, "{} passed over: {reason}", upstream.instance)
             }
             TraceEvent::Connecting { upstream } => write!(
                 f,
                 "connecting to {} in {}",
                 upstream.instance, upstream.locality
             ),
-            TraceEvent::SelectionWithdrawn { upstream, why } => {
+            TraceEvent::SelectionWithdrawn { upstream, reason } => {
                 write!(
                     f,
-                    "connected to {}, but nothing was sent: {why}",
+                    "connected to {}, but nothing was sent: {reason}",
                     upstream.instance
                 )
             }
--- a/crates/request-routing/tests/arbitrary.rs
+++ b/crates/request-routing/tests/arbitrary.rs
@@ -1,7 +1,7 @@
-//! Counts kept in buckets and atomics, against the plain way of counting.
+//! Arbitrary sequences of events: counts kept in buckets and atomics agree with the plain way of counting.
 
 use arbtest::arbtest;
-use request_routing::{ServiceStats, SlidingWindow};
+use request_routing::{RetryBudget, SlidingWindow};
 use std::time::Duration;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -30,32 +30,32 @@
 }
 
 #[test]
-fn resends_of_many_proxies_together_stay_within_a_fifth_and_ten() {
+fn retries_of_many_proxies_together_stay_within_a_fifth_and_ten() {
     (1..40u64).for_each(|number| {
         arbtest(|noise| {
-            let desks: Vec<ServiceStats> = (0..13).map(|_| ServiceStats::default()).collect();
+            let budgets: Vec<RetryBudget> = (0..13).map(|_| RetryBudget::default()).collect();
             let (mut now, mut sends) = (Duration::ZERO, Vec::new());
             while !noise.is_empty() {
                 now += MS(noise.int_in_range(0..=40)?);
-                let desk = &desks[noise.int_in_range(0..=12usize)?];
+                let budget = &budgets[noise.int_in_range(0..=12usize)?];
                 if noise.ratio(1u8, 3u8)? {
-                    desk.first_sends.add(now);
+                    budget.record_first_send(now);
                     sends.push((now, false));
-                } else if desk.take_retry(now, desks.len()) {
+                } else if budget.try_take(now, budgets.len()) {
                     sends.push((now, true));
                 }
                 let recent = sends.iter().filter(|(at, _)| *at + MS(10_000) > now);
-                let (first_sends, again) =
-                    recent.fold((0u64, 0u64), |(first_sends, again), (_, resend)| {
-                        if *resend {
-                            (first_sends, again + 1)
+                let (first_sends, retries) =
+                    recent.fold((0u64, 0u64), |(first_sends, retries), (_, is_retry)| {
+                        if *is_retry {
+                            (first_sends, retries + 1)
                         } else {
-                            (first_sends + 1, again)
+                            (first_sends + 1, retries)
                         }
                     });
                 assert!(
-                    again <= first_sends / 5 + 10,
-                    "{again} resends on {first_sends} sends"
+                    retries <= first_sends / 5 + 10,
+                    "{retries} retries on {first_sends} sends"
                 );
             }
             Ok(())
--- a/crates/request-routing/tests/unsent.rs
+++ b/crates/request-routing/tests/not_written.rs
@@ -1,4 +1,4 @@
-//! A kept connection that turned out to be closed before a byte of the request went out.
+//! A reused connection that turned out to be closed before a byte of the request went out.
 
 use name_directory::{OwnershipMode, View};
 use protocol::{ClusterState, Upstream, ViewUpdate};
@@ -19,7 +19,7 @@
         warm: true,
         ..Upstream::default()
     };
-    let news = ViewUpdate {
+    let update = ViewUpdate {
         state: Some(ClusterState {
             revision: 1,
             ..ClusterState::default()
@@ -32,18 +32,19 @@
         as_of: Some(NOW),
         ..View::default()
     };
-    view.apply_update(news, true).expect("the setup is fine");
+    view.apply_update(update, true)
+        .expect("the configuration is valid");
     view
 }
 
-fn request_state() -> RequestState {
-    let mut site = ProxyContext::new(
+fn new_request() -> RequestState {
+    let mut proxy = ProxyContext::new(
         "p",
         "n/1".parse().unwrap(),
         Duration::from_secs(9),
         Duration::ZERO,
     );
-    site.ownership = OwnershipMode::PerClientZone;
+    proxy.ownership = OwnershipMode::PerClientZone;
     let request = RequestInfo {
         attempt_id: "t-1".into(),
         name: "book".into(),
@@ -52,10 +53,10 @@
         remaining: Duration::from_secs(5),
         ..RequestInfo::default()
     };
-    RequestState::new(request, site)
+    RequestState::new(request, proxy)
 }
 
-fn chosen(next: &NextStep) -> String {
+fn selected_instance(next: &NextStep) -> String {
     match next {
         NextStep::Connect { upstream, .. } => upstream.instance.clone(),
         other => panic!("{other:?}"),
@@ -65,14 +66,14 @@
 #[test]
 fn the_same_upstream_is_called_again_on_a_new_connection() {
     let (view, stats) = (view(), ProxyStats::default());
-    let mut request_state = request_state();
+    let mut request_state = new_request();
     let first = request_state.start(NOW, &view, &stats);
     assert!(matches!(
         request_state.on_connected(NOW, &view, &stats),
         NextStep::Send { .. }
     ));
     let again = request_state.on_not_written(NOW);
-    assert_eq!(chosen(&again), chosen(&first));
+    assert_eq!(selected_instance(&again), selected_instance(&first));
     assert!(matches!(
         request_state.on_connected(NOW, &view, &stats),
         NextStep::Send { .. }
@@ -84,12 +85,12 @@
 }
 
 #[test]
-fn the_choice_is_judged_again() {
+fn the_selection_is_checked_again() {
     let (mut view, stats) = (view(), ProxyStats::default());
-    let mut request_state = request_state();
-    let first = chosen(&request_state.start(NOW, &view, &stats));
+    let mut request_state = new_request();
+    let first = selected_instance(&request_state.start(NOW, &view, &stats));
     request_state.on_connected(NOW, &view, &stats);
-    assert_eq!(chosen(&request_state.on_not_written(NOW)), first);
+    assert_eq!(selected_instance(&request_state.on_not_written(NOW)), first);
     let gone = Upstream {
         service: "slots".into(),
         instance: first.clone(),
@@ -105,13 +106,13 @@
     )
     .unwrap();
     let next = request_state.on_connected(NOW, &view, &stats);
-    assert_ne!(chosen(&next), first, "it has gone meanwhile");
+    assert_ne!(selected_instance(&next), first, "it was removed meanwhile");
 }
 
 #[test]
-fn what_was_never_written_is_told_as_not_run() {
+fn a_request_never_written_is_answered_as_not_executed() {
     let (view, stats) = (view(), ProxyStats::default());
-    let mut request_state = request_state();
+    let mut request_state = new_request();
     let mut next = request_state.start(NOW, &view, &stats);
     while let NextStep::Connect { .. } = next {
         assert!(matches!(
@@ -127,9 +128,9 @@
 }
 
 #[test]
-fn a_request_that_was_answered_is_never_sent_again() {
+fn an_answered_request_is_never_sent_again() {
     let (view, stats) = (view(), ProxyStats::default());
-    let mut request_state = request_state();
+    let mut request_state = new_request();
     request_state.start(NOW, &view, &stats);
     request_state.on_connected(NOW, &view, &stats);
     request_state.on_outcome(NOW, &view, &stats, CallOutcome::ResponseLost);
--- a/crates/simulator/src/path.rs
+++ b/crates/simulator/src/path.rs
@@ -667,7 +667,7 @@
                 reply = came;
                 if self.defects.unlimited_retry_budget {
                     let service = proxy_stats.service(exchange.request.service);
-                    (0..1000).for_each(|_| service.first_sends.add(local));
+                    (0..1000).for_each(|_| service.retry_budget.record_first_send(local));
                 }
                 exchange
                     .routing
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -457,7 +457,7 @@
         world
             .nodes
             .iter_mut()
-            .for_each(|node| node.site.wait_for = load.wait_for);
+            .for_each(|node| node.site.max_queue_wait = load.wait_for);
         world.load = load;
         world
     }
