--- a/crates/control-plane/src/anonymous_orders.rs
+++ b/crates/control-plane/src/anonymous_orders.rs
@@ -121,8 +121,8 @@
             Change::Evacuate {
                 id,
                 locality,
-                back,
-                seen,
+                restore: back,
+                confirmed_revision: seen,
             },
             None,
         );
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -310,12 +310,12 @@
             registry.record_departure(Duration::ZERO, departure);
         });
         let register = Register::new(quorum_register::RegisterConfig {
-            me: me.node.clone(),
+            node: me.node.clone(),
             initial_voter_count,
             seed: random.next_u64(),
             durable,
             configurations,
-            times: times.register,
+            timing: times.register,
         });
         ControlNode {
             grant_clock: BoundedStepClock::new(times.longest_step),
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -49,8 +49,8 @@
                         request_id,
                         Change::Configuration {
                             id,
-                            base,
-                            number,
+                            base_revision: base,
+                            version: number,
                             digest,
                         },
                         Some(bytes),
@@ -73,8 +73,8 @@
                         Change::Evacuate {
                             id,
                             locality,
-                            back,
-                            seen: None,
+                            restore: back,
+                            confirmed_revision: None,
                         },
                         None,
                     );
--- a/crates/control-plane/tests/storage_thread.rs
+++ b/crates/control-plane/tests/storage_thread.rs
@@ -278,12 +278,12 @@
         let times = RegisterTiming::default();
         let (durable, configurations) = Default::default();
         let start = RegisterConfig {
-            me: "pm".into(),
+            node: "pm".into(),
             initial_voter_count: 1,
             seed,
             durable,
             configurations,
-            times,
+            timing: times,
         };
         let register = Register::new(start);
         let (now, waiting) = (Duration::ZERO, VecDeque::new());
@@ -347,8 +347,8 @@
         self.request_id += 1;
         let change = Change::Configuration {
             id: format!("{number}").into(),
-            base: None,
-            number: None,
+            base_revision: None,
+            version: None,
             digest,
         };
         self.step(Event::Submit {
--- a/crates/model-checker/src/control_model/mod.rs
+++ b/crates/model-checker/src/control_model/mod.rs
@@ -121,12 +121,12 @@
     ) -> Node {
         let seed = fingerprint_of(&(at, incarnation));
         let mut register = Register::new(RegisterConfig {
-            me: node_name(at),
+            node: node_name(at),
             initial_voter_count: self.scenario.voters,
             seed,
             durable: disk.durable.clone(),
             configurations: disk.configurations.clone(),
-            times: RegisterTiming {
+            timing: RegisterTiming {
                 confirm_interval: NEVER,
                 ..Default::default()
             },
--- a/crates/model-checker/src/register_model/mod.rs
+++ b/crates/model-checker/src/register_model/mod.rs
@@ -132,12 +132,12 @@
         incarnation: u64,
     ) -> Node {
         let mut register = Register::new(RegisterConfig {
-            me: node_name(at),
+            node: node_name(at),
             initial_voter_count: self.scenario.voters,
             seed: fingerprint_of(&(at, incarnation)),
             durable: disk.durable.clone(),
             configurations: disk.configurations.clone(),
-            times: self.scenario.times(),
+            timing: self.scenario.times(),
         });
         register.step(now, Event::Peers((0..peers).map(node_name).collect()));
         let mut node = Node {
--- a/crates/model-checker/src/register_model/steps.rs
+++ b/crates/model-checker/src/register_model/steps.rs
@@ -202,7 +202,9 @@
             id.id.push_str("-again");
         }
         if self.defect == RegisterDefect::DropsVersions
-            && let Change::Configuration { number, .. } = &mut change
+            && let Change::Configuration {
+                version: number, ..
+            } = &mut change
         {
             *number = None;
         }
--- a/crates/model-checker/src/register_model/submission.rs
+++ b/crates/model-checker/src/register_model/submission.rs
@@ -40,8 +40,8 @@
         let bytes = id.as_bytes().to_vec();
         let change = Change::Configuration {
             id: id.into(),
-            base,
-            number: version,
+            base_revision: base,
+            version: version,
             digest: protocol::digest(&bytes),
         };
         Submission {
@@ -60,8 +60,8 @@
         let change = Change::Evacuate {
             id: id.into(),
             locality: locality.into(),
-            back,
-            seen: None,
+            restore: back,
+            confirmed_revision: None,
         };
         Submission {
             change,
@@ -74,15 +74,19 @@
         match &self.change {
             Change::Configuration {
                 digest,
-                number,
-                base,
+                version: number,
+                base_revision: base,
                 ..
             } => SubmissionFacts {
                 request_digest: recorded_digest(&format!("{digest} {base:?}")),
                 configuration_digest: digest.clone(),
                 version: *number,
             },
-            Change::Evacuate { locality, back, .. } => SubmissionFacts {
+            Change::Evacuate {
+                locality,
+                restore: back,
+                ..
+            } => SubmissionFacts {
                 request_digest: recorded_digest(&format!("{locality} {back}")),
                 ..SubmissionFacts::default()
             },
--- a/crates/quorum-register/src/lib.rs
+++ b/crates/quorum-register/src/lib.rs
@@ -1,22 +1,55 @@
-//! The majority register: one value, the replicated state, kept by the voters' disks.
+//! A replicated register: one value, the cluster's state, that a quorum of voters keeps on their disks.
 //!
-//! No log and no leader: any voter runs a two-phase round (prepare, accept) for the changes that wait with
-//! it. All of it is one reducer, [`Register::step`]; the shell carries out the effects.
+//! The protocol is single-decree Paxos, run again for each new value; there is no log and no leader. Any voter is a
+//! proposer: it runs a round of two phases (prepare and promise, accept and accepted) under a ballot, and carries the
+//! changes that wait with it. A state is chosen once a quorum of its own voter set accepted it. Voters are changed by
+//! joint consensus: between the old and the new voters lies a joint set, in which each quorum needs a majority of both.
+//!
+//! The crate does no input or output: [`Register::step`] takes an [`Event`] and returns the [`Effect`]s to carry out.
+//!
+//! | module | concern | its state |
+//! |---|---|---|
+//! | `register` | composes the concerns, dispatches events and messages | [`Register`] |
+//! | `acceptor` | promises and acceptances, reads answered | `Acceptor` |
+//! | `proposer` | changes that wait, and the prepare phase of a round | `Proposer` |
+//! | `accept_phase` | the accept phase of a round | `Round` |
+//! | `majority_read` | confirms that the state known here is the newest | `MajorityReads` |
+//! | `state_transfer` | states sent as a difference to an earlier one | |
+//! | `configurations` | the configurations' bytes | `ConfigurationStore` |
+//! | `write_queue` | disk writes under way | `WriteQueue` |
+//! | `replicas` | what is known of the other nodes | `Replicas` |
+//! | `bootstrap` | the first start of a cluster | [`VoterPhase`] |
+//! | `recovery` | the return of a voter whose disk was lost | `Recovery` |
+//! | `disaster_recovery` | the loss of a quorum for good | |
+//! | `change` | what operators ask for | |
+//! | `apply` | how the state changes by it | |
+//! | `inspect` | read access for callers | |
+
+#![deny(missing_docs)]
 
+mod accept_phase;
+mod acceptor;
+mod apply;
 mod bootstrap;
 mod change;
 mod configurations;
-mod deltas;
 mod disaster_recovery;
+mod event;
 mod inspect;
+mod majority_read;
+mod options;
 mod proposer;
-mod reading;
+mod recovery;
 mod register;
 mod replicas;
-mod voter;
+mod state_transfer;
+mod write_queue;
 
-pub use change::{Change, ChangeId, Decision, apply, apply_to_voters};
+pub use apply::{apply, apply_to_voters};
+pub use change::{Change, ChangeId, Decision};
 pub use disaster_recovery::{RecoveryError, recover_from_survivors};
-pub use register::{
-    Effect, Event, Register, RegisterConfig, RegisterTiming, Statistics, VoterPhase,
-};
+pub use event::{Effect, Event};
+pub use inspect::Statistics;
+pub use options::{RegisterConfig, RegisterTiming};
+pub use recovery::Recovery;
+pub use register::{Register, VoterPhase};
--- a/crates/quorum-register/src/register.rs
+++ b/crates/quorum-register/src/register.rs
@@ -1,315 +1,158 @@
-//! The state of one voter and proposer, and the reducer over its events.
+//! The register of one node: composes the concerns, and dispatches events and messages to them.
 
-use crate::change::{Change, Decision};
-use crate::proposer::{PendingChange, Round};
-use crate::reading::Reading;
+use crate::acceptor::Acceptor;
+use crate::configurations::ConfigurationStore;
+use crate::event::{Effect, Event};
+use crate::inspect::Statistics;
+use crate::majority_read::MajorityReads;
+use crate::options::{RegisterConfig, RegisterTiming};
+use crate::proposer::Proposer;
+use crate::recovery::Recovery;
 use crate::replicas::Replicas;
-use protocol::{
-    Ballot, ClusterState, ConfigurationRequest, DurableState, Payload, Promise, VoterSet,
-};
+use crate::write_queue::WriteQueue;
+use protocol::{Ballot, ClusterState, DurableState, Payload};
 use random::Random;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// How many disk writes may wait before the voter stays out of rounds.
-const MAX_WRITES: usize = 64;
 /// How many control nodes beside the voters are sent what is decided.
 const MAX_NONVOTERS: usize = 8;
-
-/// The register's time values.
-#[derive(Clone, Copy, Debug, Hash)]
-pub struct RegisterTiming {
-    /// How often a majority confirms the state.
-    pub confirm_interval: Duration,
-    /// How long one phase of a round may take.
-    pub phase_timeout: Duration,
-    /// How long a change may wait for its decision.
-    pub change_timeout: Duration,
-}
-
-impl Default for RegisterTiming {
-    fn default() -> Self {
-        RegisterTiming {
-            confirm_interval: Duration::from_millis(500),
-            phase_timeout: Duration::from_millis(700),
-            change_timeout: Duration::from_millis(2500),
-        }
-    }
-}
-
-/// What a voter starts from.
-pub struct RegisterConfig {
-    pub me: String,
-    /// How many voters a founding needs.
-    pub initial_voter_count: usize,
-    pub seed: u64,
-    /// What the disk holds; default on a blank disk.
-    pub durable: DurableState,
-    /// Undamaged setups found on the disk, by digest.
-    pub configurations: BTreeMap<String, Vec<u8>>,
-    pub times: RegisterTiming,
-}
-
-/// What happens to a register.
-#[derive(Clone, Debug)]
-pub enum Event {
-    Tick,
-    Received {
-        from: String,
-        body: Payload,
-    },
-    /// The postmasters that membership knows, this one included.
-    Peers(Vec<String>),
-    /// An operator's change, with the setup's bytes where it brings one.
-    Submit {
-        request_id: u64,
-        change: Change,
-        bytes: Option<Vec<u8>>,
-    },
-    /// A change that nobody waits for.
-    Propose(Change),
-    /// Somebody wants to read: confirm the state anew, from now.
-    Confirm,
-    /// The write with this ticket is synced.
-    WriteCompleted {
-        write_id: u64,
-    },
-    /// The disk failed: this voter stays out from now on.
-    DiskFailed,
-    /// Persist a lease epoch; answered by `LeaseEpochPersisted` with the token.
-    PersistLeaseEpoch {
-        epoch: u64,
-        request_id: u64,
-    },
-}
-
-/// What a register wants done.
-#[derive(Clone, Debug, PartialEq, Hash)]
-pub enum Effect {
-    Send {
-        to: String,
-        body: Payload,
-    },
-    /// Sync this state, then tell `WriteCompleted`.
-    Persist {
-        write_id: u64,
-        durable: DurableState,
-    },
-    /// Sync this setup, then tell `WriteCompleted`.
-    StoreConfiguration {
-        write_id: u64,
-        digest: String,
-        bytes: Vec<u8>,
-    },
-    /// Nothing refers to this setup any more: its file may go, after all writes before.
-    DeleteConfiguration {
-        digest: String,
-    },
-    Decided {
-        request_id: u64,
-        decision: Decision,
-    },
-    /// The state in force changed.
-    StateChanged,
-    LeaseEpochPersisted {
-        request_id: u64,
-    },
-}
+/// How often votes of a bootstrap, and requests for a missing configuration, are sent.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Where a voter stands.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub enum VoterPhase {
-    /// Nothing on disk: asks whether a roster was founded.
-    Blank { unbootstrapped: BTreeSet<String> },
-    /// Endorsed a roster, waits for the others.
-    Bootstrapping { bootstrap_vote: BTreeSet<String> },
+    /// Nothing is on the disk: asks the peers whether they were bootstrapped.
+    Blank {
+        /// The peers that were not.
+        unbootstrapped: BTreeSet<String>,
+    },
+    /// Voted for the initial voters, and waits for the others' votes.
+    Bootstrapping {
+        /// The voters whose vote came.
+        votes_from: BTreeSet<String>,
+    },
     /// Lost its disk: gathers what the others promised and accepted.
     Recovering(Recovery),
-    /// Has a state: answers, accepts, reads and proposes. Whether its answers count is told by the voter set.
+    /// Has a state: promises, accepts, reads and proposes. Whether its votes count is told by the voter set.
     Active,
     /// The disk failed.
     Failed,
 }
 
-/// What a blank disk gathers before it takes part.
-#[derive(Clone, Debug, PartialEq, Hash)]
-pub struct Recovery {
-    /// The voters asked, as far as they are known.
-    pub(crate) voter_set: VoterSet,
-    pub(crate) ballot: Ballot,
-    pub(crate) promises: BTreeMap<String, Promise>,
-    /// The newest state that an earlier try was told: what is told now names what was decided since.
-    pub(crate) base: ClusterState,
-    /// When to begin anew.
-    pub(crate) until: Duration,
-}
-
-#[derive(Clone, Hash)]
-pub(crate) struct Write {
-    pub(crate) write_id: u64,
-    pub(crate) durable: Option<DurableState>,
-    pub(crate) digest: Option<String>,
-    pub(crate) then: Vec<Effect>,
+impl VoterPhase {
+    /// The phase in which a voter starts from its disk.
+    fn at_start(durable: &DurableState) -> VoterPhase {
+        if durable.disk != 0 {
+            VoterPhase::Active
+        } else if durable.bootstrap_vote.is_empty() {
+            VoterPhase::Blank {
+                unbootstrapped: BTreeSet::new(),
+            }
+        } else {
+            VoterPhase::Bootstrapping {
+                votes_from: BTreeSet::new(),
+            }
+        }
+    }
 }
 
 /// A state known to be chosen.
-#[derive(Clone, Hash)]
-pub(crate) struct Current {
-    pub ballot: Ballot,
-    pub state: ClusterState,
-    /// When the question was sent whose answers confirmed it.
-    pub confirmed_at: Option<Duration>,
-}
-
-/// What a voter did since its start.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Statistics {
-    /// Rounds begun here.
-    pub rounds_started: u64,
-    /// Of them, those that lost a race or their time.
-    pub rounds_lost: u64,
-    pub disk_writes: u64,
-}
-
-/// A disk written before the voters were part of the state: those it was founded with are the first.
-fn name_voters(durable: &mut DurableState) {
-    if durable.accepted.voter_set.voters.is_empty() {
-        durable
-            .accepted
-            .voter_set
-            .voters
-            .clone_from(&durable.initial_voters);
-    }
+#[derive(Clone, Debug, Default, Hash)]
+pub(crate) struct ChosenState {
+    pub(crate) ballot: Ballot,
+    pub(crate) state: ClusterState,
+    /// When the request was sent whose replies confirmed that it is the newest.
+    pub(crate) confirmed_at: Option<Duration>,
+    /// When its voter set was first known to be chosen.
+    pub(crate) voter_set_since: Duration,
 }
 
-/// One voter of the majority register. Two that hash alike act alike from then on: the explorer tells visited
-/// states by it.
-#[derive(Clone, Hash)]
+/// One node's part in the register. Two that hash alike act alike from then on, by which the model checker recognizes
+/// visited states.
+#[derive(Clone, Debug, Hash)]
 pub struct Register {
-    pub(crate) me: String,
+    pub(crate) node: String,
     pub(crate) initial_voter_count: usize,
-    pub(crate) times: RegisterTiming,
+    pub(crate) timing: RegisterTiming,
     pub(crate) random: Random,
+    /// Drawn at each start; part of the ballots from here.
     pub(crate) incarnation: u64,
+    /// The control nodes that membership knows.
     pub(crate) peers: Vec<String>,
     pub(crate) phase: VoterPhase,
     /// Time of the step under way.
-    pub(crate) now: Duration,
-    /// When the voter set in force was seen first.
-    pub(crate) voters_since: Duration,
+    now: Duration,
+    pub(crate) acceptor: Acceptor,
+    pub(crate) proposer: Proposer,
+    pub(crate) reads: MajorityReads,
+    pub(crate) chosen: ChosenState,
+    pub(crate) configurations: ConfigurationStore,
+    pub(crate) writes: WriteQueue,
     pub(crate) replicas: Replicas,
-    /// What was decided, perhaps not synced yet.
-    pub(crate) durable: DurableState,
-    /// What the disk surely holds: questions are answered from it.
-    pub(crate) synced: DurableState,
-    pub(crate) configurations: BTreeMap<String, Vec<u8>>,
-    /// Digests of the setups, the earliest first.
-    pub(crate) arrivals: VecDeque<String>,
-    /// The setup that was last sent, by its digest.
-    pub(crate) compressed: Option<(String, Vec<u8>)>,
-    pub(crate) held: BTreeSet<String>,
-    pub(crate) current: Current,
-    pub(crate) seen_round: u64,
-    pub(crate) round: Round,
-    pub(crate) pending: VecDeque<PendingChange>,
-    /// Reads under way, the earliest first.
-    pub(crate) readings: VecDeque<Reading>,
-    pub(crate) next_read: Duration,
-    /// Somebody asked for a confirmation after the read under way was begun.
-    pub(crate) read_again: bool,
-    /// An answer told a difference that fits to nothing here: the next read asks for whole states.
-    pub(crate) reads_whole: bool,
-    pub(crate) next_tell: Duration,
-    /// Rounds lost since the last that was won.
-    pub(crate) lost_in_a_row: u32,
-    pub(crate) writes: VecDeque<Write>,
-    pub(crate) write_id: u64,
+    pub(crate) next_retry: Duration,
+    /// Messages of this node to itself.
     inbox: VecDeque<Payload>,
     pub(crate) statistics: Statistics,
     pub(crate) effects: Vec<Effect>,
 }
 
 impl Register {
-    /// A register as its disk left it.
+    /// A register that goes on from what its disk holds.
     ///
     /// ```
     /// use quorum_register::{Register, VoterPhase, RegisterConfig, RegisterTiming};
     /// let register = Register::new(RegisterConfig {
-    ///     me: "pm-1".into(), initial_voter_count: 1, seed: 7, durable: Default::default(),
-    ///     configurations: Default::default(), times: RegisterTiming::default(),
+    ///     node: "pm-1".into(), initial_voter_count: 1, seed: 7, durable: Default::default(),
+    ///     configurations: Default::default(), timing: RegisterTiming::default(),
     /// });
     /// assert!(matches!(register.phase(), VoterPhase::Blank { .. }));
     /// ```
-    pub fn new(mut start: RegisterConfig) -> Self {
-        let mut random = Random::new(start.seed);
-        name_voters(&mut start.durable);
+    pub fn new(config: RegisterConfig) -> Self {
+        let mut random = Random::new(config.seed);
         let incarnation = random.next_u64();
-        let phase = match (start.durable.disk, start.durable.bootstrap_vote.is_empty()) {
-            (0, true) => VoterPhase::Blank {
-                unbootstrapped: BTreeSet::new(),
-            },
-            (0, false) => VoterPhase::Bootstrapping {
-                bootstrap_vote: BTreeSet::new(),
-            },
-            _ => VoterPhase::Active,
-        };
         Register {
-            me: start.me,
-            initial_voter_count: start.initial_voter_count,
-            times: start.times,
+            node: config.node,
+            initial_voter_count: config.initial_voter_count,
+            timing: config.timing,
             random,
             incarnation,
             peers: Vec::new(),
-            phase,
+            phase: VoterPhase::at_start(&config.durable),
             now: Duration::ZERO,
-            voters_since: Duration::ZERO,
+            proposer: Proposer::new(config.durable.promised.round),
+            acceptor: Acceptor::new(config.durable),
+            reads: MajorityReads::default(),
+            chosen: ChosenState::default(),
+            configurations: ConfigurationStore::new(config.configurations),
+            writes: WriteQueue::default(),
             replicas: Replicas::default(),
-            synced: start.durable.clone(),
-            seen_round: start.durable.promised.round,
-            durable: start.durable,
-            held: start.configurations.keys().cloned().collect(),
-            arrivals: start.configurations.keys().cloned().collect(),
-            configurations: start.configurations,
-            compressed: None,
-            current: Current {
-                ballot: Ballot::default(),
-                state: ClusterState::default(),
-                confirmed_at: None,
-            },
-            round: Round::Idle,
-            pending: VecDeque::new(),
-            readings: VecDeque::new(),
-            next_read: Duration::ZERO,
-            read_again: false,
-            reads_whole: false,
-            next_tell: Duration::ZERO,
-            lost_in_a_row: 0,
-            writes: VecDeque::new(),
-            write_id: 0,
+            next_retry: Duration::ZERO,
             inbox: VecDeque::new(),
             statistics: Statistics::default(),
             effects: Vec::new(),
         }
     }
 
-    /// The one reducer: takes an event in, gives effects out.
+    /// The reducer: takes one event in, gives the effects to carry out.
     ///
     /// ```
     /// use quorum_register::{Effect, Event, Register, VoterPhase, RegisterConfig, RegisterTiming};
     /// use std::time::Duration;
-    /// // A roster of one founds itself once its endorsement and its mark are synced.
+    /// // A single voter bootstraps itself once its vote and its disk's identity are on the disk.
     /// let mut register = Register::new(RegisterConfig {
-    ///     me: "pm-1".into(), initial_voter_count: 1, seed: 7, durable: Default::default(),
-    ///     configurations: Default::default(), times: RegisterTiming::default(),
+    ///     node: "pm-1".into(), initial_voter_count: 1, seed: 7, durable: Default::default(),
+    ///     configurations: Default::default(), timing: RegisterTiming::default(),
     /// });
     /// let mut effects = register.step(Duration::ZERO, Event::Peers(vec!["pm-1".into()]));
-    /// for turn in 1..9 {
-    ///     let kept = effects.drain(..).filter_map(|effect| match effect {
+    /// for second in 1..9 {
+    ///     let completed = effects.drain(..).filter_map(|effect| match effect {
     ///         Effect::Persist { write_id, .. } => Some(Event::WriteCompleted { write_id }),
     ///         _ => None,
     ///     });
-    ///     let events: Vec<Event> = kept.chain([Event::Tick]).collect();
-    ///     let now = Duration::from_secs(turn);
+    ///     let events: Vec<Event> = completed.chain([Event::Tick]).collect();
+    ///     let now = Duration::from_secs(second);
     ///     effects = events.into_iter().flat_map(|event| register.step(now, event)).collect();
     /// }
     /// assert_eq!(*register.phase(), VoterPhase::Active);
@@ -318,180 +161,132 @@
         self.now = now;
         match event {
             Event::Tick => self.tick(now),
-            Event::Received { from, body } => self.take(now, &from, body),
-            Event::Peers(mut peers) => {
-                peers.sort();
-                peers.dedup();
-                self.peers = peers;
-            }
+            Event::Received { from, body } => self.handle_message(now, &from, body),
+            Event::Peers(peers) => self.set_peers(peers),
             Event::Submit {
                 request_id,
                 change,
                 bytes,
-            } => self.ask(now, request_id, change, bytes),
+            } => self.submit(now, request_id, change, bytes),
             Event::Propose(change) => self.propose(now, change),
             Event::Confirm => self.confirm(now),
-            Event::WriteCompleted { write_id } => self.kept(write_id),
-            Event::DiskFailed => self.enter_phase(VoterPhase::Failed),
-            Event::PersistLeaseEpoch { epoch, request_id } => self.raise_epoch(epoch, request_id),
+            Event::WriteCompleted { write_id } => self.complete_writes(write_id),
+            Event::DiskFailed => self.phase = VoterPhase::Failed,
+            Event::PersistLeaseEpoch { epoch, request_id } => {
+                self.persist_lease_epoch(epoch, request_id);
+            }
         }
         while let Some(body) = self.inbox.pop_front() {
-            let me = self.me.clone();
-            self.take(now, &me, body);
+            let node = self.node.clone();
+            self.handle_message(now, &node, body);
         }
         std::mem::take(&mut self.effects)
     }
 
     fn tick(&mut self, now: Duration) {
-        self.tick_founding(now);
+        self.tick_recovery(now);
+        self.tick_bootstrap(now);
         if self.phase == VoterPhase::Active {
-            self.tick_reading(now);
+            self.tick_reads(now);
             self.tick_round(now);
         }
-        if now >= self.next_tell {
-            self.next_tell = now + Duration::from_millis(300);
+        if now >= self.next_retry {
+            self.next_retry = now + RETRY_INTERVAL;
             self.request_missing_configuration();
         }
     }
 
-    fn take(&mut self, now: Duration, from: &str, body: Payload) {
-        self.replicas.heard(from, now);
+    fn set_peers(&mut self, mut peers: Vec<String>) {
+        peers.sort();
+        peers.dedup();
+        self.peers = peers;
+    }
+
+    fn handle_message(&mut self, now: Duration, from: &str, body: Payload) {
+        self.replicas.record_heard(from, now);
         match body {
-            Payload::Prepare(prepare) => self.prepare(from, prepare),
-            Payload::Promise(promise) => self.promise(now, from, promise),
-            Payload::Accept(accept) => self.accept(from, accept),
-            Payload::AcceptDelta(accept) => self.accept_delta(from, accept),
-            Payload::Accepted(accepted) => self.accepted(now, from, accepted),
-            Payload::Read(read) => self.read(from, read),
-            Payload::ReadBack(back) => self.read_back(now, from, back),
+            Payload::Prepare(prepare) => self.handle_prepare(from, prepare),
+            Payload::Promise(promise) => self.handle_promise(now, from, promise),
+            Payload::Accept(accept) => self.handle_accept(from, accept),
+            Payload::AcceptDelta(accept) => self.handle_accept_delta(from, accept),
+            Payload::Accepted(accepted) => self.handle_accepted(now, from, accepted),
+            Payload::Read(read) => self.handle_read(from, read),
+            Payload::ReadBack(reply) => self.handle_read_back(now, from, reply),
             Payload::Chosen(chosen) => self.adopt(chosen.ballot, chosen.state, None),
-            Payload::ChosenDelta(chosen) => self.chosen_delta(now, chosen),
-            Payload::ConfigurationBytes(configuration) => self.receive_configuration(configuration),
-            Payload::ConfigurationRequest(ask) => self.send_configuration(from, &ask),
-            Payload::BootstrapVote(endorse) => self.endorse(from, endorse),
-            Payload::Bootstrapped(founded) => self.founded(now, founded.voter_set),
+            Payload::ChosenDelta(chosen) => self.handle_chosen_delta(now, chosen),
+            Payload::ConfigurationBytes(configuration) => self.handle_configuration(configuration),
+            Payload::ConfigurationRequest(request) => {
+                self.handle_configuration_request(from, request.digest);
+            }
+            Payload::BootstrapVote(vote) => self.handle_bootstrap_vote(from, vote),
+            Payload::Bootstrapped(bootstrapped) => {
+                self.handle_bootstrapped(now, bootstrapped.voter_set);
+            }
             _ => {}
         }
     }
 
-    /// The one place where the phase changes.
-    pub(crate) fn enter_phase(&mut self, phase: VoterPhase) {
-        self.phase = phase;
-    }
-
     pub(crate) fn send(&mut self, to: &str, body: Payload) {
-        if to == self.me {
+        if to == self.node {
             self.inbox.push_back(body);
-        } else {
-            self.effects.push(Effect::Send {
-                to: to.to_owned(),
-                body,
-            });
+            return;
         }
+        self.effects.push(Effect::Send {
+            to: to.to_owned(),
+            body,
+        });
     }
 
-    /// Sends to every voter, and to the control nodes that are there beside them: they follow what is decided, and one
-    /// of them may have to take a voter's place.
-    pub(crate) fn send_all(&mut self, body: Payload) {
-        self.replica_nodes()
-            .iter()
-            .for_each(|node| self.send(node, body.clone()));
+    pub(crate) fn send_to_each(&mut self, nodes: &[String], body: &Payload) {
+        for node in nodes {
+            self.send(node, body.clone());
+        }
+    }
+
+    /// Sends to every voter, and to a few control nodes beside them: those follow what is decided, and one of them may
+    /// have to replace a voter.
+    pub(crate) fn broadcast(&mut self, body: Payload) {
+        self.send_to_each(&self.replica_nodes(), &body);
     }
 
     /// The voters, and a few further control nodes.
     pub(crate) fn replica_nodes(&self) -> Vec<String> {
         let mut nodes: Vec<String> = self.voter_set().members().cloned().collect();
-        let others: Vec<String> = self
+        let nonvoters: Vec<String> = self
             .peers
             .iter()
             .filter(|peer| !nodes.contains(peer))
             .take(MAX_NONVOTERS)
             .cloned()
             .collect();
-        nodes.extend(others);
+        nodes.extend(nonvoters);
         nodes
     }
 
-    /// True while the disk keeps up.
-    pub(crate) fn disk_is_free(&self) -> bool {
-        self.writes.len() < MAX_WRITES
-    }
-
-    /// Syncs the decided state and only then lets `then` out.
-    pub(crate) fn keep(&mut self, then: Vec<Effect>) {
-        self.write_id += 1;
-        self.statistics.disk_writes += 1;
-        let (write_id, durable) = (self.write_id, self.durable.clone());
-        self.writes.push_back(Write {
-            write_id,
-            durable: Some(durable.clone()),
-            digest: None,
-            then,
-        });
-        self.effects.push(Effect::Persist { write_id, durable });
-    }
-
-    fn kept(&mut self, write_id: u64) {
-        while self
-            .writes
-            .front()
-            .is_some_and(|write| write.write_id <= write_id)
-        {
-            let write = self.writes.pop_front().into_iter();
-            write.for_each(|write| {
-                if let Some(durable) = write.durable {
-                    self.synced = durable;
-                }
-                self.held.extend(write.digest);
-                write.then.into_iter().for_each(|effect| match effect {
-                    Effect::Send { to, body } => self.send(&to, body),
-                    other => self.effects.push(other),
-                });
-            });
-        }
-        self.settle_founding();
-        self.settle_recovery();
-        self.delete_unreferenced_configurations();
-    }
-
-    fn raise_epoch(&mut self, epoch: u64, request_id: u64) {
-        let able = self.phase == VoterPhase::Active && self.disk_is_free();
-        if able && epoch >= self.durable.lease_epoch {
-            self.durable.lease_epoch = epoch;
-            self.keep(vec![Effect::LeaseEpochPersisted { request_id }]);
-        }
-    }
-
-    /// Takes a chosen state into force, unless a newer one is or its setup is not here yet.
+    /// Puts a chosen state in force, unless a newer one is, or its configuration is not here yet.
     pub(crate) fn adopt(
         &mut self,
         ballot: Ballot,
         state: ClusterState,
         confirmed_at: Option<Duration>,
     ) {
-        let complete = state.digest.is_empty() || self.configurations.contains_key(&state.digest);
-        if ballot < self.current.ballot {
+        if ballot < self.chosen.ballot {
             return;
         }
-        if !complete {
-            self.send_all(Payload::ConfigurationRequest(ConfigurationRequest {
-                digest: state.digest,
-            }));
+        if !self.configurations.is_complete(&state.digest) {
+            self.request_configuration(state.digest);
             return;
         }
-        let changed = ballot > self.current.ballot && state != self.current.state;
-        let confirmed_at = confirmed_at.max(self.current.confirmed_at);
-        if state.voter_set != self.current.state.voter_set {
-            self.voters_since = self.now;
+        let is_changed = ballot > self.chosen.ballot && state != self.chosen.state;
+        if state.voter_set != self.chosen.state.voter_set {
+            self.chosen.voter_set_since = self.now;
         }
-        self.current = Current {
-            ballot,
-            state,
-            confirmed_at,
-        };
-        if changed {
+        self.chosen.confirmed_at = confirmed_at.max(self.chosen.confirmed_at);
+        self.chosen.ballot = ballot;
+        self.chosen.state = state;
+        if is_changed {
             self.effects.push(Effect::StateChanged);
         }
-        self.confirm_by_known(self.now);
+        self.confirm_by_replies(self.now);
     }
 }
--- a/crates/quorum-register/src/replicas.rs
+++ b/crates/quorum-register/src/replicas.rs
@@ -1,76 +1,84 @@
-//! What is known of the other control nodes: when each was heard, and which state its disk holds.
+//! What is known of the other control nodes: when each was heard from, and which state its disk holds.
 
 use protocol::Ballot;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Most nodes that are remembered; beyond, the one heard longest ago is forgotten.
+/// Most nodes that are remembered; beyond, the one heard from longest ago is forgotten.
 const MAX_REMEMBERED: usize = 256;
 
-#[derive(Clone, Default, Hash)]
+#[derive(Clone, Debug, Default, Hash)]
 struct Replica {
-    heard_at: Duration,
-    synced: Option<Ballot>,
-    takes_deltas: bool,
+    last_heard: Duration,
+    persisted_ballot: Option<Ballot>,
+    accepts_deltas: bool,
 }
 
 /// The other control nodes, by name.
-#[derive(Clone, Default, Hash)]
+#[derive(Clone, Debug, Default, Hash)]
 pub(crate) struct Replicas(BTreeMap<String, Replica>);
 
 impl Replicas {
-    /// Something came from a node.
-    pub(crate) fn heard(&mut self, node: &str, now: Duration) {
+    /// Records that a message came from a node.
+    pub(crate) fn record_heard(&mut self, node: &str, now: Duration) {
         if let Some(replica) = self.0.get_mut(node) {
-            replica.heard_at = now;
+            replica.last_heard = now;
             return;
         }
         if self.0.len() >= MAX_REMEMBERED {
-            let oldest = self
-                .0
-                .iter()
-                .min_by_key(|(_, replica)| replica.heard_at)
-                .map(|(node, _)| node.clone());
-            oldest
-                .into_iter()
-                .for_each(|node| drop(self.0.remove(&node)));
+            self.forget_oldest();
         }
-        self.0.insert(
-            node.to_owned(),
-            Replica {
-                heard_at: now,
-                ..Replica::default()
-            },
-        );
+        let replica = Replica {
+            last_heard: now,
+            ..Replica::default()
+        };
+        self.0.insert(node.to_owned(), replica);
     }
 
-    /// A node told what its disk holds. It may have lost its disk meanwhile, so the last word counts.
-    pub(crate) fn told_synced(&mut self, node: &str, ballot: Ballot) {
+    fn forget_oldest(&mut self) {
+        let oldest = self
+            .0
+            .iter()
+            .min_by_key(|(_, replica)| replica.last_heard)
+            .map(|(node, _)| node.clone());
+        if let Some(node) = oldest {
+            self.0.remove(&node);
+        }
+    }
+
+    /// Records what a node's disk holds. It may have lost its disk meanwhile, so the last report counts.
+    pub(crate) fn record_persisted(&mut self, node: &str, ballot: Ballot) {
         if let Some(replica) = self.0.get_mut(node) {
-            replica.synced = Some(ballot);
+            replica.persisted_ballot = Some(ballot);
         }
     }
 
-    /// A node asked for states by what it knows already, or did not, as one of an earlier version.
-    pub(crate) fn told_since(&mut self, node: &str, since: Option<u64>) {
+    /// Records whether a node's last request named what it knows already, as those of an earlier version don't.
+    pub(crate) fn record_since(&mut self, node: &str, since: Option<u64>) {
         if let Some(replica) = self.0.get_mut(node) {
-            replica.takes_deltas = since.is_some();
+            replica.accepts_deltas = since.is_some();
         }
     }
 
-    /// True where the last word of a node was that it takes states as differences.
-    pub(crate) fn takes_deltas(&self, node: &str) -> bool {
-        self.0.get(node).is_some_and(|replica| replica.takes_deltas)
+    /// True where a node's last request showed that it accepts states as differences.
+    pub(crate) fn accepts_deltas(&self, node: &str) -> bool {
+        self.0
+            .get(node)
+            .is_some_and(|replica| replica.accepts_deltas)
     }
 
-    pub(crate) fn heard_at(&self, node: &str) -> Duration {
+    /// When the last message came from a node; zero where none did.
+    pub(crate) fn last_heard(&self, node: &str) -> Duration {
         self.0
             .get(node)
-            .map(|replica| replica.heard_at)
+            .map(|replica| replica.last_heard)
             .unwrap_or_default()
     }
 
-    pub(crate) fn synced_ballot(&self, node: &str) -> Option<&Ballot> {
-        self.0.get(node).and_then(|replica| replica.synced.as_ref())
+    /// The ballot of the state on a node's disk, where it is known.
+    pub(crate) fn persisted_ballot(&self, node: &str) -> Option<&Ballot> {
+        self.0
+            .get(node)
+            .and_then(|replica| replica.persisted_ballot.as_ref())
     }
 }
--- a/crates/quorum-register/tests/changes.rs
+++ b/crates/quorum-register/tests/changes.rs
@@ -10,8 +10,8 @@
     let digest = protocol::digest(bytes.as_bytes());
     Change::Configuration {
         id: id.into(),
-        base: None,
-        number: Some(number),
+        base_revision: None,
+        version: Some(number),
         digest,
     }
 }
@@ -19,8 +19,8 @@
 fn configuration(id: &str, base: Option<u64>) -> Change {
     Change::Configuration {
         id: id.into(),
-        base,
-        number: None,
+        base_revision: base,
+        version: None,
         digest: protocol::digest(id.as_bytes()),
     }
 }
@@ -29,8 +29,8 @@
     Change::Evacuate {
         id: id.into(),
         locality: "north/n1".into(),
-        back,
-        seen: None,
+        restore: back,
+        confirmed_revision: None,
     }
 }
 
@@ -164,8 +164,8 @@
             since,
         },
         locality: "north/n1".into(),
-        back: false,
-        seen: None,
+        restore: false,
+        confirmed_revision: None,
     }
 }
 
@@ -306,8 +306,8 @@
     Change::Evacuate {
         id: ChangeId::default(),
         locality: locality.into(),
-        back,
-        seen: Some(seen),
+        restore: back,
+        confirmed_revision: Some(seen),
     }
 }
 
--- a/crates/quorum-register/tests/cluster/mod.rs
+++ b/crates/quorum-register/tests/cluster/mod.rs
@@ -53,12 +53,12 @@
     now: Duration,
 ) -> Node {
     let start = RegisterConfig {
-        me: name(at),
+        node: name(at),
         initial_voter_count: VOTERS,
         seed,
         durable: durable.clone(),
         configurations: configurations.clone(),
-        times: RegisterTiming::default(),
+        timing: RegisterTiming::default(),
     };
     let register = Register::new(start);
     Node {
@@ -250,8 +250,8 @@
                 );
                 let change = Change::Configuration {
                     id: id.into(),
-                    base: None,
-                    number: None,
+                    base_revision: None,
+                    version: None,
                     digest: protocol::digest(&bytes),
                 };
                 self.step(
--- a/crates/quorum-register/tests/deltas.rs
+++ b/crates/quorum-register/tests/deltas.rs
@@ -101,8 +101,8 @@
     let change = Change::Evacuate {
         id: format!("order {number}").as_str().into(),
         locality: "north/n1".into(),
-        back: number % 2 == 1,
-        seen: None,
+        restore: number % 2 == 1,
+        confirmed_revision: None,
     };
     cluster.step(
         number % VOTERS,
--- a/crates/test-harness/src/changes.rs
+++ b/crates/test-harness/src/changes.rs
@@ -148,12 +148,12 @@
 
 fn register(name: &str, trial: &Trial, seed: u64, contents: &Contents) -> Register {
     Register::new(RegisterConfig {
-        me: name.to_owned(),
+        node: name.to_owned(),
         initial_voter_count: trial.nodes,
         seed,
         durable: contents.durable.clone(),
         configurations: contents.configurations.clone(),
-        times: RegisterTiming::default(),
+        timing: RegisterTiming::default(),
     })
 }
 
@@ -349,8 +349,8 @@
             };
             let change = Change::Configuration {
                 id,
-                base: None,
-                number: None,
+                base_revision: None,
+                version: None,
                 digest,
             };
             self.step(
