--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -2,7 +2,7 @@
 //! view it publishes.
 
 mod api_adapter;
-mod core;
+mod data_node;
 mod node;
 mod pending_loads;
 mod relay;
@@ -11,7 +11,7 @@
 mod traces;
 
 pub use api_adapter::{ApiAdapter, Call, Endpoint, ListenerKind};
-pub use core::{DataNode, Effect, Event, Phase, Start, Times};
+pub use data_node::{DataNode, Effect, Event, Phase, Start, Times};
 pub use node::{Node, NodeOptions};
 pub use serve::{judge_response, service_headers};
 pub use traces::Traces;
--- a/crates/data-plane/src/shell.rs
+++ b/crates/data-plane/src/shell.rs
@@ -1,7 +1,7 @@
 //! The thin shell of a carrier: sockets and timers around its core and its node.
 
 use crate::api_adapter::{ApiAdapter, ListenerKind};
-use crate::core::{DataNode, Effect, Event, Phase, Start, Times};
+use crate::data_node::{DataNode, Effect, Event, Phase, Start, Times};
 use crate::node::{Node, NodeOptions};
 use config::{Setting, SettingType, Settings};
 use error_stack::{Report, ResultExt};
@@ -137,10 +137,10 @@
 ///
 /// ```
 /// let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap();
-/// assert_eq!(data_plane::shell::times(&settings).ask_every.as_millis(), 500);
+/// assert_eq!(data_plane::shell::times(&settings).poll_interval.as_millis(), 500);
 /// ```
 pub fn times(settings: &Settings) -> Times {
-    let ask_every = settings.duration("confirm-every-ms");
+    let poll_interval = settings.duration("confirm-every-ms");
     let membership = membership::Times {
         probe_every: settings.duration("probe-every-ms"),
         suspect_for: settings.duration("suspect-for-ms"),
@@ -148,8 +148,8 @@
     let lifetime = settings.duration("address-lifetime-ms");
     Times {
         membership,
-        ask_every,
-        answer_within: ask_every.max(Duration::from_millis(200)),
+        poll_interval,
+        answer_timeout: poll_interval.max(Duration::from_millis(200)),
         lifetime,
     }
 }
@@ -260,8 +260,8 @@
                     None => continue,
                 }
             }
-            seeds = reload.changed_seeds() => Event::Seeds(seeds),
-            _ = &mut stop, if carrier.phase() == Phase::Serving => Event::Close,
+            seeds = reload.changed_seeds() => Event::SeedsChanged(seeds),
+            _ = &mut stop, if carrier.phase() == Phase::Serving => Event::Shutdown,
         };
         let now = clock.now();
         let effects = carrier.step(now, event);
@@ -270,7 +270,7 @@
             Effect::Datagram { address, body } => transport::send_datagram(&probe, &address, body),
             Effect::Addresses(book) => {
                 links.set_addresses(book.into_iter().collect());
-                node.learn_control_nodes(carrier.postmasters());
+                node.learn_control_nodes(carrier.control_nodes());
             }
             Effect::Publish => {
                 node.publish(carrier.view().clone());
@@ -278,22 +278,22 @@
             Effect::Phase(phase) => {
                 log::info!(
                     "close: {}",
-                    if phase == Phase::Denying {
+                    if phase == Phase::Rejecting {
                         DENYING
                     } else {
                         CLOSING
                     }
                 );
-                node.close(phase == Phase::Denying);
+                node.close(phase == Phase::Rejecting);
             }
             Effect::Log(text) => log::info!("news: {text}"),
         });
         if now >= next_sweep {
             next_sweep = now + Duration::from_secs(1);
-            carrier.step(now, Event::Counted(node.sweep(now)));
+            carrier.step(now, Event::KeyLoadsCounted(node.sweep(now)));
             log::debug!("links: {:?}", links.sent_counts());
         }
-        if carrier.phase() == Phase::Denying {
+        if carrier.phase() == Phase::Rejecting {
             break;
         }
     }
--- a/crates/data-plane/tests/following.rs
+++ b/crates/data-plane/tests/following.rs
@@ -392,7 +392,7 @@
     .into_iter()
     .chain([vec![counted("r", &[1], &[1])]])
     .for_each(|loads| {
-        carrier.step(MS(40), Event::Counted(loads));
+        carrier.step(MS(40), Event::KeyLoadsCounted(loads));
     });
     let (at, first) = next(&mut carrier, 50);
     assert_eq!(
@@ -411,7 +411,10 @@
 fn counts_that_nobody_asked_for_in_long_are_dropped() {
     let mut carrier = carrier();
     (0..100).for_each(|at| {
-        carrier.step(MS(40), Event::Counted(vec![counted("s", &[at], &[1])]));
+        carrier.step(
+            MS(40),
+            Event::KeyLoadsCounted(vec![counted("s", &[at], &[1])]),
+        );
     });
     let (_, asked) = next(&mut carrier, 50);
     assert_eq!(
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -426,7 +426,7 @@
                 self.end_if_done(at);
             }
             Core::DataNode(data_node, _) => {
-                let effects = data_node.step(local, data_plane::Event::Close);
+                let effects = data_node.step(local, data_plane::Event::Shutdown);
                 self.run_data_node(at, effects);
             }
             Core::Down => {}
@@ -440,7 +440,7 @@
         }
         let denies = self.nodes[at]
             .data_node()
-            .is_some_and(|data_node| data_node.phase() == data_plane::Phase::Denying);
+            .is_some_and(|data_node| data_node.phase() == data_plane::Phase::Rejecting);
         if denies && !self.exchanges.values().any(|exchange| exchange.node == at) {
             self.kill(at);
         }
@@ -532,7 +532,7 @@
                     node.next_sweep = local + Duration::from_secs(1);
                     let counts = proxy_stats.drain_key_loads();
                     if !self.defects.drops_key_counts {
-                        data_node.step(local, Event::Counted(counts));
+                        data_node.step(local, Event::KeyLoadsCounted(counts));
                     }
                     let view = data_node.view();
                     proxy_stats.sweep(local, |instance| {
--- a/crates/simulator/src/partitions.rs
+++ b/crates/simulator/src/partitions.rs
@@ -105,7 +105,7 @@
                     drop(control.step(local, Event::SeedsChanged(seeds.clone())))
                 }
                 Core::DataNode(data_node, _) => {
-                    drop(data_node.step(local, data_plane::Event::Seeds(seeds.clone())))
+                    drop(data_node.step(local, data_plane::Event::SeedsChanged(seeds.clone())))
                 }
                 Core::Down => {}
             }
--- a/crates/simulator/src/path.rs
+++ b/crates/simulator/src/path.rs
@@ -510,7 +510,7 @@
         let node = &self.nodes[at];
         if node
             .data_node()
-            .is_some_and(|data_node| data_node.phase() == data_plane::Phase::Denying)
+            .is_some_and(|data_node| data_node.phase() == data_plane::Phase::Rejecting)
         {
             let retry_after = request_routing::retry_after_for(
                 ResultCode::ShuttingDown,
