--- a/crates/control-plane/src/api_adapter.rs
+++ b/crates/control-plane/src/api_adapter.rs
@@ -160,7 +160,7 @@
         .count("freeSlots", 0..=100_000, None)
         .zip(fields.count("beat", 1..=u64::MAX, None));
     let warm = fields.boolean("warm", false);
-    let condition = fields.text("condition").unwrap_or_default();
+    let state = fields.text("condition").unwrap_or_default();
     let holds = fields.list("holds").to_vec();
     let holder = fields.count("holder", 0..=u64::MAX, Some(0)).unwrap_or(0);
     fields.finish();
@@ -181,17 +181,17 @@
         })
     });
     let holds = holds.collect();
-    let condition = match condition.as_str() {
-        "ready" => upstream_registry::READY,
-        "leaving" => upstream_registry::DRAINING,
-        "gone" => upstream_registry::DEREGISTERED,
+    let state = match state.as_str() {
+        "ready" => protocol::UpstreamState::Ready,
+        "leaving" => protocol::UpstreamState::Draining,
+        "gone" => protocol::UpstreamState::Deregistered,
         other => {
             add_validation_error(
                 validation_errors,
                 "/condition",
                 format!("'{other}' is none of ready, leaving, gone"),
             );
-            upstream_registry::DEREGISTERED
+            protocol::UpstreamState::Deregistered
         }
     };
     let ((service, instance), (address, locality)) = ids.zip(place).unwrap_or_default();
@@ -219,7 +219,7 @@
         locality,
         free_slots,
         warm,
-        condition,
+        state: state.into(),
         beat,
         holds,
         holder,
--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -13,7 +13,6 @@
 use result_code::ResultCode;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use upstream_registry::{DEREGISTERED, READY};
 
 /// How long an acknowledgement may take: within the second that callers wait for one.
 const ACK_TIMEOUT: Duration = Duration::from_millis(700);
@@ -47,7 +46,7 @@
 pub(crate) struct Departures {
     waiting: BTreeMap<u64, PendingDeparture>,
     /// Condition, and when a majority was found to know, by service and instance.
-    known: BTreeMap<(String, String), (u32, Duration)>,
+    known: BTreeMap<(String, String), (protocol::UpstreamState, Duration)>,
     /// The digest that came with the question being answered.
     requested_digest: u64,
     /// The last write of departures, and what waits for it; nothing where it is done.
@@ -60,13 +59,13 @@
 /// Stands for a set of departures, in whatever order.
 fn digest(departures: &[Departure]) -> u64 {
     let one = |departure: &Departure| {
-        let condition = departure.condition.to_string();
+        let state = departure.state.to_string();
         stable_hash_parts([
             departure.service.as_str(),
             "/",
             &departure.instance,
             "/",
-            &condition,
+            &state,
         ])
     };
     departures
@@ -82,8 +81,8 @@
             .departures
             .known
             .get(&id)
-            .is_some_and(|(condition, _)| *condition >= upstream.condition);
-        upstream.condition != READY && !known
+            .is_some_and(|(state, _)| *state >= upstream.state());
+        upstream.state() != protocol::UpstreamState::Ready && !known
     }
 
     /// Tells every control node of a departure, and the caller once a majority of the voters knows.
@@ -203,7 +202,7 @@
     /// True where a departure is known here from now on.
     pub(crate) fn record_relayed_upstream(&mut self, now: Duration, upstream: Upstream) -> bool {
         let departure = Some(&upstream)
-            .filter(|upstream| upstream.condition != READY)
+            .filter(|upstream| upstream.state() != protocol::UpstreamState::Ready)
             .map(departure);
         if !upstream.service.is_empty() {
             self.registry.apply_heartbeat(now, upstream);
@@ -245,7 +244,7 @@
         };
         if self.departures.known.len() < MAX_KNOWN_DEPARTURES {
             let id = (upstream.service.clone(), upstream.instance.clone());
-            self.departures.known.insert(id, (upstream.condition, now));
+            self.departures.known.insert(id, (upstream.state(), now));
         }
         self.respond_to_heartbeat(now, request_id, upstream);
     }
@@ -350,14 +349,14 @@
     let Upstream {
         service,
         instance,
-        condition,
+        state,
         beat,
         ..
     } = upstream;
     Departure {
         service: service.clone(),
         instance: instance.clone(),
-        condition: *condition,
+        state: *state,
         beat: *beat,
     }
 }
@@ -369,7 +368,7 @@
         ..Upstream::default()
     });
     Upstream {
-        condition: DEREGISTERED,
+        state: protocol::UpstreamState::Deregistered.into(),
         beat: u64::MAX,
         ..known
     }
--- a/crates/control-plane/src/gossip.rs
+++ b/crates/control-plane/src/gossip.rs
@@ -110,7 +110,7 @@
             };
             // A newer beat went elsewhere, and is told from there.
             self.registry.get(now, &id).filter(|known| {
-                known.beat == *beat && known.condition != upstream_registry::DEREGISTERED
+                known.beat == *beat && known.state() != protocol::UpstreamState::Deregistered
             })
         });
         let told: Vec<Upstream> = heard
@@ -224,7 +224,7 @@
 /// wire; its mark says that it is gone, so it goes as none.
 fn encode_heartbeat_number(upstream: &Upstream) -> u64 {
     let deregistered_record =
-        upstream.condition == upstream_registry::DEREGISTERED && upstream.beat == u64::MAX;
+        upstream.state() == protocol::UpstreamState::Deregistered && upstream.beat == u64::MAX;
     if deregistered_record {
         0
     } else {
--- a/crates/control-plane/src/keys.rs
+++ b/crates/control-plane/src/keys.rs
@@ -8,8 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use upstream_registry::{
-    Heartbeat, HeldKeyRange, KeyLeaseTerms, KeyRangeAssigner, LoadHistogram, READY,
-    ReleasedKeyRange,
+    Heartbeat, HeldKeyRange, KeyLeaseTerms, KeyRangeAssigner, LoadHistogram, ReleasedKeyRange,
 };
 
 /// An upstream that heard no answer for so long asks elsewhere, and takes a later one for nothing.
@@ -124,7 +123,7 @@
         let of = |name: &str| {
             let heard = self.registry.heard_within(name, now, self.times.share_span);
             let live =
-                heard.filter(|upstream| upstream.condition != upstream_registry::DEREGISTERED);
+                heard.filter(|upstream| upstream.state() != protocol::UpstreamState::Deregistered);
             let rows = live.flat_map(|upstream| {
                 upstream.holds.iter().map(|share| KeyShare {
                     instance: upstream.instance.clone(),
@@ -195,7 +194,8 @@
 
     /// True where an upstream may be given keys.
     pub(crate) fn may_hold(&self, upstream: &Upstream) -> bool {
-        upstream.condition == READY && !self.register.state().evacuated.contains(&upstream.locality)
+        upstream.state() == protocol::UpstreamState::Ready
+            && !self.register.state().evacuated.contains(&upstream.locality)
     }
 
     fn division_inputs(
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use upstream_registry::{DEREGISTERED, KeyRangeAssigner, SlotAssigner};
+use upstream_registry::{KeyRangeAssigner, SlotAssigner};
 
 /// How long a new holder listens before it decides, so that beats and the last placement can reach it.
 const LISTEN_DURATION: Duration = Duration::from_millis(1200);
@@ -275,7 +275,7 @@
         upstream: &Upstream,
     ) -> Option<Vec<KeyShare>> {
         let epoch = self.lease.held_epoch(now)?;
-        if upstream.condition == DEREGISTERED {
+        if upstream.state() == protocol::UpstreamState::Deregistered {
             // A sign-off lists nothing and proves nothing: its sender may serve on, so its holds run out by themselves.
             return None;
         }
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -322,7 +322,7 @@
         request_id: u64,
         upstream: Upstream,
     ) {
-        let may_hold = upstream.condition != upstream_registry::DEREGISTERED;
+        let may_hold = upstream.state() != protocol::UpstreamState::Deregistered;
         let keyed = may_hold
             && self
                 .configuration
@@ -431,7 +431,7 @@
                 ("http", member.http_address.as_str().into()),
                 (
                     "condition",
-                    if member.condition == membership::ALIVE {
+                    if member.state() == protocol::MemberState::Alive {
                         "alive"
                     } else {
                         "suspect"
@@ -518,9 +518,9 @@
 }
 
 fn upstream_json(upstream: &Upstream) -> JsonValue {
-    let condition = match upstream.condition {
-        upstream_registry::READY => "ready",
-        upstream_registry::DRAINING => "leaving",
+    let state = match upstream.state() {
+        protocol::UpstreamState::Ready => "ready",
+        protocol::UpstreamState::Draining => "leaving",
         _ => "gone",
     };
     JsonValue::object([
@@ -530,7 +530,7 @@
         ("locality", upstream.locality.as_str().into()),
         ("freeSlots", u64::from(upstream.free_slots).into()),
         ("warm", upstream.warm.into()),
-        ("condition", condition.into()),
+        ("condition", state.into()),
         ("beat", upstream.beat.into()),
         ("ageMs", upstream.age_ms.into()),
     ])
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -7,7 +7,6 @@
 
 use crate::node::{CONTROL_NODE_ROLE, ControlNode, ControlResponse, Effect};
 use config::JsonValue;
-use membership::ALIVE;
 use protocol::majority;
 use protocol::{Payload, VoterLeaving};
 use quorum_register::{Change, Event};
@@ -191,7 +190,7 @@
         let voter_set = self.register.voter_set();
         let others = self.members.iter().filter(|member| {
             member.roles == CONTROL_NODE_ROLE
-                && member.condition == ALIVE
+                && member.state() == protocol::MemberState::Alive
                 && !voter_set.contains(&member.node)
         });
         let heard = others.filter(|member| {
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -274,7 +274,8 @@
             }
         });
         let upstreams = view.upstreams.values().flat_map(|service| service.values());
-        let at_work = upstreams.filter(|upstream| upstream.condition == upstream_registry::READY);
+        let at_work =
+            upstreams.filter(|upstream| upstream.state() == protocol::UpstreamState::Ready);
         vouched.then(|| at_work.map(|upstream| upstream.instance.clone()).collect())
     }
 
@@ -333,14 +334,14 @@
     })
 }
 
-fn beat(number: u64, condition: u32) -> Upstream {
+fn beat(number: u64, state: protocol::UpstreamState) -> Upstream {
     Upstream {
         service: "s".into(),
         instance: "u".into(),
         address: "127.0.0.1:9".into(),
         locality: "north/a".into(),
         beat: number,
-        condition,
+        state: state.into(),
         free_slots: 4,
         ..Upstream::default()
     }
@@ -368,10 +369,10 @@
     vec![
         ControlRequest::ReadConfiguration,
         evacuate(&format!("order-{turn}")),
-        ControlRequest::Heartbeat(beat(turn + 2, upstream_registry::READY)),
+        ControlRequest::Heartbeat(beat(turn + 2, protocol::UpstreamState::Ready)),
         ControlRequest::Heartbeat(Upstream {
             instance: "leaver".into(),
-            ..beat(turn + 2, upstream_registry::DRAINING)
+            ..beat(turn + 2, protocol::UpstreamState::Draining)
         }),
         ControlRequest::Deregister {
             instance: "u".into(),
@@ -408,7 +409,7 @@
                 let mut site = Site::settled();
                 site.answer(
                     0,
-                    ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+                    ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
                 );
                 let at = if holder {
                     site.holder()
@@ -461,14 +462,14 @@
             let mut site = Site::settled();
             site.answer(
                 0,
-                ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+                ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
             );
             let at = site.bystander();
             site.cut_off(at, hears, speaks);
             let asks = [
                 ControlRequest::ReadConfiguration,
                 evacuate("order"),
-                ControlRequest::Heartbeat(beat(2, upstream_registry::DRAINING)),
+                ControlRequest::Heartbeat(beat(2, protocol::UpstreamState::Draining)),
                 ControlRequest::Deregister {
                     instance: "u".into(),
                 },
@@ -610,7 +611,7 @@
     let mut site = Site::settled();
     site.answer(
         0,
-        ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+        ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
     );
     let other = |at: usize| (at + 1) % NODES.len();
     // What is said of upstreams between two nodes gets lost, both ways; confirmations don't.
@@ -624,7 +625,7 @@
     let at = other(0);
     assert!(acknowledged(&site.answer(
         at,
-        ControlRequest::Heartbeat(beat(2, upstream_registry::DRAINING))
+        ControlRequest::Heartbeat(beat(2, protocol::UpstreamState::Draining))
     )));
     site.run_for(600);
     assert_eq!(site.condition(3, "u").as_deref(), Some("leaving"));
@@ -649,7 +650,7 @@
     site.cuts.remove(&(reached, at));
     let response = site.answer(
         at,
-        ControlRequest::Heartbeat(beat(2, upstream_registry::DRAINING)),
+        ControlRequest::Heartbeat(beat(2, protocol::UpstreamState::Draining)),
     );
     assert!(
         response.is_some() && !acknowledged(&response),
@@ -658,7 +659,7 @@
     // It told whom it could, and that one gets it acknowledged.
     let request_id = site.ask(
         reached,
-        ControlRequest::Heartbeat(beat(3, upstream_registry::DRAINING)),
+        ControlRequest::Heartbeat(beat(3, protocol::UpstreamState::Draining)),
     );
     let asked_at = site.now;
     site.run_for(200);
@@ -681,7 +682,7 @@
     )));
     site.answer(
         2,
-        ControlRequest::Heartbeat(beat(9, upstream_registry::READY)),
+        ControlRequest::Heartbeat(beat(9, protocol::UpstreamState::Ready)),
     );
     site.run_for(600);
     (0..NODES.len()).for_each(|at| {
@@ -700,7 +701,7 @@
     let mut site = Site::settled();
     site.answer(
         0,
-        ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+        ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
     );
     let at = site.bystander();
     site.cut_off(at, false, false);
@@ -725,7 +726,7 @@
     let mut site = Site::settled();
     site.answer(
         0,
-        ControlRequest::Heartbeat(beat(1, upstream_registry::READY)),
+        ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
     );
     site.run_for(600);
     site.split(&[3, 4]);
@@ -747,7 +748,7 @@
         instance: "unknown".into(),
     };
     [
-        ControlRequest::Heartbeat(beat(2, upstream_registry::DRAINING)),
+        ControlRequest::Heartbeat(beat(2, protocol::UpstreamState::Draining)),
         ControlRequest::Deregister {
             instance: "u".into(),
         },
@@ -760,9 +761,9 @@
     match departure {
         ControlRequest::Deregister { instance } => Upstream {
             instance: instance.clone(),
-            ..beat(1, upstream_registry::READY)
+            ..beat(1, protocol::UpstreamState::Ready)
         },
-        _ => beat(1, upstream_registry::READY),
+        _ => beat(1, protocol::UpstreamState::Ready),
     }
 }
 
--- a/crates/control-plane/tests/gossip.rs
+++ b/crates/control-plane/tests/gossip.rs
@@ -66,14 +66,14 @@
     control
 }
 
-fn unit(beat: u64, condition: u32) -> Upstream {
+fn unit(beat: u64, state: protocol::UpstreamState) -> Upstream {
     Upstream {
         service: "s".into(),
         instance: "u".into(),
         address: "127.0.0.1:9".into(),
         locality: "north/n1".into(),
         beat,
-        condition,
+        state: state.into(),
         free_slots: 4,
         ..Upstream::default()
     }
@@ -150,14 +150,14 @@
 #[test]
 fn news_goes_to_all_at_once_and_what_goes_on_in_batches_by_turns() {
     let mut a = control("a");
-    let told: Vec<String> = beat(&mut a, 1000, unit(1, upstream_registry::READY))
+    let told: Vec<String> = beat(&mut a, 1000, unit(1, protocol::UpstreamState::Ready))
         .into_iter()
         .map(|(to, _)| to)
         .collect();
     assert_eq!(told, ["b", "c", "d"]);
     ticked(&mut a, 1000, 1400);
     assert_eq!(
-        beat(&mut a, 1400, unit(2, upstream_registry::READY)),
+        beat(&mut a, 1400, unit(2, protocol::UpstreamState::Ready)),
         vec![]
     );
     let told = ticked(&mut a, 1450, 2500);
@@ -180,7 +180,7 @@
             .all(|(_, body)| matches!(body, Payload::HeartbeatDigest(_))),
         "nothing in full"
     );
-    let told: Vec<String> = beat(&mut a, 2500, unit(3, upstream_registry::DEREGISTERED))
+    let told: Vec<String> = beat(&mut a, 2500, unit(3, protocol::UpstreamState::Deregistered))
         .into_iter()
         .map(|(to, _)| to)
         .collect();
@@ -191,15 +191,15 @@
 fn lost_news_and_a_lost_farewell_are_asked_for_with_the_next_batch() {
     let (mut a, mut c, mut d) = (control("a"), control("c"), control("d"));
     [
-        (1, upstream_registry::READY),
-        (2, upstream_registry::DRAINING),
-        (3, upstream_registry::DEREGISTERED),
+        (1, protocol::UpstreamState::Ready),
+        (2, protocol::UpstreamState::Draining),
+        (3, protocol::UpstreamState::Deregistered),
     ]
     .into_iter()
-    .for_each(|(number, condition)| {
+    .for_each(|(number, state)| {
         let at = 1000 * number;
         // What is told at once gets lost.
-        beat(&mut a, at, unit(number, condition));
+        beat(&mut a, at, unit(number, state));
         let told = ticked(&mut a, at, at + 600);
         let (to, alive) = batches(&told)
             .into_iter()
@@ -266,8 +266,8 @@
             panic!("{record:?}")
         };
         assert_eq!(
-            (beats.upstreams[0].beat, beats.upstreams[0].condition),
-            (number, condition)
+            (beats.upstreams[0].beat, beats.upstreams[0].state()),
+            (number, state)
         );
         said(
             other,
@@ -298,7 +298,7 @@
             .expect("a batch to the south");
         (far.0.to_owned(), far.1.clone())
     };
-    beat(&mut a, 1000, unit(1, upstream_registry::READY));
+    beat(&mut a, 1000, unit(1, protocol::UpstreamState::Ready));
     let (_, ready) = batch_to_the_south(&ticked(&mut a, 1000, 1600));
     // What is told at once gets lost.
     said(
@@ -332,7 +332,7 @@
         2500,
         Event::ControlRequest {
             request_id: 2500,
-            request: ControlRequest::Heartbeat(unit(9, upstream_registry::READY)),
+            request: ControlRequest::Heartbeat(unit(9, protocol::UpstreamState::Ready)),
         },
     );
     let answers = said(
@@ -367,8 +367,8 @@
         panic!("{record:?}")
     };
     assert_eq!(
-        (beats.upstreams[0].beat, beats.upstreams[0].condition),
-        (u64::MAX, upstream_registry::DEREGISTERED)
+        (beats.upstreams[0].beat, beats.upstreams[0].state()),
+        (u64::MAX, protocol::UpstreamState::Deregistered)
     );
     said(
         near,
@@ -429,7 +429,7 @@
     let answer = |life: u64| Event::Received {
         from: "b".into(),
         body: Payload::UpstreamsReply(UpstreamsReply {
-            upstreams: vec![unit(1, 0)],
+            upstreams: vec![unit(1, protocol::UpstreamState::Ready)],
             life,
             ..Default::default()
         }),
--- a/crates/data-plane/src/data_node.rs
+++ b/crates/data-plane/src/data_node.rs
@@ -252,6 +252,6 @@
         node: member.node.clone(),
         locality: member.locality.parse().ok()?,
         address: member.http_address.clone(),
-        suspect: member.condition != membership::ALIVE,
+        suspect: member.state() != protocol::MemberState::Alive,
     })
 }
--- a/crates/data-plane/src/data_node/source.rs
+++ b/crates/data-plane/src/data_node/source.rs
@@ -55,7 +55,7 @@
             let locality: Locality = member.locality.parse().unwrap_or_default();
             let tie_breaker = random::stable_hash(&format!("{own_node}{}", member.node));
             (
-                member.condition != membership::ALIVE,
+                member.state() != protocol::MemberState::Alive,
                 locality.region != here.region,
                 locality != here,
                 tie_breaker,
@@ -90,7 +90,7 @@
         let own_zone = &self.me.locality;
         let has_local_source = self.control_nodes.first().is_some_and(|nearest| {
             nearest.locality == *own_zone
-                && nearest.condition == membership::ALIVE
+                && nearest.state() == protocol::MemberState::Alive
                 && nearest.node != *source
         });
         let is_away = self
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,8 +1,8 @@
 //! How records of members spread: what each message tells on, and how two tables are made alike.
 
 use crate::members::{folded, mark, supersedes, unfolded};
-use crate::{ALIVE, Effect, GONE, Known, Membership};
-use protocol::{Member, Payload, ProbeReply};
+use crate::{Effect, Known, Membership};
+use protocol::{Member, MemberState, Payload, ProbeReply};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         let others = self
             .known
             .values()
-            .filter(|known| known.member.condition < GONE);
+            .filter(|known| known.member.state() < MemberState::Dead);
         others
             .map(|known| (&known.member, known.mark))
             .chain([(&self.me, mark(&self.me))])
@@ -55,7 +55,7 @@
         let often = self.often();
         let doubt = about
             .and_then(|node| self.known.get(node))
-            .filter(|known| known.member.condition != ALIVE);
+            .filter(|known| known.member.state() != MemberState::Alive);
         let mut members: Vec<Member> = doubt
             .map(|known| folded(&known.member))
             .into_iter()
@@ -150,7 +150,7 @@
             // Whatever is told of this node is refuted by a higher incarnation, unless it is what it says itself.
             if member.incarnation >= self.me.incarnation
                 && member != self.me
-                && self.me.condition == ALIVE
+                && self.me.state() == MemberState::Alive
             {
                 self.me.incarnation = member.incarnation + 1;
                 self.me_told = 0;
@@ -161,7 +161,8 @@
             .known
             .get(&member.node)
             .map(|known| supersedes(&member, &known.member));
-        let fresh = newer.unwrap_or(member.condition < GONE && self.known.len() < MAX_MEMBERS);
+        let fresh =
+            newer.unwrap_or(member.state() < MemberState::Dead && self.known.len() < MAX_MEMBERS);
         if fresh && locality::is_valid_id(&member.node) {
             self.mind_region(&member);
             let mark = mark(&member);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,11 +9,11 @@
 mod members;
 mod probing;
 
-pub use members::{ALIVE, GONE, LEFT, SUSPECT, supersedes};
+pub use members::supersedes;
 
 use dissemination::{MAX_MARKS, with};
 use members::unfolded;
-use protocol::{IndirectProbe, Member, Payload, Probe, ProbeReply};
+use protocol::{IndirectProbe, Member, MemberState, Payload, Probe, ProbeReply};
 use random::Random;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -124,7 +124,7 @@
         let mut membership = Membership {
             me: unfolded(Member {
                 incarnation: me.incarnation.max(1),
-                condition: ALIVE,
+                state: MemberState::Alive.into(),
                 ..me
             }),
             me_told: 0,
@@ -204,7 +204,7 @@
             .known
             .values()
             .map(|known| &known.member)
-            .filter(|member| member.condition < GONE)
+            .filter(|member| member.state() < MemberState::Dead)
             .collect();
         all.push(&self.me);
         all.sort_by(|a, b| a.node.cmp(&b.node));
@@ -221,7 +221,7 @@
             let waking = self
                 .known
                 .values_mut()
-                .filter(|known| known.member.condition == SUSPECT);
+                .filter(|known| known.member.state() == MemberState::Suspect);
             waking.for_each(|known| known.since = now);
         }
         self.last_tick = now;
@@ -307,7 +307,7 @@
 
     /// Says good-bye to everybody.
     fn leave(&mut self) {
-        self.me.condition = LEFT;
+        self.me.state = MemberState::Left.into();
         self.me_told = 0;
         let addresses: Vec<String> = self
             .members()
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -3,29 +3,20 @@
 use protocol::{Member, Message};
 use random::Random;
 
-/// It answers.
-pub const ALIVE: u32 = 0;
-/// It was silent to its prober and to third parties.
-pub const SUSPECT: u32 = 1;
-/// It did not refute in time.
-pub const GONE: u32 = 2;
-/// It said good-bye.
-pub const LEFT: u32 = 3;
-
 /// True where `told` is newer than `known`: a higher incarnation, or the worse condition in the same one.
 ///
 /// ```
-/// use protocol::Member;
-/// use membership::{ALIVE, SUSPECT, supersedes};
-/// let alive = Member { incarnation: 3, condition: ALIVE, ..Default::default() };
-/// let suspect = Member { incarnation: 3, condition: SUSPECT, ..Default::default() };
-/// let refuted = Member { incarnation: 4, condition: ALIVE, ..Default::default() };
+/// use protocol::{Member, MemberState};
+/// use membership::supersedes;
+/// let alive = Member { incarnation: 3, state: MemberState::Alive.into(), ..Default::default() };
+/// let suspect = Member { incarnation: 3, state: MemberState::Suspect.into(), ..Default::default() };
+/// let refuted = Member { incarnation: 4, state: MemberState::Alive.into(), ..Default::default() };
 /// assert!(supersedes(&suspect, &alive));
 /// assert!(supersedes(&refuted, &suspect));
 /// assert!(!supersedes(&alive, &suspect));
 /// ```
 pub fn supersedes(told: &Member, known: &Member) -> bool {
-    (told.incarnation, told.condition) > (known.incarnation, known.condition)
+    (told.incarnation, told.state) > (known.incarnation, known.state)
 }
 
 /// A number for all that a record says: equal records have the same on every node.
--- a/crates/membership/src/probing.rs
+++ b/crates/membership/src/probing.rs
@@ -1,8 +1,8 @@
 //! Failure detection: whom to probe next, second opinions, and when a silent node is suspect or gone.
 
 use crate::members::{distance, folded};
-use crate::{ALIVE, Effect, GONE, Known, Membership, Probing, SUSPECT};
-use protocol::{IndirectProbe, Member, Payload, Probe, ProbeReply};
+use crate::{Effect, Known, Membership, Probing};
+use protocol::{IndirectProbe, Member, MemberState, Payload, Probe, ProbeReply};
 use std::time::Duration;
 
 /// How many third parties are asked for a second opinion.
@@ -35,7 +35,9 @@
             let mut others: Vec<String> = self
                 .known
                 .values()
-                .filter(|known| known.member.condition == ALIVE && known.member.node != node)
+                .filter(|known| {
+                    known.member.state() == MemberState::Alive && known.member.node != node
+                })
                 .map(|known| known.member.probe_address.clone())
                 .collect();
             while others.len() > SECOND_OPINIONS {
@@ -65,12 +67,12 @@
             .map(|known| known.member.clone());
         suspect
             .into_iter()
-            .filter(|member| member.condition == ALIVE)
+            .filter(|member| member.state() == MemberState::Alive)
             .for_each(|member| {
                 self.learn(
                     now,
                     Member {
-                        condition: SUSPECT,
+                        state: MemberState::Suspect.into(),
                         ..member
                     },
                 );
@@ -87,15 +89,18 @@
         let due: Vec<Member> = self
             .known
             .values()
-            .filter(|known| known.member.condition == SUSPECT && now >= known.since + patience)
+            .filter(|known| {
+                known.member.state() == MemberState::Suspect && now >= known.since + patience
+            })
             .map(|known| Member {
-                condition: GONE,
+                state: MemberState::Dead.into(),
                 ..known.member.clone()
             })
             .collect();
         due.into_iter().for_each(|member| self.learn(now, member));
-        self.known
-            .retain(|_, known| known.member.condition < GONE || now < known.since + REMEMBERED);
+        self.known.retain(|_, known| {
+            known.member.state() < MemberState::Dead || now < known.since + REMEMBERED
+        });
     }
 
     pub(crate) fn probe_next(&mut self, now: Duration) {
@@ -104,7 +109,7 @@
         let there = self
             .known
             .values()
-            .filter(|known| known.member.condition < GONE);
+            .filter(|known| known.member.state() < MemberState::Dead);
         there.for_each(|known| {
             all[distance(&self.me, &known.member)].push(known.member.node.clone())
         });
@@ -128,7 +133,7 @@
             let known = self
                 .known
                 .get(&node)
-                .filter(|known| known.member.condition < GONE);
+                .filter(|known| known.member.state() < MemberState::Dead);
             known.map(|known| (node, known.member.probe_address.clone()))
         });
         next.into_iter().for_each(|(node, address)| {
@@ -152,7 +157,7 @@
         let known = self
             .known
             .values()
-            .filter(|known| known.member.condition < GONE);
+            .filter(|known| known.member.state() < MemberState::Dead);
         let mut all: Vec<String> = known
             .map(|known| known.member.probe_address.clone())
             .collect();
@@ -177,13 +182,13 @@
     pub(crate) fn probe_seed(&mut self) {
         let reached = |address: &String| {
             self.known.values().any(|known| {
-                known.member.condition < GONE && known.member.probe_address == *address
+                known.member.state() < MemberState::Dead && known.member.probe_address == *address
             })
         };
         let gone = self
             .known
             .values()
-            .filter(|known| known.member.condition == GONE);
+            .filter(|known| known.member.state() == MemberState::Dead);
         let mut lost: Vec<String> = self.seeds.clone();
         lost.extend(gone.map(|known| known.member.probe_address.clone()));
         lost.retain(|address| !reached(address));
@@ -256,11 +261,12 @@
 
     /// Where one of another region falls silent, others there may have: they are looked at next.
     pub(crate) fn mind_region(&mut self, member: &Member) {
-        if member.condition != SUSPECT || distance(&self.me, member) < 2 {
+        if member.state() != MemberState::Suspect || distance(&self.me, member) < 2 {
             return;
         }
-        let alive =
-            |known: &&Known| known.member.condition == ALIVE && known.member.node != member.node;
+        let alive = |known: &&Known| {
+            known.member.state() == MemberState::Alive && known.member.node != member.node
+        };
         let others = self
             .known
             .values()
--- a/crates/membership/tests/arbitrary.rs
+++ b/crates/membership/tests/arbitrary.rs
@@ -100,7 +100,7 @@
             nodes.iter().for_each(|node| {
                 let alive: Vec<&str> = node
                     .members()
-                    .filter(|m| m.condition == membership::ALIVE)
+                    .filter(|m| m.state() == protocol::MemberState::Alive)
                     .map(|m| m.node.as_str())
                     .collect();
                 assert_eq!(alive, (0..NODES).map(name).collect::<Vec<_>>());
--- a/crates/membership/tests/table.rs
+++ b/crates/membership/tests/table.rs
@@ -1,6 +1,6 @@
 //! How fast a site of some size learns of its members, and how many bytes that takes.
 
-use membership::{ALIVE, Effect, Event, Membership, Times};
+use membership::{Effect, Event, Membership, Times};
 use protocol::{Envelope, Member, Message, Payload};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -121,7 +121,7 @@
         let up = self.nodes.iter().flatten().count();
         let alive = |node: &Membership| {
             node.members()
-                .filter(|member| member.condition == ALIVE)
+                .filter(|member| member.state() == protocol::MemberState::Alive)
                 .count()
         };
         let all = |node: &Membership| node.members().count();
--- a/crates/name-directory/src/placement.rs
+++ b/crates/name-directory/src/placement.rs
@@ -2,7 +2,7 @@
 
 use crate::view::is_allowed_in;
 use config::Configuration;
-use protocol::{Placement, Reservation, ServiceKeyShares, Tombstone, Upstream};
+use protocol::{Placement, Reservation, ServiceKeyShares, Tombstone, Upstream, UpstreamState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -149,7 +149,7 @@
         needs
             .upstreams
             .iter()
-            .filter(|upstream| upstream.condition == 0)
+            .filter(|upstream| upstream.state() == UpstreamState::Ready)
             .fold(BTreeMap::new(), |mut sums, up| {
                 *sums
                     .entry((up.service.as_str(), up.locality.as_str()))
--- a/crates/name-directory/src/view.rs
+++ b/crates/name-directory/src/view.rs
@@ -2,7 +2,7 @@
 
 use config::{Configuration, Service, ValidationError};
 use locality::Locality;
-use protocol::{KeyShare, Placement, Reservation, Tombstone, Upstream, ViewUpdate};
+use protocol::{KeyShare, Placement, Reservation, Tombstone, Upstream, UpstreamState, ViewUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -96,12 +96,12 @@
     /// cannot be read is a failure of the sender, and nothing is taken in.
     ///
     /// ```
-    /// use protocol::{ViewUpdate, Upstream};
+    /// use protocol::{ViewUpdate, Upstream, UpstreamState};
     /// let mut view = name_directory::View::default();
     /// let ready = Upstream { service: "s".into(), instance: "a".into(), ..Default::default() };
     /// view.apply_update(ViewUpdate { upstreams: vec![ready.clone()], ..Default::default() }, true).unwrap();
     /// assert_eq!(view.upstreams["s"].len(), 1);
-    /// view.apply_update(ViewUpdate { upstreams: vec![Upstream { condition: 2, ..ready }], ..Default::default() }, false).unwrap();
+    /// view.apply_update(ViewUpdate { upstreams: vec![Upstream { state: 2, ..ready }], ..Default::default() }, false).unwrap();
     /// assert!(view.upstreams["s"].is_empty());
     /// ```
     pub fn apply_update(
@@ -129,7 +129,7 @@
             news.upstreams.into_iter().for_each(|upstream| {
                 if upstream.service.is_empty() {
                     // It signed off where nobody knew its service.
-                    let gone = upstream.condition >= 2;
+                    let gone = upstream.state() >= UpstreamState::Deregistered;
                     known
                         .values_mut()
                         .filter(|_| gone)
@@ -137,7 +137,7 @@
                     return;
                 }
                 let service = known.entry(upstream.service.clone()).or_default();
-                if upstream.condition >= 2 {
+                if upstream.state() >= UpstreamState::Deregistered {
                     service.remove(&upstream.instance);
                 } else {
                     service.insert(upstream.instance.clone(), Arc::new(upstream));
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -5,6 +5,7 @@
 mod frames;
 mod kinds;
 mod messages;
+mod states;
 mod voters;
 
 pub use compress::{MAX_CONFIGURATION_BYTES, compress, decompress};
@@ -12,6 +13,7 @@
 pub use kinds::kind;
 pub use messages::*;
 pub use prost::Message;
+pub use states::{MemberState, UpstreamState};
 pub use voters::{VoterSet, majority};
 
 use sha2::{Digest, Sha256};
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -403,7 +403,7 @@
     pub incarnation: u64,
     /// 0 alive, 1 suspect, 2 gone, 3 left.
     #[prost(uint32, tag = "3")]
-    pub condition: u32,
+    pub state: u32,
     #[prost(string, tag = "4")]
     pub locality: String,
     /// `postmaster`, or the carrier's roles with commas.
@@ -524,7 +524,7 @@
     pub warm: bool,
     /// 0 ready, 1 leaving, 2 gone (signed off, replaced or silent too long).
     #[prost(uint32, tag = "7")]
-    pub condition: u32,
+    pub state: u32,
     #[prost(uint64, tag = "8")]
     pub beat: u64,
     /// How old this beat is at its sender.
@@ -588,7 +588,7 @@
     #[prost(string, tag = "2")]
     pub instance: String,
     #[prost(uint32, tag = "3")]
-    pub condition: u32,
+    pub state: u32,
     /// Its last beat: one that goes on beating was given up wrongly.
     #[prost(uint64, tag = "4")]
     pub beat: u64,
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -96,13 +96,13 @@
         Departure {
             service: format!("service-{base}"),
             instance: format!("instance-{base}"),
-            condition: 1,
+            state: 1,
             beat: base + 1,
         },
         Departure {
             service: format!("other-service-{base}"),
             instance: format!("other-instance-{base}"),
-            condition: 2,
+            state: 2,
             beat: base + 2,
         },
     ]
@@ -110,15 +110,15 @@
 
 /// Members of every state, numbered 0 to 3 on the wire.
 fn members(base: u64) -> Vec<Member> {
-    let member = |condition: u32| Member {
-        node: format!("node-{base}-{condition}"),
-        incarnation: base + u64::from(condition),
-        condition,
-        locality: format!("eu-west/{base}-{condition}"),
+    let member = |state: u32| Member {
+        node: format!("node-{base}-{state}"),
+        incarnation: base + u64::from(state),
+        state,
+        locality: format!("eu-west/{base}-{state}"),
         roles: "postmaster".into(),
-        probe_address: format!("10.0.0.{condition}:{base}"),
-        link_address: format!("10.0.1.{condition}:{base}"),
-        http_address: format!("10.0.2.{condition}:{base}"),
+        probe_address: format!("10.0.0.{state}:{base}"),
+        link_address: format!("10.0.1.{state}:{base}"),
+        http_address: format!("10.0.2.{state}:{base}"),
     };
     (0..4).map(member).collect()
 }
@@ -133,7 +133,7 @@
     }
 }
 
-fn upstream(base: u32, condition: u32) -> Upstream {
+fn upstream(base: u32, state: u32) -> Upstream {
     Upstream {
         service: format!("service-{base}"),
         instance: format!("instance-{base}"),
@@ -141,7 +141,7 @@
         locality: format!("eu-west/u{base}"),
         free_slots: base + 1,
         warm: true,
-        condition,
+        state,
         beat: u64::from(base) + 2,
         age_ms: u64::from(base) + 3,
         holds: vec![key_share(base + 4), key_share(base + 5)],
@@ -155,7 +155,7 @@
 /// Upstreams of every state, numbered 0 to 2 on the wire.
 fn upstreams(base: u32) -> Vec<Upstream> {
     (0..3)
-        .map(|condition| upstream(base + 20 * condition, condition))
+        .map(|state| upstream(base + 20 * state, state))
         .collect()
 }
 
--- a/crates/request-routing/src/selection.rs
+++ b/crates/request-routing/src/selection.rs
@@ -42,9 +42,6 @@
 /// Costs are compared in tenths of a millisecond.
 const COST_UNITS_PER_MS: f64 = 10.0;
 
-/// The condition of an upstream that takes requests (others are draining or deregistered).
-const READY: u32 = 0;
-
 /// The order of selection, smallest first. The order of the fields is the order of comparison.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
@@ -153,7 +150,7 @@
 
     /// What keeps the request from an upstream, whenever it is asked: at selection, and just before the first byte.
     pub(crate) fn reject_reason(&self, upstream: &Upstream) -> Option<RejectReason> {
-        if upstream.condition != READY {
+        if upstream.state() != protocol::UpstreamState::Ready {
             return Some(RejectReason::Draining);
         }
         if self.view.evacuated.contains(&upstream.locality) {
--- a/crates/request-routing/tests/not_written.rs
+++ b/crates/request-routing/tests/not_written.rs
@@ -94,7 +94,7 @@
     let gone = Upstream {
         service: "slots".into(),
         instance: first.clone(),
-        condition: 2,
+        state: 2,
         ..Upstream::default()
     };
     view.apply_update(
--- a/crates/simulator/src/breaking.rs
+++ b/crates/simulator/src/breaking.rs
@@ -438,7 +438,7 @@
             Fault::RollUpstreams(upstreams) | Fault::DeregisterBeforeDraining(upstreams) => {
                 upstreams.into_iter().for_each(|upstream| {
                     let upstream = self.upstream_index(upstream);
-                    if self.upstreams[upstream].condition == upstream_registry::DRAINING {
+                    if self.upstreams[upstream].state == protocol::UpstreamState::Draining {
                         self.crash_upstream(upstream);
                         let work = self.upstreams[upstream].work;
                         self.replace_upstream(upstream, work, true);
@@ -562,10 +562,10 @@
 
     /// An upstream tells that it leaves.
     fn leave(&mut self, upstream: usize) {
-        self.upstreams[upstream].condition = if self.defects.drains_unannounced {
-            upstream_registry::READY
+        self.upstreams[upstream].state = if self.defects.drains_unannounced {
+            protocol::UpstreamState::Ready
         } else {
-            upstream_registry::DRAINING
+            protocol::UpstreamState::Draining
         };
         let instance = self.upstreams[upstream].instance.clone();
         self.note(Observation::UpstreamDraining { instance });
--- a/crates/simulator/src/deregistration.rs
+++ b/crates/simulator/src/deregistration.rs
@@ -10,10 +10,10 @@
         let control_nodes = self.control_nodes();
         let first = control_nodes[self.random.below(control_nodes.len() as u64) as usize];
         let upstream = &mut self.upstreams[at];
-        if !upstream.up || upstream.condition != upstream_registry::READY {
+        if !upstream.up || upstream.state != protocol::UpstreamState::Ready {
             return;
         }
-        upstream.condition = upstream_registry::DRAINING;
+        upstream.state = protocol::UpstreamState::Draining;
         upstream.draining_node = Some(first);
         upstream.deregistered = true;
         self.send_heartbeat(at);
--- a/crates/simulator/src/partitions.rs
+++ b/crates/simulator/src/partitions.rs
@@ -160,12 +160,12 @@
         self.end_evacuation(zone);
         let ready = |upstream: &usize| {
             self.upstreams[*upstream].up
-                && self.upstreams[*upstream].condition == upstream_registry::READY
+                && self.upstreams[*upstream].state == protocol::UpstreamState::Ready
         };
         let ready: Vec<usize> = (0..self.upstreams.len()).filter(ready).collect();
         (0..DRAINING_AT_ONCE.min(ready.len())).for_each(|_| {
             let upstream = ready[self.random.below(ready.len() as u64) as usize];
-            self.upstreams[upstream].condition = upstream_registry::DRAINING;
+            self.upstreams[upstream].state = protocol::UpstreamState::Draining;
             self.upstreams[upstream].draining_node = Some(node);
             self.send_heartbeat(upstream);
         });
@@ -238,7 +238,7 @@
                 Confirmation::Command
             }
             ControlRequest::Heartbeat(upstream)
-                if upstream.condition == upstream_registry::READY =>
+                if upstream.state() == protocol::UpstreamState::Ready =>
             {
                 Confirmation::Heartbeat
             }
--- a/crates/simulator/src/upstreams.rs
+++ b/crates/simulator/src/upstreams.rs
@@ -26,7 +26,7 @@
     pub place: Endpoint,
     pub up: bool,
     pub incarnation: u64,
-    pub condition: u32,
+    pub state: protocol::UpstreamState,
     pub warm: bool,
     pub heartbeat: u64,
     /// The control node that it says its leaving to first, and when one acknowledged it.
@@ -88,7 +88,7 @@
             },
             up: true,
             incarnation: 1,
-            condition: upstream_registry::READY,
+            state: protocol::UpstreamState::Ready,
             warm,
             heartbeat: 0,
             draining_node: None,
@@ -128,7 +128,7 @@
         upstream.incarnation = incarnation;
         upstream.instance = format!("{}-{at}-{incarnation}", work.service);
         upstream.up = true;
-        upstream.condition = upstream_registry::READY;
+        upstream.state = protocol::UpstreamState::Ready;
         upstream.warm = warm;
         upstream.heartbeat = 0;
         (
@@ -236,7 +236,7 @@
             locality: upstream.place.locality.clone(),
             free_slots: self.load.slots.saturating_sub(upstream.busy),
             warm: upstream.warm,
-            condition: upstream.condition,
+            state: upstream.state.into(),
             beat: upstream.heartbeat,
             holder: upstream.holder,
             holds: holds.chain(upstream.range_leases.listed(now)).collect(),
@@ -333,7 +333,7 @@
     fn draining_acknowledged(&mut self, upstream: usize, incarnation: u64) {
         let upstream = &mut self.upstreams[upstream];
         if upstream.incarnation == incarnation
-            && upstream.condition == upstream_registry::DRAINING
+            && upstream.state == protocol::UpstreamState::Draining
             && upstream.draining_acked_at.is_none()
         {
             upstream.draining_acked_at = Some(self.now);
--- a/crates/storage/src/departures.rs
+++ b/crates/storage/src/departures.rs
@@ -80,7 +80,7 @@
     /// use std::time::Duration;
     /// let folder = std::env::temp_dir().join(format!("storage-departures-{}", std::process::id()));
     /// let (storage, _) = storage::Storage::open(&folder).unwrap();
-    /// let leaves = protocol::Departure { instance: "a".into(), condition: 1, ..Default::default() };
+    /// let leaves = protocol::Departure { instance: "a".into(), state: 1, ..Default::default() };
     /// let now = Duration::from_secs(3600);
     /// let mut log = storage.departure_log(now).0;
     /// log.keep(vec![leaves.clone()], now).unwrap();
--- a/crates/storage/tests/failures.rs
+++ b/crates/storage/tests/failures.rs
@@ -284,7 +284,7 @@
     (0..count)
         .map(|at| Departure {
             instance: format!("unit-{at}"),
-            condition: 1,
+            state: 1,
             ..Default::default()
         })
         .collect()
--- a/crates/storage/tests/recorded_folder.rs
+++ b/crates/storage/tests/recorded_folder.rs
@@ -12,10 +12,10 @@
 use storage::{Contents, Storage};
 
 fn departures() -> Vec<Departure> {
-    let departure = |instance: &str, condition, beat| Departure {
+    let departure = |instance: &str, state, beat| Departure {
         service: "slots".into(),
         instance: instance.into(),
-        condition,
+        state,
         beat,
     };
     vec![departure("slots-3", 1, 42), departure("slots-4", 2, 52)]
--- a/crates/upstream-registry/src/lib.rs
+++ b/crates/upstream-registry/src/lib.rs
@@ -31,7 +31,5 @@
     MAX_HANDOVER_TOKEN_BYTES, MAX_INSTANCES, MAX_RANGES, MAX_RANGES_PER_HEARTBEAT,
     ReleasedKeyRange,
 };
-pub use registry::{
-    DEREGISTERED, DRAINING, READY, UpstreamRegistry, digest, is_deregistered_digest,
-};
+pub use registry::{UpstreamRegistry, digest, is_deregistered_digest};
 pub use slots::SlotAssigner;
--- a/crates/upstream-registry/src/registry/addresses.rs
+++ b/crates/upstream-registry/src/registry/addresses.rs
@@ -1,9 +1,9 @@
 //! Which upstream owns an address. An address belongs to its youngest registration that is not deregistered; whoever
 //! loses it is evicted.
 
+use super::UpstreamRegistry;
 use super::upstream_id::UpstreamId;
-use super::{DEREGISTERED, UpstreamRegistry};
-use protocol::Upstream;
+use protocol::{Upstream, UpstreamState};
 use std::time::Duration;
 
 /// An owner that was not heard of for so long may be known from a delayed heartbeat alone; see
@@ -30,10 +30,10 @@
         let owner_is_silent = other_owner
             .and_then(|owner| self.entries.get(owner))
             .is_none_or(|owner| {
-                owner.upstream.condition == DEREGISTERED
+                owner.upstream.state() == UpstreamState::Deregistered
                     || now >= owner.last_heard_at + OWNER_SILENCE_TIMEOUT
             });
-        is_evicted && owner_is_silent && heartbeat.condition != DEREGISTERED
+        is_evicted && owner_is_silent && heartbeat.state() != UpstreamState::Deregistered
     }
 
     /// Gives an address to this upstream unless a younger one owns it. Returns the upstream that lost it.
@@ -49,7 +49,7 @@
             .filter(|owner| *owner != id)
             .cloned();
         if let Some(owner) = &other_owner {
-            let takes_over = upstream.condition != DEREGISTERED
+            let takes_over = upstream.state() != UpstreamState::Deregistered
                 && self.is_succeeded_by(owner, id, registered_at_ms);
             if !takes_over {
                 return None;
@@ -68,7 +68,7 @@
         let was_evicted = self.entries.get(id).is_some_and(|entry| entry.is_evicted);
         let is_older = (entry.registered_at_ms, entry.upstream.instance.as_str())
             < (registered_at_ms, id.instance.as_str());
-        entry.upstream.condition == DEREGISTERED || was_evicted || is_older
+        entry.upstream.state() == UpstreamState::Deregistered || was_evicted || is_older
     }
 
     /// True where another upstream owns this one's address.
@@ -83,10 +83,10 @@
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        if entry.upstream.condition == DEREGISTERED {
+        if entry.upstream.state() == UpstreamState::Deregistered {
             return;
         }
-        entry.upstream.condition = DEREGISTERED;
+        entry.upstream.state = UpstreamState::Deregistered.into();
         entry.is_evicted = true;
         entry.departing_since = None;
         self.changed.insert(id.clone());
--- a/crates/upstream-registry/src/registry/departures.rs
+++ b/crates/upstream-registry/src/registry/departures.rs
@@ -2,8 +2,8 @@
 //! registry has no entry for the instance, so that a delayed heartbeat does not bring it back.
 
 use super::upstream_id::UpstreamId;
-use super::{DEREGISTERED, DRAINING, MAX_UPSTREAMS, READY, UpstreamRegistry};
-use protocol::{Departure, Upstream};
+use super::{MAX_UPSTREAMS, UpstreamRegistry};
+use protocol::{Departure, Upstream, UpstreamState};
 use std::time::Duration;
 
 /// How long a deregistered upstream is gossiped after it was last heard of.
@@ -11,7 +11,7 @@
 
 /// An upstream that departed and has no entry any more, or never had one.
 pub(super) struct Departed {
-    pub(super) condition: u32,
+    pub(super) state: UpstreamState,
     /// The number of its last heartbeat.
     pub(super) sequence: u64,
     pub(super) known_since: Duration,
@@ -23,17 +23,17 @@
     /// later.
     ///
     /// ```
-    /// use upstream_registry::{DEREGISTERED, READY, UpstreamRegistry};
-    /// use protocol::{Departure, Upstream};
+    /// use upstream_registry::UpstreamRegistry;
+    /// use protocol::{Departure, Upstream, UpstreamState};
     /// use std::time::Duration;
     /// let (mut registry, now) = (UpstreamRegistry::default(), Duration::from_secs(9));
-    /// assert!(registry.record_departure(now, &Departure { instance: "a".into(), condition: DEREGISTERED, beat: 7, ..Default::default() }));
+    /// assert!(registry.record_departure(now, &Departure { instance: "a".into(), state: UpstreamState::Deregistered.into(), beat: 7, ..Default::default() }));
     /// registry.apply_heartbeat(now, Upstream { service: "s".into(), instance: "a".into(), beat: 7, ..Default::default() });
-    /// assert_eq!(registry.snapshot(now)[0].condition, DEREGISTERED, "a late heartbeat brings nobody back");
+    /// assert_eq!(registry.snapshot(now)[0].state(), UpstreamState::Deregistered, "a late heartbeat brings nobody back");
     /// ```
     pub fn record_departure(&mut self, now: Duration, departure: &Departure) -> bool {
-        let condition = departure.condition;
-        if condition == READY || condition > DEREGISTERED {
+        let state = departure.state();
+        if state == UpstreamState::Ready || state > UpstreamState::Deregistered {
             return true;
         }
         let known = self.entries_of_departure(departure);
@@ -44,7 +44,7 @@
             return true;
         }
         let id = UpstreamId::new(&departure.service, &departure.instance);
-        if self.departed_condition(&id, departure.beat) >= condition {
+        if self.departed_state(&id, departure.beat) >= state {
             return true;
         }
         let has_capacity = self.departed.len() < MAX_UPSTREAMS || self.departed.contains_key(&id);
@@ -52,7 +52,7 @@
             // Data-plane nodes that follow this node may still know it.
             self.changed.insert(id.clone());
             let departed = Departed {
-                condition,
+                state,
                 sequence: departure.beat,
                 known_since: now,
             };
@@ -84,29 +84,31 @@
             return;
         };
         let applies =
-            entry.upstream.condition < departure.condition && entry.upstream.beat <= departure.beat;
+            entry.upstream.state() < departure.state() && entry.upstream.beat <= departure.beat;
         if !applies {
             return;
         }
         entry.upstream.beat = departure.beat;
-        entry.upstream.condition = departure.condition;
+        entry.upstream.state = departure.state;
         entry.departing_since = Some(now);
-        if departure.condition == DEREGISTERED {
+        if departure.state() == UpstreamState::Deregistered {
             entry.last_heard_at = now;
         }
         self.changed.insert(id.clone());
     }
 
-    /// The last condition of a departed upstream without an entry, else [`READY`]. Draining is final; one that was
+    /// The last state of a departed upstream without an entry, else [`UpstreamState::Ready`]. Draining is final; one that was
     /// deregistered may have lost its address to another by mistake, and still send heartbeats.
-    pub(super) fn departed_condition(&self, id: &UpstreamId, sequence: u64) -> u32 {
+    pub(super) fn departed_state(&self, id: &UpstreamId, sequence: u64) -> UpstreamState {
         [id, &id.without_service()]
             .into_iter()
             .filter_map(|id| self.departed.get(id))
-            .filter(|departed| departed.condition == DRAINING || sequence <= departed.sequence)
-            .map(|departed| departed.condition)
+            .filter(|departed| {
+                departed.state == UpstreamState::Draining || sequence <= departed.sequence
+            })
+            .map(|departed| departed.state)
             .max()
-            .unwrap_or(READY)
+            .unwrap_or(UpstreamState::Ready)
     }
 
     /// Departed upstreams that have no entry: whoever still knows one of them is to forget it. Without a service it is
@@ -114,8 +116,8 @@
     ///
     /// ```
     /// let (mut registry, now) = (upstream_registry::UpstreamRegistry::default(), std::time::Duration::ZERO);
-    /// registry.record_departure(now, &protocol::Departure { instance: "a".into(), condition: 1, ..Default::default() });
-    /// assert_eq!(registry.departed_without_entry().map(|gone| gone.condition).collect::<Vec<_>>(), [upstream_registry::DEREGISTERED]);
+    /// registry.record_departure(now, &protocol::Departure { instance: "a".into(), state: 1, ..Default::default() });
+    /// assert_eq!(registry.departed_without_entry().map(|gone| gone.state()).collect::<Vec<_>>(), [protocol::UpstreamState::Deregistered]);
     /// assert_eq!(registry.drain_changes(now).len(), 1);
     /// ```
     pub fn departed_without_entry(&self) -> impl Iterator<Item = Upstream> {
@@ -130,7 +132,7 @@
     pub fn recently_deregistered(&self, now: Duration) -> Vec<Upstream> {
         self.entries
             .values()
-            .filter(|entry| entry.upstream.condition == DEREGISTERED)
+            .filter(|entry| entry.upstream.state() == UpstreamState::Deregistered)
             .filter(|entry| now < entry.last_heard_at + DEREGISTRATION_GOSSIP_DURATION)
             .map(|entry| entry.record(now))
             .collect()
@@ -141,7 +143,7 @@
     /// ```
     /// use std::time::Duration;
     /// let (mut registry, at) = (upstream_registry::UpstreamRegistry::default(), Duration::from_secs(9));
-    /// let draining = protocol::Upstream { beat: 1, condition: upstream_registry::DRAINING, ..Default::default() };
+    /// let draining = protocol::Upstream { beat: 1, state: protocol::UpstreamState::Draining.into(), ..Default::default() };
     /// registry.apply_heartbeat(at, draining);
     /// assert_eq!(registry.recent_departures(at, Duration::from_secs(5)).len(), 1);
     /// assert!(registry.recent_departures(at + Duration::from_secs(5), Duration::from_secs(5)).is_empty());
@@ -152,21 +154,21 @@
             .entries
             .iter()
             .filter(|(_, entry)| entry.departing_since.is_some_and(is_recent))
-            .map(|(id, entry)| departure(id, entry.upstream.condition, entry.upstream.beat));
+            .map(|(id, entry)| departure(id, entry.upstream.state(), entry.upstream.beat));
         let without_entry = self
             .departed
             .iter()
             .filter(|(_, departed)| is_recent(departed.known_since))
-            .map(|(id, departed)| departure(id, departed.condition, departed.sequence));
+            .map(|(id, departed)| departure(id, departed.state, departed.sequence));
         with_entry.chain(without_entry).collect()
     }
 }
 
-fn departure(id: &UpstreamId, condition: u32, sequence: u64) -> Departure {
+fn departure(id: &UpstreamId, state: UpstreamState, sequence: u64) -> Departure {
     Departure {
         service: id.service.clone(),
         instance: id.instance.clone(),
-        condition,
+        state: state.into(),
         beat: sequence,
     }
 }
@@ -176,7 +178,7 @@
     Upstream {
         service: id.service.clone(),
         instance: id.instance.clone(),
-        condition: DEREGISTERED,
+        state: UpstreamState::Deregistered.into(),
         ..Upstream::default()
     }
 }
--- a/crates/upstream-registry/src/registry/digest.rs
+++ b/crates/upstream-registry/src/registry/digest.rs
@@ -3,8 +3,8 @@
 //! The upper half identifies the upstream, the lower half covers what else is gossiped of it. A node that knows an
 //! upstream with the same digest needs only its sequence number and age; otherwise it requests the full record.
 
-use super::{DEREGISTERED, UpstreamRegistry};
-use protocol::Upstream;
+use super::UpstreamRegistry;
+use protocol::{Upstream, UpstreamState};
 use random::stable_hash_parts;
 use std::time::Duration;
 
@@ -27,13 +27,13 @@
 }
 
 fn content_digest(upstream: &Upstream) -> u64 {
-    if upstream.condition == DEREGISTERED {
+    if upstream.state() == UpstreamState::Deregistered {
         // What it was like before its end no longer matters.
         return 0;
     }
     let numbers = format!(
         "/{}/{}/{}",
-        upstream.free_slots, upstream.warm, upstream.condition
+        upstream.free_slots, upstream.warm, upstream.state
     );
     let content_parts = [upstream.address.as_str(), "/", &upstream.locality, &numbers];
     stable_hash_parts(content_parts) >> IDENTITY_SHIFT
@@ -47,7 +47,7 @@
 /// True for the digest of a deregistered upstream.
 ///
 /// ```
-/// let gone = protocol::Upstream { condition: upstream_registry::DEREGISTERED, ..Default::default() };
+/// let gone = protocol::Upstream { state: protocol::UpstreamState::Deregistered.into(), ..Default::default() };
 /// assert!(upstream_registry::is_deregistered_digest(upstream_registry::digest(&gone)));
 /// assert!(!upstream_registry::is_deregistered_digest(upstream_registry::digest(&protocol::Upstream::default())));
 /// ```
@@ -89,7 +89,7 @@
         if digest(&entry.upstream) != gossiped_digest {
             return false;
         }
-        if entry.upstream.condition != DEREGISTERED {
+        if entry.upstream.state() != UpstreamState::Deregistered {
             entry.upstream.beat = sequence;
             entry.last_heard_at = now.saturating_sub(age).max(entry.last_heard_at);
         }
--- a/crates/upstream-registry/src/registry/expiry.rs
+++ b/crates/upstream-registry/src/registry/expiry.rs
@@ -2,7 +2,8 @@
 
 use super::departures::Departed;
 use super::upstream_id::UpstreamId;
-use super::{DEREGISTERED, Entry, UpstreamRegistry};
+use super::{Entry, UpstreamRegistry};
+use protocol::UpstreamState;
 use std::time::Duration;
 
 /// How long a deregistered instance is remembered, so that a delayed heartbeat does not bring it back.
@@ -18,14 +19,14 @@
     /// registry.apply_heartbeat(Duration::ZERO, protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() });
     /// registry.expire_silent(Duration::from_secs(4), Duration::from_secs(3));
     /// assert!(registry.snapshot(Duration::from_secs(4)).is_empty());
-    /// assert_eq!(registry.drain_changes(Duration::from_secs(4))[0].condition, upstream_registry::DEREGISTERED);
+    /// assert_eq!(registry.drain_changes(Duration::from_secs(4))[0].state(), protocol::UpstreamState::Deregistered);
     /// ```
     pub fn expire_silent(&mut self, now: Duration, silence_timeout: Duration) {
         self.departed
             .retain(|_, departed| now < departed.known_since + DEREGISTERED_RETENTION);
         let is_expired = |entry: &Entry| {
-            let retention = match entry.upstream.condition {
-                DEREGISTERED => DEREGISTERED_RETENTION,
+            let retention = match entry.upstream.state() {
+                UpstreamState::Deregistered => DEREGISTERED_RETENTION,
                 _ => silence_timeout,
             };
             now >= entry.last_heard_at + retention
@@ -48,12 +49,12 @@
         };
         self.address_owners.retain(|_, owner| *owner != id);
         self.ids_by_digest.retain(|_, known| *known != id);
-        if entry.upstream.condition == DEREGISTERED {
+        if entry.upstream.state() == UpstreamState::Deregistered {
             return;
         }
         if let Some(known_since) = entry.departing_since {
             let departed = Departed {
-                condition: entry.upstream.condition,
+                state: entry.upstream.state(),
                 sequence: entry.upstream.beat,
                 known_since,
             };
--- a/crates/upstream-registry/src/registry/mod.rs
+++ b/crates/upstream-registry/src/registry/mod.rs
@@ -12,18 +12,11 @@
 pub use digest::{digest, is_deregistered_digest};
 
 use departures::{Departed, deregistered_record};
-use protocol::Upstream;
+use protocol::{Upstream, UpstreamState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use upstream_id::UpstreamId;
 
-/// Value of `Upstream::condition`: it accepts requests.
-pub const READY: u32 = 0;
-/// Value of `Upstream::condition`: it announced its shutdown and gets no new requests.
-pub const DRAINING: u32 = 1;
-/// Value of `Upstream::condition`: it deregistered, or its address was taken over.
-pub const DEREGISTERED: u32 = 2;
-
 /// Most upstreams kept.
 const MAX_UPSTREAMS: usize = 20_000;
 
@@ -71,21 +64,21 @@
     /// Applies a heartbeat, received directly or gossiped; true where it was newer than what was known.
     ///
     /// ```
-    /// use upstream_registry::{DEREGISTERED, DRAINING, READY, UpstreamRegistry};
-    /// use protocol::Upstream;
+    /// use upstream_registry::UpstreamRegistry;
+    /// use protocol::{Upstream, UpstreamState};
     /// use std::time::Duration;
-    /// let heartbeat = |instance: &str, beat, condition| Upstream {
+    /// let heartbeat = |instance: &str, beat, state: UpstreamState| Upstream {
     ///     service: "slots".into(), instance: instance.into(), address: "127.0.0.1:9".into(),
-    ///     beat, condition, ..Default::default()
+    ///     beat, state: state.into(), ..Default::default()
     /// };
     /// let (mut registry, now) = (UpstreamRegistry::default(), Duration::from_secs(9));
-    /// assert!(registry.apply_heartbeat(now, heartbeat("a", 1, READY)));
-    /// assert!(registry.apply_heartbeat(now, heartbeat("a", 2, DRAINING)));
-    /// assert!(!registry.apply_heartbeat(now, heartbeat("a", 1, READY)), "an older heartbeat changes nothing");
-    /// registry.apply_heartbeat(now, heartbeat("a", 3, READY));
-    /// assert_eq!(registry.snapshot(now)[0].condition, DRAINING, "draining is final");
-    /// registry.apply_heartbeat(now + Duration::from_secs(1), heartbeat("b", 1, READY));
-    /// assert_eq!(registry.snapshot(now)[0].condition, DEREGISTERED, "its address has a new owner");
+    /// assert!(registry.apply_heartbeat(now, heartbeat("a", 1, UpstreamState::Ready)));
+    /// assert!(registry.apply_heartbeat(now, heartbeat("a", 2, UpstreamState::Draining)));
+    /// assert!(!registry.apply_heartbeat(now, heartbeat("a", 1, UpstreamState::Ready)), "an older heartbeat changes nothing");
+    /// registry.apply_heartbeat(now, heartbeat("a", 3, UpstreamState::Ready));
+    /// assert_eq!(registry.snapshot(now)[0].state(), UpstreamState::Draining, "draining is final");
+    /// registry.apply_heartbeat(now + Duration::from_secs(1), heartbeat("b", 1, UpstreamState::Ready));
+    /// assert_eq!(registry.snapshot(now)[0].state(), UpstreamState::Deregistered, "its address has a new owner");
     /// ```
     pub fn apply_heartbeat(&mut self, now: Duration, heartbeat: Upstream) -> bool {
         let id = UpstreamId::of(&heartbeat);
@@ -94,20 +87,20 @@
             return false;
         }
         let last_heard_at = now.saturating_sub(Duration::from_millis(heartbeat.age_ms));
-        let departed_condition = self.departed_condition(&id, heartbeat.beat);
+        let departed_state = self.departed_state(&id, heartbeat.beat);
         // One that regains its address begins anew.
         let previous = self.entries.get(&id).filter(|_| !regains_address);
         let registered_at_ms = registered_at_ms(now, &heartbeat, previous);
-        let condition = heartbeat
-            .condition
-            .max(previous.map_or(READY, |entry| entry.upstream.condition))
-            .max(departed_condition);
+        let state = heartbeat
+            .state()
+            .max(previous.map_or(UpstreamState::Ready, |entry| entry.upstream.state()))
+            .max(departed_state);
         let departing_since = previous
-            .filter(|entry| entry.upstream.condition == condition)
+            .filter(|entry| entry.upstream.state() == state)
             .and_then(|entry| entry.departing_since)
             .unwrap_or(now);
         let mut upstream = Upstream {
-            condition,
+            state: state.into(),
             age_ms: 0,
             born_ms: 0,
             ..heartbeat
@@ -119,9 +112,9 @@
         }
         let is_evicted = self.has_lost_address(&id, &upstream);
         if is_evicted {
-            upstream.condition = DEREGISTERED;
+            upstream.state = UpstreamState::Deregistered.into();
         }
-        let departs = upstream.condition != READY && !is_evicted;
+        let departs = upstream.state() != UpstreamState::Ready && !is_evicted;
         self.ids_by_digest
             .insert(digest::identity(digest(&upstream)), id.clone());
         self.departed.remove(&id);
@@ -145,7 +138,8 @@
         let Some(entry) = self.entries.get(id) else {
             return self.entries.len() < MAX_UPSTREAMS;
         };
-        let is_deregistered = entry.upstream.condition == DEREGISTERED && !regains_address;
+        let is_deregistered =
+            entry.upstream.state() == UpstreamState::Deregistered && !regains_address;
         !is_deregistered && heartbeat.beat > entry.upstream.beat
     }
 
--- a/crates/upstream-registry/tests/address_ownership.rs
+++ b/crates/upstream-registry/tests/address_ownership.rs
@@ -1,24 +1,24 @@
 //! An address belongs to one upstream at a time: the one that registered last.
 
-use protocol::Upstream;
+use protocol::{Upstream, UpstreamState};
 use std::time::Duration;
-use upstream_registry::{DEREGISTERED, READY, UpstreamRegistry};
+use upstream_registry::UpstreamRegistry;
 
 /// What a postmaster that just started is told, in whatever order: the live tenant keeps the address.
 #[test]
 fn a_gone_instance_takes_no_address_back() {
-    let told = |instance: &str, condition, born_ms| Upstream {
+    let told = |instance: &str, state: UpstreamState, born_ms| Upstream {
         service: "s".into(),
         instance: instance.into(),
         address: "127.0.0.1:9".into(),
         beat: 4,
-        condition,
+        state: state.into(),
         born_ms,
         ..Upstream::default()
     };
     let (old, new) = (
-        told("unit-3", DEREGISTERED, 90_000),
-        told("unit-27", READY, 40_000),
+        told("unit-3", UpstreamState::Deregistered, 90_000),
+        told("unit-27", UpstreamState::Ready, 40_000),
     );
     [[old.clone(), new.clone()], [new.clone(), old.clone()]]
         .into_iter()
@@ -31,7 +31,10 @@
                 .snapshot(Duration::from_secs(1))
                 .into_iter()
                 .find(|upstream| upstream.instance == "unit-27");
-            assert_eq!(live.map(|upstream| upstream.condition), Some(READY));
+            assert_eq!(
+                live.map(|upstream| upstream.state()),
+                Some(UpstreamState::Ready)
+            );
         });
 }
 
@@ -52,8 +55,8 @@
     assert_eq!(
         registry
             .get(ms(1200), &told("new", 0))
-            .map(|new| new.condition),
-        Some(DEREGISTERED),
+            .map(|new| new.state()),
+        Some(UpstreamState::Deregistered),
         "it seems the older"
     );
     assert!(
@@ -64,14 +67,14 @@
     assert_eq!(
         registry
             .get(ms(3000), &told("new", 0))
-            .map(|new| new.condition),
-        Some(READY)
+            .map(|new| new.state()),
+        Some(UpstreamState::Ready)
     );
     assert_eq!(
         registry
             .get(ms(3000), &told("old", 0))
-            .map(|old| old.condition),
-        Some(DEREGISTERED)
+            .map(|old| old.state()),
+        Some(UpstreamState::Deregistered)
     );
 }
 
@@ -92,7 +95,7 @@
     let ready: Vec<String> = registry
         .snapshot(Duration::from_secs(1))
         .into_iter()
-        .filter(|upstream| upstream.condition == READY)
+        .filter(|upstream| upstream.state() == UpstreamState::Ready)
         .map(|upstream| upstream.instance)
         .collect();
     assert_eq!(ready, ["a-younger"]);
