--- a/crates/quorum-register/src/disaster_recovery.rs
+++ b/crates/quorum-register/src/disaster_recovery.rs
@@ -3,43 +3,50 @@
 
 use protocol::{Ballot, ClusterState, DurableState, SurvivorState, VoterSet};
 use std::collections::BTreeSet;
-use std::fmt;
+use thiserror::Error;
 
 /// Revisions, ballots and epochs go on this far above the highest that a survivor knows, so that whatever only the lost
 /// voters knew stays below.
 const NUMBER_GAP: u64 = 1000;
 
 /// Why the survivors' states can't be combined.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecoveryError {
     /// No survivor was given.
+    #[error("no survivor was given")]
     NoSurvivors,
     /// The disk was never bootstrapped.
+    #[error("{node}: its disk was never bootstrapped")]
     NotBootstrapped {
         /// The survivor.
         node: String,
     },
     /// The disk names other voters than the newest one, under the same epoch.
+    #[error("{node}: its voters are not those of the others")]
     VoterSetMismatch {
         /// The survivor.
         node: String,
     },
     /// A node that is named as lost was no voter.
+    #[error("{node}: is not one of the voters")]
     NotAVoter {
         /// The lost node.
         node: String,
     },
     /// The node is named twice, or is both a survivor and lost.
+    #[error("{node}: is named twice, or is both a survivor and lost")]
     NamedTwice {
         /// The node.
         node: String,
     },
     /// The voter is neither a survivor nor named as lost: it may be running.
+    #[error("{node}: is a voter and may be running; bring its survivor, or name it as lost")]
     Unaccounted {
         /// The voter.
         node: String,
     },
     /// The survivors are a quorum, from which the others recover by themselves.
+    #[error("{count} of {of} voters survive: start them, and the others recover from them")]
     QuorumSurvives {
         /// How many voters survive.
         count: usize,
@@ -47,47 +54,13 @@
         of: usize,
     },
     /// No survivor has the bytes of the newest state's configuration.
+    #[error("no survivor has the configuration {digest}")]
     ConfigurationMissing {
         /// Digest of the configuration.
         digest: String,
     },
 }
 
-impl fmt::Display for RecoveryError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            RecoveryError::NoSurvivors => f.write_str("no survivor was given"),
-            RecoveryError::NotBootstrapped { node } => {
-                write!(f, "{node}: its disk was never bootstrapped")
-            }
-            RecoveryError::VoterSetMismatch { node } => {
-                write!(f, "{node}: its voters are not those of the others")
-            }
-            RecoveryError::NotAVoter { node } => write!(f, "{node}: is not one of the voters"),
-            RecoveryError::NamedTwice { node } => {
-                write!(f, "{node}: is named twice, or is both a survivor and lost")
-            }
-            RecoveryError::Unaccounted { node } => {
-                write!(
-                    f,
-                    "{node}: is a voter and may be running; bring its survivor, or name it as lost"
-                )
-            }
-            RecoveryError::QuorumSurvives { count, of } => {
-                write!(
-                    f,
-                    "{count} of {of} voters survive: start them, and the others recover from them"
-                )
-            }
-            RecoveryError::ConfigurationMissing { digest } => {
-                write!(f, "no survivor has the configuration {digest}")
-            }
-        }
-    }
-}
-
-impl std::error::Error for RecoveryError {}
-
 /// Combines what the survivors' disks hold into the state that every disk of a new bootstrap starts from.
 ///
 /// # Errors
--- a/crates/quorum-register/tests/changes.rs
+++ b/crates/quorum-register/tests/apply.rs
@@ -1,35 +1,35 @@
-//! What operators are told of their orders: numbers that are taken, and orders that come again.
+//! The decisions on changes: versions that are taken, and changes that are submitted again.
 
 use protocol::{ClusterState, DecidedChange};
 use quorum_register::{Change, ChangeId, Decision, apply};
 use result_code::ResultCode;
 
-const TAKEN: Option<ResultCode> = Some(ResultCode::VersionConflict);
+const VERSION_CONFLICT: Option<ResultCode> = Some(ResultCode::VersionConflict);
 
-fn numbered(id: &str, number: u64, bytes: &str) -> Change {
+fn versioned(id: &str, version: u64, bytes: &str) -> Change {
     let digest = protocol::digest(bytes.as_bytes());
     Change::Configuration {
         id: id.into(),
         base_revision: None,
-        version: Some(number),
+        version: Some(version),
         digest,
     }
 }
 
-fn configuration(id: &str, base: Option<u64>) -> Change {
+fn configuration(id: &str, base_revision: Option<u64>) -> Change {
     Change::Configuration {
         id: id.into(),
-        base_revision: base,
+        base_revision,
         version: None,
         digest: protocol::digest(id.as_bytes()),
     }
 }
 
-fn evacuation(id: &str, back: bool) -> Change {
+fn evacuation(id: &str, restore: bool) -> Change {
     Change::Evacuate {
         id: id.into(),
         locality: "north/n1".into(),
-        restore: back,
+        restore,
         confirmed_revision: None,
     }
 }
@@ -38,8 +38,8 @@
     Some(apply(state, change).code)
 }
 
-/// So many orders of others, each of which changes something.
-fn others(state: &mut ClusterState, count: u64) {
+/// Applies so many changes of other operators, each of which changes something.
+fn apply_others(state: &mut ClusterState, count: u64) {
     (0..count).for_each(|at| {
         let id = format!("other-{}-{at}", state.revision);
         assert_eq!(
@@ -50,99 +50,105 @@
 }
 
 #[test]
-fn two_operators_are_not_both_confirmed_under_one_number() {
+fn two_operators_do_not_both_succeed_with_one_version() {
     for (first, second) in [("", ""), ("a", "b")] {
         let mut state = ClusterState::default();
         assert_eq!(
-            code(&mut state, &numbered(first, 7, "one")),
+            code(&mut state, &versioned(first, 7, "one")),
             Some(ResultCode::Success)
         );
         let before = (state.revision, state.digest.clone());
-        assert_eq!(code(&mut state, &numbered(second, 7, "other")), TAKEN);
+        assert_eq!(
+            code(&mut state, &versioned(second, 7, "other")),
+            VERSION_CONFLICT
+        );
         assert_eq!((state.revision, state.digest.clone()), before);
-        // The first operator asks again, and is told again.
+        // The first operator submits again, and succeeds again.
         assert_eq!(
-            code(&mut state, &numbered(first, 7, "one")),
+            code(&mut state, &versioned(first, 7, "one")),
             Some(ResultCode::Success)
         );
     }
 }
 
 #[test]
-fn a_number_stays_taken_once_a_higher_one_holds() {
+fn a_version_stays_taken_once_a_higher_one_is_in_force() {
     let mut state = ClusterState::default();
-    apply(&mut state, &numbered("", 7, "one"));
-    apply(&mut state, &numbered("", 9, "two"));
-    assert_eq!(code(&mut state, &numbered("", 7, "other")), TAKEN);
+    apply(&mut state, &versioned("", 7, "one"));
+    apply(&mut state, &versioned("", 9, "two"));
+    assert_eq!(
+        code(&mut state, &versioned("", 7, "other")),
+        VERSION_CONFLICT
+    );
     assert_eq!(
-        code(&mut state, &numbered("", 7, "one")),
+        code(&mut state, &versioned("", 7, "one")),
         Some(ResultCode::Success)
     );
     assert_eq!((state.number, state.revision), (9, 2));
 }
 
 #[test]
-fn a_number_that_was_overtaken_is_told_so() {
+fn a_version_below_the_one_in_force_is_superseded() {
     let mut state = ClusterState::default();
-    apply(&mut state, &numbered("", 9, "two"));
+    apply(&mut state, &versioned("", 9, "two"));
     assert_eq!(
-        code(&mut state, &numbered("", 8, "late")),
+        code(&mut state, &versioned("", 8, "late")),
         Some(ResultCode::Superseded)
     );
     assert_eq!((state.number, state.revision), (9, 1));
 }
 
-/// An order that was decided, and is sent again after so many others.
-fn resent(order: Change, after: u64) -> (Decision, Decision, ClusterState, ClusterState) {
+/// A change that was decided, and is submitted again after so many others.
+fn submit_twice(change: Change, between: u64) -> (Decision, Decision, ClusterState, ClusterState) {
     let mut state = ClusterState::default();
-    others(&mut state, 3);
-    let first = apply(&mut state, &order);
+    apply_others(&mut state, 3);
+    let first = apply(&mut state, &change);
     assert_eq!(first.code, ResultCode::Success);
-    others(&mut state, after);
+    apply_others(&mut state, between);
     let before = state.clone();
-    let again = apply(&mut state, &order);
+    let again = apply(&mut state, &change);
     (first, again, before, state)
 }
 
 #[test]
-fn an_order_sent_again_hundreds_of_changes_later_gets_its_first_answer() {
-    let orders = [
+fn a_change_submitted_again_after_hundreds_of_others_gets_its_first_decision() {
+    let changes = [
         configuration("order", None),
         configuration("order", Some(3)),
-        numbered("order", 7, "x"),
+        versioned("order", 7, "x"),
         evacuation("order", false),
     ];
-    orders.into_iter().for_each(|order| {
-        let (first, again, before, after) = resent(order.clone(), 400);
-        assert_eq!(again, first, "{order:?}");
-        assert_eq!(after, before, "{order:?} was done twice");
+    changes.into_iter().for_each(|change| {
+        let (first, again, before, after) = submit_twice(change.clone(), 400);
+        assert_eq!(again, first, "{change:?}");
+        assert_eq!(after, before, "{change:?} was applied twice");
     });
 }
 
 #[test]
-fn an_order_sent_again_after_thousands_is_never_done_anew() {
-    let orders = [
+fn a_change_submitted_again_after_thousands_of_others_is_not_applied_twice() {
+    let changes = [
         configuration("order", None),
         configuration("order", Some(3)),
-        numbered("order", 7, "x"),
+        versioned("order", 7, "x"),
         evacuation("order", false),
     ];
-    orders.into_iter().for_each(|order| {
-        let (_, again, before, after) = resent(order.clone(), 3000);
-        let changed = (after.revision, &after.digest, &after.evacuated)
+    changes.into_iter().for_each(|change| {
+        let (_, again, before, after) = submit_twice(change.clone(), 3000);
+        let is_changed = (after.revision, &after.digest, &after.evacuated)
             != (before.revision, &before.digest, &before.evacuated);
-        assert!(!changed, "{order:?} was done twice");
-        let refused = again.code.kind() == result_code::Execution::NotExecuted;
+        assert!(!is_changed, "{change:?} was applied twice");
+        let is_rejected = again.code.kind() == result_code::Execution::NotExecuted;
         assert!(
-            !refused,
-            "{order:?} was done, and is refused with {:?}",
+            !is_rejected,
+            "{change:?} was applied, and is rejected with {:?}",
             again.code
         );
     });
 }
 
 #[test]
-fn a_begin_that_comes_late_does_not_evacuate_anew() {
+fn an_evacuation_submitted_again_after_its_end_does_not_evacuate_again() {
     let mut state = ClusterState::default();
     let first = apply(&mut state, &evacuation("begin", false));
     apply(&mut state, &evacuation("finish", true));
@@ -150,10 +156,10 @@
     assert_eq!(state.evacuated, Vec::<String>::new());
 }
 
-/// A state that has forgotten some of the orders that it decided.
-fn forgetful() -> ClusterState {
+/// A state that has forgotten some of the changes that it decided.
+fn state_with_forgotten_changes() -> ClusterState {
     let mut state = ClusterState::default();
-    others(&mut state, 3000);
+    apply_others(&mut state, 3000);
     state
 }
 
@@ -170,51 +176,51 @@
 }
 
 #[test]
-fn a_new_order_goes_ahead_where_it_can_be_told_from_a_forgotten_one() {
-    let state = forgetful();
+fn a_new_change_is_applied_where_it_can_be_told_from_a_forgotten_one() {
+    let state = state_with_forgotten_changes();
     let new = [
         evacuation_since("new", Some(state.decided)),
         configuration("new", Some(state.revision)),
-        numbered("new", 7, "x"),
-        numbered("", 7, "x"),
+        versioned("new", 7, "x"),
+        versioned("", 7, "x"),
     ];
-    new.into_iter().for_each(|order| {
+    new.into_iter().for_each(|change| {
         let mut state = state.clone();
-        let decision = apply(&mut state, &order);
+        let decision = apply(&mut state, &change);
         assert_eq!(
             (decision.code, decision.revision),
             (ResultCode::Success, 3001),
-            "{order:?}"
+            "{change:?}"
         );
-        assert_eq!(apply(&mut state, &order), decision, "{order:?} again");
+        assert_eq!(apply(&mut state, &change), decision, "{change:?} again");
     });
 }
 
 #[test]
-fn an_order_that_may_be_a_forgotten_one_does_nothing() {
-    let state = forgetful();
+fn a_change_that_may_be_a_forgotten_one_is_rejected() {
+    let state = state_with_forgotten_changes();
     let old = [
         evacuation_since("old", None),
         evacuation_since("old", Some(5)),
-        // More than were ever decided: it cannot have been told so.
+        // More than were ever decided: the operator cannot have known of so many.
         evacuation_since("old", Some(state.decided + 1)),
         configuration("old", None),
         configuration("old", Some(5)),
     ];
-    old.into_iter().for_each(|order| {
+    old.into_iter().for_each(|change| {
         let mut after = state.clone();
         assert_eq!(
-            code(&mut after, &order),
+            code(&mut after, &change),
             Some(ResultCode::ChangeForgotten),
-            "{order:?}"
+            "{change:?}"
         );
-        assert_eq!(after, state, "{order:?}");
+        assert_eq!(after, state, "{change:?}");
     });
 }
 
 #[test]
-fn a_base_that_is_behind_is_told_so_while_its_time_is_remembered() {
-    let mut state = forgetful();
+fn an_old_base_revision_is_a_conflict_while_its_time_is_remembered() {
+    let mut state = state_with_forgotten_changes();
     let base = state.revision - 100;
     assert_eq!(
         code(&mut state, &configuration("late", Some(base))),
@@ -222,9 +228,9 @@
     );
 }
 
-/// Decisions without effect raise no edition; new orders must go ahead after any number of them.
+/// Decisions without effect raise no revision; new changes must be applied after any number of them.
 #[test]
-fn orders_that_change_nothing_do_not_stop_new_ones() {
+fn changes_without_effect_do_not_stop_new_ones() {
     let mut state = ClusterState::default();
     (0..2000).for_each(|at| {
         let since = Some(state.decided);
@@ -241,7 +247,7 @@
     );
 }
 
-/// As an earlier version left it: what was asked for stands there in full, and nothing counts what was forgotten.
+/// As an earlier version left it: the content of changes is remembered in full, and forgotten ones are not counted.
 #[test]
 fn a_state_of_an_earlier_version_keeps_its_decisions() {
     let asked = format!("{} None", protocol::digest(b"s-0"));
@@ -268,10 +274,13 @@
         }
     );
     assert_eq!(
-        code(&mut state, &numbered("", 7, "seven")),
+        code(&mut state, &versioned("", 7, "seven")),
         Some(ResultCode::Success)
     );
-    assert_eq!(code(&mut state, &numbered("", 7, "other")), TAKEN);
+    assert_eq!(
+        code(&mut state, &versioned("", 7, "other")),
+        VERSION_CONFLICT
+    );
     assert_eq!(
         code(&mut state, &configuration("new", None)),
         Some(ResultCode::Success)
@@ -284,38 +293,38 @@
 }
 
 #[test]
-fn the_state_stays_small_however_many_orders_come() {
+fn the_state_stays_small_after_many_changes() {
     let size = |state: &ClusterState| protocol::Message::encoded_len(state);
     let mut state = ClusterState::default();
-    let order = |state: &mut ClusterState, at: u64| {
-        apply(state, &numbered(&format!("operator-{at:08}"), at + 1, "x"));
+    let apply_both = |state: &mut ClusterState, at: u64| {
+        apply(state, &versioned(&format!("operator-{at:08}"), at + 1, "x"));
         apply(state, &evacuation(&format!("zone-{at:08}"), at % 2 == 1));
     };
-    (0..400).for_each(|at| order(&mut state, at));
+    (0..400).for_each(|at| apply_both(&mut state, at));
     let early = size(&state);
-    (400..10_000).for_each(|at| order(&mut state, at));
+    (400..10_000).for_each(|at| apply_both(&mut state, at));
     assert!(
         size(&state) <= early + 1200,
-        "{early} bytes after 800 orders, {} after 20000",
+        "{early} bytes after 800 changes, {} after 20000",
         size(&state)
     );
     assert!(early < 32 * 1024, "{early} bytes");
 }
 
-fn anonymous_evacuation(locality: &str, back: bool, seen: u64) -> Change {
+fn anonymous_evacuation(locality: &str, restore: bool, confirmed_revision: u64) -> Change {
     Change::Evacuate {
         id: ChangeId::default(),
         locality: locality.into(),
-        restore: back,
-        confirmed_revision: Some(seen),
+        restore,
+        confirmed_revision: Some(confirmed_revision),
     }
 }
 
-/// The order waits at one node while the same order, sent again, and the one that ends it are decided through others.
+/// The change waits at one node while the same change, submitted again, and the one that ends it are decided elsewhere.
 #[test]
-fn a_begin_without_an_id_that_waited_too_long_does_not_evacuate_anew() {
+fn an_evacuation_without_an_id_that_waited_too_long_does_not_evacuate_again() {
     let mut state = ClusterState::default();
-    others(&mut state, 3);
+    apply_others(&mut state, 3);
     let waiting = anonymous_evacuation("north/n1", false, state.revision);
     apply(&mut state, &waiting);
     let finish = anonymous_evacuation("north/n1", true, state.revision);
@@ -341,10 +350,10 @@
 }
 
 #[test]
-fn other_localities_and_setups_do_not_hold_an_evacuation_up() {
+fn other_localities_and_configurations_do_not_delay_an_evacuation() {
     let mut state = ClusterState::default();
     let waiting = anonymous_evacuation("north/n1", false, state.revision);
-    others(&mut state, 20);
+    apply_others(&mut state, 20);
     (0..40).for_each(|at| {
         let other = anonymous_evacuation(&format!("north/m{at}"), false, state.revision);
         apply(&mut state, &other);
@@ -354,7 +363,7 @@
 }
 
 #[test]
-fn an_evacuation_that_can_not_be_judged_any_more_is_denied() {
+fn an_evacuation_whose_locality_is_forgotten_is_rejected() {
     let mut state = ClusterState::default();
     let waiting = anonymous_evacuation("north/n1", false, state.revision);
     (0..100).for_each(|at| {
--- a/crates/quorum-register/tests/arbitrary.rs
+++ b/crates/quorum-register/tests/arbitrary.rs
@@ -1,5 +1,5 @@
-//! Whatever the network, crashes, one lost disk at a time and voters gone for good do, also while the voters change: one
-//! state for each edition, one voter set for each epoch, and nothing that was accepted is lost.
+//! Whatever the network does, with crashes, one lost disk at a time and voters removed for good, also while the voters
+//! change: each revision is one state, each epoch one voter set, and nothing that was decided is lost.
 
 mod cluster;
 
@@ -13,35 +13,38 @@
 const NODES: usize = 8;
 
 #[test]
-fn one_word_for_each_edition_and_none_is_lost() {
-    let mut accepted = 0;
+fn each_revision_is_one_state_and_no_decision_is_lost() {
+    let mut decided_in_all = 0;
     (1..50u64).for_each(|number| {
         arbtest(|noise| {
             let mut cluster = Cluster::blank(VOTERS, number);
             while !noise.is_empty() {
-                cluster.act(noise)?;
+                cluster.run_random_action(noise)?;
             }
-            // Whole again: everybody comes to a state that nothing accepted is missing from.
-            cluster.recover_from_survivors();
+            // Without faults every node comes to a state from which nothing decided is missing.
+            cluster.run_until_settled();
             let revisions: Vec<u64> = cluster
                 .nodes
                 .iter()
                 .map(|node| node.register.state().revision)
                 .collect();
-            let told = cluster.accepted;
+            let decided = cluster.decided_revision;
             assert!(
-                revisions.iter().all(|revision| *revision >= told),
-                "{revisions:?}, {told} lost"
+                revisions.iter().all(|revision| *revision >= decided),
+                "{revisions:?}, {decided} lost"
             );
-            accepted += told;
+            decided_in_all += decided;
             Ok(())
         })
         .seed(number << 32 | 20_000);
     });
-    assert!(accepted > 200, "hardly anything was accepted: {accepted}");
+    assert!(
+        decided_in_all > 200,
+        "hardly anything was decided: {decided_in_all}"
+    );
 }
 
-/// Somebody begins a change to other voters, or completes the one under way; by what it knows, old or new.
+/// Some node begins a change of the voters, or completes the one under way, by the voter set that it knows.
 fn change_voters(
     cluster: &mut Cluster,
     noise: &mut Unstructured,
@@ -68,45 +71,48 @@
     Ok(())
 }
 
-/// A node that votes nowhere any more, as all that are there know after a while, goes for good.
-fn remove_one(cluster: &mut Cluster, noise: &mut Unstructured) -> arbtest::arbitrary::Result<()> {
-    cluster.calm(150);
+/// Removes a node for good that votes nowhere any more, as all running nodes know after a while.
+fn remove_nonvoter(
+    cluster: &mut Cluster,
+    noise: &mut Unstructured,
+) -> arbtest::arbitrary::Result<()> {
+    cluster.run_without_faults(150);
     let at = noise.int_in_range(0..=NODES - 1)?;
     let votes = cluster
         .nodes
         .iter()
         .any(|node| !node.removed && node.register.voter_set().contains(&name(at)));
-    let gone = cluster.nodes.iter().filter(|node| node.removed).count();
-    if !votes && gone + VOTERS < NODES {
+    let removed = cluster.nodes.iter().filter(|node| node.removed).count();
+    if !votes && removed + VOTERS < NODES {
         cluster.nodes[at].removed = true;
     }
     Ok(())
 }
 
 #[test]
-fn voters_change_and_nothing_is_lost() {
-    let (mut accepted, mut sets) = (0, BTreeSet::new());
+fn no_decision_is_lost_while_voters_change() {
+    let (mut decided_in_all, mut sets) = (0, BTreeSet::new());
     (1..80u64).for_each(|number| {
         arbtest(|noise| {
             let mut cluster = Cluster::blank(NODES, number);
-            cluster.recover_from_survivors();
+            cluster.run_until_settled();
             cluster.present = NODES;
             while !noise.is_empty() {
                 match noise.int_in_range(0..=99u8)? {
                     0..=1 => change_voters(&mut cluster, noise)?,
-                    2 => remove_one(&mut cluster, noise)?,
-                    3 => cluster.calm(noise.int_in_range(0..=20)?),
-                    _ => cluster.act(noise)?,
+                    2 => remove_nonvoter(&mut cluster, noise)?,
+                    3 => cluster.run_without_faults(noise.int_in_range(0..=20)?),
+                    _ => cluster.run_random_action(noise)?,
                 }
             }
-            cluster.recover_from_survivors();
-            let there = cluster.nodes.iter().filter(|node| !node.removed);
-            let states: Vec<_> = there.map(|node| node.register.state()).collect();
-            let told = cluster.accepted;
+            cluster.run_until_settled();
+            let running = cluster.nodes.iter().filter(|node| !node.removed);
+            let states: Vec<_> = running.map(|node| node.register.state()).collect();
+            let decided = cluster.decided_revision;
             let phases = cluster.describe();
             assert!(
-                states.iter().all(|state| state.revision >= told),
-                "{phases}, {told} lost"
+                states.iter().all(|state| state.revision >= decided),
+                "{phases}, {decided} lost"
             );
             assert!(
                 states
@@ -114,37 +120,39 @@
                     .all(|state| state.voter_set == states[0].voter_set),
                 "{states:?}"
             );
-            accepted += told;
+            decided_in_all += decided;
             sets.insert(states[0].voter_set.epoch);
             Ok(())
         })
         .seed(number << 32 | 20_000);
     });
-    assert!(accepted > 200, "hardly anything was accepted: {accepted}");
+    assert!(
+        decided_in_all > 200,
+        "hardly anything was decided: {decided_in_all}"
+    );
     assert!(
         sets.last().is_some_and(|epoch| *epoch > 6),
         "the voters hardly changed: {sets:?}"
     );
 }
 
-/// Answers take longer than the pause between two reads: each read was dropped when the next was sent, and nobody was
-/// ever confirmed.
+/// Replies take longer than the interval between two reads.
 #[test]
 fn a_state_is_confirmed_over_slow_links() {
     const ONE_WAY: Duration = Duration::from_millis(350);
     let mut cluster = Cluster::blank(VOTERS, 1);
-    cluster.recover_from_survivors();
-    let mut on_the_way = VecDeque::new();
+    cluster.run_until_settled();
+    let mut in_flight = VecDeque::new();
     let until = cluster.now + Duration::from_secs(6);
     while cluster.now < until {
         cluster.now += Duration::from_millis(20);
         cluster.tick_all();
-        (0..VOTERS).for_each(|at| cluster.sync(at));
-        let sent = std::mem::take(&mut cluster.wire);
+        (0..VOTERS).for_each(|at| cluster.complete_write(at));
+        let sent = std::mem::take(&mut cluster.messages);
         let arrives_at = cluster.now + ONE_WAY;
-        on_the_way.extend(sent.into_iter().map(|envelope| (arrives_at, envelope)));
-        while on_the_way.front().is_some_and(|(at, _)| *at <= cluster.now) {
-            let (_, (from, to, body)) = on_the_way.pop_front().expect("one that arrives");
+        in_flight.extend(sent.into_iter().map(|envelope| (arrives_at, envelope)));
+        while in_flight.front().is_some_and(|(at, _)| *at <= cluster.now) {
+            let (_, (from, to, body)) = in_flight.pop_front().expect("one that arrives");
             cluster.step(
                 to,
                 Event::Received {
@@ -159,6 +167,7 @@
         .iter()
         .map(|node| node.register.age(cluster.now))
         .collect();
-    let fresh = |age: &Option<Duration>| age.is_some_and(|age| age < Duration::from_millis(1500));
-    assert!(ages.iter().all(fresh), "{ages:?}");
+    let is_fresh =
+        |age: &Option<Duration>| age.is_some_and(|age| age < Duration::from_millis(1500));
+    assert!(ages.iter().all(is_fresh), "{ages:?}");
 }
--- a/crates/quorum-register/tests/cluster/mod.rs
+++ b/crates/quorum-register/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Registers over a network and disks that fail on purpose, as arbitrary bytes say. In every state that a node has in
-//! force: one configuration for each edition, one voter set for each epoch, and no way back.
+//! Registers over a network and disks that fail on purpose, driven by arbitrary bytes. Of every state that a node has in
+//! force it is checked that each revision has one configuration, each epoch one voter set, and that no node goes back.
 
 use arbtest::arbitrary::Unstructured;
 use protocol::{DurableState, Payload, VoterSet};
@@ -7,37 +7,50 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How many found the cluster.
+/// How many voters bootstrap the cluster.
 pub const VOTERS: usize = 5;
-/// Beyond so many, the oldest are lost.
-const MAX_ON_THE_WAY: usize = 300;
+/// Beyond so many messages in flight, the oldest are lost.
+const MAX_IN_FLIGHT: usize = 300;
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// A ticket, and what it waits for: the state, or a setup.
-type Write = (u64, Option<DurableState>, Option<(String, Vec<u8>)>);
+/// A write that the disk hasn't completed. Deletions are reported to nobody.
+enum Write {
+    State {
+        write_id: u64,
+        durable: DurableState,
+    },
+    Configuration {
+        write_id: u64,
+        digest: String,
+        bytes: Vec<u8>,
+    },
+    Deletion {
+        digest: String,
+    },
+}
 
 pub struct Node {
     pub register: Register,
     pub disk: DurableState,
     configurations: BTreeMap<String, Vec<u8>>,
     writes: VecDeque<Write>,
-    born_at: Duration,
-    seen: u64,
-    /// Gone for good: it hears nothing and says nothing.
+    started_at: Duration,
+    last_revision: u64,
+    /// Gone for good: it receives nothing and sends nothing.
     pub removed: bool,
 }
 
-/// All nodes, and what is on its way between them.
+/// All nodes, and the messages in flight between them.
 pub struct Cluster {
     pub nodes: Vec<Node>,
-    /// So many of them are there.
+    /// So many of them are running.
     pub present: usize,
     pub now: Duration,
-    pub wire: Vec<(usize, usize, Payload)>,
+    pub messages: Vec<(usize, usize, Payload)>,
     states: BTreeMap<u64, String>,
     voters: BTreeMap<u64, VoterSet>,
-    /// The highest edition that any operator was told is accepted.
-    pub accepted: u64,
+    /// The highest revision that was reported as decided.
+    pub decided_revision: u64,
     submitted: u64,
 }
 
@@ -45,14 +58,14 @@
     format!("v{at}")
 }
 
-fn born(
+fn start_node(
     at: usize,
     seed: u64,
     durable: DurableState,
     configurations: BTreeMap<String, Vec<u8>>,
     now: Duration,
 ) -> Node {
-    let start = RegisterConfig {
+    let config = RegisterConfig {
         node: name(at),
         initial_voter_count: VOTERS,
         seed,
@@ -60,23 +73,23 @@
         configurations: configurations.clone(),
         timing: RegisterTiming::default(),
     };
-    let register = Register::new(start);
+    let register = Register::new(config);
     Node {
         register,
         disk: durable,
         configurations,
         writes: VecDeque::new(),
-        born_at: now,
-        seen: 0,
+        started_at: now,
+        last_revision: 0,
         removed: false,
     }
 }
 
 impl Cluster {
-    /// So many nodes with blank disks, of which the first few found the cluster.
+    /// So many nodes with blank disks, of which the first few bootstrap the cluster.
     pub fn blank(count: usize, seed: u64) -> Cluster {
         let blank = |at: usize| {
-            born(
+            start_node(
                 at,
                 seed * 13 + at as u64,
                 DurableState::default(),
@@ -90,10 +103,10 @@
             nodes,
             present: VOTERS,
             now,
-            wire: vec![],
+            messages: vec![],
             states,
             voters,
-            accepted: 0,
+            decided_revision: 0,
             submitted: 0,
         }
     }
@@ -102,56 +115,54 @@
         if self.nodes[at].removed {
             return;
         }
-        let local = self.now - self.nodes[at].born_at;
+        let local = self.now - self.nodes[at].started_at;
         let effects = self.nodes[at].register.step(local, event);
         effects.into_iter().for_each(|effect| match effect {
             Effect::Send { to, body } => {
                 let to = (0..self.nodes.len())
                     .find(|other| name(*other) == to)
                     .expect("a voter");
-                self.wire.push((at, to, body));
-            }
-            Effect::Persist { write_id, durable } => {
-                self.nodes[at]
-                    .writes
-                    .push_back((write_id, Some(durable), None))
+                self.messages.push((at, to, body));
             }
+            Effect::Persist { write_id, durable } => self.nodes[at]
+                .writes
+                .push_back(Write::State { write_id, durable }),
             Effect::StoreConfiguration {
                 write_id,
                 digest,
                 bytes,
             } => {
-                self.nodes[at]
-                    .writes
-                    .push_back((write_id, None, Some((digest, bytes))));
+                self.nodes[at].writes.push_back(Write::Configuration {
+                    write_id,
+                    digest,
+                    bytes,
+                });
             }
             Effect::DeleteConfiguration { digest } => {
-                self.nodes[at]
-                    .writes
-                    .push_back((0, None, Some((digest, Vec::new()))))
+                self.nodes[at].writes.push_back(Write::Deletion { digest })
             }
             Effect::Decided { decision, .. }
                 if decision.code == result_code::ResultCode::Success =>
             {
-                self.accepted = self.accepted.max(decision.revision);
+                self.decided_revision = self.decided_revision.max(decision.revision);
             }
             _ => {}
         });
-        let excess = self.wire.len().saturating_sub(MAX_ON_THE_WAY);
-        self.wire.drain(..excess);
+        let excess = self.messages.len().saturating_sub(MAX_IN_FLIGHT);
+        self.messages.drain(..excess);
         let state = self.nodes[at].register.state();
         let (revision, digest) = (state.revision, state.digest.clone());
         let known = self
             .states
             .entry(revision)
             .or_insert_with(|| digest.clone());
-        assert_eq!(*known, digest, "edition {revision} is two states");
+        assert_eq!(*known, digest, "revision {revision} is two states");
         assert!(
-            revision >= self.nodes[at].seen,
+            revision >= self.nodes[at].last_revision,
             "{} went back to {revision}",
             name(at)
         );
-        self.nodes[at].seen = revision;
+        self.nodes[at].last_revision = revision;
         let voter_set = self.nodes[at].register.state().voter_set.clone();
         if !voter_set.voters.is_empty() {
             let known = self
@@ -162,35 +173,48 @@
         }
     }
 
-    pub fn sync(&mut self, at: usize) {
+    pub fn complete_write(&mut self, at: usize) {
         if self.nodes[at].removed {
             return;
         }
-        let Some((write_id, durable, configuration)) = self.nodes[at].writes.pop_front() else {
+        let Some(write) = self.nodes[at].writes.pop_front() else {
             return;
         };
         let node = &mut self.nodes[at];
-        node.disk = durable.unwrap_or_else(|| node.disk.clone());
-        match configuration {
-            Some((digest, bytes)) if bytes.is_empty() => drop(node.configurations.remove(&digest)),
-            configuration => node.configurations.extend(configuration),
-        }
-        // Whatever crash comes next, the state on this disk names only bytes that are on it.
+        let completed = match write {
+            Write::State { write_id, durable } => {
+                node.disk = durable;
+                Some(write_id)
+            }
+            Write::Configuration {
+                write_id,
+                digest,
+                bytes,
+            } => {
+                node.configurations.insert(digest, bytes);
+                Some(write_id)
+            }
+            Write::Deletion { digest } => {
+                node.configurations.remove(&digest);
+                None
+            }
+        };
+        // After any crash, the state on this disk names only bytes that are on it.
         let digest = &node.disk.accepted.digest;
         assert!(
             digest.is_empty() || node.configurations.contains_key(digest),
             "{} lost the bytes of its state",
             name(at)
         );
-        if write_id > 0 {
+        if let Some(write_id) = completed {
             self.step(at, Event::WriteCompleted { write_id });
         }
     }
 
-    /// A node comes back with a blank disk.
+    /// A node restarts with a blank disk.
     #[allow(dead_code, reason = "not every test file loses a disk at will")]
-    pub fn blank_disk(&mut self, at: usize) {
-        self.nodes[at] = born(
+    pub fn restart_with_blank_disk(&mut self, at: usize) {
+        self.nodes[at] = start_node(
             at,
             self.submitted + 1_000,
             DurableState::default(),
@@ -200,18 +224,23 @@
     }
 
     pub fn tick_all(&mut self) {
-        let there: Vec<usize> = (0..self.present)
+        let running: Vec<usize> = (0..self.present)
             .filter(|at| !self.nodes[*at].removed)
             .collect();
-        there.iter().for_each(|at| {
-            let at = *at;
-            self.step(at, Event::Peers(there.iter().copied().map(name).collect()));
+        for at in running.clone() {
+            self.step(
+                at,
+                Event::Peers(running.iter().copied().map(name).collect()),
+            );
             self.step(at, Event::Tick);
-        });
+        }
     }
 
-    /// One thing that the noise says.
-    pub fn act(&mut self, noise: &mut Unstructured) -> arbtest::arbitrary::Result<()> {
+    /// One action, drawn from the noise.
+    pub fn run_random_action(
+        &mut self,
+        noise: &mut Unstructured,
+    ) -> arbtest::arbitrary::Result<()> {
         let at = noise.int_in_range(0..=self.present - 1)?;
         if self.nodes[at].removed {
             return Ok(());
@@ -219,7 +248,7 @@
         match noise.int_in_range(0..=255u8)? {
             0 => {
                 let node = &self.nodes[at];
-                self.nodes[at] = born(
+                self.nodes[at] = start_node(
                     at,
                     noise.arbitrary()?,
                     node.disk.clone(),
@@ -227,14 +256,14 @@
                     self.now,
                 );
             }
-            // A disk is lost only while every other one is whole: what two at once may lose is another matter.
+            // A disk is lost only while every other one has its state: what two at once may lose is another matter.
             1 if self
                 .nodes
                 .iter()
                 .take(self.present)
                 .all(|node| node.removed || node.disk.disk != 0) =>
             {
-                self.nodes[at] = born(
+                self.nodes[at] = start_node(
                     at,
                     noise.arbitrary()?,
                     DurableState::default(),
@@ -246,7 +275,7 @@
                 self.submitted += 1;
                 let (id, bytes) = (
                     format!("s{}", self.submitted),
-                    format!("setup {}", self.submitted).into_bytes(),
+                    format!("configuration {}", self.submitted).into_bytes(),
                 );
                 let change = Change::Configuration {
                     id: id.into(),
@@ -263,16 +292,16 @@
                     },
                 );
             }
-            6..=15 if !self.wire.is_empty() => {
+            6..=15 if !self.messages.is_empty() => {
                 drop(
-                    self.wire
-                        .swap_remove(noise.int_in_range(0..=self.wire.len() - 1)?),
+                    self.messages
+                        .swap_remove(noise.int_in_range(0..=self.messages.len() - 1)?),
                 );
             }
-            16..=150 if !self.wire.is_empty() => {
+            16..=150 if !self.messages.is_empty() => {
                 let (from, to, body) = self
-                    .wire
-                    .remove(noise.int_in_range(0..=self.wire.len().min(12) - 1)?);
+                    .messages
+                    .remove(noise.int_in_range(0..=self.messages.len().min(12) - 1)?);
                 self.step(
                     to,
                     Event::Received {
@@ -281,7 +310,7 @@
                     },
                 );
             }
-            151..=200 => self.sync(at),
+            151..=200 => self.complete_write(at),
             _ => {
                 self.now += MS(noise.int_in_range(0..=40)?);
                 self.tick_all();
@@ -290,37 +319,37 @@
         Ok(())
     }
 
-    /// Every node that is there, a line each: what it is about, and what it knows of the voters.
+    /// Every running node, a line each: its phase, its states and the voters it knows.
     pub fn describe(&self) -> String {
-        let there = self
+        let running = self
             .nodes
             .iter()
             .enumerate()
             .filter(|(_, node)| !node.removed);
-        let lines = there.map(|(at, node)| {
+        let lines = running.map(|(at, node)| {
             let (phase, voters) = (node.register.phase(), node.register.voter_set());
             let (revision, accepted) = (node.register.state().revision, &node.disk.accepted_at);
             format!(
-                "{}: edition {revision}, {phase:?}, {voters:?}, accepted at {accepted:?}",
+                "{}: revision {revision}, {phase:?}, {voters:?}, accepted at {accepted:?}",
                 name(at)
             )
         });
         lines.collect::<Vec<_>>().join("\n")
     }
 
-    /// Everything arrives and is synced for a while: so long that all come to one state.
-    pub fn recover_from_survivors(&mut self) {
-        self.calm(400);
+    /// Everything arrives and is written for so long that all nodes come to one state.
+    pub fn run_until_settled(&mut self) {
+        self.run_without_faults(400);
     }
 
-    /// Everything arrives and is synced for so many ticks of 20 ms.
-    pub fn calm(&mut self, ticks: usize) {
+    /// Everything arrives and is written for so many ticks of 20 ms.
+    pub fn run_without_faults(&mut self, ticks: usize) {
         (0..ticks).for_each(|_| {
             self.now += MS(20);
             self.tick_all();
-            let mut carried = 0;
-            while !self.wire.is_empty() {
-                let (from, to, body) = self.wire.remove(0);
+            let mut delivered = 0;
+            while !self.messages.is_empty() {
+                let (from, to, body) = self.messages.remove(0);
                 self.step(
                     to,
                     Event::Received {
@@ -328,12 +357,12 @@
                         body,
                     },
                 );
-                (0..self.nodes.len()).for_each(|at| self.sync(at));
-                carried += 1;
+                (0..self.nodes.len()).for_each(|at| self.complete_write(at));
+                delivered += 1;
                 assert!(
-                    carried < 20_000,
-                    "they never stop talking: {:?}",
-                    self.wire.last()
+                    delivered < 20_000,
+                    "they never stop sending: {:?}",
+                    self.messages.last()
                 );
             }
         });
