--- a/crates/test-harness/src/changes.rs
+++ b/crates/scale-model/src/changes.rs
@@ -1,7 +1,7 @@
 //! What thousands of changes cost: the real register and storage of a few control nodes in virtual time, one of them on
 //! a real disk, and a node that comes back over a slow link.
 
-use crate::hollow::Size;
+use crate::Size;
 use protocol::{Envelope, Message, Payload};
 use quorum_register::{Change, ChangeId, Effect, Event, Register, RegisterConfig, RegisterTiming};
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -324,7 +324,7 @@
         let size = Size {
             routes: self.trial.routes,
             services: 40,
-            ..crate::hollow::TODAY
+            ..crate::TODAY
         };
         // Each change is another one, of the same size.
         size.configuration(0)
--- a/crates/test-harness/src/hollow/count.rs
+++ b/crates/scale-model/src/count.rs
@@ -107,7 +107,7 @@
     /// Notes one message on its way.
     ///
     /// ```
-    /// use test_harness::hollow::{Ledger, Reach, Role};
+    /// use scale_model::{Ledger, Reach, Role};
     /// let mut ledger = Ledger::default();
     /// ledger.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
     /// assert_eq!(ledger.out(Role::DataNode, None).bytes, 100);
@@ -121,7 +121,7 @@
     /// Notes one step of a process.
     ///
     /// ```
-    /// use test_harness::hollow::{Ledger, Role};
+    /// use scale_model::{Ledger, Role};
     /// use std::time::Duration;
     /// let mut ledger = Ledger::default();
     /// ledger.stepped(Role::DataNode, 3, "tick", Duration::from_micros(5));
@@ -138,7 +138,7 @@
     /// What left the processes of a role.
     ///
     /// ```
-    /// use test_harness::hollow::{Ledger, Role};
+    /// use scale_model::{Ledger, Role};
     /// assert_eq!(Ledger::default().out(Role::Voter, None).messages, 0);
     /// ```
     pub fn out(&self, role: Role, reach: Option<Reach>) -> Flow {
@@ -148,7 +148,7 @@
     /// What came in to the processes of a role.
     ///
     /// ```
-    /// use test_harness::hollow::{Ledger, Role};
+    /// use scale_model::{Ledger, Role};
     /// assert_eq!(Ledger::default().into_role(Role::Voter, None).bytes, 0);
     /// ```
     pub fn into_role(&self, role: Role, reach: Option<Reach>) -> Flow {
@@ -158,7 +158,7 @@
     /// Everything.
     ///
     /// ```
-    /// use test_harness::hollow::Ledger;
+    /// use scale_model::Ledger;
     /// assert_eq!(Ledger::default().all().messages, 0);
     /// ```
     pub fn all(&self) -> Flow {
@@ -176,7 +176,7 @@
     /// Everything by kind.
     ///
     /// ```
-    /// use test_harness::hollow::{Ledger, Reach, Role};
+    /// use scale_model::{Ledger, Reach, Role};
     /// let mut ledger = Ledger::default();
     /// ledger.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
     /// assert_eq!(ledger.totals()["probe"].bytes, 100);
@@ -195,7 +195,7 @@
     /// Out of and into a role, by kind.
     ///
     /// ```
-    /// use test_harness::hollow::{Ledger, Role};
+    /// use scale_model::{Ledger, Role};
     /// assert!(Ledger::default().kinds(Role::DataNode).is_empty());
     /// ```
     pub fn kinds(&self, role: Role) -> BTreeMap<&'static str, (Flow, Flow)> {
@@ -218,7 +218,7 @@
     /// The steps of a role by what caused them.
     ///
     /// ```
-    /// use test_harness::hollow::{Ledger, Role};
+    /// use scale_model::{Ledger, Role};
     /// assert!(Ledger::default().steps(Role::DataNode).is_empty());
     /// ```
     pub fn steps(&self, role: Role) -> BTreeMap<&'static str, Steps> {
@@ -232,7 +232,7 @@
     /// The time in step functions of each process of a role.
     ///
     /// ```
-    /// use test_harness::hollow::{Ledger, Role};
+    /// use scale_model::{Ledger, Role};
     /// assert!(Ledger::default().busy(Role::DataNode).is_empty());
     /// ```
     pub fn busy(&self, role: Role) -> Vec<Duration> {
@@ -259,7 +259,7 @@
     /// Starts.
     ///
     /// ```
-    /// assert!(test_harness::hollow::Stopwatch::start().took() < std::time::Duration::from_secs(1));
+    /// assert!(scale_model::Stopwatch::start().took() < std::time::Duration::from_secs(1));
     /// ```
     pub fn start() -> Self {
         Stopwatch {
@@ -270,7 +270,7 @@
     /// The time since then.
     ///
     /// ```
-    /// let watch = test_harness::hollow::Stopwatch::start();
+    /// let watch = scale_model::Stopwatch::start();
     /// let sum: u64 = (0..1_000_000).map(std::hint::black_box).sum();
     /// assert!(sum > 0 && watch.took() > std::time::Duration::ZERO);
     /// ```
@@ -294,7 +294,7 @@
 /// A message's kind as the tables name it.
 ///
 /// ```
-/// assert_eq!(test_harness::hollow::kind(&protocol::Payload::UpstreamsRequest(Default::default())), "roll ask");
+/// assert_eq!(scale_model::kind(&protocol::Payload::UpstreamsRequest(Default::default())), "roll ask");
 /// ```
 pub fn kind(body: &Payload) -> &'static str {
     match body {
--- a/crates/test-harness/src/hollow/figures.rs
+++ b/crates/scale-model/src/figures.rs
@@ -12,7 +12,7 @@
     /// Adds one.
     ///
     /// ```
-    /// let mut figures = test_harness::hollow::Figures::default();
+    /// let mut figures = scale_model::Figures::default();
     /// figures.add("a", 1.0);
     /// assert_eq!(figures.get("a"), Some(1.0));
     /// assert_eq!(figures.to_string(), "a=1");
@@ -24,7 +24,7 @@
     /// The figure with this name.
     ///
     /// ```
-    /// assert_eq!(test_harness::hollow::Figures::default().get("a"), None);
+    /// assert_eq!(scale_model::Figures::default().get("a"), None);
     /// ```
     pub fn get(&self, name: &str) -> Option<f64> {
         self.0
@@ -36,7 +36,7 @@
     /// A line as [`Figures`] writes it, read again.
     ///
     /// ```
-    /// let read = test_harness::hollow::Figures::read("size=3 carrier.core%=0.25 noise");
+    /// let read = scale_model::Figures::read("size=3 carrier.core%=0.25 noise");
     /// assert_eq!(read.get("carrier.core%"), Some(0.25));
     /// ```
     pub fn read(line: &str) -> Figures {
--- a/crates/test-harness/src/hollow/fit.rs
+++ b/crates/scale-model/src/fit.rs
@@ -50,8 +50,8 @@
     ///
     /// ```
     /// let points = [(1.0, 5.0), (2.0, 7.0), (3.0, 9.0), (4.0, 11.0)];
-    /// let best = test_harness::hollow::fit(&points)[0];
-    /// assert_eq!(best.growth, test_harness::hollow::Growth::Line);
+    /// let best = scale_model::fit(&points)[0];
+    /// assert_eq!(best.growth, scale_model::Growth::Line);
     /// assert!((best.at(100.0) - 203.0).abs() < 1e-6);
     /// ```
     pub fn at(&self, n: f64) -> f64 {
@@ -78,7 +78,7 @@
 /// All growths fitted to points, the best first.
 ///
 /// ```
-/// use test_harness::hollow::{Growth, fit};
+/// use scale_model::{Growth, fit};
 /// let square = [(10.0, 100.0), (20.0, 400.0), (40.0, 1600.0), (80.0, 6400.0)];
 /// assert_eq!(fit(&square)[0].growth, Growth::Square);
 /// assert!(fit(&square)[0].residual < 1e-9);
--- a/crates/test-harness/src/hollow/flags.rs
+++ b/crates/scale-model/src/flags.rs
@@ -49,7 +49,7 @@
 /// Carries the command out; gives the exit code.
 ///
 /// ```no_run
-/// std::process::exit(test_harness::hollow::command());
+/// std::process::exit(scale_model::command());
 /// ```
 pub fn command() -> i32 {
     let done = read().and_then(|wish| wish.map_or(Ok(()), |wish| act(&wish)));
--- a/crates/test-harness/src/hollow/fleet.rs
+++ b/crates/scale-model/src/fleet.rs
@@ -78,7 +78,7 @@
     /// A site that is about to start, on blank disks.
     ///
     /// ```
-    /// use test_harness::hollow::{Fleet, Load, TODAY};
+    /// use scale_model::{Fleet, Load, TODAY};
     /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
     /// fleet.run_for(std::time::Duration::from_millis(100));
     /// assert_eq!(fleet.in_force(1), 0);
@@ -274,7 +274,7 @@
     /// Lets some virtual time pass.
     ///
     /// ```
-    /// use test_harness::hollow::{Fleet, Load, TODAY};
+    /// use scale_model::{Fleet, Load, TODAY};
     /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
     /// fleet.run_for(std::time::Duration::from_secs(1));
     /// assert!(fleet.take_ledger().all().messages > 0);
@@ -291,7 +291,7 @@
     /// Lets time pass until something is so; how long that took, none where the limit came first.
     ///
     /// ```
-    /// use test_harness::hollow::{Fleet, Load, TODAY};
+    /// use scale_model::{Fleet, Load, TODAY};
     /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
     /// let took = fleet.run_until(std::time::Duration::from_millis(50), |_| false);
     /// assert_eq!(took, None);
--- a/crates/test-harness/src/hollow/mod.rs
+++ b/crates/scale-model/src/lib.rs
@@ -2,6 +2,7 @@
 //! what they cost at sizes that no machine here could run.
 
 mod calls;
+pub mod changes;
 mod count;
 mod figures;
 mod fit;
--- a/crates/test-harness/src/hollow/request.rs
+++ b/crates/scale-model/src/request.rs
@@ -17,7 +17,7 @@
 /// Measures the path at a size.
 ///
 /// ```
-/// let figures = test_harness::hollow::request_path(&test_harness::hollow::TODAY, 50);
+/// let figures = scale_model::request_path(&scale_model::TODAY, 50);
 /// assert_eq!(figures.get("served"), Some(50.0));
 /// ```
 pub fn request_path(size: &Size, requests: usize) -> Figures {
--- a/crates/test-harness/src/hollow/sights.rs
+++ b/crates/scale-model/src/sights.rs
@@ -13,7 +13,7 @@
     /// An operator submits a setup with so many further routes, and asks again until it is accepted.
     ///
     /// ```
-    /// use test_harness::hollow::{Fleet, Load, TODAY};
+    /// use scale_model::{Fleet, Load, TODAY};
     /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
     /// fleet.submit(0);
     /// assert_eq!(fleet.in_force(1), 0, "nobody has founded the register yet");
@@ -150,7 +150,7 @@
     /// How many carriers serve by this edition or a later one.
     ///
     /// ```
-    /// use test_harness::hollow::{Fleet, Load, TODAY};
+    /// use scale_model::{Fleet, Load, TODAY};
     /// let fleet = Fleet::new(TODAY, 1, Load::default());
     /// assert_eq!(fleet.in_force(0), 0, "no view is fresh yet");
     /// ```
@@ -163,7 +163,7 @@
     /// How many carriers could serve every name: a fresh view in which each has an owner that is served.
     ///
     /// ```
-    /// use test_harness::hollow::{Fleet, Load, TODAY};
+    /// use scale_model::{Fleet, Load, TODAY};
     /// let fleet = Fleet::new(TODAY, 1, Load::default());
     /// assert_eq!(fleet.serving(), 0);
     /// ```
@@ -178,7 +178,7 @@
     /// The counts since the last call.
     ///
     /// ```
-    /// use test_harness::hollow::{Fleet, Load, TODAY};
+    /// use scale_model::{Fleet, Load, TODAY};
     /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
     /// assert_eq!(fleet.take_ledger().all().messages, 0, "nothing was said yet");
     /// ```
--- a/crates/test-harness/src/hollow/size.rs
+++ b/crates/scale-model/src/size.rs
@@ -38,7 +38,7 @@
     /// The target shrunk to so many nodes, in everything alike; never smaller than today.
     ///
     /// ```
-    /// use test_harness::hollow::{Size, TARGET};
+    /// use scale_model::{Size, TARGET};
     /// assert_eq!(Size::shrunk(1200), TARGET);
     /// assert_eq!(Size::shrunk(300).upstreams, 2125);
     /// ```
@@ -58,7 +58,7 @@
     /// The zone of machine number `at`.
     ///
     /// ```
-    /// assert_eq!(test_harness::hollow::TODAY.zone(7), 1);
+    /// assert_eq!(scale_model::TODAY.zone(7), 1);
     /// ```
     pub fn zone(&self, at: usize) -> usize {
         at % self.zones.max(1)
@@ -67,7 +67,7 @@
     /// The zone of upstream number `at`: one service's upstreams stand in as many zones as there are of them.
     ///
     /// ```
-    /// use test_harness::hollow::TODAY;
+    /// use scale_model::TODAY;
     /// let zones: std::collections::BTreeSet<usize> = (0..36).step_by(3).map(|at| TODAY.unit_zone(at)).collect();
     /// assert_eq!(zones.len(), 6);
     /// ```
@@ -79,7 +79,7 @@
     /// The region that a zone lies in.
     ///
     /// ```
-    /// assert_eq!(test_harness::hollow::TODAY.region(4), 1);
+    /// assert_eq!(scale_model::TODAY.region(4), 1);
     /// ```
     pub fn region(&self, zone: usize) -> usize {
         zone % self.regions.max(1)
@@ -88,7 +88,7 @@
     /// A zone in text form.
     ///
     /// ```
-    /// assert_eq!(test_harness::hollow::TODAY.locality(4), "region-1/zone-4");
+    /// assert_eq!(scale_model::TODAY.locality(4), "region-1/zone-4");
     /// ```
     pub fn locality(&self, zone: usize) -> String {
         format!("region-{}/zone-{zone}", self.region(zone))
@@ -97,7 +97,7 @@
     /// True where a service's keys have one holder each: every third, as on the sites of today.
     ///
     /// ```
-    /// assert!(test_harness::hollow::TODAY.is_keyed(2));
+    /// assert!(scale_model::TODAY.is_keyed(2));
     /// ```
     pub fn is_keyed(&self, service: usize) -> bool {
         service % 3 == 2
@@ -106,7 +106,7 @@
     /// A setup with a name for each route; `extra` adds routes.
     ///
     /// ```
-    /// let configuration = config::Configuration::parse(test_harness::hollow::TODAY.configuration(1).as_bytes()).unwrap();
+    /// let configuration = config::Configuration::parse(scale_model::TODAY.configuration(1).as_bytes()).unwrap();
     /// assert_eq!(configuration.routes.len(), 21);
     /// ```
     pub fn configuration(&self, extra: usize) -> String {
--- a/crates/test-harness/src/hollow/trials.rs
+++ b/crates/scale-model/src/trials.rs
@@ -61,7 +61,7 @@
 /// Runs a trial.
 ///
 /// ```
-/// use test_harness::hollow::{Load, Run, SETTLE, Size, TODAY, run};
+/// use scale_model::{Load, Run, SETTLE, Size, TODAY, run};
 /// use std::time::Duration;
 /// let size = Size { nodes: 3, postmasters: 3, upstreams: 6, routes: 3, ..TODAY };
 /// let window = Duration::from_secs(2);
--- a/crates/test-harness/src/hollow/units.rs
+++ b/crates/scale-model/src/units.rs
@@ -3,10 +3,10 @@
 use super::count::Role;
 use super::fleet::Fleet;
 use super::queue::Happening;
-use crate::upstreams::granted_slots;
 use config::JsonValue;
 use control_plane::{ControlRequest, ControlResponse};
 use protocol::{KeyShare, Upstream};
+use simulator::grants::granted_slots;
 use std::time::Duration;
 
 const BEAT_EVERY: Duration = Duration::from_millis(500);
--- a/crates/test-harness/src/hollow/ways.rs
+++ b/crates/scale-model/src/ways.rs
@@ -11,7 +11,7 @@
 /// Encoded bytes of each way.
 ///
 /// ```
-/// let figures = test_harness::hollow::ways(&test_harness::hollow::TODAY);
+/// let figures = scale_model::ways(&scale_model::TODAY);
 /// assert!(figures.get("image.by-need.bytes") < figures.get("image.bytes"));
 /// assert!(figures.get("told-on.hundred.bytes") < figures.get("told-on.one.bytes"));
 /// ```
--- a/crates/test-harness/tests/changes.rs
+++ b/crates/scale-model/tests/changes.rs
@@ -1,8 +1,8 @@
 //! A disk and a process stay as small as they were, however many changes there are.
 
+use scale_model::changes::{Checkpoint, Site, Trial, storm};
 use std::path::Path;
 use std::time::Duration;
-use test_harness::changes::{Checkpoint, Site, Trial, storm};
 
 const MIB: u64 = 1024 * 1024;
 
--- a/crates/test-harness/tests/hollow.rs
+++ b/crates/scale-model/tests/hollow.rs
@@ -1,10 +1,8 @@
 //! The hollow harness counts rightly, and a hollow site keeps its promises.
 
 use protocol::{Envelope, Freshness, Message, Payload, UpdateRequest};
+use scale_model::{Figures, Fleet, Ledger, Load, Reach, Role, Run, SETTLE, Size, kind, run};
 use std::time::Duration;
-use test_harness::hollow::{
-    Figures, Fleet, Ledger, Load, Reach, Role, Run, SETTLE, Size, kind, run,
-};
 
 const FORTY: Size = Size {
     nodes: 34,
--- a/crates/test-harness/src/explore.rs
+++ b/crates/test-harness/src/commands/explore.rs
@@ -1,12 +1,18 @@
 //! The bounded explorer of the register and the lease, with budgets from the command line.
 
+use crate::arguments::ArgumentError;
 use model_checker::{
     ControlBudget, ControlModel, ControlScenario, LeaseBudget, LeaseModel, Limits, Model,
-    RegisterModel, RegisterScenario, Schedule, Trace, control_scenarios, lease_scenarios,
+    RegisterModel, RegisterScenario, Schedule, control_scenarios, lease_scenarios,
     register_scenarios, replay, search,
 };
 use std::time::Duration;
 
+/// How many voters the models may have.
+const VOTERS: std::ops::RangeInclusive<usize> = 1..=7;
+/// The voters of a lease's scenario without `--voters`.
+const LEASE_VOTERS: usize = 3;
+
 /// What to explore, and how far.
 #[derive(Default)]
 pub struct Exploration {
@@ -15,40 +21,38 @@
     depth: Option<usize>,
     states: Option<u64>,
     seconds: Option<u64>,
-    strays: Option<u8>,
+    /// How many messages and disks may be delayed.
+    delays: Option<u8>,
     crashes: Option<u8>,
     wipes: Option<u8>,
     replay: Option<Vec<usize>>,
 }
 
 impl Exploration {
-    /// Takes a flag of this verb.
-    pub fn read_flag(&mut self, name: &str, value: &str) -> Result<(), String> {
-        let wrong = || format!("--{name} '{value}'");
-        let number = || value.parse::<u64>().map_err(|_| wrong());
-        let small = || value.parse::<u8>().map_err(|_| wrong());
+    /// Takes a flag of this subcommand.
+    pub fn read_flag(&mut self, name: &str, value: &str) -> Result<(), ArgumentError> {
         match name {
             "scenario" => self.scenario = Some(value.to_owned()),
             "voters" => {
-                self.voters = Some(
-                    number()
-                        .ok()
-                        .filter(|n| (1..=7).contains(n))
-                        .ok_or_else(wrong)? as usize,
-                )
+                let voters: usize = parse(name, value)?;
+                if !VOTERS.contains(&voters) {
+                    return Err(ArgumentError::invalid(name, value, ""));
+                }
+                self.voters = Some(voters);
             }
-            "depth" => self.depth = Some(number()? as usize),
-            "states" => self.states = Some(number()?),
-            "seconds" => self.seconds = Some(number()?),
-            "strays" => self.strays = Some(small()?),
-            "crashes" => self.crashes = Some(small()?),
-            "wipes" => self.wipes = Some(small()?),
+            "depth" => self.depth = Some(parse(name, value)?),
+            "states" => self.states = Some(parse(name, value)?),
+            "seconds" => self.seconds = Some(parse(name, value)?),
+            "strays" => self.delays = Some(parse(name, value)?),
+            "crashes" => self.crashes = Some(parse(name, value)?),
+            "wipes" => self.wipes = Some(parse(name, value)?),
             "replay" => {
-                let choices: Option<Vec<usize>> =
-                    value.split(',').map(|choice| choice.parse().ok()).collect();
-                self.replay = Some(choices.ok_or_else(wrong)?);
+                let choices: Result<Vec<usize>, ArgumentError> =
+                    value.split(',').map(|choice| parse(name, choice)).collect();
+                let invalid = |_| ArgumentError::invalid(name, value, "");
+                self.replay = Some(choices.map_err(invalid)?);
             }
-            _ => return Err(format!("--{name} is unknown")),
+            _ => return Err(ArgumentError::UnknownFlag(name.to_owned())),
         }
         Ok(())
     }
@@ -70,7 +74,7 @@
     }
 
     fn schedule(&self, schedule: Schedule) -> Schedule {
-        self.strays
+        self.delays
             .map_or(schedule, |delays| Schedule::InOrder { delays })
     }
 
@@ -129,69 +133,66 @@
             report.depth,
             report.time.as_secs_f64()
         );
-        report.counterexample.iter().for_each(print_trace);
+        if let Some(trace) = &report.counterexample {
+            println!("{trace}");
+        }
         report.counterexample.is_none()
     }
 }
 
-fn print_trace(trace: &Trace) {
-    println!("{trace}");
+fn parse<T: std::str::FromStr>(name: &str, value: &str) -> Result<T, ArgumentError> {
+    let parsed = value.parse();
+    parsed.map_err(|_| ArgumentError::invalid(name, value, ""))
 }
 
-/// Complains of a scenario that does not exist.
-pub fn check(exploration: &Exploration) -> Result<(), String> {
-    let names = register_scenarios()
-        .into_iter()
-        .map(|scenario| scenario.name);
-    let names = names.chain(lease_scenarios().into_iter().map(|(name, _)| name));
-    let names: Vec<&str> = names
-        .chain(
-            control_scenarios()
-                .into_iter()
-                .map(|scenario| scenario.name),
-        )
-        .collect();
-    let known = names.iter().any(|name| exploration.is_wanted(name));
-    known
-        .then_some(())
-        .ok_or_else(|| format!("--scenario: one of {}", names.join(", ")))?;
-    let one = exploration.scenario.is_some();
-    let alone = exploration.replay.is_none() || one;
-    alone
-        .then_some(())
-        .ok_or_else(|| "--replay wants the --scenario that the trace is of".to_owned())
+fn scenario_names() -> Vec<&'static str> {
+    let registers = register_scenarios();
+    let leases = lease_scenarios();
+    let controls = control_scenarios();
+    let mut names = Vec::new();
+    names.extend(registers.iter().map(|scenario| scenario.name));
+    names.extend(leases.iter().map(|(name, _)| *name));
+    names.extend(controls.iter().map(|scenario| scenario.name));
+    names
+}
+
+/// Rejects a scenario that does not exist, and a trace without the scenario that it is of.
+pub fn check(exploration: &Exploration) -> Result<(), ArgumentError> {
+    let names = scenario_names();
+    if !names.iter().any(|name| exploration.is_wanted(name)) {
+        let text = format!("--scenario: one of {}", names.join(", "));
+        return Err(ArgumentError::Conflict(text));
+    }
+    if exploration.replay.is_some() && exploration.scenario.is_none() {
+        let text = "--replay wants the --scenario that the trace is of".to_owned();
+        return Err(ArgumentError::Conflict(text));
+    }
+    Ok(())
 }
 
-/// Explores all that is wanted; true where no invariant broke.
+/// Explores all that is wanted, also after a violation; true where no invariant broke.
 pub fn run(exploration: &Exploration) -> bool {
-    let scenarios = register_scenarios()
-        .into_iter()
-        .filter(|scenario| exploration.is_wanted(scenario.name));
-    let registers = scenarios.map(|scenario| {
-        let name = scenario.name;
-        exploration.explore(name, &RegisterModel::new(exploration.scenario(scenario)))
-    });
-    let budgets = lease_scenarios()
-        .into_iter()
-        .filter(|(name, _)| exploration.is_wanted(name));
-    let leases = budgets.map(|(name, budget)| {
-        let voters = exploration.voters.unwrap_or(3);
-        exploration.explore(
-            name,
-            &LeaseModel::new(voters, exploration.lease_budget(budget)),
-        )
-    });
-    let scenarios = control_scenarios()
-        .into_iter()
-        .filter(|scenario| exploration.is_wanted(scenario.name));
-    let controls = scenarios.map(|scenario| {
-        let name = scenario.name;
-        exploration.explore(
-            name,
-            &ControlModel::new(exploration.control_scenario(scenario)),
-        )
-    });
-    // Each is explored, also after one that found something.
-    let explored: Vec<bool> = registers.chain(leases).chain(controls).collect();
-    explored.into_iter().all(|fine| fine)
+    let mut succeeded = true;
+    for scenario in register_scenarios() {
+        if exploration.is_wanted(scenario.name) {
+            let name = scenario.name;
+            let model = RegisterModel::new(exploration.scenario(scenario));
+            succeeded &= exploration.explore(name, &model);
+        }
+    }
+    let voters = exploration.voters.unwrap_or(LEASE_VOTERS);
+    for (name, budget) in lease_scenarios() {
+        if exploration.is_wanted(name) {
+            let model = LeaseModel::new(voters, exploration.lease_budget(budget));
+            succeeded &= exploration.explore(name, &model);
+        }
+    }
+    for scenario in control_scenarios() {
+        if exploration.is_wanted(scenario.name) {
+            let name = scenario.name;
+            let model = ControlModel::new(exploration.control_scenario(scenario));
+            succeeded &= exploration.explore(name, &model);
+        }
+    }
+    succeeded
 }
--- a/crates/test-harness/src/measure.rs
+++ b/crates/test-harness/src/commands/measure.rs
@@ -1,28 +1,39 @@
 //! What the path costs: ratios within one run, alternating.
 
-use crate::runs::submit;
 use bytes::Bytes;
 use config::JsonValue;
+use invariants::observations::ObservationLog;
 use name_directory::View;
 use protocol::{Upstream, ViewUpdate};
+use simulator::shapes::{KALAM, ROADWISE, Shape};
+use simulator::{Plan, World};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use test_harness::fleet::Fleet;
-use test_harness::observations::ObservationLog;
-use test_harness::origins::Origins;
-use test_harness::shapes::{KALAM, ROADWISE, Shape};
-use test_harness::sim::{Plan, World};
-use test_harness::upstreams::{ANY, Unit};
+use testbed::fleet::Fleet;
+use testbed::origins::Origins;
+use testbed::runs::submit;
+use testbed::upstreams::{ANY, Unit};
 use transport::{Clock, HttpClient};
 
 const ROUNDS: usize = 5;
 const CALLS: usize = 400;
 const LIMIT: Duration = Duration::from_secs(30);
 
+/// Runs all measurements and prints them; true where all could be made.
+pub async fn run() -> bool {
+    match measure_all().await {
+        Ok(()) => true,
+        Err(text) => {
+            eprintln!("test-harness: {text}");
+            false
+        }
+    }
+}
+
 /// Runs all measurements and prints them.
-pub async fn all() -> Result<(), String> {
+async fn measure_all() -> Result<(), String> {
     messages();
     let record = ObservationLog::default();
     let clock = Clock::default();
--- a/crates/test-harness/tests/site.rs
+++ b/crates/test-harness/tests/site.rs
@@ -3,11 +3,11 @@
 use bytes::Bytes;
 use config::JsonValue;
 use result_code::ResultCode;
+use simulator::shapes::{ROADWISE, Shape};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::Duration;
-use test_harness::fleet::Fleet;
-use test_harness::shapes::{ROADWISE, Shape};
+use testbed::fleet::Fleet;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use transport::{HttpClient, Reply};
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A site's processes on this one machine: real daemons on loopback addresses.
 
-use crate::shapes::Shape;
 use crate::wires::{End, Wires};
+use simulator::shapes::Shape;
 use std::collections::BTreeSet;
 use std::io;
 use std::net::{TcpListener, UdpSocket};
--- /dev/null
+++ b/crates/testbed/src/lib.rs
@@ -0,0 +1,13 @@
+//! A local fleet of real processes with stand-in upstreams and clients, faults injected into them, and peers that follow
+//! a script.
+//!
+//! [`runs`] lays a site out on this machine, loads it, injects the faults of a plan and checks what was seen.
+//! [`scripted`] has peers, proxies and clients whose every step a test decides.
+
+pub mod fleet;
+pub mod origins;
+pub mod plans;
+pub mod runs;
+pub mod scripted;
+pub mod upstreams;
+pub mod wires;
--- a/crates/test-harness/src/origins.rs
+++ b/crates/testbed/src/origins.rs
@@ -1,10 +1,10 @@
 //! Stand-in origins: they ask a directory node, keep its answer for its lifetime, and try through a proxy.
 
-use crate::observations::{FinishedOperation, Observation, ObservationLog};
-use crate::shapes::Shape;
 use config::JsonValue;
+use invariants::observations::{FinishedOperation, Observation, ObservationLog};
 use random::Random;
 use result_code::{Execution, ResultCode};
+use simulator::shapes::Shape;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/test-harness/src/plans.rs
+++ b/crates/testbed/src/plans.rs
@@ -1,15 +1,15 @@
 //! What is broken in a run of real processes, and how it heals.
 
+use crate::fleet::{Fleet, Process};
 use crate::runs::submit;
+use crate::upstreams::{ANY, Ill, Unit};
+use crate::wires::{Cut, Wires};
 use bytes::Bytes;
 use config::JsonValue;
+use invariants::observations::{Observation, ObservationLog};
+use simulator::shapes::Shape;
 use std::sync::Arc;
 use std::time::Duration;
-use test_harness::fleet::{Fleet, Process};
-use test_harness::observations::{Observation, ObservationLog};
-use test_harness::shapes::Shape;
-use test_harness::upstreams::{ANY, Ill, Unit};
-use test_harness::wires::{Cut, Wires};
 use transport::{Clock, HttpClient};
 
 const BACK_WITHIN: Duration = Duration::from_secs(60);
--- a/crates/test-harness/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,18 +1,19 @@
 //! A run of a real fleet: start, set up, load, break, heal, judge.
 
+use crate::fleet::{Fleet, Process};
+use crate::origins::Origins;
 use crate::plans::Scene;
+use crate::upstreams::{ANY, Unit};
 use bytes::Bytes;
 use config::JsonValue;
+use invariants::observations::{Observation, ObservationLog};
+use invariants::rules;
 use result_code::ResultCode;
+use simulator::report;
+use simulator::shapes::{MARKERS, Shape, marker_index};
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
-use test_harness::fleet::{Fleet, Process};
-use test_harness::observations::{Observation, ObservationLog};
-use test_harness::origins::Origins;
-use test_harness::shapes::{MARKERS, Shape, marker_index};
-use test_harness::upstreams::{ANY, Unit};
-use test_harness::{report, rules};
 use transport::{Clock, HttpClient};
 
 /// Within this after the last fault everything must be served again.
--- a/crates/test-harness/src/scripted/clients.rs
+++ b/crates/testbed/src/scripted/clients.rs
@@ -115,7 +115,7 @@
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// use test_harness::scripted::{Facts, Manner, Peer, Proxy, Takes, Told, Try, work};
+    /// use testbed::scripted::{Facts, Manner, Peer, Proxy, Takes, Told, Try, work};
     /// let facts = Facts::default();
     /// let peer = Peer::start(&Manner::OWN, "u-1", facts.clone(), (vec![], vec![])).await;
     /// let proxy = Proxy::start(&Manner::OWN, &[peer], facts, Takes::ItsOwn);
--- a/crates/test-harness/src/scripted/judge.rs
+++ b/crates/testbed/src/scripted/judge.rs
@@ -18,7 +18,7 @@
 /// Judges all that happened.
 ///
 /// ```
-/// use test_harness::scripted::{Breach, Fact, Told, judge};
+/// use testbed::scripted::{Breach, Fact, Told, judge};
 /// let asked = Fact::Asked { try_id: "t".into(), once: true };
 /// let told = Fact::Told { try_id: "t".into(), told: Told::Unknown };
 /// assert_eq!(judge(&[asked.clone(), told]), vec![]);
--- a/crates/test-harness/src/scripted/mod.rs
+++ b/crates/testbed/src/scripted/mod.rs
@@ -86,7 +86,7 @@
     /// Notes one.
     ///
     /// ```
-    /// use test_harness::scripted::{Fact, Facts};
+    /// use testbed::scripted::{Fact, Facts};
     /// let facts = Facts::default();
     /// facts.note(Fact::Arrived { try_id: "t".into() });
     /// assert_eq!(facts.all().len(), 1);
@@ -101,7 +101,7 @@
     /// All so far.
     ///
     /// ```
-    /// assert!(test_harness::scripted::Facts::default().all().is_empty());
+    /// assert!(testbed::scripted::Facts::default().all().is_empty());
     /// ```
     pub fn all(&self) -> Vec<Fact> {
         self.0
@@ -114,7 +114,7 @@
 /// What an upstream answers to a try: no two answer alike.
 ///
 /// ```
-/// assert_ne!(test_harness::scripted::work("t-1"), test_harness::scripted::work("t-2"));
+/// assert_ne!(testbed::scripted::work("t-1"), testbed::scripted::work("t-2"));
 /// ```
 pub fn work(try_id: &str) -> String {
     let lines = 1 + random::stable_hash(try_id) % 900;
--- a/crates/test-harness/src/scripted/peer.rs
+++ b/crates/testbed/src/scripted/peer.rs
@@ -178,7 +178,7 @@
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// use test_harness::scripted::{Facts, Manner, Peer};
+    /// use testbed::scripted::{Facts, Manner, Peer};
     /// let peer = Peer::start(&Manner::OWN, "u-1", Facts::default(), (vec![], vec![])).await;
     /// assert!(tokio::net::TcpStream::connect(&peer.address).await.is_ok());
     /// # });
--- a/crates/test-harness/src/upstreams.rs
+++ b/crates/testbed/src/upstreams.rs
@@ -1,14 +1,14 @@
 //! Stand-in back ends: they beat, do work, seal verdicts, and hold key shares by the rules of the interface.
 
-use crate::observations::{Observation, ObservationLog};
-use crate::shapes::{ServiceProfile, marker_index};
 use bytes::Bytes;
 use config::JsonValue;
 use http_body_util::Full;
 use hyper::Response;
+use invariants::observations::{Observation, ObservationLog};
 use protocol::KeyShare;
 use random::Random;
 pub use simulator::grants::granted_slots;
+use simulator::shapes::{ServiceProfile, marker_index};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/test-harness/src/wires.rs
+++ b/crates/testbed/src/wires.rs
@@ -1,7 +1,7 @@
 //! The links between places on one machine: each process is known to the others by an address of drill's, which
 //! passes on what comes, late by the distance between the places, and not at all where a cut lies between.
 
-use crate::shapes::Shape;
+use simulator::shapes::Shape;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/test-harness/tests/answers.rs
+++ b/crates/testbed/tests/answers.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use scripts::{AMPLE, Client, SHORT, Waves, drawn_try, run, success};
-use test_harness::scripted::{
+use testbed::scripted::{
     Act, Breach, Facts, Manner, Peer, Step, Takes, Told, Try, ask_naively, judge,
 };
 
--- a/crates/test-harness/tests/scripts/mod.rs
+++ b/crates/testbed/tests/scripts/mod.rs
@@ -3,7 +3,7 @@
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use arbtest::arbtest;
 use std::time::Duration;
-use test_harness::scripted::{
+use testbed::scripted::{
     ACTS, Act, Breach, Fact, Facts, Manner, OPENINGS, Opening, Peer, Proxy, Step, Takes, Told, Try,
     judge, work,
 };
