--- a/crates/protocol/src/compress.rs
+++ b/crates/protocol/src/compress.rs
@@ -1,13 +1,13 @@
-//! Setups travel squeezed (raw deflate).
+//! Compression of configurations on the wire (raw deflate).
 
 use flate2::Compression;
 use flate2::read::{DeflateDecoder, DeflateEncoder};
 use std::io::Read;
 
-/// The most bytes that come out of a squeezed setup.
+/// The largest configuration that is decompressed, in bytes.
 pub const MAX_CONFIGURATION_BYTES: usize = 2 * 1024 * 1024;
 
-/// The bytes as they travel.
+/// Compresses a configuration.
 ///
 /// ```
 /// let long = b"{\"names\": [\"booking\", \"booking\", \"booking\"]}".repeat(9);
@@ -20,7 +20,7 @@
     compressed
 }
 
-/// What was squeezed; none where that is damaged or comes to more than a setup may.
+/// The configuration; none where the bytes are corrupt, or more than [`MAX_CONFIGURATION_BYTES`] would come out.
 ///
 /// ```
 /// assert_eq!(protocol::decompress(&protocol::compress(b"{}")).as_deref(), Some(&b"{}"[..]));
@@ -29,10 +29,11 @@
 /// ```
 pub fn decompress(compressed: &[u8]) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
-    let most = MAX_CONFIGURATION_BYTES as u64 + 1;
-    let read = DeflateDecoder::new(compressed)
-        .take(most)
-        .read_to_end(&mut bytes);
-    read.is_ok_and(|count| count <= MAX_CONFIGURATION_BYTES)
-        .then_some(bytes)
+    // One byte more shows that it is too large.
+    let limit = MAX_CONFIGURATION_BYTES as u64 + 1;
+    let count = DeflateDecoder::new(compressed)
+        .take(limit)
+        .read_to_end(&mut bytes)
+        .ok()?;
+    (count <= MAX_CONFIGURATION_BYTES).then_some(bytes)
 }
--- a/crates/protocol/src/delta.rs
+++ b/crates/protocol/src/delta.rs
@@ -1,4 +1,4 @@
-//! States told as what they add to an earlier one.
+//! Deltas of the replicated state: what a state adds to an earlier one.
 
 use crate::{ClusterState, StateDelta};
 use prost::Message;
@@ -8,14 +8,14 @@
     Sha256::digest(state.encode_to_vec()).to_vec()
 }
 
-/// How many submissions were decided before the oldest that a state remembers.
-fn forgotten(state: &ClusterState) -> Option<u64> {
+/// How many changes were decided before the oldest that a state remembers.
+fn forgotten_changes(state: &ClusterState) -> Option<u64> {
     state.decided.checked_sub(state.submissions.len() as u64)
 }
 
 impl StateDelta {
-    /// A state for a receiver that holds one with so many decided submissions; none where that would leave nothing out, or
-    /// the receiver is further on.
+    /// The delta for a receiver whose state has `decided` decided changes; none where it would leave nothing out, or the
+    /// receiver is ahead.
     ///
     /// ```
     /// use protocol::{ClusterState, StateDelta, DecidedChange};
@@ -29,11 +29,11 @@
     /// assert_eq!(StateDelta::since(&later, 0), None);
     /// ```
     pub fn since(state: &ClusterState, decided: u64) -> Option<StateDelta> {
-        let held = decided.checked_sub(forgotten(state)?)? as usize;
-        // A receiver that is further on has forgotten the oldest of them.
-        (held > 0 && held <= state.submissions.len()).then(|| StateDelta {
+        let known = decided.checked_sub(forgotten_changes(state)?)? as usize;
+        // A receiver that is ahead has forgotten the oldest of them.
+        (known > 0 && known <= state.submissions.len()).then(|| StateDelta {
             state: ClusterState {
-                submissions: state.submissions[held..].to_vec(),
+                submissions: state.submissions[known..].to_vec(),
                 ..without_submissions(state)
             },
             remembered: state.submissions.len() as u64,
@@ -41,36 +41,39 @@
         })
     }
 
-    /// The whole state, where it comes from this one; none where the two don't fit together, and it must be asked for
-    /// whole. The digest judges that, so a wrong state never comes out.
+    /// The complete state, where the delta applies to `base`; none where it does not, and the complete state must be
+    /// requested. The digest decides, so a wrong state never results.
     ///
     /// ```
     /// let delta = protocol::StateDelta { remembered: 1, ..Default::default() };
     /// assert_eq!(delta.apply_to(&Default::default()), None);
     /// ```
     pub fn apply_to(&self, base: &ClusterState) -> Option<ClusterState> {
-        let told = self.state.submissions.len() as u64;
-        let until = self.state.decided.checked_sub(told)?;
-        let from = until.checked_sub(self.remembered.checked_sub(told)?)?;
-        let place = |decided: u64| {
+        let sent = self.state.submissions.len() as u64;
+        let first_sent = self.state.decided.checked_sub(sent)?;
+        let first_remembered = first_sent.checked_sub(self.remembered.checked_sub(sent)?)?;
+        let index = |decided: u64| {
             decided
-                .checked_sub(forgotten(base)?)
-                .map(|place| place as usize)
+                .checked_sub(forgotten_changes(base)?)
+                .map(|index| index as usize)
         };
-        let held = base.submissions.get(place(from)?..place(until)?)?;
-        let submissions = held
+        let known = base
+            .submissions
+            .get(index(first_remembered)?..index(first_sent)?)?;
+        let submissions = known
             .iter()
             .chain(&self.state.submissions)
             .cloned()
             .collect();
-        let whole = ClusterState {
+        let complete = ClusterState {
             submissions,
             ..without_submissions(&self.state)
         };
-        (digest_of(&whole) == self.digest).then_some(whole)
+        (digest_of(&complete) == self.digest).then_some(complete)
     }
 }
 
+/// Names every field, so that a new one can't be forgotten here.
 fn without_submissions(state: &ClusterState) -> ClusterState {
     let ClusterState {
         revision,
--- a/crates/protocol/src/frames.rs
+++ b/crates/protocol/src/frames.rs
@@ -6,7 +6,8 @@
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Splits a byte stream into parcels; a frame over `mostBytes` ends the connection.
+/// Splits a byte stream into envelopes. Each frame is the length in four bytes, big-endian, then the envelope; one that
+/// is longer than `most_bytes` is an error.
 ///
 /// ```
 /// use bytes::BytesMut;
@@ -21,29 +22,33 @@
 /// assert!(frames.decode(&mut absurd).is_err());
 /// ```
 pub struct Frames {
+    /// The longest frame, in bytes, without the four bytes of the length.
     pub most_bytes: usize,
 }
 
+/// How many bytes the length takes.
+const LENGTH_BYTES: usize = 4;
+
 impl Decoder for Frames {
     type Item = Envelope;
     type Error = io::Error;
 
     fn decode(&mut self, wire: &mut BytesMut) -> io::Result<Option<Envelope>> {
-        if wire.len() < 4 {
+        if wire.len() < LENGTH_BYTES {
             return Ok(None);
         }
-        let length = (&wire[..4]).get_u32() as usize;
+        let length = (&wire[..LENGTH_BYTES]).get_u32() as usize;
         if length > self.most_bytes {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidData,
                 "frame too large",
             ));
         }
-        if wire.len() < 4 + length {
-            wire.reserve(4 + length - wire.len());
+        if wire.len() < LENGTH_BYTES + length {
+            wire.reserve(LENGTH_BYTES + length - wire.len());
             return Ok(None);
         }
-        wire.advance(4);
+        wire.advance(LENGTH_BYTES);
         Envelope::decode(wire.split_to(length))
             .map(Some)
             .map_err(|failure| io::Error::new(io::ErrorKind::InvalidData, failure))
@@ -61,7 +66,7 @@
                 "frame too large",
             ));
         }
-        wire.reserve(4 + length);
+        wire.reserve(LENGTH_BYTES + length);
         wire.put_u32(length as u32);
         envelope.encode(wire).map_err(io::Error::other)
     }
--- a/crates/protocol/src/voters.rs
+++ b/crates/protocol/src/voters.rs
@@ -17,9 +17,10 @@
 /// ```
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct VoterSet {
-    /// Rises by one with each step of a change: even where it is settled, odd while it is joint.
+    /// Rises by one with each step of a change: even where no change is under way, odd while the set is joint.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
+    /// The voters; during a change, those before it.
     #[prost(string, repeated, tag = "2")]
     pub voters: Vec<String>,
     /// The voters after the change that is under way; empty where none is.
--- a/crates/protocol/tests/deltas.rs
+++ b/crates/protocol/tests/deltas.rs
@@ -1,4 +1,4 @@
-//! A state told as a difference comes out whole where it fits, and else not at all.
+//! A delta gives the complete state where it applies, and nothing where it does not.
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
@@ -6,8 +6,8 @@
 
 const MAX_REMEMBERED: usize = 16;
 
-/// A state that comes from this one by some orders more.
-fn grown(
+/// A state that follows this one by some changes.
+fn later_state(
     state: &ClusterState,
     noise: &mut Unstructured,
 ) -> arbtest::arbitrary::Result<ClusterState> {
@@ -15,7 +15,7 @@
     for _ in 0..noise.int_in_range(0..=24)? {
         state.decided += 1;
         state.revision += u64::from(noise.arbitrary::<bool>()?);
-        let id = format!("order {}", state.decided);
+        let id = format!("change {}", state.decided);
         state.submissions.push(DecidedChange {
             id,
             revision: state.revision,
@@ -34,43 +34,49 @@
 }
 
 #[test]
-fn what_comes_from_a_state_comes_out_whole_on_it_and_nothing_else_does() {
-    let mut cut = 0;
+fn a_delta_gives_the_complete_state_on_its_base_and_on_no_other() {
+    let mut deltas = 0;
     (1..200u64).for_each(|number| {
         arbtest(|noise| {
-            let earlier = grown(&ClusterState::default(), noise)?;
-            let later = grown(&earlier, noise)?;
+            let earlier = later_state(&ClusterState::default(), noise)?;
+            let later = later_state(&earlier, noise)?;
             let Some(delta) = StateDelta::since(&later, earlier.decided) else {
                 return Ok(());
             };
-            cut += 1;
+            deltas += 1;
             let sent = StateDelta::decode(delta.encode_to_vec().as_slice()).expect("a message");
             assert_eq!(sent.apply_to(&earlier).as_ref(), Some(&later));
-            // Whoever is further on can use it too, while it remembers enough.
-            assert!(sent.apply_to(&later).is_none_or(|whole| whole == later));
-            // Another history of the same length is not taken for it.
+            // A receiver that is ahead can use it too, while it remembers enough.
+            assert!(
+                sent.apply_to(&later)
+                    .is_none_or(|complete| complete == later)
+            );
+            // Another history of the same length does not match.
             let mut other = earlier.clone();
             other
                 .submissions
                 .iter_mut()
                 .for_each(|submission| submission.id.push('x'));
-            assert!(sent.apply_to(&other).is_none_or(|whole| whole == later));
+            assert!(
+                sent.apply_to(&other)
+                    .is_none_or(|complete| complete == later)
+            );
             Ok(())
         })
         .seed(number << 32 | 2_000);
     });
-    assert!(cut > 50, "hardly any was cut: {cut}");
+    assert!(deltas > 50, "hardly any delta was made: {deltas}");
 }
 
 #[test]
-fn no_difference_makes_a_receiver_panic() {
+fn no_delta_makes_a_receiver_panic() {
     (1..200u64).for_each(|number| {
         arbtest(|noise| {
-            let state = grown(&ClusterState::default(), noise)?;
-            let mut told = grown(&state, noise)?;
-            told.decided = noise.arbitrary()?;
+            let state = later_state(&ClusterState::default(), noise)?;
+            let mut sent = later_state(&state, noise)?;
+            sent.decided = noise.arbitrary()?;
             let delta = StateDelta {
-                state: told,
+                state: sent,
                 remembered: noise.arbitrary()?,
                 digest: noise.arbitrary()?,
             };
--- a/crates/protocol/tests/garbage.rs
+++ b/crates/protocol/tests/garbage.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes arrive on a link, decoding ends with parcels, with a wait for more, or with a failure.
+//! Whatever bytes arrive on a link, decoding ends with envelopes, with a wait for more, or with an error.
 
 use arbtest::arbtest;
 use bytes::BytesMut;
@@ -22,9 +22,9 @@
     });
 }
 
-/// A setup comes out of its squeezed form as it went in, and garbage comes out as nothing or as something bounded.
+/// A configuration is decompressed to what was compressed, and garbage to nothing or to something bounded.
 #[test]
-fn squeezed_setups_come_back_whole_and_garbage_stays_bounded() {
+fn configurations_survive_compression_and_garbage_stays_bounded() {
     (1..17u64).for_each(|number| {
         arbtest(|noise| {
             let bytes = noise.bytes(noise.len())?;
