--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -33,7 +33,7 @@
     /// True while a majority answered a question of this node that it asked a moment ago.
     pub(crate) fn is_in_contact(&self, now: Duration) -> bool {
         self.register
-            .age(now)
+            .confirmation_age(now)
             .is_some_and(|age| age < self.contact_duration())
     }
 
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -669,7 +669,7 @@
     /// True while a majority confirmed the state lately.
     pub(crate) fn is_current(&self, now: Duration) -> bool {
         self.register
-            .age(now)
+            .confirmation_age(now)
             .is_some_and(|age| age < self.times.stale_after)
     }
 }
--- a/crates/control-plane/src/requests.rs
+++ b/crates/control-plane/src/requests.rs
@@ -478,7 +478,7 @@
             (
                 "ageMs",
                 self.register
-                    .age(now)
+                    .confirmation_age(now)
                     .map(|age| (age.as_millis() as u64).into())
                     .unwrap_or(JsonValue::Null),
             ),
--- a/crates/control-plane/src/updates.rs
+++ b/crates/control-plane/src/updates.rs
@@ -90,7 +90,9 @@
 
     /// How long ago a majority confirmed what is known here, rounded up.
     fn confirmation_age_ms(&self, now: Duration) -> Option<u64> {
-        self.register.age(now).map(|age| age.as_millis() as u64 + 1)
+        self.register
+            .confirmation_age(now)
+            .map(|age| age.as_millis() as u64 + 1)
     }
 
     fn send_snapshot(&mut self, now: Duration, to: &str, asked: u64) {
--- a/crates/quorum-register/src/inspect.rs
+++ b/crates/quorum-register/src/inspect.rs
@@ -63,9 +63,9 @@
     /// # use quorum_register::{Register, RegisterConfig, RegisterTiming};
     /// # let config = RegisterConfig { node: "a".into(), initial_voter_count: 3, seed: 1, durable: Default::default(),
     /// #     configurations: Default::default(), timing: RegisterTiming::default() };
-    /// assert_eq!(Register::new(config).age(Default::default()), None);
+    /// assert_eq!(Register::new(config).confirmation_age(Default::default()), None);
     /// ```
-    pub fn age(&self, now: Duration) -> Option<Duration> {
+    pub fn confirmation_age(&self, now: Duration) -> Option<Duration> {
         self.chosen.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
--- a/crates/quorum-register/src/majority_read.rs
+++ b/crates/quorum-register/src/majority_read.rs
@@ -151,7 +151,7 @@
     }
 
     fn is_state_old(&self, now: Duration) -> bool {
-        self.age(now)
+        self.confirmation_age(now)
             .is_none_or(|age| age > self.timing.confirm_interval * 2)
     }
 
--- a/crates/quorum-register/tests/arbitrary.rs
+++ b/crates/quorum-register/tests/arbitrary.rs
@@ -165,7 +165,7 @@
     let ages: Vec<_> = cluster
         .nodes
         .iter()
-        .map(|node| node.register.age(cluster.now))
+        .map(|node| node.register.confirmation_age(cluster.now))
         .collect();
     let is_fresh =
         |age: &Option<Duration>| age.is_some_and(|age| age < Duration::from_millis(1500));
--- a/crates/scale-model/src/changes.rs
+++ b/crates/scale-model/src/changes.rs
@@ -444,7 +444,7 @@
             self.change(1);
             let register = &self.nodes[last].register;
             let age = register
-                .age(self.now)
+                .confirmation_age(self.now)
                 .filter(|_| register.configuration().is_some());
             (
                 age,
