--- a/crates/control-plane/src/api_adapter.rs
+++ b/crates/control-plane/src/api_adapter.rs
@@ -1,7 +1,7 @@
 //! What a postmaster speaks with operators and upstreams, as policies: the product's own way is [`ApiAdapter::own`], and
 //! an adapter to another site's way brings its own.
 
-use crate::node::{ControlRequest, ControlResponse};
+use crate::interface::{ControlRequest, ControlResponse};
 use bytes::Bytes;
 use config::{JsonValue, ObjectReader, ValidationError, add_validation_error};
 use http_body_util::Full;
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -1,6 +1,7 @@
 //! Whether this node is in contact with a majority of the voters, and where callers are sent while it is not.
 
-use crate::node::{ControlNode, ControlRequest, ControlResponse, Effect};
+use crate::interface::{ControlRequest, ControlResponse, Effect};
+use crate::node::ControlNode;
 use protocol::Payload;
 use quorum_register::VoterPhase;
 use result_code::ResultCode;
@@ -74,9 +75,9 @@
     pub(crate) fn observe_lease_holder(&mut self, now: Duration, from: &str, body: &Payload) {
         let holds = match body {
             Payload::LeaseRequest(request) => request.renewal,
-            Payload::LeaseHolder(holder) => holder.epoch >= self.placement_epoch,
+            Payload::LeaseHolder(holder) => holder.epoch >= self.placement.lease_epoch,
             Payload::Placement(placement) => {
-                placement.epoch >= self.placement_epoch && from == self.placement_holder
+                placement.epoch >= self.placement.lease_epoch && from == self.placement.lease_holder
             }
             _ => false,
         };
@@ -119,8 +120,8 @@
         }
         let revision = self.register.state().revision;
         let waiting = std::mem::take(&mut self.contact.orders);
-        self.in_force_waits
-            .retain(|wait| !waiting.contains(&wait.request_id));
+        self.pending
+            .remove_in_force_waits(|request_id| waiting.contains(&request_id));
         waiting.into_iter().for_each(|request_id| {
             let response = ControlResponse::Outcome {
                 code: ResultCode::ChangeOutcomeUnknown,
--- a/crates/control-plane/src/daemon/effects.rs
+++ b/crates/control-plane/src/daemon/effects.rs
@@ -1,7 +1,7 @@
 //! Carries the node's effects out, and turns the storage threads' reports into events.
 
 use crate::daemon::QueuedEvent;
-use crate::node::{ControlResponse, Effect, Event};
+use crate::interface::{ControlResponse, Effect, Event};
 use crate::persistence::{DepartureWriter, StorageReport, StorageThread, Write};
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/control-plane/src/daemon/event_loop.rs
+++ b/crates/control-plane/src/daemon/event_loop.rs
@@ -3,7 +3,8 @@
 use crate::daemon::QueuedEvent;
 use crate::daemon::effects::EffectExecutor;
 use crate::daemon::http_handlers::HttpHandlers;
-use crate::node::{ControlNode, Event};
+use crate::interface::Event;
+use crate::node::ControlNode;
 use protocol::{Envelope, Message, Payload};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/control-plane/src/daemon/http_handlers.rs
+++ b/crates/control-plane/src/daemon/http_handlers.rs
@@ -2,7 +2,7 @@
 
 use crate::api_adapter::ApiAdapter;
 use crate::daemon::QueuedEvent;
-use crate::node::{ControlRequest, ControlResponse, Event};
+use crate::interface::{ControlRequest, ControlResponse, Event};
 use crate::persistence::StorageStats;
 use bytes::Bytes;
 use config::JsonValue;
--- a/crates/control-plane/src/daemon/mod.rs
+++ b/crates/control-plane/src/daemon/mod.rs
@@ -12,7 +12,8 @@
 pub use settings::{PROGRAM, SETTINGS, times};
 
 use crate::api_adapter::ApiAdapter;
-use crate::node::{ControlNode, ControlResponse, Event};
+use crate::interface::{ControlResponse, Event};
+use crate::node::ControlNode;
 use crate::persistence::{DepartureWriter, RetryBackoff, StorageThread};
 use config::Settings;
 use effects::EffectExecutor;
--- a/crates/control-plane/src/daemon/settings.rs
+++ b/crates/control-plane/src/daemon/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the daemon: the table of command-line flags, and the time values read from them.
 
-use crate::node::Times;
+use crate::start::Times;
 use config::{Setting, SettingType, Settings};
 use transport::Program;
 
--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -4,7 +4,9 @@
 //! majorities share a voter; so whoever is confirmed by a question asked after the acknowledgement knows of it, and so
 //! do the carriers that follow it.
 
-use crate::node::{CONTROL_NODE_ROLE, ControlNode, DIGEST_INTERVAL, Effect};
+use crate::heartbeat_relay::DIGEST_INTERVAL;
+use crate::interface::Effect;
+use crate::node::{CONTROL_NODE_ROLE, ControlNode};
 use protocol::{
     Departure, DeparturesRead, DeparturesReadBack, Heartbeats, HeartbeatsAck, Payload, Read,
     ReadBack, Upstream,
--- a/crates/control-plane/src/keys.rs
+++ b/crates/control-plane/src/keys.rs
@@ -1,6 +1,7 @@
 //! Numeric keys: what carriers count of them, and the division that follows it.
 
-use crate::node::{ControlNode, Effect};
+use crate::interface::Effect;
+use crate::node::ControlNode;
 use crate::placement::{DECISION_INTERVAL, PlacementLease};
 use key_space::{KEY_COUNT, LOAD_BUCKET_COUNT};
 use protocol::{KeyLoad, KeyLoads, KeyShare, Payload, ServiceKeyShares, Upstream};
@@ -86,24 +87,26 @@
 impl ControlNode {
     /// Requests by key that a carrier counted, or another postmaster told on.
     pub(crate) fn count_key_loads(&mut self, loads: Vec<KeyLoad>) {
-        match self.placement_lease.as_mut() {
+        match self.placement.lease.as_mut() {
             Some(placement_lease) => loads
                 .into_iter()
                 .for_each(|load| placement_lease.key_loads.add(load)),
-            None => loads.into_iter().for_each(|load| self.loads.add(load)),
+            None => loads
+                .into_iter()
+                .for_each(|load| self.placement.unreported_loads.add(load)),
         }
     }
 
     /// Tells them on to the holder of the duty.
     pub(crate) fn forward_key_loads(&mut self) {
-        let loads = self.loads.drain();
+        let loads = self.placement.unreported_loads.drain();
         if loads.is_empty() {
             return;
         }
-        if self.placement_lease.is_some() {
+        if self.placement.lease.is_some() {
             return self.count_key_loads(loads);
         }
-        let to = Some(self.placement_holder.clone())
+        let to = Some(self.placement.lease_holder.clone())
             .filter(|holder| !holder.is_empty() && *holder != self.me.node);
         let send = to.map(|to| Effect::Send {
             to,
@@ -160,7 +163,8 @@
             .get(now, upstream)
             .filter(|me| self.may_hold(me));
         let placement_lease = self
-            .placement_lease
+            .placement
+            .lease
             .as_ref()
             .filter(|placement_lease| placement_lease.epoch == epoch)?;
         let known = placement_lease.inputs.get(&upstream.service);
@@ -172,13 +176,13 @@
         };
         let PlacementLease {
             since,
-            founding,
+            is_first,
             ranges,
             inputs: all_inputs,
             ..
-        } = self.placement_lease.as_mut()?;
+        } = self.placement.lease.as_mut()?;
         all_inputs.insert(upstream.service.clone(), inputs.clone());
-        let new = || KeyRangeAssigner::new(*since, terms, KEY_COUNT, epoch, *founding);
+        let new = || KeyRangeAssigner::new(*since, terms, KEY_COUNT, epoch, *is_first);
         let ranges = ranges.entry(upstream.service.clone()).or_insert_with(new);
         let grants =
             ranges.handle_heartbeat(held_at, &heartbeat(upstream), &inputs.ready, &inputs.load)?;
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -1,239 +1,49 @@
-//! One postmaster's decisions: the register, membership, the roll of upstreams, the placement duty and the
-//! news to carriers, as one reducer.
+//! The control node: one reducer that takes events in and gives effects out. It composes the register, membership, the
+//! lease and the registry of upstreams with the states of this package's other modules, and carries effects between them.
 
 use crate::anonymous_orders::AnonymousOrders;
 use crate::contact::QuorumContact;
 use crate::departures::Departures;
-use crate::keys::KeyLoadCounts;
-use crate::placement::PlacementLease;
-use crate::updates::UpdateStream;
+use crate::heartbeat_relay::{DIGEST_INTERVAL, HeartbeatRelay};
+use crate::interface::{Effect, Event};
+use crate::pending_requests::PendingRequests;
+use crate::placement::PlacementState;
+use crate::start::{Start, Times};
+use crate::update_streams::UpdateStreams;
 use crate::voters::VoterChanges;
-use config::{Configuration, JsonValue, ValidationError};
+use config::Configuration;
 use lease::BoundedStepClock;
 use lease::Lease;
 use membership::Membership;
 use name_directory::{ConfigurationParser, OwnershipMode};
-use protocol::{
-    Departure, DurableState, KeyShare, Member, Payload, Placement, Upstream, UpstreamsReply,
-    UpstreamsRequest,
-};
-use quorum_register::{Change, ChangeId, Register, VoterPhase};
+use protocol::{Member, Payload, UpstreamsRequest};
+use quorum_register::{Register, VoterPhase};
 use random::Random;
 use result_code::ResultCode;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
 use upstream_registry::UpstreamRegistry;
 
 /// The role of a control node in `Member.roles`: part of the wire format, so it keeps its old word.
 pub(crate) const CONTROL_NODE_ROLE: &str = "postmaster";
-/// How often upstreams that go on beating are told on.
-pub(crate) const DIGEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A postmaster's time values.
-#[derive(Clone, Copy, Debug)]
-pub struct Times {
-    pub register: quorum_register::RegisterTiming,
-    pub membership: membership::Times,
-    pub lease: lease::LeaseTiming,
-    pub placement: name_directory::PlacementTimes,
-    pub share_span: Duration,
-    pub upstream_silent: Duration,
-    pub stale_after: Duration,
-    /// Where holds are waited out, a step counts for no more than this.
-    pub longest_step: Duration,
-}
-
-/// What a postmaster starts from.
-pub struct Start {
-    pub me: Member,
-    pub seeds: Vec<String>,
-    pub initial_voter_count: usize,
-    pub seed: u64,
-    /// How configurations are read.
-    pub reader: ConfigurationParser,
-    /// Who owns a name.
-    pub owners: OwnershipMode,
-    pub durable: DurableState,
-    pub configurations: BTreeMap<String, Vec<u8>>,
-    /// What an earlier process kept of the departures of its last minute.
-    pub departures: Vec<Departure>,
-    pub times: Times,
-}
-
-/// What operators and upstreams ask over HTTP.
-#[derive(Clone, Debug)]
-pub enum ControlRequest {
-    SubmitConfiguration {
-        id: ChangeId,
-        base: Option<u64>,
-        bytes: Vec<u8>,
-        in_force: bool,
-    },
-    Evacuate {
-        id: ChangeId,
-        locality: String,
-        back: bool,
-        in_force: bool,
-    },
-    /// Let one node vote, another not any more, or both at once.
-    ChangeVoters {
-        add: Option<String>,
-        remove: Option<String>,
-    },
-    ReadConfiguration,
-    Status,
-    Upstreams,
-    Reservations,
-    Tombstones,
-    Heartbeat(Upstream),
-    /// An upstream says that it ends now.
-    Deregister {
-        instance: String,
-    },
-}
-
-/// An answer to an [`ControlRequest`].
-#[derive(Clone, Debug, PartialEq)]
-pub enum ControlResponse {
-    Outcome {
-        code: ResultCode,
-        revision: u64,
-    },
-    Rejected {
-        code: ResultCode,
-        validation_errors: Vec<ValidationError>,
-    },
-    Configuration {
-        revision: u64,
-        bytes: Vec<u8>,
-    },
-    /// To a beat: who holds the duty, and all that the upstream holds from now on, for this span. Without shares it
-    /// learns nothing new.
-    Heartbeat {
-        holder: u64,
-        shares: Option<Vec<KeyShare>>,
-        span: Duration,
-    },
-    Json(JsonValue),
-    /// This node is out of contact with a majority: the one at this address was lately in contact. Nothing was done.
-    /// The core names host and port; what is shown is a whole URL.
-    Redirect {
-        to: String,
-    },
-}
-
-/// What happens to a postmaster.
-#[derive(Clone, Debug)]
-pub enum Event {
-    Tick,
-    Received {
-        from: String,
-        body: Payload,
-    },
-    Datagram {
-        address: String,
-        body: Payload,
-    },
-    ControlRequest {
-        request_id: u64,
-        request: ControlRequest,
-    },
-    WriteCompleted {
-        write_id: u64,
-    },
-    DiskFailed,
-    /// The departures with this ticket outlive this process.
-    DeparturesPersisted {
-        write_id: u64,
-    },
-    /// A write failed, and the disk tries it again until it is done.
-    DiskRetrying,
-    /// The write that failed is done.
-    DiskRecovered,
-    /// The settings name other seeds.
-    SeedsChanged(Vec<String>),
-    Shutdown,
-}
-
-/// What a postmaster wants done.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Effect {
-    Send {
-        to: String,
-        body: Payload,
-    },
-    SendDatagram {
-        address: String,
-        body: Payload,
-    },
-    Persist {
-        write_id: u64,
-        durable: DurableState,
-    },
-    StoreConfiguration {
-        write_id: u64,
-        digest: String,
-        bytes: Vec<u8>,
-    },
-    /// Write these departures, without a sync and without waiting for other writes, then tell `DeparturesPersisted`. They
-    /// take the place of those written before.
-    PersistDepartures {
-        write_id: u64,
-        departures: Vec<Departure>,
-    },
-    /// The file of this setup may go, after all writes before.
-    DeleteConfiguration {
-        digest: String,
-    },
-    Respond {
-        request_id: u64,
-        response: ControlResponse,
-    },
-    /// Membership changed: node ids with their link addresses.
-    UpdateAddresses(Vec<(String, String)>),
-    /// Worth a line in the log.
-    Log(String),
-    /// Worth an operator's look.
-    LogError(String),
-}
-
-pub(crate) struct InForceWait {
-    pub request_id: u64,
-    pub response: ControlResponse,
-    pub revision: u64,
-    pub until: Duration,
-}
-
-/// A read-back that waits for a confirmation asked after it.
-pub(crate) struct ReadWait {
-    pub request_id: u64,
-    pub asked_at: Duration,
-}
-
-pub(crate) struct HeartbeatWait {
-    pub request_id: u64,
-    /// Who was asked.
-    pub asked: String,
-    pub until: Duration,
-}
-
-/// What a postmaster did since its start, beside its membership.
+/// What a control node did since its start, beside its membership.
 #[derive(Default)]
 pub(crate) struct Statistics {
-    pub heartbeats: u64,
-    pub leases_acquired: u64,
-    pub placements_published: u64,
-    pub names_moved: u64,
-    pub snapshots: u64,
-    pub changes: u64,
+    pub(crate) heartbeats: u64,
+    pub(crate) leases_acquired: u64,
+    pub(crate) placements_published: u64,
+    pub(crate) names_moved: u64,
+    pub(crate) snapshots: u64,
+    pub(crate) changes: u64,
 }
 
-/// The core of one postmaster.
+/// A control node without its input and output: pure and deterministic.
 pub struct ControlNode {
     pub(crate) me: Member,
-    /// Tells this life of the process from earlier ones of the same name.
-    incarnation: u64,
+    /// Distinguishes this process from earlier ones of the same name.
+    pub(crate) incarnation: u64,
     pub(crate) times: Times,
     pub(crate) reader: ConfigurationParser,
     pub(crate) owners: OwnershipMode,
@@ -242,47 +52,40 @@
     pub(crate) membership: Membership,
     pub(crate) lease: Lease,
     pub(crate) registry: UpstreamRegistry,
-    pub(crate) placement_lease: Option<PlacementLease>,
-    /// Requests by key that carriers told of, to be told on to the holder of the duty.
-    pub(crate) loads: KeyLoadCounts,
-    /// The last placement heard of, and who holds the duty.
-    pub(crate) placement: Placement,
-    pub(crate) placement_holder: String,
+    /// True once another control node sent all it knows of upstreams.
+    pub(crate) registry_synced: bool,
+    /// The configuration in force here.
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) members: Vec<Member>,
-    pub(crate) update_streams: BTreeMap<String, UpdateStream>,
-    /// The edition that each carrier acknowledged, to whichever postmaster.
-    pub(crate) acknowledged_revisions: BTreeMap<String, u64>,
-    pub(crate) in_force_waits: Vec<InForceWait>,
-    pub(crate) read_waits: Vec<ReadWait>,
+    pub(crate) placement: PlacementState,
+    /// By which the grants of this node are waited out.
+    pub(crate) grant_clock: BoundedStepClock,
+    pub(crate) relay: HeartbeatRelay,
+    next_relay_at: Duration,
+    pub(crate) updates: UpdateStreams,
+    pub(crate) pending: PendingRequests,
     pub(crate) anonymous: AnonymousOrders,
-    pub(crate) heartbeat_waits: BTreeMap<u64, HeartbeatWait>,
     pub(crate) contact: QuorumContact,
     pub(crate) departures: Departures,
-    /// Upstreams whose beats came here of late: which beat, and when.
-    pub(crate) recent_heartbeats: BTreeMap<(String, String), (u64, Duration)>,
-    pub(crate) digest_rounds: usize,
-    pub(crate) next_relay_at: Duration,
-    pub(crate) next_update_at: Duration,
-    pub(crate) effects: VecDeque<Effect>,
-    logged_phase: VoterPhase,
-    /// True once another postmaster told all it knows of upstreams, or all of them had time to beat.
-    pub(crate) registry_synced: bool,
-    pub(crate) placement_epoch: u64,
-    /// By which the holds that this node gave are waited out.
-    pub(crate) grant_clock: BoundedStepClock,
+    pub(crate) voter_changes: VoterChanges,
     pub(crate) statistics: Statistics,
-    /// A write failed and is tried again: nothing new is promised or accepted here meanwhile.
+    /// A write failed and is retried: nothing new is promised or accepted here meanwhile.
     pub(crate) disk_failing: bool,
-    /// The state accepted here names a setup whose bytes are not here.
-    configuration_missing: bool,
-    /// True once it was told to end: whoever asks is sent elsewhere.
+    /// The process was asked to stop: clients are sent to other nodes.
     pub(crate) shutting_down: bool,
-    pub(crate) voter_changes: VoterChanges,
+    logged: LoggedState,
+    pub(crate) effects: VecDeque<Effect>,
+}
+
+/// What the log said last, so that each change is logged once.
+struct LoggedState {
+    phase: VoterPhase,
+    /// The accepted state names a configuration whose bytes are not here.
+    configuration_missing: bool,
 }
 
 impl ControlNode {
-    /// A postmaster as its disk left it.
+    /// A control node as its disk left it.
     ///
     /// ```
     /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
@@ -306,9 +109,9 @@
             ..
         } = start;
         let mut registry = UpstreamRegistry::default();
-        departures.iter().for_each(|departure| {
+        for departure in &departures {
             registry.record_departure(Duration::ZERO, departure);
-        });
+        }
         let register = Register::new(quorum_register::RegisterConfig {
             node: me.node.clone(),
             initial_voter_count,
@@ -321,7 +124,10 @@
             grant_clock: BoundedStepClock::new(times.longest_step),
             membership: Membership::new(me.clone(), seeds, times.membership, random.next_u64()),
             lease: Lease::new(me.node.clone(), times.lease, random.next_u64()),
-            logged_phase: register.phase().clone(),
+            logged: LoggedState {
+                phase: register.phase().clone(),
+                configuration_missing: false,
+            },
             members: vec![me.clone()],
             me,
             incarnation,
@@ -331,35 +137,25 @@
             random,
             register,
             registry,
-            placement_lease: None,
-            loads: KeyLoadCounts::default(),
-            placement: Placement::default(),
-            placement_holder: String::new(),
+            registry_synced: false,
             configuration: Arc::default(),
-            update_streams: BTreeMap::new(),
-            acknowledged_revisions: BTreeMap::new(),
-            in_force_waits: Vec::new(),
-            read_waits: Vec::new(),
+            placement: PlacementState::default(),
+            relay: HeartbeatRelay::default(),
+            next_relay_at: Duration::ZERO,
+            updates: UpdateStreams::default(),
+            pending: PendingRequests::default(),
             anonymous: AnonymousOrders::default(),
-            heartbeat_waits: BTreeMap::new(),
             contact: QuorumContact::default(),
             departures: Departures::default(),
-            recent_heartbeats: BTreeMap::new(),
-            digest_rounds: 0,
-            next_relay_at: Duration::ZERO,
-            next_update_at: Duration::ZERO,
-            effects: VecDeque::new(),
-            registry_synced: false,
-            placement_epoch: 0,
+            voter_changes: VoterChanges::default(),
             statistics: Statistics::default(),
             disk_failing: false,
-            configuration_missing: false,
             shutting_down: false,
-            voter_changes: VoterChanges::default(),
+            effects: VecDeque::new(),
         }
     }
 
-    /// The edition in force here.
+    /// The revision in force here.
     ///
     /// ```
     /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
@@ -371,7 +167,7 @@
         self.register.state().revision
     }
 
-    /// The one reducer: takes an event in, gives effects out.
+    /// Handles an event at a time of the local clock; the effects are to be carried out in their order.
     ///
     /// ```
     /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
@@ -428,21 +224,7 @@
             self.run_lease(now, lease::Event::Tick);
         }
         self.tick_voters(now);
-        if now >= self.next_relay_at {
-            self.next_relay_at = now + DIGEST_INTERVAL;
-            // What others hear of comes with their next batch.
-            self.registry
-                .expire_silent(now, self.times.upstream_silent + DIGEST_INTERVAL);
-            if !self.knows_upstreams(now) {
-                let life = self.incarnation;
-                self.send_to_control_nodes(Payload::UpstreamsRequest(UpstreamsRequest {
-                    life,
-                    ..Default::default()
-                }));
-            }
-            self.forward_key_loads();
-            self.send_heartbeat_digests(now);
-        }
+        self.tick_relay(now);
         self.tick_placement(now);
         self.tick_updates(now);
         self.tick_pending_requests(now);
@@ -452,34 +234,58 @@
         self.log_missing_configuration();
     }
 
-    /// Until its bytes are here this node can't answer with the state it holds: it asks the others for them.
+    /// Tells the other control nodes what this one was told of upstreams.
+    fn tick_relay(&mut self, now: Duration) {
+        if now < self.next_relay_at {
+            return;
+        }
+        self.next_relay_at = now + DIGEST_INTERVAL;
+        // What others heard comes with their next digests.
+        self.registry
+            .expire_silent(now, self.times.upstream_silent + DIGEST_INTERVAL);
+        if !self.knows_upstreams(now) {
+            let request = UpstreamsRequest {
+                life: self.incarnation,
+                ..UpstreamsRequest::default()
+            };
+            self.send_to_control_nodes(Payload::UpstreamsRequest(request));
+        }
+        self.forward_key_loads();
+        self.send_heartbeat_digests(now);
+    }
+
+    /// Until the bytes are here this node can't answer with the state it accepted: it requests them from the others.
     fn log_missing_configuration(&mut self) {
-        let lacks = self.register.is_missing_accepted_configuration();
-        if lacks != self.configuration_missing {
-            self.configuration_missing = lacks;
-            self.effects.push_back(match lacks {
-                true => Effect::LogError(
-                    "the configuration of the state on this disk is missing or damaged; the other nodes are asked for it".into(),
-                ),
-                false => Effect::Log("repaired: the configuration of the state on this disk is here again".into()),
-            });
+        let is_missing = self.register.is_missing_accepted_configuration();
+        if is_missing == self.logged.configuration_missing {
+            return;
+        }
+        self.logged.configuration_missing = is_missing;
+        if is_missing {
+            self.effects.push_back(Effect::LogError(
+                "the configuration of the state on this disk is missing or damaged; the other nodes are asked for it"
+                    .into(),
+            ));
+        } else {
+            self.log("repaired: the configuration of the state on this disk is here again");
         }
     }
 
     fn log_voter_phase(&mut self) {
-        let now = self.register.phase();
-        if std::mem::discriminant(now) != std::mem::discriminant(&self.logged_phase) {
-            self.logged_phase = now.clone();
-            let text = match now {
-                VoterPhase::Blank { .. } => "the disk is blank",
-                VoterPhase::Bootstrapping { .. } => "voted for a bootstrap",
-                VoterPhase::Recovering(_) => "recovering from the voters",
-                VoterPhase::Active if self.register.is_voter() => "voting",
-                VoterPhase::Active => "replica without a vote",
-                VoterPhase::Failed => "the disk failed: takes no part in voting",
-            };
-            self.effects.push_back(Effect::Log(text.into()));
+        let phase = self.register.phase();
+        if std::mem::discriminant(phase) == std::mem::discriminant(&self.logged.phase) {
+            return;
         }
+        self.logged.phase = phase.clone();
+        let text = match phase {
+            VoterPhase::Blank { .. } => "the disk is blank",
+            VoterPhase::Bootstrapping { .. } => "voted for a bootstrap",
+            VoterPhase::Recovering(_) => "recovering from the voters",
+            VoterPhase::Active if self.register.is_voter() => "voting",
+            VoterPhase::Active => "replica without a vote",
+            VoterPhase::Failed => "the disk failed: takes no part in voting",
+        };
+        self.log(text);
     }
 
     fn handle_message(&mut self, now: Duration, from: String, body: Payload) {
@@ -492,24 +298,26 @@
                     self.run_lease(now, lease::Event::Received { from, body });
                 }
             }
-            Payload::Heartbeats(beats) => self.handle_heartbeats(now, from, beats),
+            Payload::Heartbeats(heartbeats) => self.handle_heartbeats(now, from, heartbeats),
             Payload::HeartbeatsAck(ack) => self.handle_heartbeats_ack(now, from, ack),
             Payload::Read(read) => self.handle_read(now, from, read, 0),
-            Payload::DeparturesRead(asked) => self.handle_read(now, from, asked.read, asked.digest),
+            Payload::DeparturesRead(request) => {
+                self.handle_read(now, from, request.read, request.digest)
+            }
             Payload::DeparturesReadBack(response) => self.handle_read_back(now, from, response),
-            Payload::HeartbeatDigest(alive) => self.handle_heartbeat_digest(now, from, alive),
+            Payload::HeartbeatDigest(digest) => self.handle_heartbeat_digest(now, from, digest),
             Payload::UpstreamsRequest(request) => self.handle_upstreams_request(now, from, request),
             Payload::UpstreamsReply(reply) => self.handle_upstreams_reply(now, reply),
-            Payload::LeaseHolder(holder) => self.record_lease_holder(from, holder.epoch),
+            Payload::LeaseHolder(holder) => self.handle_lease_holder(from, &holder),
             Payload::SharesRequest(request) => self.handle_shares_request(now, from, request),
-            Payload::SharesReply(given) => self.handle_shares_reply(&from, given),
+            Payload::SharesReply(reply) => self.handle_shares_reply(&from, reply),
             Payload::PlacementRequest(_) => self.handle_placement_request(from),
             Payload::Placement(placement) => self.handle_placement(from, placement),
             Payload::VoterLeaving(_) => self.handle_voter_leaving(now, from),
             Payload::KeyLoads(key_loads) => self.count_key_loads(key_loads.loads),
             Payload::UpdateRequest(request) => self.handle_update_request(now, from, request),
-            Payload::UpdateAck(kept) => self.handle_update_ack(&from, &kept),
-            Payload::DataPlaneAck(kept) => self.handle_data_plane_ack(kept),
+            Payload::UpdateAck(ack) => self.handle_update_ack(&from, &ack),
+            Payload::DataPlaneAck(ack) => self.handle_data_plane_ack(ack),
             other => {
                 if matches!(other, Payload::ReadBack(_)) {
                     self.record_voter_response(now, &from);
@@ -521,40 +329,48 @@
 
     pub(crate) fn run_membership(&mut self, now: Duration, effects: Vec<membership::Effect>) {
         let changed = effects.contains(&membership::Effect::Changed);
-        effects.into_iter().for_each(|effect| {
+        for effect in effects {
             if let membership::Effect::Send { address, body } = effect {
                 self.effects
                     .push_back(Effect::SendDatagram { address, body });
             }
-        });
+        }
         if changed {
-            self.members = self.membership.members().cloned().collect();
-            let present = |node: &String| self.members.iter().any(|member| member.node == *node);
-            self.acknowledged_revisions.retain(|node, _| present(node));
-            let book = self
-                .members
-                .iter()
-                .map(|member| (member.node.clone(), member.link_address.clone()));
-            self.effects
-                .push_back(Effect::UpdateAddresses(book.collect()));
+            self.handle_members_changed();
         }
-        let peers = self
+        let control_nodes = self
+            .control_nodes()
+            .map(|member| member.node.clone())
+            .collect();
+        self.run_register(now, quorum_register::Event::Peers(control_nodes));
+    }
+
+    fn handle_members_changed(&mut self) {
+        self.members = self.membership.members().cloned().collect();
+        self.updates.retain_members(&self.members);
+        let addresses = self
             .members
             .iter()
-            .filter(|member| member.roles == CONTROL_NODE_ROLE);
-        let peers = peers.map(|member| member.node.clone()).collect();
-        self.run_register(now, quorum_register::Event::Peers(peers));
+            .map(|member| (member.node.clone(), member.link_address.clone()))
+            .collect();
+        self.effects.push_back(Effect::UpdateAddresses(addresses));
     }
 
     pub(crate) fn run_register(&mut self, now: Duration, event: quorum_register::Event) {
-        let effects = self.register.step(now, event);
-        effects.into_iter().for_each(|effect| match effect {
-            quorum_register::Effect::Send { to, body } => self.send_register_message(now, to, body),
-            quorum_register::Effect::Persist { write_id, durable } => {
+        for effect in self.register.step(now, event) {
+            self.handle_register_effect(now, effect);
+        }
+    }
+
+    fn handle_register_effect(&mut self, now: Duration, effect: quorum_register::Effect) {
+        use quorum_register::Effect as RegisterEffect;
+        match effect {
+            RegisterEffect::Send { to, body } => self.send_register_message(now, to, body),
+            RegisterEffect::Persist { write_id, durable } => {
                 self.effects
                     .push_back(Effect::Persist { write_id, durable });
             }
-            quorum_register::Effect::StoreConfiguration {
+            RegisterEffect::StoreConfiguration {
                 write_id,
                 digest,
                 bytes,
@@ -565,105 +381,86 @@
                     bytes,
                 });
             }
-            quorum_register::Effect::DeleteConfiguration { digest } => self
-                .effects
-                .push_back(Effect::DeleteConfiguration { digest }),
-            quorum_register::Effect::Decided {
+            RegisterEffect::DeleteConfiguration { digest } => {
+                self.effects
+                    .push_back(Effect::DeleteConfiguration { digest });
+            }
+            RegisterEffect::Decided {
                 request_id,
                 decision,
             } => self.handle_decision(now, request_id, decision),
-            quorum_register::Effect::StateChanged => self.handle_state_changed(),
-            quorum_register::Effect::LeaseEpochPersisted { request_id } => {
-                self.run_lease(now, lease::Event::LeaseEpochPersisted { request_id })
+            RegisterEffect::StateChanged => self.handle_state_changed(),
+            RegisterEffect::LeaseEpochPersisted { request_id } => {
+                self.run_lease(now, lease::Event::LeaseEpochPersisted { request_id });
             }
-        });
+        }
     }
 
     /// Whom the lease asks, and what it may grant, follows every newer state at once.
     fn update_lease_voters(&mut self, now: Duration) {
-        let voter_set = self.register.voter_set().clone();
-        let persisted_epoch = self.register.lease_epoch();
-        self.run_lease(
-            now,
-            lease::Event::VotersChanged {
-                voter_set,
-                persisted_epoch,
-            },
-        );
+        let event = lease::Event::VotersChanged {
+            voter_set: self.register.voter_set().clone(),
+            persisted_epoch: self.register.lease_epoch(),
+        };
+        self.run_lease(now, event);
     }
 
     pub(crate) fn run_lease(&mut self, now: Duration, event: lease::Event) {
-        let effects = self.lease.step(now, event);
-        effects.into_iter().for_each(|effect| match effect {
-            lease::Effect::Send { to, body } => self.effects.push_back(Effect::Send { to, body }),
-            lease::Effect::PersistLeaseEpoch { epoch, request_id } => {
-                self.run_register(
-                    now,
-                    quorum_register::Event::PersistLeaseEpoch { epoch, request_id },
-                );
+        for effect in self.lease.step(now, event) {
+            match effect {
+                lease::Effect::Send { to, body } => self.send(to, body),
+                lease::Effect::PersistLeaseEpoch { epoch, request_id } => {
+                    let event = quorum_register::Event::PersistLeaseEpoch { epoch, request_id };
+                    self.run_register(now, event);
+                }
             }
-        });
+        }
     }
 
-    /// A newer state is in force: read its setup once, and tell the carriers with the next news.
+    /// A newer state is in force: its configuration is parsed once, and goes to the data-plane nodes with the next tick.
     fn handle_state_changed(&mut self) {
-        let read = self
-            .register
-            .configuration()
-            .map(self.reader.0)
-            .and_then(Result::ok);
-        self.configuration = read.map(Arc::new).unwrap_or_default();
-        self.next_update_at = Duration::ZERO;
-        let revision = self.register.state().revision;
-        self.effects
-            .push_back(Effect::Log(format!("revision {revision} is in force")));
+        let parsed = match self.register.configuration() {
+            Some(bytes) => (self.reader.0)(bytes).ok(),
+            None => None,
+        };
+        self.configuration = parsed.map(Arc::new).unwrap_or_default();
+        self.updates.schedule_now();
+        self.log(format!("revision {} is in force", self.revision()));
     }
 
-    pub(crate) fn send_to_control_nodes(&mut self, body: Payload) {
-        let others = self
-            .members
+    /// All control nodes among the members, this one included.
+    pub(crate) fn control_nodes(&self) -> impl Iterator<Item = &Member> {
+        self.members
             .iter()
-            .filter(|member| member.roles == CONTROL_NODE_ROLE && member.node != self.me.node);
-        let sends = others.map(|member| Effect::Send {
-            to: member.node.clone(),
-            body: body.clone(),
-        });
-        self.effects.extend(sends.collect::<Vec<_>>());
+            .filter(|member| member.roles == CONTROL_NODE_ROLE)
     }
 
-    pub(crate) fn submit_change(
-        &mut self,
-        now: Duration,
-        request_id: u64,
-        change: Change,
-        bytes: Option<Vec<u8>>,
-    ) {
-        self.open_change(request_id);
-        self.run_register(
-            now,
-            quorum_register::Event::Submit {
-                request_id,
-                change,
-                bytes,
-            },
-        );
+    /// The other control nodes.
+    pub(crate) fn peers(&self) -> impl Iterator<Item = &Member> {
+        self.control_nodes()
+            .filter(|member| member.node != self.me.node)
     }
 
-    /// True once this node knows the upstreams well enough to tell carriers of them.
-    pub(crate) fn knows_upstreams(&self, now: Duration) -> bool {
-        self.registry_synced || now >= self.times.upstream_silent
+    pub(crate) fn send(&mut self, to: String, body: Payload) {
+        self.effects.push_back(Effect::Send { to, body });
     }
 
-    fn handle_upstreams_reply(&mut self, now: Duration, reply: UpstreamsReply) {
-        // An answer to an earlier life's question may be from before that life's end.
-        if reply.life != 0 && reply.life != self.incarnation {
-            return;
+    /// Sends a message to all other control nodes.
+    pub(crate) fn send_to_control_nodes(&mut self, body: Payload) {
+        let peers: Vec<String> = self.peers().map(|member| member.node.clone()).collect();
+        for to in peers {
+            self.send(to, body.clone());
         }
-        reply.upstreams.into_iter().for_each(|upstream| {
-            self.registry.apply_heartbeat(now, upstream);
-        });
-        self.handle_placement(reply.placed_by, reply.placement);
-        self.registry_synced = true;
+    }
+
+    pub(crate) fn log(&mut self, text: impl Into<String>) {
+        self.effects.push_back(Effect::Log(text.into()));
+    }
+
+    /// True once this node knows the upstreams well enough to tell data-plane nodes of them: another control node sent all
+    /// it knows, or all upstreams had time to send a heartbeat.
+    pub(crate) fn knows_upstreams(&self, now: Duration) -> bool {
+        self.registry_synced || now >= self.times.upstream_silent
     }
 
     /// True while a majority confirmed the state lately.
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -1,29 +1,88 @@
-//! The placement duty, done by whichever postmaster holds its lease.
+//! The placement of names and keys, decided by the control node that holds the placement lease and followed by all others.
 
-use crate::keys::{KeyDivisionInputs, KeyLoadCounts};
-use crate::node::{ControlNode, Effect};
+use crate::keys::{KeyDivisionInputs, KeyLoadCounts, assigned_shares};
+use crate::node::ControlNode;
 use config::Configuration;
 use name_directory::{OwnershipMode, PlacementInputs, ZoneAssigner};
 use protocol::{
     KeyShare, LeaseHolder, Payload, Placement, PlacementRequest, ServiceKeyShares, Upstream,
+    UpstreamState,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 use upstream_registry::{KeyRangeAssigner, SlotAssigner};
 
-/// How long a new holder listens before it decides, so that beats and the last placement can reach it.
+/// How long a new lease holder listens before it decides, so that heartbeats and the last placement can reach it.
 const LISTEN_DURATION: Duration = Duration::from_millis(1200);
+/// How often the lease holder decides.
 pub(crate) const DECISION_INTERVAL: Duration = Duration::from_millis(200);
+/// How often a placement is published that has not changed.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The holder's working state, thrown away when the lease ends.
+/// The placement as this control node knows it, and its own lease if it holds one.
+#[derive(Default)]
+pub(crate) struct PlacementState {
+    /// The last placement that was heard of.
+    pub(crate) current: Placement,
+    /// The node that was last heard to hold the lease; empty before the first.
+    pub(crate) lease_holder: String,
+    /// The greatest epoch of the lease that was heard of.
+    pub(crate) lease_epoch: u64,
+    /// This node's lease.
+    pub(crate) lease: Option<PlacementLease>,
+    /// Requests by key that data-plane nodes counted, to be forwarded to the lease holder.
+    pub(crate) unreported_loads: KeyLoadCounts,
+}
+
+/// What a placement that was received does to the one known.
+enum PlacementChange {
+    /// It replaces or changes it.
+    Applied,
+    /// It changes one that is not known here.
+    Gap,
+}
+
+impl PlacementState {
+    /// Records who holds the lease; a lower epoch is outdated.
+    fn record_lease_holder(&mut self, node: String, epoch: u64) {
+        if epoch > self.lease_epoch {
+            self.lease_epoch = epoch;
+            self.lease_holder = node;
+        }
+    }
+
+    /// Where the known placement stands: its epoch, and its number in that epoch.
+    fn version(&self) -> (u64, u64) {
+        (self.current.epoch, self.current.number)
+    }
+
+    /// True where it has neither reservations nor tombstones, whose ages change all the time.
+    fn has_no_ages(&self) -> bool {
+        self.current.reservations.is_empty() && self.current.tombstones.is_empty()
+    }
+
+    fn apply(&mut self, placement: Placement) -> PlacementChange {
+        if !placement.partial {
+            self.current = placement;
+            PlacementChange::Applied
+        } else if (placement.epoch, placement.after) == self.version() {
+            name_directory::apply_share_changes(&mut self.current.shares, &placement.shares);
+            self.current.number = placement.number;
+            PlacementChange::Applied
+        } else {
+            PlacementChange::Gap
+        }
+    }
+}
+
+/// The lease holder's working state, dropped when the lease ends.
 pub(crate) struct PlacementLease {
     pub(crate) epoch: u64,
-    /// When the lease began, by the hold clock: nobody else gives anything from then on.
+    /// When the lease began, by the grant clock: nobody else grants anything from then on.
     pub(crate) since: Duration,
-    /// True where nothing was ever given before: nobody held the lease before.
-    pub(crate) founding: bool,
+    /// True where nothing was ever granted before: nobody held the lease before.
+    pub(crate) is_first: bool,
     /// Requests by key.
     pub(crate) key_loads: KeyLoadCounts,
     /// By service, where keys are numbers.
@@ -32,14 +91,73 @@
     pub(crate) inputs: BTreeMap<String, Arc<KeyDivisionInputs>>,
     listen_until: Duration,
     assigner: Option<ZoneAssigner>,
-    shares: BTreeMap<String, SlotAssigner>,
-    told: Vec<ServiceKeyShares>,
-    next_decide: Duration,
-    next_send_at: Duration,
+    /// By service, where keys are hashed to slots.
+    slots: BTreeMap<String, SlotAssigner>,
+    published_shares: Vec<ServiceKeyShares>,
+    next_decision_at: Duration,
+    next_publication_at: Duration,
+}
+
+impl PlacementLease {
+    fn new(now: Duration, epoch: u64, since: Duration, is_first: bool) -> Self {
+        PlacementLease {
+            epoch,
+            since,
+            is_first,
+            key_loads: KeyLoadCounts::default(),
+            ranges: BTreeMap::new(),
+            inputs: BTreeMap::new(),
+            listen_until: now + LISTEN_DURATION,
+            assigner: None,
+            slots: BTreeMap::new(),
+            published_shares: Vec::new(),
+            next_decision_at: now,
+            next_publication_at: now,
+        }
+    }
+
+    /// Drops what was assigned for services that are gone, or whose keys are divided in another way now.
+    fn retain_services(&mut self, configuration: &Configuration) {
+        let has_numeric_keys = |name: &String| {
+            let service = configuration.services.get(name)?;
+            service.keyed.then_some(service.numeric_keys)
+        };
+        self.slots
+            .retain(|name, _| has_numeric_keys(name) == Some(false));
+        self.ranges
+            .retain(|name, _| has_numeric_keys(name) == Some(true));
+        self.inputs.retain(|name, _| self.ranges.contains_key(name));
+    }
+
+    /// What was granted of a service's keys, and whether grants of an earlier holder may still be in use.
+    fn assigned(&self, service: &str, at: Duration) -> AssignedKeys {
+        if let Some(ranges) = self.ranges.get(service) {
+            AssignedKeys {
+                shares: assigned_shares(ranges, at),
+                awaits_earlier_leases: ranges.awaits_earlier_leases(at),
+            }
+        } else if let Some(slots) = self.slots.get(service) {
+            AssignedKeys {
+                shares: slots.assignments(at),
+                awaits_earlier_leases: slots.awaits_earlier_leases(at),
+            }
+        } else {
+            AssignedKeys {
+                shares: Vec::new(),
+                awaits_earlier_leases: true,
+            }
+        }
+    }
+}
+
+/// Keys of a service that this lease holder granted.
+struct AssignedKeys {
+    shares: Vec<KeyShare>,
+    awaits_earlier_leases: bool,
 }
 
 impl ControlNode {
-    /// True while this node holds the placement duty.
+    /// True while this node holds the placement lease.
     ///
     /// ```
     /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
@@ -53,111 +171,91 @@
 
     pub(crate) fn tick_placement(&mut self, now: Duration) {
         let Some(epoch) = self.lease.held_epoch(now) else {
-            let lost = self.placement_lease.take().map(|placement_lease| {
-                Effect::Log(format!(
-                    "placement: lease of epoch {} lost",
-                    placement_lease.epoch
-                ))
-            });
-            self.effects.extend(lost);
+            if let Some(lost) = self.placement.lease.take() {
+                self.log(format!("placement: lease of epoch {} lost", lost.epoch));
+            }
             return;
         };
-        if epoch > self.placement_epoch {
-            // Beats find their way here at once, long before the first decision.
-            let me = self.me.node.clone();
-            self.statistics.leases_acquired += 1;
-            self.effects.push_back(Effect::Log(format!(
-                "placement: lease held under epoch {epoch}"
-            )));
-            self.record_lease_holder(me, epoch);
-            self.send_to_control_nodes(Payload::LeaseHolder(LeaseHolder { epoch }));
+        if epoch > self.placement.lease_epoch {
+            self.announce_lease(epoch);
         }
-        let founding = self.lease.is_first_holder(epoch);
-        let mut placement_lease = self
-            .placement_lease
+        let is_first = self.lease.is_first_holder(epoch);
+        let current = self
+            .placement
+            .lease
             .take()
-            .filter(|placement_lease| placement_lease.epoch == epoch)
-            .unwrap_or_else(|| PlacementLease {
-                epoch,
-                since: self.grant_clock.now(),
-                founding,
-                key_loads: KeyLoadCounts::default(),
-                ranges: BTreeMap::new(),
-                inputs: BTreeMap::new(),
-                listen_until: now + LISTEN_DURATION,
-                assigner: None,
-                shares: BTreeMap::new(),
-                told: Vec::new(),
-                next_decide: now,
-                next_send_at: now,
-            });
+            .filter(|lease| lease.epoch == epoch);
+        let mut lease = current
+            .unwrap_or_else(|| PlacementLease::new(now, epoch, self.grant_clock.now(), is_first));
         // Without a current state it might decide from an old one.
-        if now >= placement_lease.next_decide
-            && now >= placement_lease.listen_until
-            && self.is_current(now)
-        {
-            placement_lease.next_decide = now + DECISION_INTERVAL;
-            self.decide(now, &mut placement_lease);
+        if now >= lease.next_decision_at && now >= lease.listen_until && self.is_current(now) {
+            lease.next_decision_at = now + DECISION_INTERVAL;
+            self.decide_placement(now, &mut lease);
         }
-        self.placement_lease = Some(placement_lease);
+        self.placement.lease = Some(lease);
     }
 
-    fn decide(&mut self, now: Duration, placement_lease: &mut PlacementLease) {
-        let (last, times) = (&self.placement, self.times.placement);
-        let mut assigner = placement_lease
-            .assigner
-            .take()
-            .unwrap_or_else(|| ZoneAssigner::new(now, placement_lease.epoch, last, times));
-        let served = self
+    /// Tells everybody that this node holds the lease: heartbeats find their way here long before the first decision.
+    fn announce_lease(&mut self, epoch: u64) {
+        self.statistics.leases_acquired += 1;
+        self.log(format!("placement: lease held under epoch {epoch}"));
+        let me = self.me.node.clone();
+        self.placement.record_lease_holder(me, epoch);
+        self.send_to_control_nodes(Payload::LeaseHolder(LeaseHolder { epoch }));
+    }
+
+    /// Decides who owns which name, and publishes the placement where it has changed or the last one is old.
+    fn decide_placement(&mut self, now: Duration, lease: &mut PlacementLease) {
+        let mut assigner = lease.assigner.take().unwrap_or_else(|| {
+            ZoneAssigner::new(
+                now,
+                lease.epoch,
+                &self.placement.current,
+                self.times.placement,
+            )
+        });
+        let moved = self.assign_zones(now, &mut assigner);
+        lease.retain_services(&self.configuration);
+        lease.key_loads.decay(DECISION_INTERVAL);
+        let shares = self.shares_to_publish(now, lease);
+        self.statistics.names_moved += u64::from(moved);
+        let changed = moved || shares != lease.published_shares;
+        if changed || now >= lease.next_publication_at {
+            lease.next_publication_at = now + PUBLISH_INTERVAL;
+            self.publish_placement(now, &mut assigner, changed, &shares);
+            lease.published_shares = shares;
+        }
+        lease.assigner = Some(assigner);
+    }
+
+    /// Lets the assigner decide by what is known now; true where a name moved.
+    fn assign_zones(&self, now: Duration, assigner: &mut ZoneAssigner) -> bool {
+        let served: BTreeSet<String> = self
             .members
             .iter()
-            .filter(|member| member.roles.contains("proxy"));
-        let served: BTreeSet<String> = served.map(|member| member.locality.clone()).collect();
+            .filter(|member| member.roles.contains("proxy"))
+            .map(|member| member.locality.clone())
+            .collect();
         let upstreams = self.registry.snapshot(now);
-        let evacuated = &self.register.state().evacuated;
-        // Where each caller's zone has its own owner, no name has one for everybody.
-        let (nothing, all) = (Configuration::default(), self.configuration.as_ref());
-        let configuration = if self.owners == OwnershipMode::SingleZone {
-            all
-        } else {
-            &nothing
-        };
-        let needs = PlacementInputs {
-            configuration,
-            evacuated,
-            upstreams: &upstreams,
-            served: &served,
-        };
-        let moved = assigner.decide(now, &needs);
-        let keyed = |name: &String| {
-            self.configuration
-                .services
-                .get(name)
-                .filter(|service| service.keyed)
+        // Where each client's zone has its own owner, no name has one for everybody.
+        let no_names = Configuration::default();
+        let configuration = match self.owners {
+            OwnershipMode::SingleZone => self.configuration.as_ref(),
+            OwnershipMode::PerClientZone => &no_names,
         };
-        placement_lease
-            .shares
-            .retain(|name, _| keyed(name).is_some_and(|service| !service.numeric_keys));
-        placement_lease
-            .ranges
-            .retain(|name, _| keyed(name).is_some_and(|service| service.numeric_keys));
-        placement_lease
-            .inputs
-            .retain(|name, _| placement_lease.ranges.contains_key(name));
-        placement_lease.key_loads.decay(DECISION_INTERVAL);
-        let shares = self.published_shares(now, placement_lease);
-        self.statistics.names_moved += u64::from(moved);
-        let changed = moved || shares != placement_lease.told;
-        if changed || now >= placement_lease.next_send_at {
-            placement_lease.next_send_at = now + PUBLISH_INTERVAL;
-            self.publish_placement(now, &mut assigner, changed, &shares);
-            placement_lease.told = shares;
-        }
-        placement_lease.assigner = Some(assigner);
+        assigner.decide(
+            now,
+            &PlacementInputs {
+                configuration,
+                evacuated: &self.register.state().evacuated,
+                upstreams: &upstreams,
+                served: &served,
+            },
+        )
     }
 
-    /// What changed since the last, where that is shares alone; else the whole. Where nothing did, its number alone,
-    /// so that whoever missed one asks.
+    /// Sends the changes since the last placement, where these are of shares alone; else the complete placement. Where
+    /// nothing has changed its number alone is sent, so that whoever missed one requests it.
     fn publish_placement(
         &mut self,
         now: Duration,
@@ -165,142 +263,116 @@
         changed: bool,
         shares: &[ServiceKeyShares],
     ) {
-        let ageless =
-            self.placement.reservations.is_empty() && self.placement.tombstones.is_empty();
-        if changed || !ageless || self.placement.number == 0 {
+        let has_no_ages = self.placement.has_no_ages();
+        if changed || !has_no_ages || self.placement.current.number == 0 {
             assigner.count();
         }
         self.statistics.placements_published += 1;
         let placement = assigner.placement(now, shares.to_vec());
-        let change =
-            name_directory::placement_delta(&self.placement, &placement).filter(|_| ageless);
-        self.send_to_control_nodes(Payload::Placement(
-            change.unwrap_or_else(|| placement.clone()),
-        ));
+        let delta = name_directory::placement_delta(&self.placement.current, &placement);
+        let published = match delta {
+            Some(delta) if has_no_ages => delta,
+            _ => placement.clone(),
+        };
+        self.send_to_control_nodes(Payload::Placement(published));
         let me = self.me.node.clone();
         self.handle_placement(me, placement);
     }
 
-    /// Who holds which keys, to be told on. Until everything given by an earlier holder has run out, what it told of
-    /// last is told on for the slots that nobody claimed here yet: their upstreams hold them, or say that they don't.
-    fn published_shares(
-        &self,
-        now: Duration,
-        placement_lease: &PlacementLease,
-    ) -> Vec<ServiceKeyShares> {
-        let keyed = self
-            .configuration
-            .services
-            .values()
-            .filter(|service| service.keyed);
-        let heard = if self.placement.epoch == 0 {
+    /// Who holds which keys, for the placement. Until every grant of an earlier lease holder has expired, what was last
+    /// published goes on for the slots that nobody claimed here yet: their upstreams hold them, or say that they don't.
+    fn shares_to_publish(&self, now: Duration, lease: &PlacementLease) -> Vec<ServiceKeyShares> {
+        let claimed = if self.placement.current.epoch == 0 {
             self.claimed_shares(now)
         } else {
             Vec::new()
         };
-        let held_at = self.grant_clock.now();
-        let told = keyed.map(|service| {
-            let name = &service.name;
-            let known = match (
-                placement_lease.ranges.get(name),
-                placement_lease.shares.get(name),
-            ) {
-                (Some(ranges), _) => Some((
-                    crate::keys::assigned_shares(ranges, held_at),
-                    ranges.awaits_earlier_leases(held_at),
-                )),
-                (None, shares) => shares.map(|shares| {
-                    (
-                        shares.assignments(held_at),
-                        shares.awaits_earlier_leases(held_at),
-                    )
-                }),
-            };
-            let (known, quiet) = known.unwrap_or((Vec::new(), true));
-            let told = self.placement.shares.iter().chain(&heard);
-            let last = told.into_iter().find(|last| last.service == *name && quiet);
-            let kept = last
-                .map(|last| name_directory::uncovered(&last.shares, &known))
-                .unwrap_or_default();
-            ServiceKeyShares {
-                service: name.clone(),
-                shares: kept.into_iter().chain(known).collect(),
+        let grant_time = self.grant_clock.now();
+        let mut published = Vec::new();
+        for service in self.configuration.services.values() {
+            if !service.keyed {
+                continue;
             }
-        });
-        told.collect()
+            let assigned = lease.assigned(&service.name, grant_time);
+            let earlier = self
+                .placement
+                .current
+                .shares
+                .iter()
+                .chain(&claimed)
+                .find(|earlier| earlier.service == service.name && assigned.awaits_earlier_leases);
+            let mut shares = match earlier {
+                Some(earlier) => name_directory::uncovered(&earlier.shares, &assigned.shares),
+                None => Vec::new(),
+            };
+            shares.extend(assigned.shares);
+            published.push(ServiceKeyShares {
+                service: service.name.clone(),
+                shares,
+            });
+        }
+        published
     }
 
+    /// Follows a placement that the lease holder published; requests the complete one where it can't be applied.
     pub(crate) fn handle_placement(&mut self, from: String, placement: Placement) {
-        let (at, known) = (
-            (placement.epoch, placement.number),
-            (self.placement.epoch, self.placement.number),
-        );
-        if at <= known {
+        if (placement.epoch, placement.number) <= self.placement.version() {
             return;
         }
-        self.record_lease_holder(from.clone(), placement.epoch);
-        if !placement.partial {
-            self.placement = placement;
-        } else if (placement.epoch, placement.after) == known {
-            name_directory::apply_share_changes(&mut self.placement.shares, &placement.shares);
-            self.placement.number = placement.number;
-        } else {
-            self.effects.push_back(Effect::Send {
-                to: from,
-                body: Payload::PlacementRequest(PlacementRequest {}),
-            });
+        self.placement
+            .record_lease_holder(from.clone(), placement.epoch);
+        match self.placement.apply(placement) {
+            PlacementChange::Applied => {}
+            PlacementChange::Gap => {
+                self.send(from, Payload::PlacementRequest(PlacementRequest {}));
+            }
         }
     }
 
     pub(crate) fn handle_placement_request(&mut self, from: String) {
-        let placement = self.placement.clone();
-        self.effects.push_back(Effect::Send {
-            to: from,
-            body: Payload::Placement(placement),
-        });
+        let placement = self.placement.current.clone();
+        self.send(from, Payload::Placement(placement));
     }
 
-    /// Who holds the duty; a lower epoch was overtaken.
-    pub(crate) fn record_lease_holder(&mut self, from: String, epoch: u64) {
-        if epoch > self.placement_epoch {
-            self.placement_epoch = epoch;
-            self.placement_holder = from;
-        }
+    /// Another control node says that it holds the lease.
+    pub(crate) fn handle_lease_holder(&mut self, from: String, holder: &LeaseHolder) {
+        self.placement.record_lease_holder(from, holder.epoch);
     }
 
-    /// Shares for a beat; none where this node does not hold the duty, so that nobody takes it for an answer.
+    /// Key shares for an upstream's heartbeat; none where this node does not hold the lease, so that nobody takes them for
+    /// a grant.
     pub(crate) fn grant_key_shares(
         &mut self,
         now: Duration,
         upstream: &Upstream,
     ) -> Option<Vec<KeyShare>> {
         let epoch = self.lease.held_epoch(now)?;
-        if upstream.state() == protocol::UpstreamState::Deregistered {
-            // A sign-off lists nothing and proves nothing: its sender may serve on, so its holds run out by themselves.
+        if upstream.state() == UpstreamState::Deregistered {
+            // A deregistration lists nothing and proves nothing: its sender may serve on, so its grants expire by
+            // themselves.
             return None;
         }
-        if self
-            .configuration
-            .services
-            .get(&upstream.service)
-            .is_some_and(|service| service.numeric_keys)
-        {
+        let service = self.configuration.services.get(&upstream.service);
+        if service.is_some_and(|service| service.numeric_keys) {
             return self.grant_key_ranges(now, upstream, epoch);
         }
-        let (span, held_at) = (self.times.share_span, self.grant_clock.now());
-        let ready = self
+        let grant_time = self.grant_clock.now();
+        let duration = self.times.share_span;
+        let ready: BTreeSet<String> = self
             .registry
             .of_service(&upstream.service)
-            .filter(|other| self.may_hold(other));
-        let ready: BTreeSet<String> = ready.map(|other| other.instance.clone()).collect();
-        let placement_lease = self
-            .placement_lease
+            .filter(|other| self.may_hold(other))
+            .map(|other| other.instance.clone())
+            .collect();
+        let lease = self
+            .placement
+            .lease
             .as_mut()
-            .filter(|placement_lease| placement_lease.epoch == epoch)?;
-        let shares = placement_lease
-            .shares
+            .filter(|lease| lease.epoch == epoch)?;
+        let slots = lease
+            .slots
             .entry(upstream.service.clone())
-            .or_insert_with(|| SlotAssigner::new(held_at, span, epoch));
-        shares.handle_heartbeat(held_at, upstream, &ready)
+            .or_insert_with(|| SlotAssigner::new(grant_time, duration, epoch));
+        slots.handle_heartbeat(grant_time, upstream, &ready)
     }
 }
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -5,10 +5,9 @@
 //! of voters stays: a voter loses its vote only to a node that takes its place. So a zone or region that is lost takes no
 //! votes along, and the nodes that are left never decide that they are enough.
 
-use crate::node::{CONTROL_NODE_ROLE, ControlNode, ControlResponse, Effect};
-use config::JsonValue;
-use protocol::majority;
-use protocol::{Payload, VoterLeaving};
+use crate::interface::{ControlResponse, Effect};
+use crate::node::{CONTROL_NODE_ROLE, ControlNode};
+use protocol::{MemberState, Payload, VoterLeaving, majority};
 use quorum_register::{Change, Event};
 use result_code::ResultCode;
 use std::collections::BTreeMap;
@@ -152,7 +151,7 @@
         }
     }
 
-    fn has_caught_up(&self, node: &str) -> bool {
+    pub(crate) fn has_caught_up(&self, node: &str) -> bool {
         node == self.me.node || self.register.is_caught_up(node)
     }
 
@@ -190,7 +189,7 @@
         let voter_set = self.register.voter_set();
         let others = self.members.iter().filter(|member| {
             member.roles == CONTROL_NODE_ROLE
-                && member.state() == protocol::MemberState::Alive
+                && member.state() == MemberState::Alive
                 && !voter_set.contains(&member.node)
         });
         let heard = others.filter(|member| {
@@ -285,56 +284,4 @@
     pub fn voters(&self) -> Vec<String> {
         self.register.voter_set().members().cloned().collect()
     }
-
-    /// The voters and the control nodes beside them, for the status page.
-    pub(crate) fn voters_json(&self, now: Duration) -> JsonValue {
-        let voter_set = self.register.voter_set();
-        let role = |node: &str| match (
-            voter_set.voters.iter().any(|voter| voter == node),
-            voter_set.contains(node),
-        ) {
-            (true, _)
-                if !voter_set.is_joint() || voter_set.next.iter().any(|voter| voter == node) =>
-            {
-                "voter"
-            }
-            (true, _) => "leaving",
-            (false, true) => "joining",
-            (false, false) => "replica",
-        };
-        let beside = self
-            .members
-            .iter()
-            .filter(|member| member.roles == CONTROL_NODE_ROLE);
-        let beside = beside
-            .map(|member| &member.node)
-            .filter(|node| !voter_set.contains(node));
-        let rows = voter_set.members().chain(beside).map(|node| {
-            let mine = *node == self.me.node;
-            let silent_ms = if mine {
-                0
-            } else {
-                self.register.time_since_heard(now, node).as_millis() as u64
-            };
-            let synced = if mine {
-                None
-            } else {
-                self.register.persisted_round(node)
-            };
-            JsonValue::object([
-                ("node", node.as_str().into()),
-                ("role", role(node).into()),
-                ("silentMs", silent_ms.into()),
-                (
-                    "syncedRound",
-                    synced.map(JsonValue::from).unwrap_or(JsonValue::Null),
-                ),
-                ("caughtUp", self.has_caught_up(node).into()),
-            ])
-        });
-        JsonValue::object([
-            ("epoch", voter_set.epoch.into()),
-            ("members", rows.collect()),
-        ])
-    }
 }
