--- a/crates/data-plane/src/pending_loads.rs
+++ b/crates/data-plane/src/pending_loads.rs
@@ -1,42 +1,39 @@
-//! Requests by key that were counted here and not told yet.
+//! Requests by key that were counted here and not reported yet.
 
 use protocol::KeyLoad;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Counts come each second. Where nobody was asked for longer than this, the oldest are dropped: they would count for
-/// little, and whoever hears of all at once would take them for new.
+/// Counts come each second. Where no control node was asked for longer than this, the oldest are dropped: they would
+/// count for little, and whoever got all at once would take them for new.
 const MAX_PENDING: usize = 6;
 
-/// The last counts, oldest first, until they are told.
+/// The last counts, oldest first, until they are reported.
 #[derive(Default)]
 pub(crate) struct PendingLoads(VecDeque<Vec<KeyLoad>>);
 
 impl PendingLoads {
-    pub(crate) fn add(&mut self, counted: Vec<KeyLoad>) {
-        self.0.push_back(counted);
+    pub(crate) fn add(&mut self, loads: Vec<KeyLoad>) {
+        self.0.push_back(loads);
         if self.0.len() > MAX_PENDING {
             self.0.pop_front();
         }
     }
 
-    /// All of them, summed by service and part; nothing is left.
+    /// All of them, summed by service and bucket; nothing is left.
     pub(crate) fn take(&mut self) -> Vec<KeyLoad> {
         if self.0.len() <= 1 {
             return self.0.pop_front().unwrap_or_default();
         }
         let mut sums: BTreeMap<String, BTreeMap<u32, u32>> = BTreeMap::new();
-        self.0.drain(..).flatten().for_each(|load| {
-            let parts = sums.entry(load.service).or_default();
-            load.parts
-                .into_iter()
-                .zip(load.counts)
-                .for_each(|(part, count)| {
-                    let sum = parts.entry(part).or_default();
-                    *sum = sum.saturating_add(count);
-                });
-        });
-        let load = |(service, parts): (String, BTreeMap<u32, u32>)| {
-            let (parts, counts) = parts.into_iter().unzip();
+        for load in self.0.drain(..).flatten() {
+            let service_sums = sums.entry(load.service).or_default();
+            for (bucket, count) in load.parts.into_iter().zip(load.counts) {
+                let sum = service_sums.entry(bucket).or_default();
+                *sum = sum.saturating_add(count);
+            }
+        }
+        let load = |(service, service_sums): (String, BTreeMap<u32, u32>)| {
+            let (parts, counts) = service_sums.into_iter().unzip();
             KeyLoad {
                 service,
                 parts,
--- a/crates/data-plane/src/shell.rs
+++ b/crates/data-plane/src/shell.rs
@@ -1,160 +1,39 @@
-//! The thin shell of a carrier: sockets and timers around its core and its node.
+//! The shell of a data-plane node: sockets, timers and signals around its core and its shared node.
+
+pub use crate::settings::{PROGRAM, SETTINGS, times};
 
 use crate::api_adapter::{ApiAdapter, ListenerKind};
-use crate::data_node::{DataNode, Effect, Event, Phase, Start, Times};
-use crate::node::{Node, NodeOptions};
-use config::{Setting, SettingType, Settings};
+use crate::data_node::{DataNode, Effect, Event, Phase, Start};
+use crate::node::Node;
+use crate::settings;
+use config::Settings;
 use error_stack::{Report, ResultExt};
+use futures::future::JoinAll;
 use locality::Locality;
-use name_directory::OwnershipMode;
-use protocol::{Envelope, Member, Message};
-use request_routing::{DistanceCost, ProxyContext};
+use protocol::{Envelope, Message};
 use std::sync::Arc;
 use std::time::Duration;
+use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, watch};
-use transport::{Arrival, Clock, Links, Listeners, Program, StartError};
+use tokio::task::JoinHandle;
+use tokio::time::{Interval, MissedTickBehavior};
+use transport::{Arrival, Clock, Links, Listeners, StartError};
 
 const TICK: Duration = Duration::from_millis(20);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Messages from links that wait to be handled.
 const MAX_ARRIVALS: usize = 1024;
-/// A closing process ends by then, whatever is still under way.
-const CLOSE_BY: Duration = Duration::from_millis(5500);
-
-const CLOSING: &str = "not ready any more, serving on while addresses live";
-const DENYING: &str = "enrolling no more, finishing what is under way";
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+/// A process that shuts down ends by then, whatever is still under way.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(5500);
 
-/// Settings of a carrier, beside the time values.
-pub const SETTINGS: &[Setting] = &[
-    setting(
-        "node",
-        SettingType::Id,
-        None,
-        "this process's id, unlike all others",
-    ),
-    setting("locality", SettingType::Locality, None, "where it stands"),
-    setting(
-        "http",
-        SettingType::Address,
-        None,
-        "where origins, upstreams and operators call (HTTP)",
-    ),
-    setting(
-        "link",
-        SettingType::Address,
-        None,
-        "where other processes connect (TCP) and probe (UDP)",
-    ),
-    setting(
-        "told",
-        SettingType::Addresses,
-        Some(""),
-        "the link address that others use, where it is not 'link' itself",
-    ),
-    setting(
-        "seeds",
-        SettingType::Addresses,
-        Some(""),
-        "addresses of other processes, to find them all by",
-    ),
-    setting(
-        "seed-port",
-        SettingType::Integer(0, 65_535),
-        Some("0"),
-        "the port of their links, where 'seeds' names others",
-    ),
-    setting(
-        "directory",
-        SettingType::Addresses,
-        Some(""),
-        "where origins ask for names, where it is not 'http' itself",
-    ),
-    setting(
-        "readiness",
-        SettingType::Addresses,
-        Some(""),
-        "where readiness is asked for, where it is not 'http' itself",
-    ),
-    setting(
-        "owners",
-        SettingType::OneOf(&["one", "by-caller"]),
-        Some("one"),
-        "who owns a name: one locality, or one for each",
-    ),
-    setting(
-        "out-of-touch",
-        SettingType::OneOf(&["stop", "serve"]),
-        Some("stop"),
-        "what to do with a view that is too old",
-    ),
-    setting(
-        "keep-connections",
-        SettingType::OneOf(&["no", "yes"]),
-        Some("no"),
-        "whether connections to upstreams are reused",
-    ),
-    setting(
-        "far-zone-ms",
-        SettingType::Integer(0, 10_000),
-        Some("20"),
-        "what another zone costs beside an upstream's work",
-    ),
-    setting(
-        "far-region-ms",
-        SettingType::Integer(0, 10_000),
-        Some("60"),
-        "what another region costs beside its work",
-    ),
-    setting(
-        "serve",
-        SettingType::SomeOf(&["proxy", "directory"]),
-        Some("proxy,directory"),
-        "its roles",
-    ),
+/// Listeners of their own, where the settings name an address for them.
+const EXTRA_LISTENERS: [(&str, ListenerKind); 2] = [
+    ("directory", ListenerKind::Directory),
+    ("readiness", ListenerKind::Readiness),
 ];
 
-const fn setting(
-    name: &'static str,
-    kind: SettingType,
-    default: Option<&'static str>,
-    help: &'static str,
-) -> Setting {
-    Setting {
-        name,
-        kind,
-        default,
-        help,
-    }
-}
-
-/// What the carrier says of itself.
-pub const PROGRAM: Program = Program {
-    name: "data-plane",
-    about: "The data plane of mothspindle: answers where names live and carries requests.",
-    tables: &[SETTINGS, config::TIME_SETTINGS],
-    check: |_| Vec::new(),
-};
-
-/// The time values in the settings.
-///
-/// ```
-/// let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap();
-/// assert_eq!(data_plane::shell::times(&settings).poll_interval.as_millis(), 500);
-/// ```
-pub fn times(settings: &Settings) -> Times {
-    let poll_interval = settings.duration("confirm-every-ms");
-    let membership = membership::Times {
-        probe_every: settings.duration("probe-every-ms"),
-        suspect_for: settings.duration("suspect-for-ms"),
-    };
-    let lifetime = settings.duration("address-lifetime-ms");
-    Times {
-        membership,
-        poll_interval,
-        answer_timeout: poll_interval.max(Duration::from_millis(200)),
-        lifetime,
-    }
-}
-
-/// Runs a carrier until it is told to close. An error is why it could not start.
+/// Runs a data-plane node until it is told to shut down. An error is why it could not start.
 ///
 /// ```no_run
 /// # async fn run(settings: config::Settings) {
@@ -162,142 +41,152 @@
 /// # }
 /// ```
 pub async fn run(settings: Settings, api_adapter: ApiAdapter) -> Result<(), Report<StartError>> {
-    let clock = Clock::default();
     let mut reload = transport::reload_signal(&PROGRAM, &settings);
-    let Listeners { http, link, probe } = Listeners::open(&settings).await?;
-    let locality = settings.get("locality").parse::<Locality>();
-    let locality = locality.change_context_lazy(|| StartError::new("locality"))?;
-    let told = Some(settings.get("told"))
-        .filter(|told| !told.is_empty())
-        .unwrap_or(settings.get("link"))
-        .to_owned();
-    let me = Member {
-        node: settings.get("node").into(),
-        locality: locality.to_string(),
-        roles: settings.get("serve").into(),
-        probe_address: told.clone(),
-        link_address: told,
-        http_address: settings.get("http").into(),
-        ..Member::default()
-    };
-    log::info!(
-        "start: carrier {} in {locality}, serving {}",
-        me.node,
-        me.roles
-    );
-    let lifetime = settings.duration("address-lifetime-ms");
-    let mut site = ProxyContext::new(
-        &me.node,
-        locality,
-        settings.duration("stale-after-ms"),
-        settings.duration("wait-ms"),
-    );
-    site.ownership = if settings.get("owners") == "one" {
-        OwnershipMode::SingleZone
-    } else {
-        OwnershipMode::PerClientZone
-    };
-    site.serve_stale_view = settings.get("out-of-touch") == "serve";
-    site.distance_cost = DistanceCost {
-        other_zone_ms: settings.count("far-zone-ms") as f64,
-        other_region_ms: settings.count("far-region-ms") as f64,
-    };
-    let reader = api_adapter.reader;
-    let keeps_connections = settings.get("keep-connections") == "yes";
-    let node = Node::new(
-        site,
-        api_adapter,
-        NodeOptions {
-            clock,
-            keeps_connections,
-            roles: me.roles.clone(),
-            lifetime,
-        },
-    );
-    let node = Arc::new(node);
-    let (arrivals, mut arrived) = mpsc::channel(MAX_ARRIVALS);
-    let links = Links::open(me.node.clone(), Some(link), arrivals);
-    let mut carrier = DataNode::new(Start {
-        me,
-        seeds: transport::seed_addresses(&settings),
-        seed: transport::random_seed(),
-        reader,
-        times: times(&settings),
-    });
-    let (close, closing) = watch::channel(false);
-    let doors = [
-        ("directory", ListenerKind::Directory),
-        ("readiness", ListenerKind::Readiness),
-    ];
-    let mut sockets = vec![(ListenerKind::Front, http)];
-    for (name, door) in doors
-        .into_iter()
-        .filter(|(name, _)| !settings.get(name).is_empty())
-    {
-        sockets.push((door, transport::listen(&settings, name).await?));
-    }
-    let servers = sockets.into_iter().map(|(door, socket)| {
-        let handler = node.clone();
-        tokio::spawn(transport::serve(
-            socket,
-            closing.clone(),
-            move |http_request| handler.clone().serve(door, http_request),
-        ))
-    });
-    let server = futures::future::join_all(servers.collect::<Vec<_>>());
-    let mut tick = tokio::time::interval(TICK);
-    tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let (mut shell, mut arrivals, http) = Shell::start(&settings, api_adapter).await?;
+    let (shutdown, servers) = spawn_servers(&settings, &shell.node, http).await?;
+    let mut tick = ticks();
     let mut stop = std::pin::pin!(transport::stop_signal());
-    let mut datagram = vec![0u8; 65_536];
-    let mut next_sweep = Duration::ZERO;
-    loop {
+    let mut datagram = vec![0u8; MAX_DATAGRAM_BYTES];
+    while shell.core.phase() != Phase::Rejecting {
         let event = tokio::select! {
             _ = tick.tick() => Event::Tick,
-            Some(Arrival { from, payload: body }) = arrived.recv() => Event::Received { from, body },
-            Ok((count, address)) = probe.recv_from(&mut datagram) => {
-                match Envelope::decode(&datagram[..count]).ok().and_then(|parcel| parcel.body) {
+            Some(Arrival { from, payload: body }) = arrivals.recv() => Event::Received { from, body },
+            Ok((length, address)) = shell.probe.recv_from(&mut datagram) => {
+                match Envelope::decode(&datagram[..length]).ok().and_then(|envelope| envelope.body) {
                     Some(body) => Event::Datagram { address: address.to_string(), body },
                     None => continue,
                 }
             }
             seeds = reload.changed_seeds() => Event::SeedsChanged(seeds),
-            _ = &mut stop, if carrier.phase() == Phase::Serving => Event::Shutdown,
+            _ = &mut stop, if shell.core.phase() == Phase::Serving => Event::Shutdown,
+        };
+        shell.handle(event);
+    }
+    let _ = shutdown.send(true);
+    let lifetime = settings.duration("address-lifetime-ms");
+    // Requests under way get the rest of the time; after it they are cut off.
+    let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT.saturating_sub(lifetime), servers).await;
+    Ok(())
+}
+
+fn ticks() -> Interval {
+    let mut tick = tokio::time::interval(TICK);
+    tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    tick
+}
+
+/// Serves HTTP on all listeners, until `true` is sent.
+async fn spawn_servers(
+    settings: &Settings,
+    node: &Arc<Node>,
+    http: TcpListener,
+) -> Result<(watch::Sender<bool>, JoinAll<JoinHandle<()>>), Report<StartError>> {
+    let (shutdown, is_shutting_down) = watch::channel(false);
+    let mut listeners = vec![(ListenerKind::Front, http)];
+    for (name, kind) in EXTRA_LISTENERS {
+        if !settings.get(name).is_empty() {
+            listeners.push((kind, transport::listen(settings, name).await?));
+        }
+    }
+    let mut servers = Vec::new();
+    for (kind, socket) in listeners {
+        let node = node.clone();
+        let serve = transport::serve(socket, is_shutting_down.clone(), move |http_request| {
+            node.clone().serve(kind, http_request)
+        });
+        servers.push(tokio::spawn(serve));
+    }
+    Ok((shutdown, futures::future::join_all(servers)))
+}
+
+/// What the event loop works on.
+struct Shell {
+    clock: Clock,
+    core: DataNode,
+    node: Arc<Node>,
+    links: Links,
+    probe: UdpSocket,
+    next_sweep: Duration,
+}
+
+impl Shell {
+    /// Opens the sockets, and makes the core and the node. Gives the messages from links and the HTTP socket beside.
+    async fn start(
+        settings: &Settings,
+        api_adapter: ApiAdapter,
+    ) -> Result<(Shell, mpsc::Receiver<Arrival>, TcpListener), Report<StartError>> {
+        let clock = Clock::default();
+        let Listeners { http, link, probe } = Listeners::open(settings).await?;
+        let locality = settings
+            .get("locality")
+            .parse::<Locality>()
+            .change_context_lazy(|| StartError::new("locality"))?;
+        let me = settings::member(settings, &locality);
+        log::info!(
+            "start: data-plane node {} in {locality}, serving {}",
+            me.node,
+            me.roles
+        );
+        let reader = api_adapter.reader;
+        let node = Arc::new(Node::new(
+            settings::proxy_context(settings, locality),
+            api_adapter,
+            settings::node_options(settings, clock),
+        ));
+        let (sender, arrivals) = mpsc::channel(MAX_ARRIVALS);
+        let links = Links::open(me.node.clone(), Some(link), sender);
+        let core = DataNode::new(Start {
+            me,
+            seeds: transport::seed_addresses(settings),
+            seed: transport::random_seed(),
+            reader,
+            times: times(settings),
+        });
+        let shell = Shell {
+            clock,
+            core,
+            node,
+            links,
+            probe,
+            next_sweep: Duration::ZERO,
         };
-        let now = clock.now();
-        let effects = carrier.step(now, event);
-        effects.into_iter().for_each(|effect| match effect {
-            Effect::Send { to, body } => links.send(&to, body),
-            Effect::Datagram { address, body } => transport::send_datagram(&probe, &address, body),
-            Effect::Addresses(book) => {
-                links.set_addresses(book.into_iter().collect());
-                node.learn_control_nodes(carrier.control_nodes());
+        Ok((shell, arrivals, http))
+    }
+
+    /// Steps the core, does what it wants done, and sweeps when it is time.
+    fn handle(&mut self, event: Event) {
+        let now = self.clock.now();
+        for effect in self.core.step(now, event) {
+            self.perform(effect);
+        }
+        if now >= self.next_sweep {
+            self.next_sweep = now + SWEEP_INTERVAL;
+            let loads = self.node.sweep(now);
+            self.core.step(now, Event::KeyLoadsCounted(loads));
+            log::debug!("links: {:?}", self.links.sent_counts());
+        }
+    }
+
+    fn perform(&self, effect: Effect) {
+        match effect {
+            Effect::Send { to, body } => self.links.send(&to, body),
+            Effect::Datagram { address, body } => {
+                transport::send_datagram(&self.probe, &address, body);
             }
-            Effect::Publish => {
-                node.publish(carrier.view().clone());
+            Effect::Addresses(addresses) => {
+                self.links.set_addresses(addresses.into_iter().collect());
+                self.node.learn_control_nodes(self.core.control_nodes());
             }
-            Effect::Phase(phase) => {
-                log::info!(
-                    "close: {}",
-                    if phase == Phase::Rejecting {
-                        DENYING
-                    } else {
-                        CLOSING
-                    }
-                );
-                node.close(phase == Phase::Rejecting);
+            Effect::Publish => self.node.publish(self.core.view().clone()),
+            Effect::Phase(Phase::Rejecting) => {
+                log::info!("close: enrolling no more, finishing what is under way");
+                self.node.drain(true);
             }
-            Effect::Log(text) => log::info!("news: {text}"),
-        });
-        if now >= next_sweep {
-            next_sweep = now + Duration::from_secs(1);
-            carrier.step(now, Event::KeyLoadsCounted(node.sweep(now)));
-            log::debug!("links: {:?}", links.sent_counts());
-        }
-        if carrier.phase() == Phase::Rejecting {
-            break;
+            Effect::Phase(_) => {
+                log::info!("close: not ready any more, serving on while addresses live");
+                self.node.drain(false);
+            }
+            Effect::Log(line) => log::info!("news: {line}"),
         }
     }
-    let _ = close.send(true);
-    let _ = tokio::time::timeout(CLOSE_BY.saturating_sub(lifetime), server).await;
-    Ok(())
 }
--- a/crates/data-plane/src/traces.rs
+++ b/crates/data-plane/src/traces.rs
@@ -6,17 +6,22 @@
 
 const MAX_TRACES: u64 = 4096;
 
-/// The latest requests' notes, by try id.
+struct Trace {
+    number: u64,
+    events: Vec<TraceEvent>,
+}
+
+/// The latest requests' traces, by attempt id.
 #[derive(Default)]
 pub struct Traces {
-    notes: DashMap<String, (u64, Vec<TraceEvent>)>,
-    /// Which try took which place; a newer one takes the oldest's.
-    places: DashMap<u64, String>,
-    next: AtomicU64,
+    traces: DashMap<String, Trace>,
+    /// A ring buffer of attempt ids; a newer one takes the oldest's entry.
+    ring: DashMap<u64, String>,
+    next_number: AtomicU64,
 }
 
 impl Traces {
-    /// Keeps a request's notes, and forgets the oldest beyond the bound.
+    /// Keeps a request's trace, and forgets the oldest beyond the bound.
     ///
     /// ```
     /// let traces = data_plane::Traces::default();
@@ -24,17 +29,18 @@
     /// assert!(traces.find("t0").is_none());
     /// assert!(traces.find("t4999").is_some());
     /// ```
-    pub fn keep(&self, attempt_id: String, notes: Vec<TraceEvent>) {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let oldest = self.places.insert(number % MAX_TRACES, attempt_id.clone());
-        oldest.into_iter().for_each(|oldest| {
-            self.notes
-                .remove_if(&oldest, |_, (kept, _)| *kept + MAX_TRACES <= number);
-        });
-        self.notes.insert(attempt_id, (number, notes));
+    pub fn keep(&self, attempt_id: String, events: Vec<TraceEvent>) {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let oldest = self.ring.insert(number % MAX_TRACES, attempt_id.clone());
+        if let Some(oldest) = oldest {
+            // A later request with the same attempt id keeps its trace.
+            self.traces
+                .remove_if(&oldest, |_, trace| trace.number + MAX_TRACES <= number);
+        }
+        self.traces.insert(attempt_id, Trace { number, events });
     }
 
-    /// The notes of a try, as text.
+    /// The trace of an attempt, as text.
     ///
     /// ```
     /// let traces = data_plane::Traces::default();
@@ -42,8 +48,7 @@
     /// assert_eq!(traces.find("t").unwrap(), ["called: a seat may be free"]);
     /// ```
     pub fn find(&self, attempt_id: &str) -> Option<Vec<String>> {
-        self.notes
-            .get(attempt_id)
-            .map(|kept| kept.1.iter().map(TraceEvent::to_string).collect())
+        let trace = self.traces.get(attempt_id)?;
+        Some(trace.events.iter().map(TraceEvent::to_string).collect())
     }
 }
