--- a/crates/quorum-register/src/accept_phase.rs
+++ b/crates/quorum-register/src/accept_phase.rs
@@ -2,11 +2,11 @@
 
 use crate::apply::{apply, apply_to_voters};
 use crate::change::{Change, Decision};
-use crate::proposer::{
-    AcceptPhase, MAX_CHANGES_PER_ROUND, ProposedDecision, RETRY_INTERVAL, Round,
-    highest_lease_epoch, newest_promise,
-};
+use crate::proposer::MAX_CHANGES_PER_ROUND;
 use crate::register::Register;
+use crate::round::{
+    AcceptPhase, ProposedDecision, RETRY_INTERVAL, Round, highest_lease_epoch, newest_promise,
+};
 use crate::state_transfer::{FULL_STATE, TransferredState};
 use protocol::{Accept, AcceptDelta, Accepted, Ballot, ClusterState, ConfigurationBytes};
 use protocol::{Payload, Prepare};
--- a/crates/quorum-register/src/lib.rs
+++ b/crates/quorum-register/src/lib.rs
@@ -11,8 +11,8 @@
 //! |---|---|---|
 //! | `register` | composes the concerns, dispatches events and messages | [`Register`] |
 //! | `acceptor` | promises and acceptances, reads answered | `Acceptor` |
-//! | `proposer` | changes that wait, and the prepare phase of a round | `Proposer` |
-//! | `accept_phase` | the accept phase of a round | `Round` |
+//! | `proposer` | changes that wait for a decision | `Proposer` |
+//! | `round`, `prepare_phase`, `accept_phase` | the two phases of a round | `Round` |
 //! | `majority_read` | confirms that the state known here is the newest | `MajorityReads` |
 //! | `state_transfer` | states sent as a difference to an earlier one | |
 //! | `configurations` | the configurations' bytes | `ConfigurationStore` |
@@ -38,10 +38,12 @@
 mod inspect;
 mod majority_read;
 mod options;
+mod prepare_phase;
 mod proposer;
 mod recovery;
 mod register;
 mod replicas;
+mod round;
 mod state_transfer;
 mod write_queue;
 
--- a/crates/quorum-register/src/proposer.rs
+++ b/crates/quorum-register/src/proposer.rs
@@ -1,26 +1,18 @@
-//! The proposer's state, the changes that wait for a decision, and the prepare phase of a round.
+//! The proposer's state, and the changes that wait for a decision.
 
 use crate::change::{Change, Decision};
 use crate::event::Effect;
 use crate::register::{Register, VoterPhase};
-use protocol::{Ballot, ClusterState, ConfigurationBytes, Payload, Prepare, Promise};
+use crate::round::Round;
+use protocol::{Ballot, ClusterState};
 use result_code::ResultCode;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::VecDeque;
 use std::time::Duration;
 
 /// How many changes may wait here; more are rejected.
 const MAX_PENDING_CHANGES: usize = 64;
 /// How many changes one round takes along.
 pub(crate) const MAX_CHANGES_PER_ROUND: usize = 16;
-/// A proposer that lost a round backs off for a random time, at least so long.
-const MIN_BACKOFF_MS: u64 = 20;
-/// The backoff's random part is below this, and doubles with each loss in a row, so that rivals take turns.
-const BACKOFF_JITTER_MS: u64 = 180;
-/// How often the random part of the backoff is doubled.
-const MAX_BACKOFF_DOUBLINGS: u32 = 1;
-/// How long after its sending a request is retried at the voters that haven't answered it: longer than an answer takes
-/// between regions with its write, and well below the time of a phase.
-pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// A change that waits for its decision.
 #[derive(Clone, Debug, Hash)]
@@ -61,57 +53,6 @@
     }
 }
 
-/// The decision on a change, told once the round's state is chosen.
-#[derive(Clone, Debug, Hash)]
-pub(crate) struct ProposedDecision {
-    pub(crate) request_id: Option<u64>,
-    pub(crate) decision: Decision,
-}
-
-/// The first phase of a round: promises are gathered.
-#[derive(Clone, Debug, Hash)]
-pub(crate) struct PreparePhase {
-    pub(crate) ballot: Ballot,
-    pub(crate) started_at: Duration,
-    retry_at: Duration,
-    /// The nodes that a prepare was sent to.
-    sent_to: BTreeSet<String>,
-    pub(crate) promises: BTreeMap<String, Promise>,
-}
-
-/// The second phase of a round: acceptances are gathered.
-#[derive(Clone, Debug, Hash)]
-pub(crate) struct AcceptPhase {
-    pub(crate) ballot: Ballot,
-    /// When the round began.
-    pub(crate) round_started_at: Duration,
-    pub(crate) started_at: Duration,
-    pub(crate) retry_at: Duration,
-    /// The proposed state.
-    pub(crate) state: ClusterState,
-    /// The highest lease epoch among the promises.
-    pub(crate) lease_epoch: u64,
-    /// How many submissions were decided before this round.
-    pub(crate) decided_before: u64,
-    /// The nodes that an accept was sent to, with the disk whose promise was counted.
-    pub(crate) disks: BTreeMap<String, u64>,
-    pub(crate) decisions: Vec<ProposedDecision>,
-    pub(crate) accepted_by: BTreeSet<String>,
-}
-
-/// Where this proposer's round stands.
-#[derive(Clone, Debug, Default, Hash)]
-pub(crate) enum Round {
-    #[default]
-    Idle,
-    /// Lost to another proposer or to time: waits before the next round.
-    BackingOff {
-        until: Duration,
-    },
-    Preparing(PreparePhase),
-    Accepting(AcceptPhase),
-}
-
 /// The state of one proposer.
 #[derive(Clone, Debug, Default, Hash)]
 pub(crate) struct Proposer {
@@ -175,7 +116,7 @@
     }
 
     /// Digests of the configurations that the next round proposes for the first time.
-    fn unproposed_digests(&self) -> Vec<String> {
+    pub(crate) fn unproposed_digests(&self) -> Vec<String> {
         self.pending
             .iter()
             .take(MAX_CHANGES_PER_ROUND)
@@ -195,32 +136,7 @@
     }
 }
 
-/// The promise of the newest state.
-pub(crate) fn newest_promise(promises: &BTreeMap<String, Promise>) -> Option<&Promise> {
-    promises
-        .values()
-        .max_by(|a, b| a.accepted_at.cmp(&b.accepted_at))
-}
-
-/// The highest lease epoch among the promises.
-pub(crate) fn highest_lease_epoch(promises: &BTreeMap<String, Promise>) -> u64 {
-    promises
-        .values()
-        .map(|promise| promise.lease_epoch)
-        .max()
-        .unwrap_or(0)
-}
-
 impl Register {
-    /// The next ballot from here.
-    pub(crate) fn next_ballot(&mut self) -> Ballot {
-        Ballot {
-            round: self.proposer.next_round(),
-            voter: self.node.clone(),
-            incarnation: self.incarnation,
-        }
-    }
-
     /// Takes in an operator's change, or rejects it.
     pub(crate) fn submit(
         &mut self,
@@ -301,119 +217,4 @@
             self.report_decision(pending.request_id, decision);
         }
     }
-
-    fn start_round(&mut self, now: Duration) {
-        self.statistics.rounds_started += 1;
-        let ballot = self.next_ballot();
-        // A configuration's bytes are sent once, ahead of the round that needs them.
-        for digest in self.proposer.unproposed_digests() {
-            if let Some(compressed) = self.configurations.compressed(&digest) {
-                let configuration = ConfigurationBytes { digest, compressed };
-                self.broadcast(Payload::ConfigurationBytes(configuration));
-            }
-        }
-        self.proposer.round = Round::Preparing(PreparePhase {
-            ballot: ballot.clone(),
-            started_at: now,
-            retry_at: now + RETRY_INTERVAL,
-            sent_to: self.replica_nodes().into_iter().collect(),
-            promises: BTreeMap::new(),
-        });
-        let since = self.known_decision_count();
-        self.broadcast(Payload::Prepare(Prepare { ballot, since }));
-    }
-
-    /// Gives up the round; the next one begins after a random time.
-    pub(crate) fn back_off(&mut self, now: Duration) {
-        self.statistics.rounds_lost += 1;
-        let doublings = self.proposer.consecutive_losses.min(MAX_BACKOFF_DOUBLINGS);
-        self.proposer.consecutive_losses += 1;
-        let jitter_ms = self.random.below(BACKOFF_JITTER_MS << doublings);
-        let until = now + Duration::from_millis(MIN_BACKOFF_MS + jitter_ms);
-        self.proposer.round = Round::BackingOff { until };
-    }
-
-    /// Sends the prepare again to the voters that haven't promised. A lost message costs this long instead of the whole
-    /// phase; a voter answers the same ballot alike each time.
-    fn retry_prepares(&mut self, now: Duration) {
-        let since = self.known_decision_count();
-        let Round::Preparing(phase) = &mut self.proposer.round else {
-            return;
-        };
-        phase.retry_at = now + RETRY_INTERVAL;
-        let prepare = Prepare {
-            ballot: phase.ballot.clone(),
-            since,
-        };
-        let unanswered: Vec<String> = phase
-            .sent_to
-            .iter()
-            .filter(|voter| !phase.promises.contains_key(*voter))
-            .cloned()
-            .collect();
-        self.send_to_each(&unanswered, &Payload::Prepare(prepare));
-    }
-
-    pub(crate) fn handle_promise(&mut self, now: Duration, from: &str, promise: Promise) {
-        self.proposer.observe_round(&promise.promised);
-        if matches!(self.phase, VoterPhase::Recovering(_)) {
-            self.handle_recovery_promise(now, from, promise);
-            return;
-        }
-        self.replicas.record_since(from, promise.since);
-        let promises = promise.promised == promise.ballot;
-        match &self.proposer.round {
-            Round::Preparing(phase) if phase.ballot == promise.ballot && !promises => {
-                self.back_off(now);
-            }
-            Round::Preparing(phase) if phase.ballot == promise.ballot => {
-                self.count_promise(now, from, promise);
-            }
-            // It came late: a quorum had promised already.
-            Round::Accepting(phase) if phase.ballot == promise.ballot && promises => {
-                self.send_accept(from, promise.disk, promise.since);
-            }
-            _ => {}
-        }
-    }
-
-    fn count_promise(&mut self, now: Duration, from: &str, promise: Promise) {
-        let Some(promise) = self.with_full_state(from, promise) else {
-            return;
-        };
-        if let Round::Preparing(phase) = &mut self.proposer.round {
-            phase.promises.insert(from.to_owned(), promise);
-            self.start_accepting_if_promised(now);
-        }
-    }
-
-    /// The newest state among the promises names the voters. Those of them that no prepare was sent to get one now. Once a
-    /// quorum of them promised, nothing newer can have been chosen.
-    fn start_accepting_if_promised(&mut self, now: Duration) {
-        let since = self.known_decision_count();
-        let Round::Preparing(phase) = &mut self.proposer.round else {
-            return;
-        };
-        let Some(newest) = newest_promise(&phase.promises) else {
-            return;
-        };
-        let voter_set = &newest.accepted.voter_set;
-        let has_quorum = voter_set.is_quorum(|voter| phase.promises.contains_key(voter));
-        // A state known to be chosen is on the disks of a quorum: until one of it answers, somebody is missing.
-        if has_quorum && newest.accepted_at >= self.chosen.ballot {
-            self.start_accepting(now);
-            return;
-        }
-        let unsent: Vec<String> = voter_set
-            .members()
-            .filter(|voter| !phase.sent_to.contains(*voter))
-            .cloned()
-            .collect();
-        phase.sent_to.extend(unsent.iter().cloned());
-        let prepare = Prepare {
-            ballot: phase.ballot.clone(),
-            since,
-        };
-        self.send_to_each(&unsent, &Payload::Prepare(prepare));
-    }
 }
--- a/crates/quorum-register/src/recovery.rs
+++ b/crates/quorum-register/src/recovery.rs
@@ -3,8 +3,8 @@
 //! What the lost disk promised is unknown, so the voter first runs a prepare phase under a new ballot at the other
 //! voters. Once a quorum promised, without this node's help, it takes over the newest state among the promises.
 
-use crate::proposer::{highest_lease_epoch, newest_promise};
 use crate::register::{Register, VoterPhase};
+use crate::round::{highest_lease_epoch, newest_promise};
 use protocol::{
     Ballot, ClusterState, ConfigurationRequest, DurableState, Payload, Prepare, Promise, VoterSet,
 };
