--- a/crates/cli/src/commands/recovery.rs
+++ b/crates/cli/src/commands/recovery.rs
@@ -138,7 +138,7 @@
             .change_context_lazy(unwritable)?;
     }
     storage
-        .keep(&merged.durable)
+        .persist_state(&merged.durable)
         .change_context_lazy(unwritable)?;
     Ok(format!(
         "{folder}: imported edition {}",
--- a/crates/control-plane/src/daemon/startup.rs
+++ b/crates/control-plane/src/daemon/startup.rs
@@ -25,7 +25,7 @@
         let opened = tokio::task::spawn_blocking(move || Storage::open(&path)).await;
         let failure = match opened.change_context_lazy(cannot_open)? {
             Ok(opened) => return Ok(Some(opened)),
-            Err(failure) if failure.current_context().trouble() != FailureKind::Failing => {
+            Err(failure) if failure.current_context().kind() != FailureKind::Failing => {
                 return Err(failure.change_context(cannot_open()));
             }
             Err(failure) => failure,
--- a/crates/control-plane/src/persistence/departure_writer.rs
+++ b/crates/control-plane/src/persistence/departure_writer.rs
@@ -65,7 +65,7 @@
         departures,
     }) = next
     {
-        next = match log.keep(departures.clone(), transport::since_boot()) {
+        next = match log.write(departures.clone(), transport::since_boot()) {
             Ok(()) => {
                 if std::mem::take(&mut failures) > 0 {
                     info!("storage: departures are written again");
--- a/crates/control-plane/src/persistence/storage_thread.rs
+++ b/crates/control-plane/src/persistence/storage_thread.rs
@@ -255,7 +255,7 @@
     fn execute(&mut self, write: Write) -> Result<(), ThreadStopped> {
         match write {
             Write::State { write_id, durable } => {
-                self.retry(|storage| storage.keep(&durable))?;
+                self.retry(|storage| storage.persist_state(&durable))?;
                 self.report(StorageReport::Synced { write_id })
             }
             Write::Configuration {
--- a/crates/scale-model/src/changes.rs
+++ b/crates/scale-model/src/changes.rs
@@ -500,7 +500,7 @@
                 None
             }
             (Disk::Real(storage), Write::State(write_id, durable)) => {
-                storage.keep(&durable).expect("the disk works");
+                storage.persist_state(&durable).expect("the disk works");
                 Some(write_id)
             }
             (Disk::Real(storage), Write::Configuration(write_id, digest, bytes)) => {
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,62 +1,71 @@
 //! Why a data folder could not be used.
 
-use std::fmt;
+use error_stack::Report;
 use std::io;
 
-/// What kind of trouble it is: it decides whether trying again helps.
+/// The kind of a failure: it decides whether a retry can help.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
     /// Another process has the folder open.
     InUse,
-    /// The path or its permissions are wrong: only an operator can mend that.
+    /// The path or its permissions are wrong: only an operator can correct that.
     Settings,
-    /// The disk is full or failing: it may work again later.
+    /// The disk is full or failing: a retry may succeed later.
     Failing,
 }
 
-/// The disk could not be used.
-#[derive(Debug)]
+/// The disk could not be used. The cause is attached to the [`Report`].
+#[derive(Debug, thiserror::Error)]
+#[error("disk: {step}")]
 pub struct StorageError {
     step: String,
-    trouble: FailureKind,
+    kind: FailureKind,
 }
 
-impl fmt::Display for StorageError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "disk: {}", self.step)
-    }
-}
-
-impl std::error::Error for StorageError {}
-
 impl StorageError {
-    pub(crate) fn new(step: impl Into<String>, trouble: FailureKind) -> Self {
+    pub(crate) fn new(step: impl Into<String>, kind: FailureKind) -> Self {
         StorageError {
             step: step.into(),
-            trouble,
+            kind,
         }
     }
 
-    /// The trouble that an I/O error stands for.
+    /// The failure that an I/O error stands for.
     pub(crate) fn from_io(step: impl Into<String>, error: &io::Error) -> Self {
         use io::ErrorKind::{InvalidInput, NotADirectory, PermissionDenied};
-        let trouble = match error.kind() {
+        let kind = match error.kind() {
             PermissionDenied | NotADirectory | InvalidInput => FailureKind::Settings,
             _ => FailureKind::Failing,
         };
-        StorageError::new(step, trouble)
+        StorageError::new(step, kind)
     }
 
-    /// What kind of trouble it is.
+    /// The kind of the failure.
     ///
     /// ```
-    /// let file = std::env::temp_dir().join(format!("storage-trouble-{}", std::process::id()));
+    /// let file = std::env::temp_dir().join(format!("storage-failure-{}", std::process::id()));
     /// std::fs::write(&file, b"a file, no folder").unwrap();
-    /// let refused = storage::Storage::open(&file).err().unwrap();
-    /// assert_eq!(refused.current_context().trouble(), storage::FailureKind::Settings);
+    /// let error = storage::Storage::open(&file).err().unwrap();
+    /// assert_eq!(error.current_context().kind(), storage::FailureKind::Settings);
     /// std::fs::remove_file(&file).unwrap();
     /// ```
-    pub fn trouble(&self) -> FailureKind {
-        self.trouble
+    pub fn kind(&self) -> FailureKind {
+        self.kind
     }
 }
+
+/// Reports an I/O error of this step.
+pub(crate) fn failed(step: &str) -> impl Fn(io::Error) -> Report<StorageError> {
+    move |error| {
+        let context = StorageError::from_io(step, &error);
+        Report::new(error).change_context(context)
+    }
+}
+
+/// Reports that another process has the folder open.
+pub(crate) fn in_use() -> Report<StorageError> {
+    Report::new(StorageError::new(
+        "another process uses this data folder",
+        FailureKind::InUse,
+    ))
+}
--- a/crates/storage/src/files.rs
+++ b/crates/storage/src/file_system.rs
@@ -1,4 +1,4 @@
-//! The few operations on files that storage needs, as a trait: tests put a simulated disk underneath that loses power.
+//! The few operations on files that storage needs, as a trait: tests replace it by a simulated disk that loses power.
 
 use redb::backends::FileBackend;
 use redb::{BackendError, StorageBackend};
@@ -14,7 +14,7 @@
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// Keeps other processes out of a folder while it lives.
+/// Keeps other processes out of a folder until it is dropped.
 pub trait FolderLock: fmt::Debug + Send {}
 
 /// Operations on files and folders. Nothing outlives a loss of power before it is synced: a file's bytes by
@@ -24,13 +24,17 @@
     fn create_folder(&self, folder: &Path) -> io::Result<()>;
     /// Returns once the names in this folder are on the disk.
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
-    /// The lock on a folder; none where another process has it.
+    /// Locks a folder; none where another process has the lock.
     fn lock(&self, folder: &Path) -> io::Result<Option<Box<dyn FolderLock>>>;
+    /// The names of the files in a folder.
     fn list(&self, folder: &Path) -> io::Result<Vec<String>>;
+    /// Whether there is a file or folder at this path.
     fn exists(&self, path: &Path) -> io::Result<bool>;
+    /// All bytes of a file.
     fn read(&self, file: &Path) -> io::Result<Vec<u8>>;
     /// Makes a file that does not exist yet.
     fn create(&self, file: &Path) -> io::Result<Box<dyn NewFile>>;
+    /// Renames a file, and replaces what has that name.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     /// Removes a file; fine where there is none.
     fn remove(&self, file: &Path) -> io::Result<()>;
@@ -77,6 +81,7 @@
         }
     }
 
+    /// The names of the files in a folder.
     fn list(&self, folder: &Path) -> io::Result<Vec<String>> {
         fs::read_dir(folder)?
             .map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned()))
@@ -117,11 +122,11 @@
     }
 }
 
-/// A backend of whatever kind, as redb takes it.
+/// A backend of any kind, in the form that redb takes.
 #[derive(Debug)]
-pub(crate) struct AnyBackend(pub(crate) Box<dyn StorageBackend>);
+pub(crate) struct BoxedBackend(pub(crate) Box<dyn StorageBackend>);
 
-impl StorageBackend for AnyBackend {
+impl StorageBackend for BoxedBackend {
     fn len(&self) -> io::Result<u64> {
         self.0.len()
     }
--- a/crates/storage/src/state_file.rs
+++ b/crates/storage/src/state_file.rs
@@ -1,7 +1,8 @@
-//! The voter's state in a redb file: one table, one value, sealed with a digest.
+//! The voter's state in a redb database: one table, with the state as one value under its digest, and its sequence
+//! number.
 
-use crate::error::{FailureKind, StorageError};
-use crate::files::{AnyBackend, FileSystem};
+use crate::error::{FailureKind, StorageError, failed, in_use};
+use crate::file_system::{BoxedBackend, FileSystem};
 use error_stack::{Report, ResultExt};
 use protocol::DurableState;
 use redb::backends::InMemoryBackend;
@@ -11,98 +12,100 @@
 use std::io;
 use std::path::Path;
 
+/// The only table. Its name and keys are part of the file format.
 const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
+/// The key of the state, as [`protocol::pack`] writes it.
 const DURABLE: &str = "durable";
+/// The key of the sequence number, eight bytes, big-endian.
 const SEQUENCE: &str = "sequence";
-/// The state is far smaller.
+/// The size of the database's cache. The state is far smaller.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A state and the number of its write: each write's is higher than the one before.
+/// What is wrong with a file without any bytes.
+const EMPTY_FILE: &str = "the file is empty";
+
+/// A state and the sequence number of its write: each write's is higher than the one before.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Numbered {
+pub(crate) struct NumberedState {
     pub(crate) state: DurableState,
     pub(crate) sequence: u64,
 }
 
-/// What came of opening a state file.
-pub(crate) enum Opened {
-    /// No such file.
+/// The outcome of opening a state file.
+pub(crate) enum OpenedState {
+    /// There is no such file.
     Missing,
-    /// The file can't be what was written; why.
+    /// The file can't be what was written; the reason.
     Damaged(String),
-    Whole(Database, Numbered),
+    /// The file is valid.
+    Valid(Database, NumberedState),
 }
 
-/// Why a read gave no state.
-enum Unread {
+/// Why a state can't be read.
+enum ReadError {
+    /// The file can't be what was written; the reason.
     Damaged(String),
+    /// The disk does not work at the moment.
     Failed(redb::Error),
 }
 
 fn builder() -> Builder {
     let mut builder = Builder::new();
-    // A plain open trusts a file that was closed cleanly, and may panic where it rotted since.
+    // A plain open trusts a file that was closed cleanly, and may panic where it was corrupted since.
     builder
         .set_cache_size(CACHE_BYTES)
         .set_check_integrity_on_open(true);
     builder
 }
 
-/// Opens an existing state file. Whatever it gives is on the disk: what an earlier process left in the system's cache
-/// is synced first.
-pub(crate) fn open(files: &dyn FileSystem, path: &Path) -> Result<Opened, Report<StorageError>> {
-    let failed = |error: &io::Error| StorageError::from_io("cannot open word.redb", error);
+/// Opens an existing state file. What it returns is on the disk: what an earlier process left in the system's cache is
+/// synced first.
+pub(crate) fn open(
+    files: &dyn FileSystem,
+    path: &Path,
+) -> Result<OpenedState, Report<StorageError>> {
+    let step = "cannot open word.redb";
     let backend = match files.open_database(path, false) {
-        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Opened::Missing),
-        Err(error) => {
-            let context = failed(&error);
-            return Err(Report::new(error).change_context(context));
-        }
-        Ok(backend) => backend,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(OpenedState::Missing),
+        opened => opened.map_err(failed(step))?,
     };
-    if let Err(error) = backend.sync_data() {
-        let context = failed(&error);
-        return Err(Report::new(error).change_context(context));
-    }
-    // redb would take an empty file for one to be made.
+    backend.sync_data().map_err(failed(step))?;
+    // redb would take an empty file for a new one.
     if backend.len().is_ok_and(|length| length == 0) {
-        return Ok(Opened::Damaged("the file is empty".into()));
+        return Ok(OpenedState::Damaged(EMPTY_FILE.into()));
     }
-    open_backend(AnyBackend(backend))
+    open_backend(BoxedBackend(backend))
 }
 
 /// Opens a copy of a state file's bytes, in memory: the file itself is not touched.
-pub(crate) fn open_copy(bytes: &[u8]) -> Result<Opened, Report<StorageError>> {
+pub(crate) fn open_copy(bytes: &[u8]) -> Result<OpenedState, Report<StorageError>> {
     let memory = InMemoryBackend::new();
     let copied = memory
         .set_len(bytes.len() as u64)
         .and_then(|()| memory.write(0, bytes));
     copied
         .change_context_lazy(|| StorageError::new("cannot copy word.redb", FailureKind::Failing))?;
-    match bytes.is_empty() {
-        true => Ok(Opened::Damaged("the file is empty".into())),
-        false => open_backend(memory),
+    if bytes.is_empty() {
+        return Ok(OpenedState::Damaged(EMPTY_FILE.into()));
     }
+    open_backend(memory)
 }
 
-fn open_backend(backend: impl StorageBackend) -> Result<Opened, Report<StorageError>> {
+fn open_backend(backend: impl StorageBackend) -> Result<OpenedState, Report<StorageError>> {
     let database = match builder().create_with_backend(backend) {
         Ok(database) => database,
         Err(DatabaseError::DatabaseAlreadyOpen | DatabaseError::LockProtocolMismatch) => {
-            return Err(Report::new(StorageError::new(
-                "another process uses this data folder",
-                FailureKind::InUse,
-            )));
+            return Err(in_use());
         }
-        Err(error) => match damage(error.into()) {
-            Unread::Damaged(why) => return Ok(Opened::Damaged(why)),
-            Unread::Failed(error) => return Err(unreadable(error)),
+        Err(error) => match classify(error.into()) {
+            ReadError::Damaged(finding) => return Ok(OpenedState::Damaged(finding)),
+            ReadError::Failed(error) => return Err(unreadable(error)),
         },
     };
     match read(&database) {
-        Ok(state) => Ok(Opened::Whole(database, state)),
-        Err(Unread::Damaged(why)) => Ok(Opened::Damaged(why)),
-        Err(Unread::Failed(error)) => Err(unreadable(error)),
+        Ok(state) => Ok(OpenedState::Valid(database, state)),
+        Err(ReadError::Damaged(finding)) => Ok(OpenedState::Damaged(finding)),
+        Err(ReadError::Failed(error)) => Err(unreadable(error)),
     }
 }
 
@@ -113,50 +116,49 @@
     ))
 }
 
-/// Tells a damaged file from a disk that does not work just now: only the former may be given up.
-fn damage(error: redb::Error) -> Unread {
+/// Distinguishes a damaged file from a disk that does not work at the moment: only the former may be given up.
+fn classify(error: redb::Error) -> ReadError {
     match error {
         redb::Error::Io(error) => match error.kind() {
             io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof => {
-                Unread::Damaged(error.to_string())
+                ReadError::Damaged(error.to_string())
             }
-            _ => Unread::Failed(redb::Error::Io(error)),
+            _ => ReadError::Failed(redb::Error::Io(error)),
         },
-        redb::Error::PreviousIo | redb::Error::DatabaseClosed => Unread::Failed(error),
-        other => Unread::Damaged(other.to_string()),
+        redb::Error::PreviousIo | redb::Error::DatabaseClosed => ReadError::Failed(error),
+        other => ReadError::Damaged(other.to_string()),
     }
 }
 
-fn read(database: &Database) -> Result<Numbered, Unread> {
+fn read(database: &Database) -> Result<NumberedState, ReadError> {
     let reading = database
         .begin_read()
-        .map_err(|error| damage(error.into()))?;
+        .map_err(|error| classify(error.into()))?;
     let table = match reading.open_table(STATE) {
-        Err(TableError::TableDoesNotExist(_)) => return Ok(Numbered::default()),
-        Err(error) => return Err(damage(error.into())),
+        Err(TableError::TableDoesNotExist(_)) => return Ok(NumberedState::default()),
+        Err(error) => return Err(classify(error.into())),
         Ok(table) => table,
     };
     let value = |key| match table.get(key) {
-        Err(error) => Err(damage(error.into())),
+        Err(error) => Err(classify(error.into())),
         Ok(value) => Ok(value.map(|value| value.value().to_vec())),
     };
     let Some(packed) = value(DURABLE)? else {
-        return Ok(Numbered::default());
+        return Ok(NumberedState::default());
     };
-    let state = protocol::unpack(&packed);
-    let state =
-        state.ok_or_else(|| Unread::Damaged("the state does not match its digest".into()))?;
-    // Files of earlier versions number nothing.
+    let state = protocol::unpack(&packed)
+        .ok_or_else(|| ReadError::Damaged("the state does not match its digest".into()))?;
+    // Files of the first versions have no sequence number.
     let sequence = value(SEQUENCE)?
         .and_then(|bytes| bytes.try_into().ok())
         .map(u64::from_be_bytes);
-    Ok(Numbered {
+    Ok(NumberedState {
         state,
         sequence: sequence.unwrap_or(0),
     })
 }
 
-/// Makes a file that holds this state, synced. Its name is not.
+/// Makes a file with this state, and syncs it. Its name is not synced.
 pub(crate) fn create(
     files: &dyn FileSystem,
     path: &Path,
@@ -164,18 +166,17 @@
     sequence: u64,
 ) -> Result<Database, Report<StorageError>> {
     let context = || StorageError::new("cannot make word.redb", FailureKind::Failing);
-    let backend = files.open_database(path, true).map_err(|error| {
-        let context = StorageError::from_io("cannot make word.redb", &error);
-        Report::new(error).change_context(context)
-    })?;
+    let backend = files
+        .open_database(path, true)
+        .map_err(failed("cannot make word.redb"))?;
     let database = builder()
-        .create_with_backend(AnyBackend(backend))
+        .create_with_backend(BoxedBackend(backend))
         .change_context_lazy(context)?;
     write(&database, state, sequence)?;
     Ok(database)
 }
 
-/// Syncs this state.
+/// Writes this state, and syncs it.
 pub(crate) fn write(
     database: &Database,
     state: &DurableState,
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -12,7 +12,7 @@
 
 const FOLDER: &str = "/var/data";
 /// Setups that a storm keeps at once; the earliest goes for a new one.
-const KEPT_SETUPS: usize = 5;
+const MAX_CONFIGURATIONS: usize = 5;
 
 /// What the storage was given, and what it reported.
 #[derive(Clone, Default)]
@@ -21,7 +21,7 @@
     /// Every state from this one on may be found, up to the last handed over.
     reported: usize,
     configurations: BTreeMap<String, Vec<u8>>,
-    reported_setups: BTreeSet<String>,
+    reported_configurations: BTreeSet<String>,
 }
 
 /// A moment at which the power may go.
@@ -107,13 +107,13 @@
             None => return Err("a state that was never handed over".into()),
         }
         let lost = ledger
-            .reported_setups
+            .reported_configurations
             .iter()
             .find(|digest| !contents.configurations.contains_key(*digest));
         if let Some(digest) = lost {
             return Err(format!("setup {digest} was reported and is gone"));
         }
-        ledger.reported_setups = contents.configurations.keys().cloned().collect();
+        ledger.reported_configurations = contents.configurations.keys().cloned().collect();
         Ok(storage)
     }
 
@@ -128,11 +128,15 @@
                 .configurations
                 .insert(digest.clone(), bytes.clone());
             storage.store_configuration(&digest, &bytes).unwrap();
-            self.ledger.lock().unwrap().reported_setups.insert(digest);
+            self.ledger
+                .lock()
+                .unwrap()
+                .reported_configurations
+                .insert(digest);
             for _ in 0..2 {
                 let next = state(random, self.ledger.lock().unwrap().handed.len());
                 self.ledger.lock().unwrap().handed.push(next.clone());
-                storage.keep(&next).unwrap();
+                storage.persist_state(&next).unwrap();
                 let mut ledger = self.ledger.lock().unwrap();
                 ledger.reported = ledger.handed.len() - 1;
             }
@@ -143,9 +147,9 @@
     fn drop_one(&self, storage: &mut Storage) {
         let earliest = {
             let mut ledger = self.ledger.lock().unwrap();
-            let too_many = ledger.reported_setups.len() > KEPT_SETUPS;
+            let too_many = ledger.reported_configurations.len() > MAX_CONFIGURATIONS;
             too_many
-                .then(|| ledger.reported_setups.pop_first())
+                .then(|| ledger.reported_configurations.pop_first())
                 .flatten()
         };
         earliest
@@ -239,7 +243,7 @@
 }
 
 #[test]
-fn the_checker_sees_setups_names_not_synced() {
+fn the_checker_sees_configurations_names_not_synced() {
     assert!(
         !play(Omits::FolderSync("/var/data/setups"), 200, 1)
             .broken
--- a/crates/storage/tests/failures.rs
+++ b/crates/storage/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Disks that are full, that fail to sync, or that rot.
+//! Disks that are full, that fail to sync, or that corrupt data.
 
 mod simulated;
 
@@ -41,14 +41,14 @@
     for room in [0, 100, 3000, 20_000, 60_000, 300_000] {
         let disk = SimulatedDisk::new(Omits::Nothing);
         let (mut storage, _) = open(&disk);
-        storage.keep(&state(1)).unwrap();
+        storage.persist_state(&state(1)).unwrap();
         disk.set_room(Some(room));
         let mut last = 1;
-        while storage.keep(&state(last + 1)).is_ok() {
+        while storage.persist_state(&state(last + 1)).is_ok() {
             last += 1;
         }
         assert!(
-            storage.keep(&state(last + 1)).is_err(),
+            storage.persist_state(&state(last + 1)).is_err(),
             "there is no room for a new file either"
         );
         for seed in 0..20 {
@@ -58,7 +58,7 @@
             assert!([last, last + 1].contains(&found.durable.lease_epoch));
         }
         disk.set_room(None);
-        storage.keep(&state(last + 1)).unwrap();
+        storage.persist_state(&state(last + 1)).unwrap();
         assert_eq!(
             after_power_loss(&disk, Loss::All, 1).durable,
             state(last + 1)
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_full_disk_takes_a_setup_once_there_is_room() {
+fn a_full_disk_takes_a_configuration_once_there_is_room() {
     let disk = SimulatedDisk::new(Omits::Nothing);
     let (mut storage, _) = open(&disk);
     let (digest, bytes) = (protocol::digest(&[7; 9000]), [7; 9000]);
@@ -75,7 +75,7 @@
     assert!(storage.store_configuration(&digest, &bytes).is_err());
     disk.set_room(None);
     storage.store_configuration(&digest, &bytes).unwrap();
-    storage.keep(&state(1)).unwrap();
+    storage.persist_state(&state(1)).unwrap();
     let found = after_power_loss(&disk, Loss::All, 1);
     assert_eq!(
         (
@@ -92,15 +92,15 @@
     for seed in 0..30 {
         let disk = SimulatedDisk::new(Omits::Nothing);
         let (mut storage, _) = open(&disk);
-        (1..4).for_each(|number| storage.keep(&state(number)).unwrap());
+        (1..4).for_each(|number| storage.persist_state(&state(number)).unwrap());
         let (digest, bytes) = (protocol::digest(b"setup"), b"setup");
         disk.set_syncs_fail(true);
-        assert!(storage.keep(&state(4)).is_err());
-        assert!(storage.keep(&state(4)).is_err());
+        assert!(storage.persist_state(&state(4)).is_err());
+        assert!(storage.persist_state(&state(4)).is_err());
         assert!(storage.store_configuration(&digest, bytes).is_err());
         disk.set_syncs_fail(false);
         storage.store_configuration(&digest, bytes).unwrap();
-        storage.keep(&state(4)).unwrap();
+        storage.persist_state(&state(4)).unwrap();
         let found = after_power_loss(&disk, if seed == 0 { Loss::All } else { Loss::Some }, seed);
         assert_eq!(found.durable, state(4), "seed {seed}: {:?}", found.damaged);
         assert!(found.configurations.contains_key(&digest));
@@ -112,13 +112,13 @@
 fn a_failing_disk_at_the_start_is_not_taken_for_a_damaged_one() {
     let disk = SimulatedDisk::new(Omits::Nothing);
     let (mut storage, _) = open(&disk);
-    storage.keep(&state(3)).unwrap();
+    storage.persist_state(&state(3)).unwrap();
     drop(storage);
     disk.set_syncs_fail(true);
     let refused = Storage::open_on(Arc::new(disk.clone()), Path::new(FOLDER))
         .err()
         .unwrap();
-    assert_eq!(refused.current_context().trouble(), FailureKind::Failing);
+    assert_eq!(refused.current_context().kind(), FailureKind::Failing);
     disk.set_syncs_fail(false);
     let (_, contents) = open(&disk);
     assert_eq!((contents.durable, contents.damaged.len()), (state(3), 0));
@@ -128,16 +128,14 @@
 fn a_full_disk_at_the_start_opens() {
     let disk = SimulatedDisk::new(Omits::Nothing);
     let (mut storage, _) = open(&disk);
-    (1..5).for_each(|number| storage.keep(&state(number)).unwrap());
+    (1..5).for_each(|number| storage.persist_state(&state(number)).unwrap());
     // Killed, so that the next start has to repair.
     let disk = disk
         .platter()
         .after(&mut Random::new(1), Loss::All, Omits::Nothing);
     disk.set_room(Some(0));
     let refused = Storage::open_on(Arc::new(disk.clone()), Path::new(FOLDER)).err();
-    assert!(
-        refused.is_none_or(|refused| refused.current_context().trouble() == FailureKind::Failing)
-    );
+    assert!(refused.is_none_or(|refused| refused.current_context().kind() == FailureKind::Failing));
     disk.set_room(None);
     assert_eq!(open(&disk).1.durable, state(4));
 }
@@ -161,10 +159,10 @@
 }
 
 #[test]
-fn rot_is_told_or_harmless() {
+fn corruption_is_reported_or_harmless() {
     let whole = SimulatedDisk::new(Omits::Nothing);
     let (mut storage, _) = open(&whole);
-    (1..5).for_each(|number| storage.keep(&state(number)).unwrap());
+    (1..5).for_each(|number| storage.persist_state(&state(number)).unwrap());
     let in_use = whole.platter();
     drop(storage);
     let closed = whole.platter();
@@ -183,7 +181,7 @@
             assert_eq!(contents.damaged[0].file, "word.redb");
         }
         // It works on either way.
-        storage.keep(&state(9)).unwrap();
+        storage.persist_state(&state(9)).unwrap();
         drop(storage);
         let again = open(&disk).1;
         assert_eq!(
@@ -197,7 +195,7 @@
 }
 
 #[test]
-fn a_state_file_that_vanished_is_told() {
+fn a_missing_state_file_is_reported() {
     let disk = SimulatedDisk::new(Omits::Nothing);
     let (mut storage, contents) = open(&disk);
     assert!(contents.damaged.is_empty(), "a blank folder is no damage");
@@ -217,7 +215,7 @@
 }
 
 #[test]
-fn a_rotten_setup_is_told_and_removed() {
+fn a_corrupt_configuration_is_reported_and_removed() {
     let disk = SimulatedDisk::new(Omits::Nothing);
     let (mut storage, _) = open(&disk);
     let digest = protocol::digest(b"{}");
@@ -242,7 +240,7 @@
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("inspect-{}", std::process::id()));
     let (mut storage, _) = Storage::open(&folder).unwrap();
-    storage.keep(&state(2)).unwrap();
+    storage.persist_state(&state(2)).unwrap();
     storage
         .store_configuration(&protocol::digest(b"{}"), b"{}")
         .unwrap();
@@ -271,7 +269,7 @@
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("shared-{}", std::process::id()));
     let first = Storage::open(&folder).unwrap();
     let second = Storage::open(&folder).err().unwrap();
-    assert_eq!(second.current_context().trouble(), FailureKind::InUse);
+    assert_eq!(second.current_context().kind(), FailureKind::InUse);
     drop(first);
     assert!(Storage::open(&folder).is_ok());
     std::fs::remove_dir_all(&folder).unwrap();
@@ -292,7 +290,7 @@
 
 /// A process that is killed in the middle of a write leaves any part of it.
 #[test]
-fn a_write_of_departures_that_was_cut_short_leaves_the_one_before() {
+fn an_incomplete_write_of_departures_leaves_the_one_before() {
     let disk = SimulatedDisk::new(Omits::Nothing);
     let (storage, _) = open(&disk);
     let now = AN_HOUR;
@@ -300,7 +298,7 @@
     // The longer one's end stays behind the shorter one.
     [7, 9, 3, 2]
         .into_iter()
-        .for_each(|count| log.keep(departures(count), now).unwrap());
+        .for_each(|count| log.write(departures(count), now).unwrap());
     assert_eq!(storage.departure_log(now).1, departures(2));
     let newest = Path::new("/data/departures.0");
     let whole = 8 + 64 + departures(2).len();
@@ -325,14 +323,14 @@
 }
 
 #[test]
-fn departures_are_written_on_over_a_start_and_forgotten_after_a_minute() {
+fn departures_survive_a_restart_and_are_forgotten_after_a_minute() {
     let disk = SimulatedDisk::new(Omits::Nothing);
     let (storage, _) = open(&disk);
     let (now, minute) = (AN_HOUR, Duration::from_secs(60));
     (1..6).for_each(|count| {
         let (mut log, found) = storage.departure_log(now);
         assert_eq!(found, departures(count - 1));
-        log.keep(departures(count), now).unwrap();
+        log.write(departures(count), now).unwrap();
     });
     assert!(
         storage.departure_log(now + minute).1.is_empty(),
--- a/crates/storage/tests/recorded_folder.rs
+++ b/crates/storage/tests/recorded_folder.rs
@@ -97,16 +97,16 @@
     let (mut storage, _) = Storage::open(&folder).expect("a new folder");
     // The first write makes the file; the recorded one is the sixteenth.
     for _ in 1..16 {
-        storage.keep(&written.durable).expect("a write");
+        storage.persist_state(&written.durable).expect("a write");
     }
     for (digest, bytes) in &written.configurations {
         storage.store_configuration(digest, bytes).expect("a write");
     }
     let mut log = storage.departure_log(Duration::ZERO).0;
     let before = DEPARTURES_WRITTEN_AT - Duration::from_millis(8);
-    log.keep(departures()[..1].to_vec(), before)
+    log.write(departures()[..1].to_vec(), before)
         .expect("a write");
-    log.keep(departures(), DEPARTURES_WRITTEN_AT)
+    log.write(departures(), DEPARTURES_WRITTEN_AT)
         .expect("a write");
     drop(storage);
     assert_eq!(file_names(&folder), file_names(recorded.path()));
