--- a/crates/model-checker/src/register_model/submission.rs
+++ b/crates/model-checker/src/register_model/submission.rs
@@ -41,7 +41,7 @@
         let change = Change::Configuration {
             id: id.into(),
             base_revision: base,
-            version: version,
+            version,
             digest: protocol::digest(&bytes),
         };
         Submission {
--- a/crates/test-harness/src/arguments.rs
+++ b/crates/test-harness/src/arguments.rs
@@ -193,9 +193,10 @@
 }
 
 fn read_seeds(value: &str) -> Result<(u64, u64), ArgumentError> {
-    let ends = value.split_once("..");
-    let ends = ends.and_then(|(from, until)| Some((from.parse().ok()?, until.parse().ok()?)));
-    ends.ok_or_else(|| ArgumentError::invalid("seeds", value, ": FROM..UNTIL"))
+    let endpoints = value.split_once("..");
+    let endpoints =
+        endpoints.and_then(|(from, until)| Some((from.parse().ok()?, until.parse().ok()?)));
+    endpoints.ok_or_else(|| ArgumentError::invalid("seeds", value, ": FROM..UNTIL"))
 }
 
 fn read_plan(value: &str) -> Result<String, ArgumentError> {
--- a/crates/test-harness/src/commands/measure.rs
+++ b/crates/test-harness/src/commands/measure.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use testbed::fleet::Fleet;
-use testbed::origins::Origins;
 use testbed::runs::submit;
-use testbed::upstreams::{ANY, Unit};
+use testbed::stand_in_clients::StandInClients;
+use testbed::stand_in_upstreams::{ANY_PORT, StandInUpstream};
 use transport::{Clock, HttpClient};
 
 const ROUNDS: usize = 5;
@@ -43,7 +43,7 @@
         .map(PathBuf::from)
         .unwrap_or_default();
     let folder = std::env::temp_dir().join(format!("measure-{}", std::process::id()));
-    let (mut fleet, _wires) = Fleet::laid(&ROADWISE, &programs, &folder)
+    let (mut fleet, _wires) = Fleet::create(&ROADWISE, &programs, &folder)
         .await
         .map_err(|e| e.to_string())?;
     fleet.start().map_err(|e| e.to_string())?;
@@ -62,11 +62,11 @@
     )
     .await?;
     let work = ROADWISE.services[0];
-    let mut units = Vec::new();
+    let mut upstreams = Vec::new();
     for at in 0..6 {
         let (name, place) = (format!("unit-{at}"), ROADWISE.locality(at));
-        let unit = Unit::start(
-            ANY,
+        let upstream = StandInUpstream::start(
+            ANY_PORT,
             work,
             name,
             place,
@@ -75,24 +75,24 @@
             clock,
             record.clone(),
         );
-        units.push(unit.await.map_err(|e| e.to_string())?);
+        upstreams.push(upstream.await.map_err(|e| e.to_string())?);
     }
-    let origins = Origins::new(
+    let clients = StandInClients::new(
         ROADWISE,
         nodes[..ROADWISE.machines].to_vec(),
         clock,
         record.clone(),
     );
-    while !origins
-        .ended()
+    while !clients
+        .finished()
         .iter()
-        .any(|ended| ended.service == work.service && ended.code == 1000)
+        .any(|finished| finished.service == work.service && finished.code == 1000)
     {
-        origins.one().await;
+        clients.run_operation().await;
     }
-    latency(&nodes[0], &units[0], work.service).await?;
+    latency(&nodes[0], &upstreams[0], work.service).await?;
     news(&record, &clock, &nodes).await?;
-    units.iter().for_each(|unit| unit.crash());
+    upstreams.iter().for_each(|upstream| upstream.crash());
     fleet.remove();
     Ok(())
 }
@@ -106,17 +106,17 @@
             let (machines, upstreams) = (shape.machines, shape.per_service * 3);
             let quiet = World::new(1, Some(Plan::quiet()), shape.clone()).run();
             let (nodes, seconds) = ((machines + shape.disks) as f64, quiet.lasted.as_secs_f64());
-            let cut = World::new(1, Plan::named("cut-region", 1), shape).run();
+            let partition = World::new(1, Plan::named("cut-region", 1), shape).run();
             println!(
                 "  {} times {times}: {machines} machines, {upstreams} upstreams: {:.1} parcels and {:.0} bytes a second and \
                  node; {} of {} served; after the cut served again in {:?}, {} violations",
                 site.name,
                 quiet.messages as f64 / nodes / seconds,
                 quiet.message_bytes as f64 / nodes / seconds,
-                quiet.ended.iter().filter(|ended| ended.code == 1000).count(),
+                quiet.ended.iter().filter(|finished| finished.code == 1000).count(),
                 quiet.ended.len(),
-                cut.resumed_after,
-                cut.violations.len() + quiet.violations.len(),
+                partition.resumed_after,
+                partition.violations.len() + quiet.violations.len(),
             );
         });
     });
@@ -173,21 +173,24 @@
     });
 }
 
-async fn latency(node: &str, unit: &Unit, service: &str) -> Result<(), String> {
+async fn latency(node: &str, upstream: &StandInUpstream, service: &str) -> Result<(), String> {
     let client = HttpClient::default();
     let mut ratios = Vec::new();
     println!("medians of {CALLS} calls each, alternating, one at a time:");
     for round in 0..ROUNDS {
         let (mut direct, mut proxied, mut looked) = (Vec::new(), Vec::new(), Vec::new());
         for at in 0..CALLS {
-            let try_id = format!("m-{round}-{at}");
-            let headers = [("x-try-id", try_id.as_str()), ("x-remaining-ms", "3000")];
+            let attempt_id = format!("m-{round}-{at}");
+            let headers = [
+                ("x-try-id", attempt_id.as_str()),
+                ("x-remaining-ms", "3000"),
+            ];
             let routed = format!("/r/{service}/{service}");
             let listed = format!("/directory?name={service}&region=north&zone=north-1");
             direct.push(
                 timed(
                     &client,
-                    &unit.address,
+                    &upstream.address,
                     "POST",
                     &format!("/{service}"),
                     &headers,
@@ -245,10 +248,10 @@
 
 /// From the asking to the edition in force at the last carrier.
 async fn news(record: &ObservationLog, clock: &Clock, nodes: &[String]) -> Result<(), String> {
-    let carriers = &nodes[..ROADWISE.machines];
+    let data_nodes = &nodes[..ROADWISE.machines];
     println!(
         "a setup, from the asking until the yes and until it is in force at all {} carriers:",
-        carriers.len()
+        data_nodes.len()
     );
     let client = HttpClient::default();
     for round in 0..3 {
@@ -257,7 +260,7 @@
             let id = format!("n-{round}-{extra}");
             let revision = submit(&client, record, clock, &nodes[1], &id, &ROADWISE, extra).await?;
             let yes = started_at.elapsed();
-            let mut behind: BTreeSet<&String> = carriers.iter().collect();
+            let mut behind: BTreeSet<&String> = data_nodes.iter().collect();
             while !behind.is_empty() {
                 for node in behind.clone() {
                     let called = client
--- a/crates/test-harness/tests/site.rs
+++ b/crates/test-harness/tests/site.rs
@@ -45,7 +45,7 @@
         ..ROADWISE
     };
     let folder = std::env::temp_dir().join(format!("site-{name}-{}", std::process::id()));
-    let (mut fleet, _) = Fleet::laid(&shape, &programs(), &folder)
+    let (mut fleet, _) = Fleet::create(&shape, &programs(), &folder)
         .await
         .expect("free ports");
     fleet
@@ -104,10 +104,10 @@
         ),
         (&["--http", "nowhere"], &["http", "nowhere", "IP number"]),
     ];
-    cases.into_iter().for_each(|(more, told)| {
+    cases.into_iter().for_each(|(more, outcome)| {
         let (code, _, validation_errors) = run("data-plane", &[&whole[..], more].concat());
         assert_eq!(code, 2, "{more:?}");
-        told.iter().for_each(|word| {
+        outcome.iter().for_each(|word| {
             assert!(
                 validation_errors.contains(word),
                 "{more:?}: {word} not in {validation_errors}"
@@ -165,11 +165,11 @@
     )
     .await;
     assert_eq!(code(&bad), Some(ResultCode::InvalidConfiguration));
-    let told = JsonValue::parse(&String::from_utf8_lossy(&bad.body))
+    let outcome = JsonValue::parse(&String::from_utf8_lossy(&bad.body))
         .expect("JSON")
         .list("complaints")
         .len();
-    assert!(told >= 4, "every complaint at once: {bad:?}");
+    assert!(outcome >= 4, "every complaint at once: {bad:?}");
     for node in &nodes {
         let back = call(node, "GET", "/setup", &[], "").await;
         assert_eq!(
@@ -247,7 +247,7 @@
         "data-plane-1",
     ]
     .into_iter()
-    .for_each(|told| assert!(site.contains(told), "{told} not in {site}"));
+    .for_each(|outcome| assert!(site.contains(outcome), "{outcome} not in {site}"));
     assert_eq!(code, 0, "{site}");
     let supposed = run(
         "mothspindlectl",
@@ -270,9 +270,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn whatever_strangers_send_gets_a_numbered_answer_and_harms_nothing() {
     let fleet = site("strangers").await;
-    let (carrier, postmaster) = (
-        fleet.carriers[0].http.clone(),
-        fleet.postmasters[0].http.clone(),
+    let (data_node, postmaster) = (
+        fleet.data_nodes[0].http.clone(),
+        fleet.control_nodes[0].http.clone(),
     );
     call(
         &postmaster,
@@ -282,17 +282,17 @@
         &ROADWISE.configuration(0),
     )
     .await;
-    let (fine, long) = (("x-remaining-ms", "1000"), "x".repeat(70_000));
+    let (passed, long) = (("x-remaining-ms", "1000"), "x".repeat(70_000));
     let cases: Vec<Case> = vec![
         (
             "/r/booking/booking",
-            vec![fine],
+            vec![passed],
             "",
             ResultCode::MissingAttemptId,
         ),
         (
             "/r/booking/booking",
-            vec![("x-try-id", "two words"), fine],
+            vec![("x-try-id", "two words"), passed],
             "",
             ResultCode::MissingAttemptId,
         ),
@@ -316,31 +316,31 @@
         ),
         (
             "/r/moon/booking",
-            vec![("x-try-id", "t4"), fine],
+            vec![("x-try-id", "t4"), passed],
             "",
             ResultCode::NoSuchName,
         ),
         (
             "/r/booking/moon",
-            vec![("x-try-id", "t5"), fine],
+            vec![("x-try-id", "t5"), passed],
             "",
             ResultCode::NoSuchName,
         ),
         (
             "/r/payment/payment",
-            vec![("x-try-id", "t6"), fine],
+            vec![("x-try-id", "t6"), passed],
             "",
             ResultCode::MissingKey,
         ),
         (
             "/r/booking/booking",
-            vec![("x-try-id", "t7"), fine],
+            vec![("x-try-id", "t7"), passed],
             &long,
             ResultCode::TooLarge,
         ),
         (
             "/r/booking",
-            vec![("x-try-id", "t8"), fine],
+            vec![("x-try-id", "t8"), passed],
             "",
             ResultCode::NoSuchName,
         ),
@@ -361,7 +361,7 @@
         ),
     ];
     for (path, headers, body, expected) in cases {
-        let reply = call(&carrier, "POST", path, &headers, body).await;
+        let reply = call(&data_node, "POST", path, &headers, body).await;
         assert_eq!(code(&reply), Some(expected), "{path} {headers:?}");
         assert_eq!(reply.status, expected.status());
     }
@@ -379,7 +379,7 @@
         .await;
     // The server may hang up on the rest of so large a body before its answer is read.
     assert!(denied.is_err() || denied.is_ok_and(|reply| reply.status == 413));
-    for node in [&carrier, &postmaster] {
+    for node in [&data_node, &postmaster] {
         for garbage in [
             &b"\0\xff\xfe garbage\r\n\r\n"[..],
             b"GET / HTTP/9.9\r\n\r\n",
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A site's processes on this one machine: real daemons on loopback addresses.
 
-use crate::wires::{End, Wires};
+use crate::link_proxies::{LinkEndpoint, LinkProxies};
 use simulator::shapes::Shape;
 use std::collections::BTreeSet;
 use std::io;
@@ -17,7 +17,7 @@
 const STARTED_AFTER: Duration = Duration::from_millis(100);
 
 /// How many sites this process has laid out.
-static SITES: AtomicU32 = AtomicU32::new(0);
+static CREATED_SITES: AtomicU32 = AtomicU32::new(0);
 
 /// One daemon, running or not.
 pub struct Process {
@@ -33,10 +33,10 @@
 
 /// All daemons of a site.
 pub struct Fleet {
-    pub postmasters: Vec<Process>,
-    pub carriers: Vec<Process>,
+    pub control_nodes: Vec<Process>,
+    pub data_nodes: Vec<Process>,
     /// Where the wires between them end.
-    pub ends: Vec<End>,
+    pub endpoints: Vec<LinkEndpoint>,
     pub folder: PathBuf,
     programs: PathBuf,
 }
@@ -145,7 +145,7 @@
     fn new(shape: &Shape, programs: &Path, folder: &Path) -> io::Result<Fleet> {
         std::fs::create_dir_all(folder)?;
         // Loopback numbers of its own for each site and machine keep their ports apart.
-        let site = 64 + SITES.fetch_add(1, Ordering::Relaxed) % 64;
+        let site = 64 + CREATED_SITES.fetch_add(1, Ordering::Relaxed) % 64;
         let ip = |machine: usize| {
             format!(
                 "127.{site}.{}.{}",
@@ -154,7 +154,7 @@
             )
         };
         let on_machine = |machine: usize| if machine < shape.disks { 2 } else { 1 };
-        let (mut ends, mut taken) = (Vec::new(), BTreeSet::new());
+        let (mut endpoints, mut taken) = (Vec::new(), BTreeSet::new());
         for machine in 0..shape.machines {
             for _ in 0..on_machine(machine) {
                 let mut address = |ip: &str| {
@@ -162,56 +162,57 @@
                         .parse()
                         .map_err(io::Error::other)
                 };
-                ends.push(End {
+                endpoints.push(LinkEndpoint {
                     machine,
                     link: address(&ip(machine))?,
-                    told: address(&ip(machine))?,
+                    advertised_address: address(&ip(machine))?,
                 });
             }
         }
-        let first = |machine: usize| ends.iter().find(|end| end.machine == machine);
+        let first = |machine: usize| endpoints.iter().find(|end| end.machine == machine);
         let seeds = (0..3)
             .filter_map(first)
-            .map(|end| end.told.to_string())
+            .map(|end| end.advertised_address.to_string())
             .collect::<Vec<_>>()
             .join(",");
-        let mut process = |kind: &str, end: &End, more: &[String], data: Option<PathBuf>| {
-            let machine = end.machine;
-            let http = free_address(&ip(machine), &mut taken)?;
-            let node = format!("{kind}-{machine}");
-            let flags = [
-                ("--node", node.as_str()),
-                ("--locality", &shape.locality(machine)),
-                ("--http", &http),
-                ("--link", &end.link.to_string()),
-                ("--told", &end.told.to_string()),
-                ("--seeds", &seeds),
-            ];
-            let flags = flags
-                .iter()
-                .flat_map(|(name, value)| [(*name).to_owned(), (*value).to_owned()]);
-            let flags = flags.chain(more.iter().cloned()).collect();
-            let (program, log) = (programs.join(kind), folder.join(format!("{node}.log")));
-            io::Result::Ok(Process {
-                node,
-                machine,
-                http,
-                program,
-                flags,
-                log,
-                data,
-                child: None,
-            })
-        };
+        let mut process =
+            |kind: &str, end: &LinkEndpoint, more: &[String], data: Option<PathBuf>| {
+                let machine = end.machine;
+                let http = free_address(&ip(machine), &mut taken)?;
+                let node = format!("{kind}-{machine}");
+                let flags = [
+                    ("--node", node.as_str()),
+                    ("--locality", &shape.locality(machine)),
+                    ("--http", &http),
+                    ("--link", &end.link.to_string()),
+                    ("--told", &end.advertised_address.to_string()),
+                    ("--seeds", &seeds),
+                ];
+                let flags = flags
+                    .iter()
+                    .flat_map(|(name, value)| [(*name).to_owned(), (*value).to_owned()]);
+                let flags = flags.chain(more.iter().cloned()).collect();
+                let (program, log) = (programs.join(kind), folder.join(format!("{node}.log")));
+                io::Result::Ok(Process {
+                    node,
+                    machine,
+                    http,
+                    program,
+                    flags,
+                    log,
+                    data,
+                    child: None,
+                })
+            };
         let folder = folder.to_owned();
         let mut fleet = Fleet {
-            postmasters: Vec::new(),
-            carriers: Vec::new(),
-            ends: ends.clone(),
+            control_nodes: Vec::new(),
+            data_nodes: Vec::new(),
+            endpoints: endpoints.clone(),
             folder,
             programs: programs.to_owned(),
         };
-        for (at, end) in ends.iter().enumerate() {
+        for (at, end) in endpoints.iter().enumerate() {
             let is_office = end.machine < shape.disks
                 && first(end.machine).is_some_and(|first| first.link == end.link);
             if is_office {
@@ -223,13 +224,16 @@
                     &data.to_string_lossy(),
                 ];
                 let more: Vec<String> = more.iter().map(|flag| (*flag).to_owned()).collect();
-                fleet
-                    .postmasters
-                    .push(process("control-plane", &ends[at], &more, Some(data))?);
+                fleet.control_nodes.push(process(
+                    "control-plane",
+                    &endpoints[at],
+                    &more,
+                    Some(data),
+                )?);
             } else {
                 fleet
-                    .carriers
-                    .push(process("data-plane", &ends[at], &[], None)?);
+                    .data_nodes
+                    .push(process("data-plane", &endpoints[at], &[], None)?);
             }
         }
         Ok(fleet)
@@ -237,16 +241,16 @@
 
     /// Lays a site out with its wires. Ports that the kernel gave may be taken by others before they are used: then it
     /// is laid out anew.
-    pub async fn laid(
+    pub async fn create(
         shape: &Shape,
         programs: &Path,
         folder: &Path,
-    ) -> io::Result<(Fleet, Arc<Wires>)> {
+    ) -> io::Result<(Fleet, Arc<LinkProxies>)> {
         let mut last = io::Error::other("not tried");
         for _ in 0..5 {
             let fleet = Fleet::new(shape, programs, folder)?;
-            match Wires::lay(shape.clone(), fleet.ends.clone()).await {
-                Ok(wires) => return Ok((fleet, wires)),
+            match LinkProxies::start(shape.clone(), fleet.endpoints.clone()).await {
+                Ok(link_proxies) => return Ok((fleet, link_proxies)),
                 Err(failure) => last = failure,
             }
         }
@@ -259,25 +263,27 @@
     }
 
     /// Runs the operator's tool to its end; what it complained of where it did not do it.
-    pub fn clerk(&self, args: &[&str]) -> Result<(), String> {
+    pub fn run_operator_tool(&self, args: &[&str]) -> Result<(), String> {
         let done = Command::new(self.programs.join("mothspindlectl"))
             .args(args)
             .output()
             .map_err(|e| e.to_string())?;
-        let told = String::from_utf8_lossy(&done.stderr).into_owned();
-        done.status.success().then_some(()).ok_or(told)
+        let stderr = String::from_utf8_lossy(&done.stderr).into_owned();
+        done.status.success().then_some(()).ok_or(stderr)
     }
 
     /// Every process.
     pub fn all(&mut self) -> impl Iterator<Item = &mut Process> {
-        self.postmasters.iter_mut().chain(self.carriers.iter_mut())
+        self.control_nodes
+            .iter_mut()
+            .chain(self.data_nodes.iter_mut())
     }
 
     /// Every node's HTTP address, carriers first.
     pub fn nodes(&self) -> Vec<String> {
-        self.carriers
+        self.data_nodes
             .iter()
-            .chain(&self.postmasters)
+            .chain(&self.control_nodes)
             .map(|process| process.http.clone())
             .collect()
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,9 +5,9 @@
 //! [`scripted`] has peers, proxies and clients whose every step a test decides.
 
 pub mod fleet;
-pub mod origins;
+pub mod link_proxies;
 pub mod plans;
 pub mod runs;
 pub mod scripted;
-pub mod upstreams;
-pub mod wires;
+pub mod stand_in_clients;
+pub mod stand_in_upstreams;
--- a/crates/testbed/src/wires.rs
+++ b/crates/testbed/src/link_proxies.rs
@@ -15,21 +15,21 @@
 
 /// One process's end of the wires.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct LinkEndpoint {
     pub machine: usize,
     /// Where the process listens.
     pub link: SocketAddr,
     /// Where the others believe it listens.
-    pub told: SocketAddr,
+    pub advertised_address: SocketAddr,
 }
 
 /// All wires of a site.
-pub struct Wires {
+pub struct LinkProxies {
     shape: Shape,
-    ends: Vec<End>,
+    endpoints: Vec<LinkEndpoint>,
     sockets: Vec<UdpSocket>,
     /// Regions, zones or machines that are cut off, by the start of their locality or by number.
-    cuts: watch::Sender<Vec<Cut>>,
+    partitions: watch::Sender<Vec<Partition>>,
     machines: BTreeMap<IpAddr, usize>,
     /// Keeps order among what one end sends another.
     last: Mutex<BTreeMap<(usize, usize), Instant>>,
@@ -37,32 +37,32 @@
 
 /// What is cut off from everything else.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Cut {
+pub enum Partition {
     /// A region, or a region and zone.
     Place(String),
     Machine(usize),
 }
 
-impl Wires {
+impl LinkProxies {
     /// Lays the wires and keeps them going as long as the runtime lives.
-    pub async fn lay(shape: Shape, ends: Vec<End>) -> io::Result<Arc<Wires>> {
+    pub async fn start(shape: Shape, endpoints: Vec<LinkEndpoint>) -> io::Result<Arc<LinkProxies>> {
         let mut sockets = Vec::new();
         let mut listeners = Vec::new();
-        for end in &ends {
-            sockets.push(UdpSocket::bind(end.told).await?);
-            listeners.push(TcpListener::bind(end.told).await?);
+        for end in &endpoints {
+            sockets.push(UdpSocket::bind(end.advertised_address).await?);
+            listeners.push(TcpListener::bind(end.advertised_address).await?);
         }
-        let machines = ends
+        let machines = endpoints
             .iter()
             .map(|end| (end.link.ip(), end.machine))
             .collect();
-        let (cuts, _) = watch::channel(Vec::new());
+        let (partitions, _) = watch::channel(Vec::new());
         let last = Mutex::default();
-        let wires = Arc::new(Wires {
+        let link_proxies = Arc::new(LinkProxies {
             shape,
-            ends,
+            endpoints,
             sockets,
-            cuts,
+            partitions,
             machines,
             last,
         });
@@ -70,22 +70,22 @@
             .into_iter()
             .enumerate()
             .for_each(|(to, listener)| {
-                tokio::spawn(wires.clone().accept(to, listener));
-                tokio::spawn(wires.clone().pass_datagrams(to));
+                tokio::spawn(link_proxies.clone().accept(to, listener));
+                tokio::spawn(link_proxies.clone().pass_datagrams(to));
             });
-        Ok(wires)
+        Ok(link_proxies)
     }
 
     /// Cuts these off from everything else; none mends all.
-    pub fn cut(&self, cuts: Vec<Cut>) {
-        self.cuts.send_replace(cuts);
+    pub fn partition(&self, partitions: Vec<Partition>) {
+        self.partitions.send_replace(partitions);
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cuts.borrow().iter().any(|cut| {
-            let inside = |machine: usize| match cut {
-                Cut::Place(place) => self.shape.locality(machine).starts_with(place.as_str()),
-                Cut::Machine(number) => machine == *number,
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
+        self.partitions.borrow().iter().any(|partition| {
+            let inside = |machine: usize| match partition {
+                Partition::Place(place) => self.shape.locality(machine).starts_with(place.as_str()),
+                Partition::Machine(number) => machine == *number,
             };
             inside(from) != inside(to)
         })
@@ -93,11 +93,11 @@
 
     async fn accept(self: Arc<Self>, to: usize, listener: TcpListener) {
         while let Ok((stream, from)) = listener.accept().await {
-            let wires = self.clone();
+            let link_proxies = self.clone();
             tokio::spawn(async move {
                 let (end, source) = (
-                    wires.ends[to].clone(),
-                    wires.machines.get(&from.ip()).copied(),
+                    link_proxies.endpoints[to].clone(),
+                    link_proxies.machines.get(&from.ip()).copied(),
                 );
                 let Some(source) = source else { return };
                 let Ok(onward) = TcpStream::connect(end.link).await else {
@@ -105,8 +105,8 @@
                 };
                 let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
                 let ((near, back), (far, onward)) = (stream.into_split(), onward.into_split());
-                tokio::spawn(wires.clone().pump(source, end.machine, near, onward));
-                wires.pump(end.machine, source, far, back).await;
+                tokio::spawn(link_proxies.clone().pump(source, end.machine, near, onward));
+                link_proxies.pump(end.machine, source, far, back).await;
             });
         }
     }
@@ -130,11 +130,11 @@
                 }
             }
         });
-        let mut cuts = self.cuts.subscribe();
+        let mut partitions = self.partitions.subscribe();
         while let Some((due, bytes)) = waiting.recv().await {
             tokio::time::sleep_until(due).await;
-            while self.is_cut(from, to) {
-                if cuts.changed().await.is_err() {
+            while self.is_partitioned(from, to) {
+                if partitions.changed().await.is_err() {
                     return;
                 }
             }
@@ -150,18 +150,18 @@
             let Ok((count, source)) = self.sockets[to].recv_from(&mut datagram).await else {
                 continue;
             };
-            let from = self.ends.iter().position(|end| end.link == source);
+            let from = self.endpoints.iter().position(|end| end.link == source);
             let Some(from) = from else { continue };
-            let (near, far) = (self.ends[from].machine, self.ends[to].machine);
-            if self.is_cut(near, far) {
+            let (near, far) = (self.endpoints[from].machine, self.endpoints[to].machine);
+            if self.is_partitioned(near, far) {
                 continue;
             }
             let due = self.due(from, to, self.shape.distance(near, far));
-            let (wires, bytes) = (self.clone(), datagram[..count].to_vec());
+            let (link_proxies, bytes) = (self.clone(), datagram[..count].to_vec());
             tokio::spawn(async move {
                 tokio::time::sleep_until(due).await;
-                let _ = wires.sockets[from]
-                    .send_to(&bytes, wires.ends[to].link)
+                let _ = link_proxies.sockets[from]
+                    .send_to(&bytes, link_proxies.endpoints[to].link)
                     .await;
             });
         }
--- a/crates/testbed/src/plans.rs
+++ b/crates/testbed/src/plans.rs
@@ -1,9 +1,9 @@
 //! What is broken in a run of real processes, and how it heals.
 
 use crate::fleet::{Fleet, Process};
+use crate::link_proxies::{LinkProxies, Partition};
 use crate::runs::submit;
-use crate::upstreams::{ANY, Ill, Unit};
-use crate::wires::{Cut, Wires};
+use crate::stand_in_upstreams::{ANY_PORT, StandInUpstream, UpstreamFault};
 use bytes::Bytes;
 use config::JsonValue;
 use invariants::observations::{Observation, ObservationLog};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use transport::{Clock, HttpClient};
 
-const BACK_WITHIN: Duration = Duration::from_secs(60);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What to break, with a sentence for --help.
 pub const PLANS: &[(&str, &str)] = &[
@@ -100,17 +100,17 @@
 ];
 
 /// Everything that a plan may touch.
-pub struct Scene<'a> {
-    pub wires: Arc<Wires>,
+pub struct FaultInjection<'a> {
+    pub link_proxies: Arc<LinkProxies>,
     pub fleet: &'a mut Fleet,
-    pub units: &'a mut Vec<Arc<Unit>>,
+    pub upstreams: &'a mut Vec<Arc<StandInUpstream>>,
     pub shape: &'a Shape,
     pub record: &'a ObservationLog,
     pub clock: Clock,
     pub span: Duration,
 }
 
-impl Scene<'_> {
+impl FaultInjection<'_> {
     fn note(&self, what: &str) {
         self.record
             .note(self.clock.now(), Observation::Fault { what: what.into() });
@@ -121,47 +121,54 @@
     }
 
     /// Breaks and heals by name.
-    pub async fn play(mut self, plan: &str) -> Result<(), String> {
+    pub async fn inject(mut self, plan: &str) -> Result<(), String> {
         self.wait().await;
         match plan {
             "wipe" => self.kill(&[2], true).await,
             "kill" => self.kill(&[1, 5, 8], false).await,
-            "dark-zone" => self.darken(&self.shape.locality(0)).await,
-            "dark-region" => self.darken(self.shape.regions[1]).await,
+            "dark-zone" => self.power_off(&self.shape.locality(0)).await,
+            "dark-region" => self.power_off(self.shape.regions[1]).await,
             "freeze" => self.freeze().await,
             "rolling" => self.rolling().await,
-            "cut-zone" => self.cut(Cut::Place(self.shape.locality(0))).await,
-            "cut-region" => self.cut(Cut::Place(self.shape.regions[1].into())).await,
-            "cut-machine" => self.cut(Cut::Machine(4)).await,
+            "cut-zone" => {
+                self.partition(Partition::Place(self.shape.locality(0)))
+                    .await
+            }
+            "cut-region" => {
+                self.partition(Partition::Place(self.shape.regions[1].into()))
+                    .await
+            }
+            "cut-machine" => self.partition(Partition::Machine(4)).await,
             "evacuate" => self.evacuate().await,
             "evacuate-cut" => {
-                self.wires.cut(vec![Cut::Place(self.shape.locality(0))]);
+                self.link_proxies
+                    .partition(vec![Partition::Place(self.shape.locality(0))]);
                 self.evacuate().await?;
-                self.wires.cut(Vec::new());
+                self.link_proxies.partition(Vec::new());
                 self.all_ready().await
             }
             "release" => self.replace("release", |at| at % 3 == 0, true, true).await,
             "cold" => self.replace("cold", |at| at % 2 == 0, false, false).await,
             "crash" => self.replace("crash", |at| at % 3 == 0, false, true).await,
-            "storm" => self.storm().await,
+            "storm" => self.submit_many().await,
             "race" => self.race().await,
             "garble" => {
-                self.sicken(
+                self.inject_upstream_fault(
                     |at| at % 3 == 0,
-                    |_| Ill {
-                        garbles_per_mille: 300,
-                        ..Ill::default()
+                    |_| UpstreamFault {
+                        invalid_responses_per_mille: 300,
+                        ..UpstreamFault::default()
                     },
                 )
                 .await
             }
             "pause" => {
                 let until = self.clock.now() + self.span / 4;
-                self.sicken(
+                self.inject_upstream_fault(
                     |at| at % 13 == 0,
-                    |_| Ill {
+                    |_| UpstreamFault {
                         paused_until: until,
-                        ..Ill::default()
+                        ..UpstreamFault::default()
                     },
                 )
                 .await
@@ -172,23 +179,23 @@
                 };
                 let zone = self
                     .fleet
-                    .carriers
+                    .data_nodes
                     .iter()
                     .filter(here)
                     .map(|process| process.node.clone());
                 let proxies: Vec<String> = zone.collect();
                 let deaf = plan == "deaf-units";
-                let ill = |_: usize| match deaf {
-                    true => Ill {
-                        deaf_to: proxies.clone(),
-                        ..Ill::default()
+                let fault = |_: usize| match deaf {
+                    true => UpstreamFault {
+                        ignores_requests_of: proxies.clone(),
+                        ..UpstreamFault::default()
                     },
-                    false => Ill {
-                        mute_to: proxies.clone(),
-                        ..Ill::default()
+                    false => UpstreamFault {
+                        withholds_responses_to: proxies.clone(),
+                        ..UpstreamFault::default()
                     },
                 };
-                self.sicken(|at| at % 6 < 2, ill).await
+                self.inject_upstream_fault(|at| at % 6 < 2, fault).await
             }
             "reuse" => self.reuse().await,
             "herd" => {
@@ -196,16 +203,16 @@
                     .await
             }
             "split" => {
-                self.cut_all(
+                self.partition_all(
                     self.shape
                         .regions
-                        .map(|region| Cut::Place(region.into()))
+                        .map(|region| Partition::Place(region.into()))
                         .to_vec(),
                 )
                 .await
             }
-            "holder" => self.kill_holder().await,
-            "rescue" => self.rescue().await,
+            "holder" => self.kill_lease_holder().await,
+            "rescue" => self.recover_from_survivors().await,
             _ => Ok(()),
         }
     }
@@ -215,10 +222,10 @@
             "machines {machines:?} killed{}",
             if wipe { ", disk wiped" } else { "" }
         ));
-        let hit = |machine: usize| machines.contains(&machine);
+        let is_affected = |machine: usize| machines.contains(&machine);
         self.fleet
             .all()
-            .filter(|process| hit(process.machine))
+            .filter(|process| is_affected(process.machine))
             .for_each(|process| {
                 process.kill();
                 if wipe {
@@ -229,11 +236,15 @@
         self.note(&format!("machines {machines:?} started again"));
         let started_at = self.clock.now();
         let mut back = Vec::new();
-        for process in self.fleet.all().filter(|process| hit(process.machine)) {
+        for process in self
+            .fleet
+            .all()
+            .filter(|process| is_affected(process.machine))
+        {
             process.start().map_err(|e| e.to_string())?;
             back.push(process.http.clone());
         }
-        self.must_be_ready(&back).await?;
+        self.wait_until_ready(&back).await?;
         println!(
             "the killed machines were ready after {:?}",
             self.clock.now() - started_at
@@ -242,18 +253,18 @@
     }
 
     /// Some upstreams fall ill for a quarter of the run.
-    async fn sicken(
+    async fn inject_upstream_fault(
         &mut self,
         chosen: impl Fn(usize) -> bool,
-        ill: impl Fn(usize) -> Ill,
+        fault: impl Fn(usize) -> UpstreamFault,
     ) -> Result<(), String> {
         self.note("upstreams fall ill");
-        let hit = (0..self.units.len()).filter(|at| chosen(*at));
-        hit.for_each(|at| self.units[at].fall_ill(ill(at)));
+        let is_affected = (0..self.upstreams.len()).filter(|at| chosen(*at));
+        is_affected.for_each(|at| self.upstreams[at].set_fault(fault(at)));
         self.wait().await;
-        self.units
+        self.upstreams
             .iter()
-            .for_each(|unit| unit.fall_ill(Ill::default()));
+            .for_each(|upstream| upstream.set_fault(UpstreamFault::default()));
         self.note("upstreams are well again");
         Ok(())
     }
@@ -262,8 +273,8 @@
     async fn reuse(&mut self) -> Result<(), String> {
         self.note("addresses change hands");
         let nodes = Arc::new(self.fleet.nodes());
-        for at in (0..self.units.len()).filter(|at| at % 9 == 1) {
-            let old = self.units[at].clone();
+        for at in (0..self.upstreams.len()).filter(|at| at % 9 == 1) {
+            let old = self.upstreams[at].clone();
             let services = self.shape.services;
             let known = services
                 .iter()
@@ -275,7 +286,7 @@
             for _ in 0..100 {
                 let (place, nodes, record) =
                     (old.locality.clone(), nodes.clone(), self.record.clone());
-                let start = Unit::start(
+                let start = StandInUpstream::start(
                     &old.address,
                     work,
                     instance.clone(),
@@ -291,7 +302,7 @@
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
-            self.units[at] = heir.ok_or("an address was not free again")?;
+            self.upstreams[at] = heir.ok_or("an address was not free again")?;
         }
         self.wait().await;
         Ok(())
@@ -382,37 +393,37 @@
         Err("no node reads the setup back".into())
     }
 
-    async fn kill_holder(&mut self) -> Result<(), String> {
+    async fn kill_lease_holder(&mut self) -> Result<(), String> {
         for _ in 0..4 {
-            let holder = self
+            let lease_holder = self
                 .status()
                 .await?
                 .text("placement")
                 .unwrap_or_default()
                 .to_owned();
-            self.note(&format!("placement holder {holder} killed"));
+            self.note(&format!("placement holder {lease_holder} killed"));
             let process = self
                 .fleet
-                .postmasters
+                .control_nodes
                 .iter_mut()
-                .find(|process| process.node == holder);
+                .find(|process| process.node == lease_holder);
             let process = process.ok_or("nobody holds the placement")?;
             process.kill();
             tokio::time::sleep(self.span / 16).await;
             process.start().map_err(|e| e.to_string())?;
             let back = [process.http.clone()];
-            self.must_be_ready(&back).await?;
+            self.wait_until_ready(&back).await?;
         }
         Ok(())
     }
 
     /// The operators' page, step by step, with the operator's own tool.
-    async fn rescue(&mut self) -> Result<(), String> {
+    async fn recover_from_survivors(&mut self) -> Result<(), String> {
         let revision = self.revision().await?;
         self.note("all postmasters killed, three disks lost for good");
-        self.fleet.postmasters.iter_mut().for_each(Process::kill);
+        self.fleet.control_nodes.iter_mut().for_each(Process::kill);
         self.fleet
-            .postmasters
+            .control_nodes
             .iter()
             .skip(3)
             .for_each(Process::wipe);
@@ -425,12 +436,12 @@
                 .into_owned()
         };
         let file = |name: &str| self.fleet.folder.join(name).to_string_lossy().into_owned();
-        let clerk = |args: &[&str]| self.fleet.clerk(args);
+        let run_operator_tool = |args: &[&str]| self.fleet.run_operator_tool(args);
         let (inheritance, mut files, mut lost) = (file("inheritance"), Vec::new(), Vec::new());
-        for (at, process) in self.fleet.postmasters.iter().enumerate() {
+        for (at, process) in self.fleet.control_nodes.iter().enumerate() {
             if at < 3 {
                 let out = file(&format!("{}.testament", process.node));
-                clerk(&["testament", &process.node, &folder(process), &out])?;
+                run_operator_tool(&["testament", &process.node, &folder(process), &out])?;
                 files.push(out);
             } else {
                 lost.push(process.node.clone());
@@ -442,17 +453,17 @@
                 .into_iter()
                 .chain(files.iter().map(String::as_str))
                 .chain(["--lost", lost]);
-            clerk(&words.collect::<Vec<_>>())
+            run_operator_tool(&words.collect::<Vec<_>>())
         };
         if settle(&lost[1..].join(",")).is_ok() {
             return Err("settled although a voter may live".into());
         }
         settle(&lost.join(","))?;
-        for process in &self.fleet.postmasters {
+        for process in &self.fleet.control_nodes {
             process.wipe();
-            clerk(&["inherit", &inheritance, &folder(process)])?;
+            run_operator_tool(&["inherit", &inheritance, &folder(process)])?;
         }
-        for process in &mut self.fleet.postmasters {
+        for process in &mut self.fleet.control_nodes {
             process.start().map_err(|e| e.to_string())?;
         }
         self.all_ready().await?;
@@ -464,17 +475,17 @@
             .ok_or_else(|| "the edition did not rise".to_owned())
     }
 
-    async fn cut(&mut self, cut: Cut) -> Result<(), String> {
-        self.cut_all(vec![cut]).await
+    async fn partition(&mut self, partition: Partition) -> Result<(), String> {
+        self.partition_all(vec![partition]).await
     }
 
-    async fn cut_all(&mut self, cuts: Vec<Cut>) -> Result<(), String> {
-        self.note(&format!("{cuts:?} cut off"));
-        self.wires.cut(cuts);
+    async fn partition_all(&mut self, partitions: Vec<Partition>) -> Result<(), String> {
+        self.note(&format!("{partitions:?} cut off"));
+        self.link_proxies.partition(partitions);
         self.wait().await;
         self.note("links mended");
         let mended_at = self.clock.now();
-        self.wires.cut(Vec::new());
+        self.link_proxies.partition(Vec::new());
         self.all_ready().await?;
         println!(
             "all were ready {:?} after the links were mended",
@@ -484,41 +495,41 @@
     }
 
     async fn all_ready(&self) -> Result<(), String> {
-        self.must_be_ready(&self.fleet.nodes()).await
+        self.wait_until_ready(&self.fleet.nodes()).await
     }
 
     /// Machines and upstreams of a place go at once; both come back.
-    async fn darken(&mut self, place: &str) -> Result<(), String> {
-        let hit = |locality: &str| locality.starts_with(place);
-        self.units
+    async fn power_off(&mut self, place: &str) -> Result<(), String> {
+        let is_affected = |locality: &str| locality.starts_with(place);
+        self.upstreams
             .iter()
-            .filter(|unit| hit(&unit.locality))
-            .for_each(|unit| unit.crash());
+            .filter(|upstream| is_affected(&upstream.locality))
+            .for_each(|upstream| upstream.crash());
         let machines: Vec<usize> = (0..self.shape.machines)
-            .filter(|at| hit(&self.shape.locality(*at)))
+            .filter(|at| is_affected(&self.shape.locality(*at)))
             .collect();
         self.kill(&machines, false).await?;
         let nodes = Arc::new(self.fleet.nodes());
-        let gone: Vec<usize> = (0..self.units.len())
-            .filter(|at| hit(&self.units[*at].locality))
+        let gone: Vec<usize> = (0..self.upstreams.len())
+            .filter(|at| is_affected(&self.upstreams[*at].locality))
             .collect();
         for at in gone {
-            self.renew(at, true, nodes.clone()).await?;
+            self.replace_upstream(at, true, nodes.clone()).await?;
         }
         Ok(())
     }
 
     /// A new instance in the place of an upstream.
-    async fn renew(
+    async fn replace_upstream(
         &mut self,
         at: usize,
         warm: bool,
         nodes: Arc<Vec<String>>,
     ) -> Result<(), String> {
-        let old = self.units[at].clone();
+        let old = self.upstreams[at].clone();
         let (instance, place) = (format!("{}-again", old.instance), old.locality.clone());
-        let unit = Unit::start(
-            ANY,
+        let upstream = StandInUpstream::start(
+            ANY_PORT,
             old.work,
             instance,
             place,
@@ -527,12 +538,12 @@
             self.clock,
             self.record.clone(),
         );
-        self.units[at] = unit.await.map_err(|e| e.to_string())?;
+        self.upstreams[at] = upstream.await.map_err(|e| e.to_string())?;
         Ok(())
     }
 
-    async fn must_be_ready(&self, nodes: &[String]) -> Result<(), String> {
-        let ready = Fleet::ready(nodes, BACK_WITHIN).await;
+    async fn wait_until_ready(&self, nodes: &[String]) -> Result<(), String> {
+        let ready = Fleet::ready(nodes, RECOVERY_TIMEOUT).await;
         ready
             .then_some(())
             .ok_or_else(|| "what was broken did not come back".to_owned())
@@ -540,24 +551,24 @@
 
     async fn freeze(&mut self) -> Result<(), String> {
         self.note("machines 0 and 9 frozen");
-        let hit = |machine: usize| [0, 9].contains(&machine);
+        let is_affected = |machine: usize| [0, 9].contains(&machine);
         self.fleet
             .all()
-            .filter(|process| hit(process.machine))
+            .filter(|process| is_affected(process.machine))
             .for_each(|process| process.signal("STOP"));
         self.wait().await;
         self.note("machines 0 and 9 go on");
         self.fleet
             .all()
-            .filter(|process| hit(process.machine))
+            .filter(|process| is_affected(process.machine))
             .for_each(|process| process.signal("CONT"));
         let back: Vec<String> = self
             .fleet
             .all()
-            .filter(|process| hit(process.machine))
+            .filter(|process| is_affected(process.machine))
             .map(|process| process.http.clone())
             .collect();
-        self.must_be_ready(&back).await
+        self.wait_until_ready(&back).await
     }
 
     /// Every machine ends politely, must exit with 0 before it would be killed, and starts again.
@@ -592,7 +603,7 @@
             {
                 process.start().map_err(|e| e.to_string())?;
             }
-            self.must_be_ready(&back).await?;
+            self.wait_until_ready(&back).await?;
         }
         Ok(())
     }
@@ -604,7 +615,7 @@
                 "/evacuations?id={id}&locality={}&back={back}",
                 place.replace('/', "%2F")
             );
-            let node = self.fleet.carriers[if back { 4 } else { 8 }].http.clone();
+            let node = self.fleet.data_nodes[if back { 4 } else { 8 }].http.clone();
             if back {
                 // Work may go there from the moment it is asked for.
                 self.record.note(
@@ -663,15 +674,15 @@
         self.note(&format!("{what} of upstreams"));
         let nodes = Arc::new(self.fleet.nodes());
         let client = HttpClient::default();
-        for at in (0..self.units.len()).filter(|at| chosen(*at)) {
-            let old = self.units[at].clone();
+        for at in (0..self.upstreams.len()).filter(|at| chosen(*at)) {
+            let old = self.upstreams[at].clone();
             if notice {
-                old.leave();
-                old.beat_once(&client, &nodes[at % nodes.len()]).await;
+                old.start_draining();
+                old.send_heartbeat(&client, &nodes[at % nodes.len()]).await;
             } else {
                 old.crash();
             }
-            self.renew(at, warm, nodes.clone()).await?;
+            self.replace_upstream(at, warm, nodes.clone()).await?;
             if notice {
                 // It serves on while news of its leaving travels, and is then ended.
                 tokio::spawn(async move {
@@ -681,12 +692,14 @@
             }
         }
         self.wait().await;
-        self.units.iter().for_each(|unit| unit.set_warm(true));
+        self.upstreams
+            .iter()
+            .for_each(|upstream| upstream.set_warm(true));
         self.note("all upstreams warm");
         Ok(())
     }
 
-    async fn storm(&mut self) -> Result<(), String> {
+    async fn submit_many(&mut self) -> Result<(), String> {
         self.note("a storm of 30 setups");
         let nodes = self.fleet.nodes();
         let one = |at: usize| {
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,9 +1,9 @@
 //! A run of a real fleet: start, set up, load, break, heal, judge.
 
 use crate::fleet::{Fleet, Process};
-use crate::origins::Origins;
-use crate::plans::Scene;
-use crate::upstreams::{ANY, Unit};
+use crate::plans::FaultInjection;
+use crate::stand_in_clients::StandInClients;
+use crate::stand_in_upstreams::{ANY_PORT, StandInUpstream};
 use bytes::Bytes;
 use config::JsonValue;
 use invariants::observations::{Observation, ObservationLog};
@@ -17,8 +17,8 @@
 use transport::{Clock, HttpClient};
 
 /// Within this after the last fault everything must be served again.
-const RESUME_WITHIN: Duration = Duration::from_secs(15);
-const READY_WITHIN: Duration = Duration::from_secs(60);
+const MAX_UNAVAILABILITY: Duration = Duration::from_secs(15);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One run.
 pub struct Run {
@@ -34,7 +34,7 @@
 /// Runs it; true where the fleet came up and no rule was broken.
 pub async fn fleet(run: Run) -> bool {
     match bring_up(run).await {
-        Ok(fine) => fine,
+        Ok(passed) => passed,
         Err(text) => {
             eprintln!("drill: {text}");
             false
@@ -54,31 +54,31 @@
         .keep
         .clone()
         .unwrap_or_else(|| std::env::temp_dir().join(format!("drill-{}", std::process::id())));
-    let (mut fleet, wires) = Fleet::laid(&run.shape, &programs, &folder)
+    let (mut fleet, link_proxies) = Fleet::create(&run.shape, &programs, &folder)
         .await
         .map_err(|e| e.to_string())?;
     fleet
         .start()
         .map_err(|e| format!("cannot start the daemons beside drill: {e}"))?;
     if run.plan == "founding" {
-        interrupt_founding(&mut fleet)
+        interrupt_bootstrap(&mut fleet)
             .await
             .map_err(|e| e.to_string())?;
     }
     let nodes = Arc::new(fleet.nodes());
-    if !Fleet::ready(&nodes, READY_WITHIN).await {
-        return Err(format!("the fleet was not ready within {READY_WITHIN:?}"));
+    if !Fleet::ready(&nodes, READY_TIMEOUT).await {
+        return Err(format!("the fleet was not ready within {READY_TIMEOUT:?}"));
     }
     println!("{} processes ready after {:?}", nodes.len(), clock.now());
     let client = HttpClient::default();
     submit(&client, &record, &clock, &nodes[0], "first", &run.shape, 0).await?;
     println!("first setup in force after {:?}", clock.now());
-    let mut units = Vec::new();
+    let mut upstreams = Vec::new();
     for (work, count) in run.shape.profiles() {
         for at in 0..count {
             let at = marker_index(work.service).unwrap_or(at);
-            let unit = Unit::start(
-                ANY,
+            let upstream = StandInUpstream::start(
+                ANY_PORT,
                 work,
                 format!("{}-{at}", work.service),
                 run.shape.locality(at),
@@ -87,53 +87,53 @@
                 clock,
                 record.clone(),
             );
-            units.push(unit.await.map_err(|e| e.to_string())?);
+            upstreams.push(upstream.await.map_err(|e| e.to_string())?);
         }
     }
     let directories: Vec<String> = fleet
-        .carriers
+        .data_nodes
         .iter()
-        .map(|carrier| carrier.http.clone())
+        .map(|data_node| data_node.http.clone())
         .collect();
-    let origins = Origins::new(
+    let clients = StandInClients::new(
         run.shape.clone(),
         directories.clone(),
         clock,
         record.clone(),
     );
-    served_once(&origins).await?;
+    wait_until_served(&clients).await?;
     println!("every service served after {:?}", clock.now());
-    let warm_up = origins.ended().len();
+    let warm_up = clients.finished().len();
     let reader = tokio::spawn(read_everywhere(nodes.clone(), record.clone(), clock));
     let prober = tokio::spawn(probe(directories.clone()));
-    let watcher = tokio::spawn(watch_editions(directories, record.clone(), clock));
-    let loading = origins.clone();
+    let watcher = tokio::spawn(watch_revisions(directories, record.clone(), clock));
+    let loading = clients.clone();
     let (per_second, span) = (run.per_second.unwrap_or(run.shape.per_second), run.load);
     let load = tokio::spawn(async move { loading.load(per_second, span).await });
-    let scene = Scene {
-        wires,
+    let injection = FaultInjection {
+        link_proxies,
         fleet: &mut fleet,
-        units: &mut units,
+        upstreams: &mut upstreams,
         shape: &run.shape,
         record: &record,
         clock,
         span,
     };
-    scene.play(&run.plan).await?;
+    injection.inject(&run.plan).await?;
     load.await.map_err(|e| e.to_string())?;
     watcher.abort();
     reader.abort();
     prober.abort();
-    let alike = read_back_all(&client, &record, &clock, &fleet).await;
+    let matching = read_back_all(&client, &record, &clock, &fleet).await;
     let seen = record.all();
     let violations = rules::check_all(&seen, &run.shape.rule_parameters());
-    let ended: Vec<_> = origins.ended().into_iter().skip(warm_up).collect();
+    let finished: Vec<_> = clients.finished().into_iter().skip(warm_up).collect();
     let title = format!(
         "{} at {per_second}/s for {span:?}, plan {}",
         run.shape.name, run.plan
     );
-    report::print(&title, &seen, &ended, &violations);
-    let fine = violations
+    report::print(&title, &seen, &finished, &violations);
+    let passed = violations
         .iter()
         .all(|violation| run.untimed && rules::TIMED.contains(&violation.rule));
     let healed_at = seen
@@ -141,19 +141,19 @@
         .filter(|(_, observation)| matches!(observation, Observation::Fault { .. }))
         .map(|(at, _)| *at)
         .max();
-    let failed = ended
+    let failed = finished
         .iter()
-        .filter(|ended| ended.code != 1000)
-        .map(|ended| ended.at.saturating_sub(ended.took));
+        .filter(|finished| finished.code != 1000)
+        .map(|finished| finished.at.saturating_sub(finished.took));
     let resumed = failed
         .max()
         .unwrap_or_default()
         .saturating_sub(healed_at.unwrap_or_default());
     println!("last failure {resumed:?} after the last fault ended");
-    let fine = fine && (run.untimed || resumed <= RESUME_WITHIN);
+    let passed = passed && (run.untimed || resumed <= MAX_UNAVAILABILITY);
     println!(
-        "postmasters that read the same setup back: {alike} of {}",
-        fleet.postmasters.len()
+        "postmasters that read the same setup back: {matching} of {}",
+        fleet.control_nodes.len()
     );
     let peak = |processes: &[Process]| {
         processes
@@ -163,26 +163,28 @@
             .unwrap_or(0)
             / 1024
     };
-    let (carriers, postmasters) = (peak(&fleet.carriers), peak(&fleet.postmasters));
-    println!("most memory of one carrier: {carriers} MiB, of one postmaster: {postmasters} MiB");
-    let complete = alike == fleet.postmasters.len();
-    units.iter().for_each(|unit| unit.crash());
+    let (data_nodes, control_nodes) = (peak(&fleet.data_nodes), peak(&fleet.control_nodes));
+    println!(
+        "most memory of one carrier: {data_nodes} MiB, of one postmaster: {control_nodes} MiB"
+    );
+    let complete = matching == fleet.control_nodes.len();
+    upstreams.iter().for_each(|upstream| upstream.crash());
     if run.keep.is_none() {
         fleet.remove();
     }
-    Ok(fine && complete && !ended.is_empty())
+    Ok(passed && complete && !finished.is_empty())
 }
 
 /// While the voters found themselves: two are killed, one of them loses its disk, and both come back.
-async fn interrupt_founding(fleet: &mut Fleet) -> std::io::Result<()> {
+async fn interrupt_bootstrap(fleet: &mut Fleet) -> std::io::Result<()> {
     for wait_ms in [150, 300, 450] {
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-        fleet.postmasters[1].kill();
-        fleet.postmasters[4].kill();
-        fleet.postmasters[4].wipe();
+        fleet.control_nodes[1].kill();
+        fleet.control_nodes[4].kill();
+        fleet.control_nodes[4].wipe();
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-        fleet.postmasters[1].start()?;
-        fleet.postmasters[4].start()?;
+        fleet.control_nodes[1].start()?;
+        fleet.control_nodes[4].start()?;
     }
     Ok(())
 }
@@ -243,16 +245,16 @@
 }
 
 /// Waits until each service was served once, so that the load meets a site that is up.
-async fn served_once(origins: &Arc<Origins>) -> Result<(), String> {
+async fn wait_until_served(clients: &Arc<StandInClients>) -> Result<(), String> {
     for _ in 0..400 {
-        origins.one().await;
-        let ended = origins.ended();
+        clients.run_operation().await;
+        let finished = clients.finished();
         let served = |service: &str| {
-            ended
+            finished
                 .iter()
-                .any(|ended| ended.service == service && ended.code == 1000)
+                .any(|finished| finished.service == service && finished.code == 1000)
         };
-        if origins
+        if clients
             .shape
             .services
             .iter()
@@ -265,14 +267,14 @@
 }
 
 /// Sends probes through every carrier: where they arrive shows which setup is in force there.
-async fn probe(carriers: Vec<String>) {
+async fn probe(data_nodes: Vec<String>) {
     let client = HttpClient::default();
     for number in 0u64.. {
-        for (at, carrier) in carriers.iter().enumerate() {
-            let (attempt_id, client, carrier) = (
+        for (at, data_node) in data_nodes.iter().enumerate() {
+            let (attempt_id, client, data_node) = (
                 format!("probe-{number}-{at}"),
                 client.clone(),
-                carrier.clone(),
+                data_node.clone(),
             );
             tokio::spawn(async move {
                 let headers = [
@@ -282,7 +284,7 @@
                 let within = Duration::from_secs(2);
                 let _ = client
                     .call(
-                        &carrier,
+                        &data_node,
                         "POST",
                         "/r/probe/probe",
                         &headers,
@@ -332,7 +334,7 @@
 }
 
 /// Notes the edition in force at each carrier that says it serves.
-async fn watch_editions(nodes: Vec<String>, record: ObservationLog, clock: Clock) {
+async fn watch_revisions(nodes: Vec<String>, record: ObservationLog, clock: Clock) {
     let client = HttpClient::default();
     loop {
         for node in &nodes {
@@ -376,7 +378,7 @@
     fleet: &Fleet,
 ) -> usize {
     let mut read = Vec::new();
-    for process in &fleet.postmasters {
+    for process in &fleet.control_nodes {
         let asked_at = clock.now();
         let called = client.call(
             &process.http,
--- a/crates/testbed/src/scripted/clients.rs
+++ b/crates/testbed/src/scripted/clients.rs
@@ -1,6 +1,6 @@
 //! Who calls the scripted upstreams: a proxy's own node, and deliberately broken clients that the judge must catch.
 
-use super::{Fact, Facts, Peer, Said, Told, Try};
+use super::{Attempt, Event, EventLog, Outcome, Peer, ResponseParts};
 use bytes::Bytes;
 use data_plane::{ApiAdapter, ListenerKind, Node, NodeOptions};
 use http_body_util::BodyExt;
@@ -17,27 +17,27 @@
 const LONG: Duration = Duration::from_secs(3600);
 
 /// How requests and answers look on a site.
-pub struct Manner {
+pub struct SiteConventions {
     pub api_adapter: fn() -> ApiAdapter,
     /// How its configurations are read.
     pub reader: ConfigurationParser,
-    /// A configuration with the services `once` and `again`, one of each kind of work.
+    /// A configuration with the services `at_most_once` and `again`, one of each kind of work.
     pub configuration: &'static str,
     /// The header that names the try in a request to an upstream.
     pub request_id: &'static str,
     /// The same in an upstream's answer.
-    pub answer_id: &'static str,
+    pub response_id: &'static str,
     /// The headers of an upstream's answer but for its length.
-    pub headers: fn(&Said) -> Vec<(&'static str, String)>,
+    pub headers: fn(&ResponseParts) -> Vec<(&'static str, String)>,
     /// A client's request, with the time that it has.
-    pub enquiry: fn(&Try, Duration) -> HttpRequest,
+    pub request: fn(&Attempt, Duration) -> HttpRequest,
     /// What an answer tells a client.
-    pub told: fn(u16, &hyper::HeaderMap, Bytes) -> Told,
+    pub outcome: fn(u16, &hyper::HeaderMap, Bytes) -> Outcome,
 }
 
-impl Manner {
+impl SiteConventions {
     /// The product's own interface.
-    pub const OWN: Manner = Manner {
+    pub const OWN: SiteConventions = SiteConventions {
         api_adapter: ApiAdapter::own,
         reader: ConfigurationParser(config::Configuration::parse),
         configuration: r#"{"services": [{"name": "once", "work": "once", "mostBytes": 1048576},
@@ -45,69 +45,73 @@
                    "routes": [{"id": "r1", "name": "once", "path": "/x", "service": "once"},
                               {"id": "r2", "name": "again", "path": "/x", "service": "again"}]}"#,
         request_id: "x-try-id",
-        answer_id: "x-try-id",
-        headers: |said| {
+        response_id: "x-try-id",
+        headers: |response_parts| {
             let seal = protocol::seal(
-                said.try_id,
-                said.instance,
-                said.status,
-                said.body.as_bytes(),
+                response_parts.attempt_id,
+                response_parts.instance,
+                response_parts.status,
+                response_parts.body.as_bytes(),
             );
             vec![
-                ("x-try-id", said.try_id.into()),
-                ("x-instance", said.instance.into()),
+                ("x-try-id", response_parts.attempt_id.into()),
+                ("x-instance", response_parts.instance.into()),
                 ("x-seal", seal),
             ]
         },
-        enquiry: |told, within| {
+        request: |attempt, within| {
             let within = within.as_millis().to_string();
             HttpRequest {
                 method: hyper::Method::POST,
-                path: format!("/r/{}/x", service(told)),
-                target: format!("/r/{}/x", service(told)),
+                path: format!("/r/{}/x", service(attempt)),
+                target: format!("/r/{}/x", service(attempt)),
                 headers: transport::header_map(&[
-                    ("x-try-id", told.id.as_str()),
+                    ("x-try-id", attempt.id.as_str()),
                     ("x-remaining-ms", within.as_str()),
                 ]),
-                body: vec![b'b'; told.body_bytes].into(),
+                body: vec![b'b'; attempt.body_bytes].into(),
                 ..HttpRequest::default()
             }
         },
-        told: |status, headers, body| {
+        outcome: |status, headers, body| {
             let code = headers
                 .get("x-code")
                 .and_then(|code| code.to_str().ok())
                 .and_then(|code| code.parse().ok());
             match code.and_then(ResultCode::from_number).map(ResultCode::kind) {
-                Some(Execution::Executed) if status == 200 => Told::Success { body },
-                Some(Execution::NotExecuted) => Told::NotRun,
-                _ => Told::Unknown,
+                Some(Execution::Executed) if status == 200 => Outcome::Success { body },
+                Some(Execution::NotExecuted) => Outcome::NotExecuted,
+                _ => Outcome::Unknown,
             }
         },
     };
 }
 
 /// The service of a try.
-fn service(told: &Try) -> &'static str {
-    if told.once { "once" } else { "again" }
+fn service(attempt: &Attempt) -> &'static str {
+    if attempt.at_most_once {
+        "once"
+    } else {
+        "again"
+    }
 }
 
 /// What a proxy believes; the broken ones are twins that the judge must catch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Takes {
+pub enum ResponseCheck {
     /// As the product does.
-    ItsOwn,
+    MatchingResponse,
     /// A lost answer for a request that was never sent.
-    LostForUnsent,
+    LostAsNotConnected,
     /// Whatever comes for its own whole answer.
-    Anything,
+    AnyResponse,
 }
 
 /// A proxy's node before some scripted upstreams.
 pub struct Proxy {
     node: Arc<Node>,
-    manner: &'static Manner,
-    facts: Facts,
+    conventions: &'static SiteConventions,
+    events: EventLog,
 }
 
 impl Proxy {
@@ -115,16 +119,21 @@
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// use testbed::scripted::{Facts, Manner, Peer, Proxy, Takes, Told, Try, work};
-    /// let facts = Facts::default();
-    /// let peer = Peer::start(&Manner::OWN, "u-1", facts.clone(), (vec![], vec![])).await;
-    /// let proxy = Proxy::start(&Manner::OWN, &[peer], facts, Takes::ItsOwn);
-    /// let asked = Try { id: "t-1".into(), once: true, body_bytes: 9 };
-    /// let told = proxy.ask(&asked, std::time::Duration::from_secs(5)).await;
-    /// assert_eq!(told, Told::Success { body: work("t-1").into() });
+    /// use testbed::scripted::{EventLog, SiteConventions, Peer, Proxy, ResponseCheck, Outcome, Attempt, work};
+    /// let events = EventLog::default();
+    /// let peer = Peer::start(&SiteConventions::OWN, "u-1", events.clone(), (vec![], vec![])).await;
+    /// let proxy = Proxy::start(&SiteConventions::OWN, &[peer], events, ResponseCheck::MatchingResponse);
+    /// let attempt = Attempt { id: "t-1".into(), at_most_once: true, body_bytes: 9 };
+    /// let outcome = proxy.send_request(&attempt, std::time::Duration::from_secs(5)).await;
+    /// assert_eq!(outcome, Outcome::Success { body: work("t-1").into() });
     /// # });
     /// ```
-    pub fn start(manner: &'static Manner, peers: &[Peer], facts: Facts, takes: Takes) -> Proxy {
+    pub fn start(
+        conventions: &'static SiteConventions,
+        peers: &[Peer],
+        events: EventLog,
+        response_check: ResponseCheck,
+    ) -> Proxy {
         let mut site =
             ProxyContext::new("p", "n/1".parse().unwrap_or_default(), LONG, Duration::ZERO);
         (site.ownership, site.serve_stale_view) = (OwnershipMode::PerClientZone, true);
@@ -134,25 +143,32 @@
             roles: "proxy".into(),
             lifetime: LONG,
         };
-        let node = Node::new(site, broken((manner.api_adapter)(), takes), terms);
-        node.publish(view(manner, peers));
+        let node = Node::new(
+            site,
+            broken((conventions.api_adapter)(), response_check),
+            terms,
+        );
+        node.publish(view(conventions, peers));
         Proxy {
             node: Arc::new(node),
-            manner,
-            facts,
+            conventions,
+            events,
         }
     }
 
     /// Makes a try and notes what it is told.
-    pub async fn ask(&self, asked: &Try, within: Duration) -> Told {
-        self.facts.note(Fact::Asked {
-            try_id: asked.id.clone(),
-            once: asked.once,
+    pub async fn send_request(&self, attempt: &Attempt, within: Duration) -> Outcome {
+        self.events.note(Event::Requested {
+            attempt_id: attempt.id.clone(),
+            at_most_once: attempt.at_most_once,
         });
         let response = self
             .node
             .clone()
-            .serve(ListenerKind::Front, (self.manner.enquiry)(asked, within))
+            .serve(
+                ListenerKind::Front,
+                (self.conventions.request)(attempt, within),
+            )
             .await;
         let (head, body) = response.into_parts();
         let body = body
@@ -160,18 +176,18 @@
             .await
             .map(|body| body.to_bytes())
             .unwrap_or_default();
-        let told = (self.manner.told)(head.status.as_u16(), &head.headers, body);
-        self.facts.note(Fact::Told {
-            try_id: asked.id.clone(),
-            told: told.clone(),
+        let outcome = (self.conventions.outcome)(head.status.as_u16(), &head.headers, body);
+        self.events.note(Event::OutcomeReported {
+            attempt_id: attempt.id.clone(),
+            outcome: outcome.clone(),
         });
-        told
+        outcome
     }
 
     /// Why a try went where it went.
-    pub async fn trace(&self, try_id: &str) -> String {
-        let query = [("try".to_owned(), try_id.to_owned())].into();
-        let enquiry = HttpRequest {
+    pub async fn trace(&self, attempt_id: &str) -> String {
+        let query = [("try".to_owned(), attempt_id.to_owned())].into();
+        let request = HttpRequest {
             path: "/trace".into(),
             query,
             ..HttpRequest::default()
@@ -179,7 +195,7 @@
         let response = self
             .node
             .clone()
-            .serve(ListenerKind::Directory, enquiry)
+            .serve(ListenerKind::Directory, request)
             .await;
         let body = response
             .into_body()
@@ -191,7 +207,7 @@
     }
 }
 
-fn view(manner: &Manner, peers: &[Peer]) -> View {
+fn view(conventions: &SiteConventions, peers: &[Peer]) -> View {
     let known = |service: &str, peer: &Peer| Upstream {
         service: service.into(),
         instance: peer.instance.clone(),
@@ -211,12 +227,12 @@
     };
     let news = ViewUpdate {
         state: Some(state),
-        configuration: Some(manner.configuration.into()),
+        configuration: Some(conventions.configuration.into()),
         upstreams,
         ..ViewUpdate::default()
     };
     let mut view = View {
-        reader: manner.reader,
+        reader: conventions.reader,
         as_of: Some(Duration::ZERO),
         ..View::default()
     };
@@ -225,16 +241,16 @@
     view
 }
 
-fn broken(api_adapter: ApiAdapter, takes: Takes) -> ApiAdapter {
+fn broken(api_adapter: ApiAdapter, response_check: ResponseCheck) -> ApiAdapter {
     let judge_response = api_adapter.judge_response;
-    match takes {
-        Takes::ItsOwn => ApiAdapter {
+    match response_check {
+        ResponseCheck::MatchingResponse => ApiAdapter {
             judge_response,
             ..api_adapter
         },
-        Takes::LostForUnsent => ApiAdapter {
-            judge_response: Box::new(move |called, try_id, instance| {
-                match judge_response(called, try_id, instance) {
+        ResponseCheck::LostAsNotConnected => ApiAdapter {
+            judge_response: Box::new(move |called, attempt_id, instance| {
+                match judge_response(called, attempt_id, instance) {
                     request_routing::CallOutcome::ResponseLost => {
                         request_routing::CallOutcome::NotConnected
                     }
@@ -243,7 +259,7 @@
             }),
             ..api_adapter
         },
-        Takes::Anything => ApiAdapter {
+        ResponseCheck::AnyResponse => ApiAdapter {
             // Nothing names a try by this, so that no answer is told apart.
             response_id_header: "x-nobody",
             judge_response: Box::new(move |called, _, _| match called {
@@ -257,24 +273,24 @@
 }
 
 /// A client that keeps one connection and takes whatever comes next on it for its answer, as long as it seems to be.
-pub async fn ask_naively(
+pub async fn request_without_checks(
     kept: &mut Option<TcpStream>,
     peer: &Peer,
-    manner: &Manner,
-    facts: &Facts,
-    asked: &Try,
-) -> Told {
-    facts.note(Fact::Asked {
-        try_id: asked.id.clone(),
-        once: asked.once,
+    conventions: &SiteConventions,
+    events: &EventLog,
+    attempt: &Attempt,
+) -> Outcome {
+    events.note(Event::Requested {
+        attempt_id: attempt.id.clone(),
+        at_most_once: attempt.at_most_once,
     });
     let mut read = vec![0; 1 << 20];
-    let id = manner.request_id;
+    let id = conventions.request_id;
     let request = format!(
         "POST /x HTTP/1.1\r\nhost: a\r\n{id}: {}\r\ncontent-length: 0\r\n\r\n",
-        asked.id
+        attempt.id
     );
-    let mut told = Told::Unknown;
+    let mut outcome = Outcome::Unknown;
     if kept.is_none() {
         *kept = TcpStream::connect(&peer.address).await.ok();
     }
@@ -288,13 +304,13 @@
                 .split_once("\r\n\r\n")
                 .map(|(_, body)| body.to_owned())
                 .unwrap_or_default();
-            told = Told::Success { body: body.into() };
+            outcome = Outcome::Success { body: body.into() };
             *kept = stream;
         }
     }
-    facts.note(Fact::Told {
-        try_id: asked.id.clone(),
-        told: told.clone(),
+    events.note(Event::OutcomeReported {
+        attempt_id: attempt.id.clone(),
+        outcome: outcome.clone(),
     });
-    told
+    outcome
 }
--- a/crates/testbed/src/scripted/mod.rs
+++ b/crates/testbed/src/scripted/mod.rs
@@ -1,44 +1,50 @@
-//! Upstreams that follow a script of bad manners, the proxy's real HTTP client against them, and a judge of what came
-//! of it: no answer to a request it does not belong to, nothing that may not be repeated run twice, no part taken for
-//! the whole, no refusal of what may have run.
+//! Upstreams that follow a script of protocol violations, the proxy's real HTTP client against them, and a checker of
+//! the outcome: no response to another request, nothing that is not idempotent executed twice, no partial response taken
+//! for a complete one, no rejection of what may have been executed.
 
+mod check;
 mod clients;
-mod judge;
 mod peer;
 
-pub use clients::{Manner, Proxy, Takes, ask_naively};
-pub use judge::{Breach, judge};
-pub use peer::{ACTS, Act, OPENINGS, Opening, Peer, Said, Step};
+pub use check::{Violation, check};
+pub use clients::{Proxy, ResponseCheck, SiteConventions, request_without_checks};
+pub use peer::{
+    CONNECTION_STARTS, ConnectionStart, Peer, RESPONSE_FAULTS, ResponseFault, ResponseParts, Step,
+};
 
 use bytes::Bytes;
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// One try of a client.
+/// One attempt of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Try {
+pub struct Attempt {
+    /// Its id.
     pub id: String,
-    /// True where it may run once at most.
-    pub once: bool,
+    /// True where it may be executed once at most.
+    pub at_most_once: bool,
+    /// The length of its request's body.
     pub body_bytes: usize,
 }
 
-/// What a client is told of a try.
+/// What is reported to a client of an attempt.
 #[derive(Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum Outcome {
+    /// It was executed.
     Success {
+        /// The response's body.
         body: Bytes,
     },
-    /// It did not run and never will.
-    NotRun,
-    /// Nobody knows.
+    /// It was not executed and never will be.
+    NotExecuted,
+    /// It may have been executed.
     Unknown,
 }
 
-impl fmt::Debug for Told {
+impl fmt::Debug for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Told::Success { body } => {
+            Outcome::Success { body } => {
                 let first = body.split(|byte| *byte == b'\n').next().unwrap_or_default();
                 write!(
                     f,
@@ -47,63 +53,72 @@
                     String::from_utf8_lossy(first)
                 )
             }
-            Told::NotRun => f.write_str("not run"),
-            Told::Unknown => f.write_str("unknown"),
+            Outcome::NotExecuted => f.write_str("not run"),
+            Outcome::Unknown => f.write_str("unknown"),
         }
     }
 }
 
 /// What happened, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fact {
-    Asked {
-        try_id: String,
-        once: bool,
+pub enum Event {
+    /// A client made an attempt.
+    Requested {
+        /// The attempt's id.
+        attempt_id: String,
+        /// True where it may be executed once at most.
+        at_most_once: bool,
     },
-    /// An upstream read the head of it: from here on it may run.
+    /// An upstream read its head: from here on it may be executed.
     Arrived {
-        try_id: String,
+        /// The attempt's id.
+        attempt_id: String,
     },
-    /// An upstream wrote, whole, that it did not run it.
-    SaidNotRun {
-        try_id: String,
+    /// An upstream wrote a complete rejection.
+    RejectionSent {
+        /// The attempt's id.
+        attempt_id: String,
     },
-    /// An upstream wrote its success, whole.
-    Answered {
-        try_id: String,
+    /// An upstream wrote a complete success.
+    ResponseSent {
+        /// The attempt's id.
+        attempt_id: String,
     },
-    Told {
-        try_id: String,
-        told: Told,
+    /// A client was notified of an attempt's outcome.
+    OutcomeReported {
+        /// The attempt's id.
+        attempt_id: String,
+        /// The outcome.
+        outcome: Outcome,
     },
 }
 
-/// Facts that several parties note.
+/// Events that several parties note.
 #[derive(Clone, Debug, Default)]
-pub struct Facts(Arc<Mutex<Vec<Fact>>>);
+pub struct EventLog(Arc<Mutex<Vec<Event>>>);
 
-impl Facts {
-    /// Notes one.
+impl EventLog {
+    /// Notes an event.
     ///
     /// ```
-    /// use testbed::scripted::{Fact, Facts};
-    /// let facts = Facts::default();
-    /// facts.note(Fact::Arrived { try_id: "t".into() });
-    /// assert_eq!(facts.all().len(), 1);
+    /// use testbed::scripted::{Event, EventLog};
+    /// let events = EventLog::default();
+    /// events.note(Event::Arrived { attempt_id: "t".into() });
+    /// assert_eq!(events.all().len(), 1);
     /// ```
-    pub fn note(&self, fact: Fact) {
+    pub fn note(&self, event: Event) {
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(fact);
+            .push(event);
     }
 
     /// All so far.
     ///
     /// ```
-    /// assert!(testbed::scripted::Facts::default().all().is_empty());
+    /// assert!(testbed::scripted::EventLog::default().all().is_empty());
     /// ```
-    pub fn all(&self) -> Vec<Fact> {
+    pub fn all(&self) -> Vec<Event> {
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -111,14 +126,14 @@
     }
 }
 
-/// What an upstream answers to a try: no two answer alike.
+/// What an upstream responds to an attempt: no two responses are alike.
 ///
 /// ```
 /// assert_ne!(testbed::scripted::work("t-1"), testbed::scripted::work("t-2"));
 /// ```
-pub fn work(try_id: &str) -> String {
-    let lines = 1 + random::stable_hash(try_id) % 900;
+pub fn work(attempt_id: &str) -> String {
+    let lines = 1 + random::stable_hash(attempt_id) % 900;
     (0..lines)
-        .map(|line| format!("line {line} of the work of {try_id}\n"))
+        .map(|line| format!("line {line} of the work of {attempt_id}\n"))
         .collect()
 }
--- a/crates/testbed/src/scripted/peer.rs
+++ b/crates/testbed/src/scripted/peer.rs
@@ -1,6 +1,6 @@
 //! An upstream that does with each connection and each request what its script says.
 
-use super::{Fact, Facts, Manner, work};
+use super::{Event, EventLog, SiteConventions, work};
 use socket2::SockRef;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,162 +11,190 @@
 /// So little is taken from the network ahead of reading that a long request can't be written at once.
 const SMALL_BUFFER: usize = 4096;
 
+const EARLY_HINTS: &str = "HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\n";
+const SWITCHING_PROTOCOLS: &str =
+    "HTTP/1.1 101 Switching Protocols\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n";
+
 /// What an upstream does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// Its answer, with a length.
-    Whole,
+pub enum ResponseFault {
+    /// Its response, with a length.
+    Complete,
     /// The same in chunks.
     Chunked,
     /// The same in two parts.
-    InParts,
-    /// An interim answer first.
-    Interim,
-    /// Its answer, and that this is the last one here.
-    Last,
-    /// Its answer, then that of another try, at once.
-    ThenSurplus,
-    /// The same, the surplus after a while.
-    ThenLateSurplus,
-    /// Its answer, then bytes that are none.
+    TwoWrites,
+    /// An interim response first.
+    InterimFirst,
+    /// Its response, which announces that the connection closes.
+    AnnouncesClose,
+    /// Its response, then that of another attempt, at once.
+    ThenExtraResponse,
+    /// The same, the extra response after a while.
+    ThenLateExtraResponse,
+    /// Its response, then bytes that are no response.
     ThenGarbage,
-    /// Its answer, then it closes or resets without a word.
+    /// Its response, then it closes or resets without notice.
     ThenClose,
     ThenReset,
-    /// First the answer of another try, then its own.
-    SurplusFirst,
-    ChunkedSurplusFirst,
-    /// More of these than anybody reads past.
-    ManySurplusFirst,
-    /// Another try's answer and nothing else.
-    SurplusOnly,
-    SurplusThenClose,
-    /// Another try's answer that breaks off, and its own behind it.
-    HalfSurplusThenWhole,
-    /// Another try's denial, in the place of its answer.
-    ForeignDenial,
-    /// A denial that names nobody: its own on a new connection, and nobody knows whose on one that was used.
-    NamelessDenial,
-    /// Its answer without a name, and with two.
-    Nameless,
-    TwoNames,
-    /// A part of its answer, then it closes, resets or hangs.
-    Half,
-    HalfChunked,
-    HalfReset,
-    HalfHang,
-    /// A part of an answer whose end is told by the close only.
-    HalfWithoutLength,
+    /// First the response of another attempt, then its own.
+    ExtraResponseFirst,
+    ChunkedExtraResponseFirst,
+    /// More of these than any client skips.
+    ManyExtraResponsesFirst,
+    /// Another attempt's response and nothing else.
+    ExtraResponseOnly,
+    ExtraResponseThenClose,
+    /// Another attempt's response that breaks off, and its own behind it.
+    PartialExtraResponseThenComplete,
+    /// Another attempt's rejection, in the place of its response.
+    ForeignRejection,
+    /// A rejection without an id: its own on a new connection, ambiguous on one that was used before.
+    RejectionWithoutId,
+    /// Its response without an id, and with two.
+    WithoutId,
+    TwoIds,
+    /// A part of its response, then it closes, resets or hangs.
+    Partial,
+    PartialChunked,
+    PartialThenReset,
+    PartialThenHang,
+    /// A part of a response whose end is marked by the close only.
+    PartialWithoutLength,
     Garbage,
     /// It reads, and closes, resets or hangs.
     Close,
     Reset,
     Hang,
-    /// It answers when it has read the head, and reads the rest or not.
+    /// It responds when it has read the head, and reads the rest or not.
     Early,
     EarlyThenClose,
-    EarlySurplus,
-    /// It did not run it, and says so.
-    NotRun,
+    EarlyExtraResponse,
+    /// It rejects the request as not executed.
+    NotExecuted,
     /// It changes the protocol.
-    Switch,
+    SwitchProtocols,
+}
+
+impl ResponseFault {
+    /// How the connection goes on after the response.
+    fn next_step(self) -> ConnectionStep {
+        use ResponseFault::*;
+        match self {
+            ThenClose
+            | ExtraResponseThenClose
+            | Partial
+            | PartialChunked
+            | PartialWithoutLength
+            | Close
+            | EarlyThenClose => ConnectionStep::Close,
+            ThenReset | PartialThenReset | Reset => ConnectionStep::Reset,
+            ExtraResponseOnly
+            | PartialExtraResponseThenComplete
+            | PartialThenHang
+            | Garbage
+            | Hang
+            | SwitchProtocols => ConnectionStep::Hang,
+            _ => ConnectionStep::Next,
+        }
+    }
 }
 
-/// Every act.
-pub const ACTS: &[Act] = &[
-    Act::Whole,
-    Act::Chunked,
-    Act::InParts,
-    Act::Interim,
-    Act::Last,
-    Act::ThenSurplus,
-    Act::ThenLateSurplus,
-    Act::ThenGarbage,
-    Act::ThenClose,
-    Act::ThenReset,
-    Act::SurplusFirst,
-    Act::ChunkedSurplusFirst,
-    Act::ManySurplusFirst,
-    Act::SurplusOnly,
-    Act::SurplusThenClose,
-    Act::HalfSurplusThenWhole,
-    Act::ForeignDenial,
-    Act::NamelessDenial,
-    Act::Nameless,
-    Act::TwoNames,
-    Act::Half,
-    Act::HalfChunked,
-    Act::HalfReset,
-    Act::HalfHang,
-    Act::HalfWithoutLength,
-    Act::Garbage,
-    Act::Close,
-    Act::Reset,
-    Act::Hang,
-    Act::Early,
-    Act::EarlyThenClose,
-    Act::EarlySurplus,
-    Act::NotRun,
-    Act::Switch,
+/// Every fault.
+pub const RESPONSE_FAULTS: &[ResponseFault] = &[
+    ResponseFault::Complete,
+    ResponseFault::Chunked,
+    ResponseFault::TwoWrites,
+    ResponseFault::InterimFirst,
+    ResponseFault::AnnouncesClose,
+    ResponseFault::ThenExtraResponse,
+    ResponseFault::ThenLateExtraResponse,
+    ResponseFault::ThenGarbage,
+    ResponseFault::ThenClose,
+    ResponseFault::ThenReset,
+    ResponseFault::ExtraResponseFirst,
+    ResponseFault::ChunkedExtraResponseFirst,
+    ResponseFault::ManyExtraResponsesFirst,
+    ResponseFault::ExtraResponseOnly,
+    ResponseFault::ExtraResponseThenClose,
+    ResponseFault::PartialExtraResponseThenComplete,
+    ResponseFault::ForeignRejection,
+    ResponseFault::RejectionWithoutId,
+    ResponseFault::WithoutId,
+    ResponseFault::TwoIds,
+    ResponseFault::Partial,
+    ResponseFault::PartialChunked,
+    ResponseFault::PartialThenReset,
+    ResponseFault::PartialThenHang,
+    ResponseFault::PartialWithoutLength,
+    ResponseFault::Garbage,
+    ResponseFault::Close,
+    ResponseFault::Reset,
+    ResponseFault::Hang,
+    ResponseFault::Early,
+    ResponseFault::EarlyThenClose,
+    ResponseFault::EarlyExtraResponse,
+    ResponseFault::NotExecuted,
+    ResponseFault::SwitchProtocols,
 ];
 
 /// What an upstream does with a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opening {
+pub enum ConnectionStart {
     Serve,
     Close,
     Reset,
-    /// An answer before anything was asked.
-    Surplus,
+    /// A response before any request.
+    ExtraResponse,
 }
 
-/// Every opening; mostly it serves.
-pub const OPENINGS: &[Opening] = &[
-    Opening::Serve,
-    Opening::Serve,
-    Opening::Serve,
-    Opening::Close,
-    Opening::Reset,
-    Opening::Surplus,
+/// Every start of a connection; mostly it serves.
+pub const CONNECTION_STARTS: &[ConnectionStart] = &[
+    ConnectionStart::Serve,
+    ConnectionStart::Serve,
+    ConnectionStart::Serve,
+    ConnectionStart::Close,
+    ConnectionStart::Reset,
+    ConnectionStart::ExtraResponse,
 ];
 
-/// An act, and how many turns of the other tasks it waits before what it does late.
+/// A fault, and how often it yields to the other tasks before what it does late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    pub act: Act,
-    pub turns: u8,
+    pub fault: ResponseFault,
+    pub yields: u8,
 }
 
-/// An answer, to be put into headers by the [`Manner`] of a site.
+/// A response, that the [`SiteConventions`] of a site put into headers.
 #[derive(Clone, Debug)]
-pub struct Said<'a> {
-    pub try_id: &'a str,
+pub struct ResponseParts<'a> {
+    pub attempt_id: &'a str,
     pub instance: &'a str,
     pub status: u16,
     pub body: &'a str,
-    pub not_run: bool,
+    pub not_executed: bool,
 }
 
 #[derive(Default)]
 struct Script {
     steps: VecDeque<Step>,
-    openings: VecDeque<Opening>,
-    /// The tries that came here, in order.
+    openings: VecDeque<ConnectionStart>,
+    /// The attempts that came here, in order.
     seen: Vec<String>,
 }
 
-/// One upstream under a script. When the script is at its end, it serves well.
+/// One upstream under a script. When the script is at its end, it serves without faults.
 #[derive(Clone)]
 pub struct Peer {
     pub instance: String,
     pub address: String,
-    manner: &'static Manner,
-    facts: Facts,
+    conventions: &'static SiteConventions,
+    events: EventLog,
     script: Arc<Mutex<Script>>,
 }
 
 /// How a connection goes on after a request.
-enum Then {
+enum ConnectionStep {
     Next,
     Close,
     Reset,
@@ -178,16 +206,16 @@
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// use testbed::scripted::{Facts, Manner, Peer};
-    /// let peer = Peer::start(&Manner::OWN, "u-1", Facts::default(), (vec![], vec![])).await;
+    /// use testbed::scripted::{EventLog, SiteConventions, Peer};
+    /// let peer = Peer::start(&SiteConventions::OWN, "u-1", EventLog::default(), (vec![], vec![])).await;
     /// assert!(tokio::net::TcpStream::connect(&peer.address).await.is_ok());
     /// # });
     /// ```
     pub async fn start(
-        manner: &'static Manner,
+        conventions: &'static SiteConventions,
         instance: &str,
-        facts: Facts,
-        (steps, openings): (Vec<Step>, Vec<Opening>),
+        events: EventLog,
+        (steps, openings): (Vec<Step>, Vec<ConnectionStart>),
     ) -> Peer {
         let socket = TcpListener::bind("127.0.0.1:0")
             .await
@@ -201,8 +229,8 @@
         let peer = Peer {
             instance: instance.to_owned(),
             address: socket.local_addr().expect("it is bound").to_string(),
-            manner,
-            facts,
+            conventions,
+            events,
             script: Arc::new(Mutex::new(script)),
         };
         let accepting = peer.clone();
@@ -222,30 +250,35 @@
         let _ = stream.set_nodelay(true);
         match self
             .with(|script| script.openings.pop_front())
-            .unwrap_or(Opening::Serve)
+            .unwrap_or(ConnectionStart::Serve)
         {
-            Opening::Serve => {}
-            Opening::Close => return,
-            Opening::Reset => return reset(stream),
-            Opening::Surplus => drop(stream.write_all(self.foreign("").as_bytes()).await),
+            ConnectionStart::Serve => {}
+            ConnectionStart::Close => return,
+            ConnectionStart::Reset => return reset(stream),
+            ConnectionStart::ExtraResponse => {
+                drop(stream.write_all(self.foreign("").as_bytes()).await)
+            }
         }
         let (mut read, mut carried) = (Vec::new(), 0);
         loop {
-            let Some(request) = read_head(&mut stream, &mut read, self.manner.request_id).await
+            let Some(request) =
+                read_head(&mut stream, &mut read, self.conventions.request_id).await
             else {
                 return;
             };
-            self.facts.note(Fact::Arrived {
-                try_id: request.try_id.clone(),
+            self.events.note(Event::Arrived {
+                attempt_id: request.attempt_id.clone(),
             });
             let step = self.with(|script| script.steps.pop_front());
             let step = step.unwrap_or(Step {
-                act: Act::Whole,
-                turns: 0,
+                fault: ResponseFault::Complete,
+                yields: 0,
             });
             let reads_first = !matches!(
-                step.act,
-                Act::Early | Act::EarlyThenClose | Act::EarlySurplus
+                step.fault,
+                ResponseFault::Early
+                    | ResponseFault::EarlyThenClose
+                    | ResponseFault::EarlyExtraResponse
             );
             if reads_first
                 && read_body(&mut stream, &mut read, request.body_bytes)
@@ -255,13 +288,13 @@
                 return;
             }
             let Some(then) = self
-                .perform(&mut stream, step, &request.try_id, carried)
+                .perform(&mut stream, step, &request.attempt_id, carried)
                 .await
             else {
                 return;
             };
             carried += 1;
-            self.with(|script| script.seen.push(request.try_id.clone()));
+            self.with(|script| script.seen.push(request.attempt_id.clone()));
             if !reads_first
                 && read_body(&mut stream, &mut read, request.body_bytes)
                     .await
@@ -270,186 +303,166 @@
                 return;
             }
             match then {
-                Then::Next => {}
-                Then::Close => return,
-                Then::Reset => return reset(stream),
-                Then::Hang => return drop(stream.read_to_end(&mut read).await),
+                ConnectionStep::Next => {}
+                ConnectionStep::Close => return,
+                ConnectionStep::Reset => return reset(stream),
+                ConnectionStep::Hang => return drop(stream.read_to_end(&mut read).await),
             }
         }
     }
 
-    /// Writes what the act says; none where the client is gone.
+    /// Writes the response with its fault; none where the client is gone.
     async fn perform(
         &self,
         stream: &mut TcpStream,
         step: Step,
-        try_id: &str,
+        attempt_id: &str,
         carried: u32,
-    ) -> Option<Then> {
-        let mine = self.answer(try_id);
-        let foreign = self.foreign(try_id);
-        let (pieces, then): (Vec<String>, Then) = match step.act {
-            Act::Whole | Act::Early => (vec![mine], Then::Next),
-            Act::Chunked => (vec![chunked(&mine)], Then::Next),
-            Act::InParts => (halves(&mine).into(), Then::Next),
-            Act::Interim => (
-                vec![
-                    "HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\n".into(),
-                    mine,
-                ],
-                Then::Next,
-            ),
-            Act::Last => (vec![with_header(&mine, "connection: close")], Then::Next),
-            Act::ThenSurplus => (vec![mine + &foreign], Then::Next),
-            Act::ThenLateSurplus => (vec![mine, foreign], Then::Next),
-            Act::ThenGarbage => (vec![mine, "\u{1}\u{2}half a word".into()], Then::Next),
-            Act::ThenClose => (vec![mine], Then::Close),
-            Act::ThenReset => (vec![mine], Then::Reset),
-            Act::SurplusFirst => (vec![foreign, mine], Then::Next),
-            Act::ChunkedSurplusFirst => (vec![chunked(&foreign), mine], Then::Next),
-            Act::ManySurplusFirst => (vec![foreign.repeat(9), mine], Then::Next),
-            Act::SurplusOnly => (vec![foreign], Then::Hang),
-            Act::SurplusThenClose => (vec![foreign], Then::Close),
-            Act::HalfSurplusThenWhole => (vec![halves(&foreign)[0].clone(), mine], Then::Hang),
-            Act::ForeignDenial => (vec![self.denial(&self.another(try_id))], Then::Next),
-            Act::NamelessDenial => (
-                vec![without_header(&self.denial(try_id), self.manner.answer_id)],
-                Then::Next,
-            ),
-            Act::Nameless => (
-                vec![without_header(&mine, self.manner.answer_id)],
-                Then::Next,
-            ),
-            Act::TwoNames => (
-                vec![with_header(
-                    &mine,
-                    &format!("{}: {}", self.manner.answer_id, self.another(try_id)),
-                )],
-                Then::Next,
-            ),
-            Act::Half => (vec![halves(&mine)[0].clone()], Then::Close),
-            Act::HalfChunked => (vec![halves(&chunked(&mine))[0].clone()], Then::Close),
-            Act::HalfReset => (vec![halves(&mine)[0].clone()], Then::Reset),
-            Act::HalfHang => (vec![halves(&mine)[0].clone()], Then::Hang),
-            Act::HalfWithoutLength => (
-                vec![halves(&without_header(&mine, "content-length"))[0].clone()],
-                Then::Close,
-            ),
-            Act::Garbage => (vec!["220 this is no answer\r\n".repeat(3)], Then::Hang),
-            Act::Close => (vec![], Then::Close),
-            Act::Reset => (vec![], Then::Reset),
-            Act::Hang => (vec![], Then::Hang),
-            Act::EarlyThenClose => (vec![mine], Then::Close),
-            Act::EarlySurplus => (vec![foreign, mine], Then::Next),
-            Act::NotRun => (vec![self.denial(try_id)], Then::Next),
-            Act::Switch => (
-                vec![
-                    "HTTP/1.1 101 Switching Protocols\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n"
-                        .into(),
-                ],
-                Then::Hang,
-            ),
-        };
-        match step.act {
-            Act::NotRun => self.facts.note(Fact::SaidNotRun {
-                try_id: try_id.to_owned(),
-            }),
-            Act::NamelessDenial if carried == 0 => self.facts.note(Fact::SaidNotRun {
-                try_id: try_id.to_owned(),
-            }),
-            act if is_whole(act) => self.facts.note(Fact::Answered {
-                try_id: try_id.to_owned(),
-            }),
-            _ => {}
-        }
+    ) -> Option<ConnectionStep> {
+        let pieces = self.pieces(step.fault, attempt_id);
+        self.note_response(step.fault, attempt_id, carried);
         for (at, piece) in pieces.iter().enumerate() {
             if at > 0 {
-                pass_turns(step.turns).await;
+                yield_repeatedly(step.yields).await;
             }
             stream.write_all(piece.as_bytes()).await.ok()?;
         }
-        pass_turns(step.turns).await;
-        Some(then)
+        yield_repeatedly(step.yields).await;
+        Some(step.fault.next_step())
+    }
+
+    /// Notes what the client may rely on.
+    fn note_response(&self, fault: ResponseFault, attempt_id: &str, carried: u32) {
+        let attempt_id = attempt_id.to_owned();
+        match fault {
+            ResponseFault::NotExecuted => self.events.note(Event::RejectionSent { attempt_id }),
+            ResponseFault::RejectionWithoutId if carried == 0 => {
+                self.events.note(Event::RejectionSent { attempt_id });
+            }
+            fault if is_complete(fault) => self.events.note(Event::ResponseSent { attempt_id }),
+            _ => {}
+        }
     }
 
-    fn answer(&self, try_id: &str) -> String {
-        self.say(&Said {
-            try_id,
+    /// What is written for a fault, each piece by a write of its own.
+    fn pieces(&self, fault: ResponseFault, attempt_id: &str) -> Vec<String> {
+        use ResponseFault::*;
+        let mine = self.answer(attempt_id);
+        let foreign = self.foreign(attempt_id);
+        match fault {
+            Complete | Early | ThenClose | ThenReset | EarlyThenClose => vec![mine],
+            Chunked => vec![chunked(&mine)],
+            TwoWrites => split_in_half(&mine).into(),
+            InterimFirst => vec![EARLY_HINTS.into(), mine],
+            AnnouncesClose => vec![with_header(&mine, "connection: close")],
+            ThenExtraResponse => vec![mine + &foreign],
+            ThenLateExtraResponse => vec![mine, foreign],
+            ThenGarbage => vec![mine, "\u{1}\u{2}half a word".into()],
+            ExtraResponseFirst | EarlyExtraResponse => vec![foreign, mine],
+            ChunkedExtraResponseFirst => vec![chunked(&foreign), mine],
+            ManyExtraResponsesFirst => vec![foreign.repeat(9), mine],
+            ExtraResponseOnly | ExtraResponseThenClose => vec![foreign],
+            PartialExtraResponseThenComplete => vec![first_half(&foreign), mine],
+            ForeignRejection => vec![self.rejection(&self.another(attempt_id))],
+            RejectionWithoutId => vec![self.without_id(&self.rejection(attempt_id))],
+            WithoutId => vec![self.without_id(&mine)],
+            TwoIds => {
+                let second = self.another(attempt_id);
+                let header = format!("{}: {second}", self.conventions.response_id);
+                vec![with_header(&mine, &header)]
+            }
+            Partial | PartialThenReset | PartialThenHang => vec![first_half(&mine)],
+            PartialChunked => vec![first_half(&chunked(&mine))],
+            PartialWithoutLength => vec![first_half(&without_header(&mine, "content-length"))],
+            Garbage => vec!["220 this is no answer\r\n".repeat(3)],
+            Close | Reset | Hang => vec![],
+            NotExecuted => vec![self.rejection(attempt_id)],
+            SwitchProtocols => vec![SWITCHING_PROTOCOLS.into()],
+        }
+    }
+
+    fn without_id(&self, response: &str) -> String {
+        without_header(response, self.conventions.response_id)
+    }
+
+    fn answer(&self, attempt_id: &str) -> String {
+        self.render(&ResponseParts {
+            attempt_id,
             instance: &self.instance,
             status: 200,
-            body: &work(try_id),
-            not_run: false,
+            body: &work(attempt_id),
+            not_executed: false,
         })
     }
 
-    fn denial(&self, try_id: &str) -> String {
-        self.say(&Said {
-            try_id,
+    fn rejection(&self, attempt_id: &str) -> String {
+        self.render(&ResponseParts {
+            attempt_id,
             instance: &self.instance,
             status: 503,
             body: "no room",
-            not_run: true,
+            not_executed: true,
         })
     }
 
-    /// A try that came here before, or one that nobody made.
-    fn another(&self, try_id: &str) -> String {
+    /// A attempt that came here before, or one that nobody made.
+    fn another(&self, attempt_id: &str) -> String {
         let earlier = self.with(|script| {
             script
                 .seen
                 .iter()
                 .rev()
-                .find(|seen| *seen != try_id)
+                .find(|seen| *seen != attempt_id)
                 .cloned()
         });
         earlier.unwrap_or_else(|| "try-of-nobody".to_owned())
     }
 
-    fn foreign(&self, try_id: &str) -> String {
-        self.answer(&self.another(try_id))
+    fn foreign(&self, attempt_id: &str) -> String {
+        self.answer(&self.another(attempt_id))
     }
 
-    fn say(&self, said: &Said) -> String {
-        let headers = (self.manner.headers)(said)
+    fn render(&self, response_parts: &ResponseParts) -> String {
+        let headers = (self.conventions.headers)(response_parts)
             .into_iter()
             .map(|(name, value)| format!("{name}: {value}\r\n"));
         let headers: String = headers.collect();
-        let (status, length) = (said.status, said.body.len());
+        let (status, length) = (response_parts.status, response_parts.body.len());
         format!(
             "HTTP/1.1 {status} Told\r\n{headers}content-length: {length}\r\n\r\n{}",
-            said.body
+            response_parts.body
         )
     }
 }
 
-/// True where the act writes the try's own answer whole, and as one that can be believed.
-fn is_whole(act: Act) -> bool {
-    use Act::*;
+/// True where the act writes the attempt's own response whole, and as one that can be believed.
+fn is_complete(fault: ResponseFault) -> bool {
+    use ResponseFault::*;
     matches!(
-        act,
-        Whole
+        fault,
+        Complete
             | Chunked
-            | InParts
-            | Interim
-            | Last
-            | ThenSurplus
-            | ThenLateSurplus
+            | TwoWrites
+            | InterimFirst
+            | AnnouncesClose
+            | ThenExtraResponse
+            | ThenLateExtraResponse
             | ThenGarbage
             | ThenClose
             | ThenReset
-            | SurplusFirst
-            | ChunkedSurplusFirst
-            | ManySurplusFirst
-            | Nameless
-            | TwoNames
+            | ExtraResponseFirst
+            | ChunkedExtraResponseFirst
+            | ManyExtraResponsesFirst
+            | WithoutId
+            | TwoIds
             | Early
             | EarlyThenClose
-            | EarlySurplus
+            | EarlyExtraResponse
     )
 }
 
-async fn pass_turns(turns: u8) {
-    for _ in 0..turns {
+async fn yield_repeatedly(yields: u8) {
+    for _ in 0..yields {
         tokio::task::yield_now().await;
     }
 }
@@ -459,7 +472,7 @@
 }
 
 struct Request {
-    try_id: String,
+    attempt_id: String,
     body_bytes: usize,
 }
 
@@ -478,7 +491,7 @@
                 .and_then(|length| length.parse().ok())
                 .unwrap_or(0);
             return Some(Request {
-                try_id: value(id).unwrap_or_default(),
+                attempt_id: value(id).unwrap_or_default(),
                 body_bytes,
             });
         }
@@ -499,12 +512,17 @@
 }
 
 /// Two parts; the first holds the head and half of the body.
-fn halves(answer: &str) -> [String; 2] {
+fn split_in_half(answer: &str) -> [String; 2] {
     let body = answer.find("\r\n\r\n").map_or(0, |end| end + 4);
     let (first, second) = answer.split_at(body + (answer.len() - body) / 2);
     [first.to_owned(), second.to_owned()]
 }
 
+fn first_half(response: &str) -> String {
+    let [first, _] = split_in_half(response);
+    first
+}
+
 fn with_header(answer: &str, header: &str) -> String {
     answer.replacen("\r\n", &format!("\r\n{header}\r\n"), 1)
 }
--- a/crates/testbed/src/origins.rs
+++ b/crates/testbed/src/stand_in_clients.rs
@@ -11,46 +11,46 @@
 use std::time::Duration;
 use transport::{Clock, HttpClient};
 
-const WITHIN: Duration = Duration::from_millis(3000);
-const MAX_TRIES: u32 = 4;
+const OPERATION_TIMEOUT: Duration = Duration::from_millis(3000);
+const MAX_ATTEMPTS: u32 = 4;
 const KEYS: u64 = 400;
 
 /// What a directory node told, and when it was asked.
 #[derive(Clone)]
-struct Known {
+struct CachedLookup {
     proxies: Vec<String>,
-    asked_at: Duration,
+    requested_at: Duration,
     lifetime: Duration,
 }
 
 /// All origins of a site.
-pub struct Origins {
+pub struct StandInClients {
     pub shape: Shape,
     pub directories: Vec<String>,
     pub clock: Clock,
     pub record: ObservationLog,
     client: HttpClient,
-    known: Mutex<HashMap<(String, &'static str), Known>>,
-    ended: Mutex<Vec<FinishedOperation>>,
+    cached: Mutex<HashMap<(String, &'static str), CachedLookup>>,
+    finished: Mutex<Vec<FinishedOperation>>,
     next: AtomicU64,
 }
 
-impl Origins {
+impl StandInClients {
     /// Origins that ask these directory nodes.
     pub fn new(
         shape: Shape,
         directories: Vec<String>,
         clock: Clock,
         record: ObservationLog,
-    ) -> Arc<Origins> {
-        Arc::new(Origins {
+    ) -> Arc<StandInClients> {
+        Arc::new(StandInClients {
             shape,
             directories,
             clock,
             record,
             client: HttpClient::default(),
-            known: Mutex::default(),
-            ended: Mutex::default(),
+            cached: Mutex::default(),
+            finished: Mutex::default(),
             next: AtomicU64::new(1),
         })
     }
@@ -59,26 +59,26 @@
     pub async fn load(self: &Arc<Self>, per_second: u64, span: Duration) {
         let until = self.clock.now() + span;
         let mut tick = tokio::time::interval(Duration::from_micros(1_000_000 / per_second.max(1)));
-        let mut under_way = tokio::task::JoinSet::new();
+        let mut in_flight = tokio::task::JoinSet::new();
         while self.clock.now() < until {
             tick.tick().await;
-            let origins = self.clone();
-            under_way.spawn(async move { origins.one().await });
-            while under_way.try_join_next().is_some() {}
+            let clients = self.clone();
+            in_flight.spawn(async move { clients.run_operation().await });
+            while in_flight.try_join_next().is_some() {}
         }
-        while under_way.join_next().await.is_some() {}
+        while in_flight.join_next().await.is_some() {}
     }
 
     /// How all work ended so far.
-    pub fn ended(&self) -> Vec<FinishedOperation> {
-        self.ended
+    pub fn finished(&self) -> Vec<FinishedOperation> {
+        self.finished
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
     /// One piece of work, tried until it is done, surely lost, or out of time.
-    pub async fn one(&self) {
+    pub async fn run_operation(&self) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let mut random = Random::new(number);
         let part = random.below(100);
@@ -93,9 +93,9 @@
         let (name, id) = (format!("work-{number}"), work.service);
         let started_at = self.clock.now();
         let (mut last, mut attempts) = (0, 0);
-        while attempts < MAX_TRIES && self.clock.now() < started_at + WITHIN {
+        while attempts < MAX_ATTEMPTS && self.clock.now() < started_at + OPERATION_TIMEOUT {
             attempts += 1;
-            let left = (started_at + WITHIN).saturating_sub(self.clock.now());
+            let left = (started_at + OPERATION_TIMEOUT).saturating_sub(self.clock.now());
             let attempt_id = format!("try-{number}-{attempts}");
             let (code, wait) = self
                 .attempt(&mut random, id, &place, &key, &name, &attempt_id, left)
@@ -104,24 +104,24 @@
             if code.is_some_and(|code| code.kind() != Execution::NotExecuted) {
                 break;
             }
-            let left = (started_at + WITHIN).saturating_sub(self.clock.now());
+            let left = (started_at + OPERATION_TIMEOUT).saturating_sub(self.clock.now());
             if wait >= left {
                 break;
             }
             tokio::time::sleep(wait).await;
         }
         let now = self.clock.now();
-        let ended = FinishedOperation {
+        let finished = FinishedOperation {
             at: now,
             took: now - started_at,
             service: work.service,
             code: last,
             attempts,
         };
-        self.ended
+        self.finished
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(ended);
+            .push(finished);
     }
 
     /// One try: its code (none where surely nothing was reached) and when to come back.
@@ -137,14 +137,14 @@
         left: Duration,
     ) -> (Option<ResultCode>, Duration) {
         let soon = Duration::from_millis(200);
-        let Some(known) = self.ask(random, service, place).await else {
+        let Some(cached) = self.look_up(random, service, place).await else {
             return (None, soon);
         };
-        let at = random.below(known.proxies.len() as u64) as usize;
+        let at = random.below(cached.proxies.len() as u64) as usize;
         self.record.note(
             self.clock.now(),
             Observation::AddressUsed {
-                age: self.clock.now() - known.asked_at,
+                age: self.clock.now() - cached.requested_at,
             },
         );
         self.record.note(
@@ -166,7 +166,7 @@
         let called = self
             .client
             .call(
-                &known.proxies[at],
+                &cached.proxies[at],
                 "POST",
                 &path,
                 &headers,
@@ -177,7 +177,7 @@
             .await;
         match called {
             Err(transport::CallError::NotConnected) => {
-                self.known
+                self.cached
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .clear();
@@ -220,15 +220,20 @@
         }
     }
 
-    async fn ask(&self, random: &mut Random, service: &'static str, place: &str) -> Option<Known> {
+    async fn look_up(
+        &self,
+        random: &mut Random,
+        service: &'static str,
+        place: &str,
+    ) -> Option<CachedLookup> {
         let id = (place.to_owned(), service);
-        let known = self
-            .known
+        let cached = self
+            .cached
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .get(&id)
             .cloned();
-        let live = known.filter(|known| self.clock.now() < known.asked_at + known.lifetime);
+        let live = cached.filter(|cached| self.clock.now() < cached.requested_at + cached.lifetime);
         if live.is_some() {
             return live;
         }
@@ -237,7 +242,7 @@
             "/directory?name={service}.{}.example&region={region}&zone={zone}",
             self.shape.name
         );
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         let node = &self.directories[random.below(self.directories.len() as u64) as usize];
         let called = self
             .client
@@ -262,16 +267,16 @@
             })
             .collect();
         let lifetime = Duration::from_millis(json.count("lifetimeMs")?);
-        let known = Some(Known {
+        let cached = Some(CachedLookup {
             proxies,
-            asked_at,
+            requested_at,
             lifetime,
         })
-        .filter(|known| !known.proxies.is_empty())?;
-        self.known
+        .filter(|cached| !cached.proxies.is_empty())?;
+        self.cached
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .insert(id, known.clone());
-        Some(known)
+            .insert(id, cached.clone());
+        Some(cached)
     }
 }
--- a/crates/testbed/src/upstreams.rs
+++ b/crates/testbed/src/stand_in_upstreams.rs
@@ -17,17 +17,17 @@
 use tokio::sync::watch;
 use transport::{Clock, HttpClient, HttpRequest};
 
-const BEAT_EVERY: Duration = Duration::from_millis(500);
-const BEAT_WITHIN: Duration = Duration::from_millis(900);
-const BEAT_AGAIN: Duration = Duration::from_millis(50);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
+const HEARTBEAT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const SLOTS: u32 = 16;
-const WORK_TAKES: Duration = Duration::from_millis(4);
+const EXECUTION_TIME: Duration = Duration::from_millis(4);
 
 /// A port that the kernel gives.
-pub const ANY: &str = "127.0.0.1:0";
+pub const ANY_PORT: &str = "127.0.0.1:0";
 
 /// One running stand-in.
-pub struct Unit {
+pub struct StandInUpstream {
     pub work: ServiceProfile,
     pub instance: String,
     pub locality: String,
@@ -38,29 +38,29 @@
     warm: AtomicBool,
     /// 0 ready, 1 leaving, 2 gone.
     condition: AtomicU32,
-    beat: AtomicU64,
+    heartbeat_number: AtomicU64,
     /// The holder of the placement duty that answered last.
-    holder: AtomicU64,
-    holds: Mutex<BTreeMap<u32, (u64, Duration)>>,
-    ill: Mutex<Ill>,
+    lease_holder: AtomicU64,
+    key_shares: Mutex<BTreeMap<u32, (u64, Duration)>>,
+    fault: Mutex<UpstreamFault>,
     close: watch::Sender<bool>,
 }
 
 /// What is wrong with a stand-in, until it is told otherwise.
 #[derive(Clone, Debug, Default)]
-pub struct Ill {
+pub struct UpstreamFault {
     /// Of a thousand verdicts, how many are cut short, another's, noise or never sent, after the work was done.
-    pub garbles_per_mille: u64,
+    pub invalid_responses_per_mille: u64,
     /// Does nothing, and tells nothing, before this.
     pub paused_until: Duration,
     /// Requests of these proxies never come through.
-    pub deaf_to: Vec<String>,
+    pub ignores_requests_of: Vec<String>,
     /// Verdicts for these proxies never come through.
-    pub mute_to: Vec<String>,
+    pub withholds_responses_to: Vec<String>,
 }
 
-impl Unit {
-    /// Starts a stand-in at an address, [`ANY`] or one that another had before; it beats to the nodes in turn.
+impl StandInUpstream {
+    /// Starts a stand-in at an address, [`ANY_PORT`] or one that another had before; it beats to the nodes in turn.
     #[allow(clippy::too_many_arguments)]
     pub async fn start(
         at: &str,
@@ -71,10 +71,10 @@
         nodes: Arc<Vec<String>>,
         clock: Clock,
         record: ObservationLog,
-    ) -> std::io::Result<Arc<Unit>> {
+    ) -> std::io::Result<Arc<StandInUpstream>> {
         let socket = TcpListener::bind(at).await?;
         let (close, closing) = watch::channel(false);
-        let unit = Arc::new(Unit {
+        let upstream = Arc::new(StandInUpstream {
             work,
             instance,
             locality,
@@ -84,19 +84,19 @@
             busy: AtomicU32::new(0),
             warm: AtomicBool::new(warm),
             condition: AtomicU32::new(0),
-            beat: AtomicU64::new(0),
-            holder: AtomicU64::new(0),
-            holds: Mutex::default(),
-            ill: Mutex::default(),
+            heartbeat_number: AtomicU64::new(0),
+            lease_holder: AtomicU64::new(0),
+            key_shares: Mutex::default(),
+            fault: Mutex::default(),
             close,
         });
-        let handler = unit.clone();
-        tokio::spawn(transport::serve(socket, closing.clone(), move |enquiry| {
-            let unit = handler.clone();
-            async move { unit.serve(enquiry).await }
+        let handler = upstream.clone();
+        tokio::spawn(transport::serve(socket, closing.clone(), move |request| {
+            let upstream = handler.clone();
+            async move { upstream.serve(request).await }
         }));
-        tokio::spawn(unit.clone().keep_beating(nodes, closing));
-        Ok(unit)
+        tokio::spawn(upstream.clone().send_heartbeats(nodes, closing));
+        Ok(upstream)
     }
 
     /// Starts cold, or grows warm.
@@ -105,7 +105,7 @@
     }
 
     /// Tells that it leaves; its next beat, sent at once by the caller of this, says so.
-    pub fn leave(&self) {
+    pub fn start_draining(&self) {
         self.condition.store(1, Ordering::Release);
         self.record.note(
             self.clock.now(),
@@ -116,19 +116,19 @@
     }
 
     /// Falls ill, or gets well.
-    pub fn fall_ill(&self, ill: Ill) {
-        *self.ill.lock().unwrap_or_else(PoisonError::into_inner) = ill;
+    pub fn set_fault(&self, fault: UpstreamFault) {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    fn ill(&self) -> Ill {
-        self.ill
+    fn fault(&self) -> UpstreamFault {
+        self.fault
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
     async fn pause(&self) {
-        let left = self.ill().paused_until.saturating_sub(self.clock.now());
+        let left = self.fault().paused_until.saturating_sub(self.clock.now());
         if !left.is_zero() {
             tokio::time::sleep(left).await;
         }
@@ -139,7 +139,7 @@
         let _ = self.close.send(true);
     }
 
-    async fn keep_beating(
+    async fn send_heartbeats(
         self: Arc<Self>,
         nodes: Arc<Vec<String>>,
         mut closing: watch::Receiver<bool>,
@@ -149,14 +149,14 @@
         loop {
             let node = nodes[random.below(nodes.len() as u64) as usize].clone();
             self.pause().await;
-            let known = self.holder.load(Ordering::Acquire);
-            let taken = self.beat_once(&client, &node).await;
-            let new_holder = self.work.keyed && self.holder.load(Ordering::Acquire) != known;
+            let known = self.lease_holder.load(Ordering::Acquire);
+            let taken = self.send_heartbeat(&client, &node).await;
+            let new_holder = self.work.keyed && self.lease_holder.load(Ordering::Acquire) != known;
             // The next beat proves that it knows the new holder: the sooner, the less runs out.
             let pause = if taken && !new_holder {
-                BEAT_EVERY
+                HEARTBEAT_INTERVAL
             } else {
-                BEAT_AGAIN
+                HEARTBEAT_RETRY_DELAY
             };
             let closed = async {
                 let _ = closing.wait_for(|closing| *closing).await;
@@ -169,18 +169,27 @@
     }
 
     /// Sends one beat; true where the node took it.
-    pub async fn beat_once(&self, client: &HttpClient, node: &str) -> bool {
+    pub async fn send_heartbeat(&self, client: &HttpClient, node: &str) -> bool {
         let sent_at = self.clock.now();
         let body = self.describe(sent_at).to_string();
         let called = client
-            .call(node, "POST", "/beats", &[], body.into(), BEAT_WITHIN, false)
+            .call(
+                node,
+                "POST",
+                "/beats",
+                &[],
+                body.into(),
+                HEARTBEAT_TIMEOUT,
+                false,
+            )
             .await;
         let reply = called.ok().filter(|reply| reply.status == 200);
         let json = reply
             .as_ref()
             .and_then(|reply| std::str::from_utf8(&reply.body).ok())
             .and_then(|text| JsonValue::parse(text).ok());
-        json.iter().for_each(|json| self.take_shares(sent_at, json));
+        json.iter()
+            .for_each(|json| self.update_shares(sent_at, json));
         reply.is_some()
     }
 
@@ -200,14 +209,14 @@
             ("condition".to_owned(), condition.into()),
             (
                 "holder".to_owned(),
-                self.holder.load(Ordering::Acquire).into(),
+                self.lease_holder.load(Ordering::Acquire).into(),
             ),
             (
                 "beat".to_owned(),
-                (self.beat.fetch_add(1, Ordering::AcqRel) + 1).into(),
+                (self.heartbeat_number.fetch_add(1, Ordering::AcqRel) + 1).into(),
             ),
         ];
-        let runs = self.held(now).into_iter().map(|share| {
+        let runs = self.held_shares(now).into_iter().map(|share| {
             JsonValue::object([
                 ("from", u64::from(share.from).into()),
                 ("until", u64::from(share.until).into()),
@@ -218,9 +227,12 @@
         JsonValue::Object(fields)
     }
 
-    fn held(&self, now: Duration) -> Vec<KeyShare> {
-        let holds = self.holds.lock().unwrap_or_else(PoisonError::into_inner);
-        let live = holds.iter().filter(|(_, (_, until))| now < *until);
+    fn held_shares(&self, now: Duration) -> Vec<KeyShare> {
+        let key_shares = self
+            .key_shares
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let live = key_shares.iter().filter(|(_, (_, until))| now < *until);
         live.map(|(slot, (epoch, _))| KeyShare {
             from: *slot,
             until: slot + 1,
@@ -231,10 +243,10 @@
     }
 
     /// An answer that names shares says all that it holds from now on, counted from when the beat was sent.
-    fn take_shares(&self, sent_at: Duration, json: &JsonValue) {
+    fn update_shares(&self, sent_at: Duration, json: &JsonValue) {
         json.count("holder")
             .into_iter()
-            .for_each(|holder| self.holder.store(holder, Ordering::Release));
+            .for_each(|lease_holder| self.lease_holder.store(lease_holder, Ordering::Release));
         let Some(span_ms) = json
             .count("spanMs")
             .filter(|_| json.get("shares").is_some())
@@ -243,11 +255,14 @@
         };
         let until = sent_at + Duration::from_millis(span_ms);
         let now = self.clock.now();
-        let given = granted_slots(json);
-        let mut holds = self.holds.lock().unwrap_or_else(PoisonError::into_inner);
+        let granted = granted_slots(json);
+        let mut key_shares = self
+            .key_shares
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let service = self.work.service.to_owned();
-        holds.retain(|slot, _| {
-            let kept = given.contains_key(slot);
+        key_shares.retain(|slot, _| {
+            let kept = granted.contains_key(slot);
             if !kept {
                 let (service, instance) = (service.clone(), self.instance.clone());
                 self.record.note(
@@ -262,8 +277,8 @@
             kept
         });
         if now < until {
-            given.into_iter().for_each(|(slot, epoch)| {
-                holds.insert(slot, (epoch, until));
+            granted.into_iter().for_each(|(slot, epoch)| {
+                key_shares.insert(slot, (epoch, until));
                 let (service, instance) = (service.clone(), self.instance.clone());
                 self.record.note(
                     now,
@@ -279,33 +294,33 @@
     }
 
     /// Keyed work runs only under a share that is held at this moment, in the epoch that the proxy names.
-    fn may_run(&self, enquiry: &HttpRequest) -> bool {
+    fn may_execute(&self, request: &HttpRequest) -> bool {
         let now = self.clock.now();
-        let slot = key_space::slot_of_key(enquiry.header("x-key"));
-        let epoch = enquiry.header("x-share-epoch").parse::<u64>().ok();
-        let held = self
-            .held(now)
+        let slot = key_space::slot_of_key(request.header("x-key"));
+        let epoch = request.header("x-share-epoch").parse::<u64>().ok();
+        let held_shares = self
+            .held_shares(now)
             .into_iter()
             .find(|share| share.from == slot)
             .map(|share| share.epoch);
-        !self.work.keyed || (held.is_some() && held == epoch)
+        !self.work.keyed || (held_shares.is_some() && held_shares == epoch)
     }
 
-    async fn serve(&self, enquiry: HttpRequest) -> Response<Full<Bytes>> {
+    async fn serve(&self, request: HttpRequest) -> Response<Full<Bytes>> {
         self.pause().await;
-        let ill = self.ill();
+        let fault = self.fault();
         let lost = |proxies: &[String]| {
             proxies
                 .iter()
-                .any(|proxy| proxy == enquiry.header("x-proxy"))
+                .any(|proxy| proxy == request.header("x-proxy"))
         };
-        if lost(&ill.deaf_to) {
+        if lost(&fault.ignores_requests_of) {
             return std::future::pending().await;
         }
-        let attempt_id = enquiry.header("x-try-id").to_owned();
+        let attempt_id = request.header("x-try-id").to_owned();
         let arrived = Observation::RequestArrived {
             attempt_id: attempt_id.clone(),
-            service: enquiry.path.trim_start_matches('/').into(),
+            service: request.path.trim_start_matches('/').into(),
             instance: self.instance.clone(),
             locality: self.locality.clone(),
             cold: !self.warm.load(Ordering::Acquire),
@@ -314,23 +329,23 @@
         marker_index(self.work.service)
             .into_iter()
             .for_each(|marker| {
-                let node = enquiry.header("x-proxy").to_owned();
+                let node = request.header("x-proxy").to_owned();
                 self.record.note(
                     self.clock.now(),
                     Observation::MarkerReached { node, marker },
                 );
             });
         let busy = self.busy.fetch_add(1, Ordering::AcqRel);
-        let runs = busy < SLOTS && self.may_run(&enquiry);
+        let runs = busy < SLOTS && self.may_execute(&request);
         let body = if runs {
-            let work = String::from_utf8_lossy(&enquiry.body).into_owned();
+            let work = String::from_utf8_lossy(&request.body).into_owned();
             let ran = Observation::OperationExecuted {
                 work: work.clone(),
                 attempt_id: attempt_id.clone(),
                 at_most_once: self.work.at_most_once,
             };
             self.record.note(self.clock.now(), ran);
-            tokio::time::sleep(WORK_TAKES).await;
+            tokio::time::sleep(EXECUTION_TIME).await;
             work
         } else {
             "not run".to_owned()
@@ -338,21 +353,31 @@
         self.busy.fetch_sub(1, Ordering::AcqRel);
         let status = if runs { 200 } else { 503 };
         let mut random = Random::new(random::stable_hash(&attempt_id));
-        let garbled = random.below(1000) < ill.garbles_per_mille;
-        match (lost(&ill.mute_to), garbled.then(|| random.below(4))) {
+        let garbled = random.below(1000) < fault.invalid_responses_per_mille;
+        match (
+            lost(&fault.withholds_responses_to),
+            garbled.then(|| random.below(4)),
+        ) {
             (true, _) | (_, Some(0)) => std::future::pending().await,
-            (_, Some(1)) => self.sealed("try-of-another", status, "work-of-another".into()),
+            (_, Some(1)) => {
+                self.sealed_response("try-of-another", status, "work-of-another".into())
+            }
             (_, Some(2)) => Response::new(Full::new(Bytes::from("noise"))),
             (_, Some(_)) => {
-                let mut short = self.sealed(&attempt_id, status, body.clone());
+                let mut short = self.sealed_response(&attempt_id, status, body.clone());
                 *short.body_mut() = Full::new(Bytes::from(body[..body.len() / 2].to_owned()));
                 short
             }
-            _ => self.sealed(&attempt_id, status, body),
+            _ => self.sealed_response(&attempt_id, status, body),
         }
     }
 
-    fn sealed(&self, attempt_id: &str, status: u16, body: String) -> Response<Full<Bytes>> {
+    fn sealed_response(
+        &self,
+        attempt_id: &str,
+        status: u16,
+        body: String,
+    ) -> Response<Full<Bytes>> {
         let seal = protocol::seal(attempt_id, &self.instance, status, body.as_bytes());
         let mut response = Response::new(Full::new(Bytes::from(body)));
         *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
--- a/crates/testbed/tests/answers.rs
+++ b/crates/testbed/tests/answers.rs
@@ -5,14 +5,15 @@
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use scripts::{AMPLE, Client, SHORT, Waves, drawn_try, run, success};
 use testbed::scripted::{
-    Act, Breach, Facts, Manner, Peer, Step, Takes, Told, Try, ask_naively, judge,
+    Attempt, EventLog, Outcome, Peer, ResponseCheck, ResponseFault, SiteConventions, Step,
+    Violation, check, request_without_checks,
 };
 
 const CASES: u64 = 1000;
 const CASES_TO_CATCH: u64 = 60;
 
 static CLIENT: Client = Client {
-    manner: &Manner::OWN,
+    conventions: &SiteConventions::OWN,
     instance_prefix: "u",
     draw_waves,
 };
@@ -24,7 +25,7 @@
             number += 1;
             drawn_try(noise, number)
         });
-        tries.collect::<Drawn<Vec<Try>>>()
+        tries.collect::<Drawn<Vec<Attempt>>>()
     });
     waves.collect()
 }
@@ -36,40 +37,51 @@
 
 #[test]
 fn a_proxy_that_takes_a_lost_answer_for_unsent_is_caught() {
-    CLIENT.assert_caught(CASES_TO_CATCH, Takes::LostForUnsent, |breach| {
-        matches!(
-            breach,
-            Breach::RanTwice { .. } | Breach::FalselyRefused { .. }
-        )
-    });
+    CLIENT.assert_caught(
+        CASES_TO_CATCH,
+        ResponseCheck::LostAsNotConnected,
+        |violation| {
+            matches!(
+                violation,
+                Violation::ExecutedTwice { .. } | Violation::FalselyRejected { .. }
+            )
+        },
+    );
 }
 
 #[test]
 fn a_proxy_that_believes_whatever_comes_is_caught() {
-    CLIENT.assert_caught(CASES_TO_CATCH, Takes::Anything, |breach| {
-        matches!(breach, Breach::NotItsOwn { .. })
+    CLIENT.assert_caught(CASES_TO_CATCH, ResponseCheck::AnyResponse, |violation| {
+        matches!(violation, Violation::ForeignResponse { .. })
     });
 }
 
 #[test]
 fn a_client_that_takes_the_next_answer_on_its_connection_is_caught() {
-    let steps = [Act::ThenSurplus, Act::Whole].map(|act| Step { act, turns: 0 });
-    let facts = run(async {
-        let facts = Facts::default();
-        let peer = Peer::start(&Manner::OWN, "u-1", facts.clone(), (steps.to_vec(), vec![])).await;
+    let steps = [ResponseFault::ThenExtraResponse, ResponseFault::Complete]
+        .map(|fault| Step { fault, yields: 0 });
+    let events = run(async {
+        let events = EventLog::default();
+        let peer = Peer::start(
+            &SiteConventions::OWN,
+            "u-1",
+            events.clone(),
+            (steps.to_vec(), vec![]),
+        )
+        .await;
         let mut kept = None;
         for number in 0..4 {
-            let asked = Try {
+            let asked = Attempt {
                 id: format!("try-{number}"),
-                once: true,
+                at_most_once: true,
                 body_bytes: 0,
             };
-            ask_naively(&mut kept, &peer, &Manner::OWN, &facts, &asked).await;
+            request_without_checks(&mut kept, &peer, &SiteConventions::OWN, &events, &asked).await;
         }
-        facts.all()
+        events.all()
     });
-    let foreign = |breach: &Breach| matches!(breach, Breach::NotItsOwn { .. });
-    assert!(judge(&facts).iter().any(foreign));
+    let foreign = |violation: &Violation| matches!(violation, Violation::ForeignResponse { .. });
+    assert!(check(&events).iter().any(foreign));
 }
 
 #[test]
@@ -79,50 +91,59 @@
 
 #[test]
 fn what_comes_after_an_answer_costs_the_next_request_nothing() {
-    use Act::*;
+    use ResponseFault::*;
     [
-        ThenSurplus,
-        ThenLateSurplus,
+        ThenExtraResponse,
+        ThenLateExtraResponse,
         ThenGarbage,
         ThenClose,
-        Last,
-        Interim,
+        AnnouncesClose,
+        InterimFirst,
         Early,
     ]
     .into_iter()
-    .for_each(|act| {
+    .for_each(|fault| {
         // A reset may cross the next request, and then nobody can tell; these can't.
-        let (told, _) = CLIENT.told_within(&[act], false, 3, AMPLE);
-        assert_eq!(told, (0..3).map(success).collect::<Vec<_>>(), "{act:?}");
+        let (outcome, _) = CLIENT.told_within(&[fault], false, 3, AMPLE);
+        assert_eq!(
+            outcome,
+            (0..3).map(success).collect::<Vec<_>>(),
+            "{fault:?}"
+        );
     });
 }
 
 #[test]
 fn what_belongs_to_nobody_is_no_answer() {
-    use Act::*;
+    use ResponseFault::*;
     let odd = [
-        Nameless,
-        TwoNames,
-        HalfWithoutLength,
-        Half,
-        HalfChunked,
+        WithoutId,
+        TwoIds,
+        PartialWithoutLength,
+        Partial,
+        PartialChunked,
         Garbage,
-        Switch,
-        NamelessDenial,
+        SwitchProtocols,
+        RejectionWithoutId,
     ];
-    odd.into_iter().for_each(|act| {
-        let (told, facts) = CLIENT.told_within(&[Whole, act], true, 2, AMPLE);
-        assert_eq!(told, [success(0), Told::Unknown], "{act:?}");
-        assert_eq!(judge(&facts), vec![], "{act:?}");
+    odd.into_iter().for_each(|fault| {
+        let (outcome, events) = CLIENT.told_within(&[Complete, fault], true, 2, AMPLE);
+        assert_eq!(outcome, [success(0), Outcome::Unknown], "{fault:?}");
+        assert_eq!(check(&events), vec![], "{fault:?}");
     });
 }
 
 /// Its own answer may follow, and is waited for as long as the request has time.
 #[test]
 fn a_denial_of_another_try_denies_nothing() {
-    let (told, facts) = CLIENT.told_within(&[Act::Whole, Act::ForeignDenial], true, 2, SHORT);
+    let (outcome, events) = CLIENT.told_within(
+        &[ResponseFault::Complete, ResponseFault::ForeignRejection],
+        true,
+        2,
+        SHORT,
+    );
     assert_eq!(
-        (told, judge(&facts)),
-        (vec![success(0), Told::Unknown], vec![])
+        (outcome, check(&events)),
+        (vec![success(0), Outcome::Unknown], vec![])
     );
 }
