--- a/crates/quorum-register/tests/cluster/mod.rs
+++ b/crates/quorum-register/tests/cluster/mod.rs
@@ -117,40 +117,52 @@
         }
         let local = self.now - self.nodes[at].started_at;
         let effects = self.nodes[at].register.step(local, event);
-        effects.into_iter().for_each(|effect| match effect {
+        for effect in effects {
+            self.carry_out(at, effect);
+        }
+        let excess = self.messages.len().saturating_sub(MAX_IN_FLIGHT);
+        self.messages.drain(..excess);
+        self.check_state(at);
+        self.check_voter_set(at);
+    }
+
+    fn carry_out(&mut self, at: usize, effect: Effect) {
+        let writes = &mut self.nodes[at].writes;
+        match effect {
             Effect::Send { to, body } => {
                 let to = (0..self.nodes.len())
                     .find(|other| name(*other) == to)
                     .expect("a voter");
                 self.messages.push((at, to, body));
             }
-            Effect::Persist { write_id, durable } => self.nodes[at]
-                .writes
-                .push_back(Write::State { write_id, durable }),
+            Effect::Persist { write_id, durable } => {
+                writes.push_back(Write::State { write_id, durable });
+            }
             Effect::StoreConfiguration {
                 write_id,
                 digest,
                 bytes,
             } => {
-                self.nodes[at].writes.push_back(Write::Configuration {
+                writes.push_back(Write::Configuration {
                     write_id,
                     digest,
                     bytes,
                 });
             }
-            Effect::DeleteConfiguration { digest } => {
-                self.nodes[at].writes.push_back(Write::Deletion { digest })
-            }
+            Effect::DeleteConfiguration { digest } => writes.push_back(Write::Deletion { digest }),
             Effect::Decided { decision, .. }
                 if decision.code == result_code::ResultCode::Success =>
             {
                 self.decided_revision = self.decided_revision.max(decision.revision);
             }
             _ => {}
-        });
-        let excess = self.messages.len().saturating_sub(MAX_IN_FLIGHT);
-        self.messages.drain(..excess);
-        let state = self.nodes[at].register.state();
+        }
+    }
+
+    /// A revision has one configuration, and no node goes back.
+    fn check_state(&mut self, at: usize) {
+        let node = &mut self.nodes[at];
+        let state = node.register.state();
         let (revision, digest) = (state.revision, state.digest.clone());
         let known = self
             .states
@@ -158,11 +170,15 @@
             .or_insert_with(|| digest.clone());
         assert_eq!(*known, digest, "revision {revision} is two states");
         assert!(
-            revision >= self.nodes[at].last_revision,
+            revision >= node.last_revision,
             "{} went back to {revision}",
             name(at)
         );
-        self.nodes[at].last_revision = revision;
+        node.last_revision = revision;
+    }
+
+    /// An epoch has one voter set.
+    fn check_voter_set(&mut self, at: usize) {
         let voter_set = self.nodes[at].register.state().voter_set.clone();
         if !voter_set.voters.is_empty() {
             let known = self
@@ -246,23 +262,9 @@
             return Ok(());
         }
         match noise.int_in_range(0..=255u8)? {
-            0 => {
-                let node = &self.nodes[at];
-                self.nodes[at] = start_node(
-                    at,
-                    noise.arbitrary()?,
-                    node.disk.clone(),
-                    node.configurations.clone(),
-                    self.now,
-                );
-            }
+            0 => self.restart(at, noise.arbitrary()?),
             // A disk is lost only while every other one has its state: what two at once may lose is another matter.
-            1 if self
-                .nodes
-                .iter()
-                .take(self.present)
-                .all(|node| node.removed || node.disk.disk != 0) =>
-            {
+            1 if self.all_disks_have_state() => {
                 self.nodes[at] = start_node(
                     at,
                     noise.arbitrary()?,
@@ -271,44 +273,16 @@
                     self.now,
                 );
             }
-            2..=5 => {
-                self.submitted += 1;
-                let (id, bytes) = (
-                    format!("s{}", self.submitted),
-                    format!("configuration {}", self.submitted).into_bytes(),
-                );
-                let change = Change::Configuration {
-                    id: id.into(),
-                    base_revision: None,
-                    version: None,
-                    digest: protocol::digest(&bytes),
-                };
-                self.step(
-                    at,
-                    Event::Submit {
-                        request_id: self.submitted,
-                        change,
-                        bytes: Some(bytes),
-                    },
-                );
-            }
+            2..=5 => self.submit_configuration(at),
             6..=15 if !self.messages.is_empty() => {
-                drop(
-                    self.messages
-                        .swap_remove(noise.int_in_range(0..=self.messages.len() - 1)?),
-                );
+                let lost = noise.int_in_range(0..=self.messages.len() - 1)?;
+                self.messages.swap_remove(lost);
             }
             16..=150 if !self.messages.is_empty() => {
-                let (from, to, body) = self
-                    .messages
-                    .remove(noise.int_in_range(0..=self.messages.len().min(12) - 1)?);
-                self.step(
-                    to,
-                    Event::Received {
-                        from: name(from),
-                        body,
-                    },
-                );
+                let next = noise.int_in_range(0..=self.messages.len().min(12) - 1)?;
+                let (from, to, body) = self.messages.remove(next);
+                let from = name(from);
+                self.step(to, Event::Received { from, body });
             }
             151..=200 => self.complete_write(at),
             _ => {
@@ -319,6 +293,42 @@
         Ok(())
     }
 
+    /// A node restarts with what its disk has.
+    fn restart(&mut self, at: usize, seed: u64) {
+        let node = &self.nodes[at];
+        self.nodes[at] = start_node(
+            at,
+            seed,
+            node.disk.clone(),
+            node.configurations.clone(),
+            self.now,
+        );
+    }
+
+    fn all_disks_have_state(&self) -> bool {
+        self.nodes
+            .iter()
+            .take(self.present)
+            .all(|node| node.removed || node.disk.disk != 0)
+    }
+
+    fn submit_configuration(&mut self, at: usize) {
+        self.submitted += 1;
+        let bytes = format!("configuration {}", self.submitted).into_bytes();
+        let change = Change::Configuration {
+            id: format!("s{}", self.submitted).into(),
+            base_revision: None,
+            version: None,
+            digest: protocol::digest(&bytes),
+        };
+        let event = Event::Submit {
+            request_id: self.submitted,
+            change,
+            bytes: Some(bytes),
+        };
+        self.step(at, event);
+    }
+
     /// Every running node, a line each: its phase, its states and the voters it knows.
     pub fn describe(&self) -> String {
         let running = self
