--- /dev/null
+++ b/crates/simulator/src/fault_injection/category.rs
@@ -0,0 +1,85 @@
+//! Which part of the system a fault strikes.
+
+use crate::faults::Fault;
+
+/// The part of the system that a fault strikes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Category {
+    /// Machines and their processes: crashes, restarts, freezes, clocks, replacement.
+    Machine,
+    /// Disks of control nodes.
+    Disk,
+    /// Links between machines, and connections to upstreams.
+    Network,
+    /// Upstreams, and the load on them.
+    Upstream,
+    /// Operators' commands and the way to the control nodes.
+    Operator,
+}
+
+impl Category {
+    /// The category of a fault.
+    pub(super) fn of(fault: &Fault) -> Category {
+        match fault {
+            Fault::KillMachine(_)
+            | Fault::KillMachines(_)
+            | Fault::WipeMachine(_)
+            | Fault::Freeze(_)
+            | Fault::ZonePowerLoss(_)
+            | Fault::RegionPowerLoss(_)
+            | Fault::RollingRestart
+            | Fault::StopMachine(_)
+            | Fault::InterruptBootstrap(_)
+            | Fault::KillControlNodes
+            | Fault::RestartControlNodes
+            | Fault::KillPlacementHolder
+            | Fault::FreezePlacementHolder
+            | Fault::JumpPlacementHolderClock(_)
+            | Fault::JumpClock(..)
+            | Fault::ReplaceVoters { .. }
+            | Fault::ReplaceOne { .. }
+            | Fault::Ambush { .. } => Category::Machine,
+            Fault::CorruptConfigurations(_)
+            | Fault::SlowDisk(_)
+            | Fault::FailDisk(_)
+            | Fault::HangDisk(_)
+            | Fault::RefuseDisk(_)
+            | Fault::TearStateWrite(_)
+            | Fault::WipeTwo(_)
+            | Fault::PowerLossAtWrite { .. }
+            | Fault::DisksFullInTurn(_)
+            | Fault::DisksStallInTurn(_) => Category::Disk,
+            Fault::PartitionMachine(_)
+            | Fault::DropOutbound(_)
+            | Fault::DropInbound(_)
+            | Fault::PartitionZone(_)
+            | Fault::PartitionRegion(_)
+            | Fault::PacketLoss(_)
+            | Fault::LongPartition { .. }
+            | Fault::PartitionFromPeers { .. }
+            | Fault::Connections(_)
+            | Fault::ReuseAddressesUnderKeepAlive(_) => Category::Network,
+            other => Category::of_load(other),
+        }
+    }
+
+    /// The category of a fault on the side of upstreams and operators.
+    fn of_load(fault: &Fault) -> Category {
+        match fault {
+            Fault::CrashUpstreams(_)
+            | Fault::RollUpstreams(_)
+            | Fault::DeregisterBeforeDraining(_)
+            | Fault::ReuseAddress(_)
+            | Fault::RestartCold(_)
+            | Fault::LoseResponses(_)
+            | Fault::GarbleResponses(_)
+            | Fault::BadRelease
+            | Fault::PauseUpstream(_)
+            | Fault::HotKey
+            | Fault::CrashHomeUpstreams
+            | Fault::AddUpstreams(_)
+            | Fault::DelayGrants => Category::Upstream,
+            _ => Category::Operator,
+        }
+    }
+}
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,11 +3,11 @@
 
 use crate::shapes::Shape;
 
-mod breaking;
 mod command_faults;
 mod connections;
 mod deregistration;
 mod disks;
+mod fault_injection;
 mod faults;
 pub mod grants;
 mod network;
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -881,7 +881,7 @@
                 ..
             }
         ) {
-            self.trigger_restart();
+            self.restart_if_awaited();
         }
         self.control_responded(request_id, answer);
     }
--- a/crates/simulator/src/partitions.rs
+++ b/crates/simulator/src/partitions.rs
@@ -119,7 +119,7 @@
     }
 
     pub(super) fn partition_from_peers(&mut self, machine: usize, receives: bool, sends: bool) {
-        self.cut(Partition::Peers {
+        self.add_partition(Partition::Peers {
             machine,
             receives,
             sends,
