--- a/crates/invariants/src/observations.rs
+++ b/crates/invariants/src/observations.rs
@@ -31,12 +31,15 @@
     },
     /// An upstream did a piece of work.
     OperationExecuted {
-        work: String,
+        operation: String,
         attempt_id: String,
         at_most_once: bool,
     },
     /// An origin made a try.
-    AttemptStarted { work: String, attempt_id: String },
+    AttemptStarted {
+        operation: String,
+        attempt_id: String,
+    },
     /// An origin got the final answer of a try. `complete`: a success whose seal, try and work are right.
     AttemptAnswered {
         attempt_id: String,
--- a/crates/invariants/src/rules.rs
+++ b/crates/invariants/src/rules.rs
@@ -123,13 +123,13 @@
     let mut ran = BTreeSet::new();
     let again = |(at, observation): &TimedObservation| match observation {
         Observation::OperationExecuted {
-            work,
+            operation,
             at_most_once: true,
             attempt_id,
-        } if !ran.insert(work.clone()) => Some(violation(
+        } if !ran.insert(operation.clone()) => Some(violation(
             1,
             *at,
-            format!("{work} ran again as {attempt_id}"),
+            format!("{operation} ran again as {attempt_id}"),
         )),
         _ => None,
     };
--- a/crates/invariants/tests/checkers.rs
+++ b/crates/invariants/tests/checkers.rs
@@ -22,9 +22,9 @@
     }
 }
 
-fn ran(work: &str, attempt_id: &str) -> Observation {
+fn ran(operation: &str, attempt_id: &str) -> Observation {
     Observation::OperationExecuted {
-        work: work.into(),
+        operation: operation.into(),
         attempt_id: attempt_id.into(),
         at_most_once: true,
     }
--- a/crates/simulator/src/connections.rs
+++ b/crates/simulator/src/connections.rs
@@ -3,7 +3,7 @@
 //! Nothing here is drawn or kept while no fault asks for it, so that runs without such faults stay as they were.
 
 use super::nodes::NodeEvent;
-use super::path::Reply;
+use crate::responses::Response;
 use crate::schedule::Action;
 use crate::world::World;
 use request_routing::{CallOutcome, RequestStage};
@@ -99,7 +99,7 @@
         if self.connections.keep_alive_faults == 0 {
             return None;
         }
-        let id = self.id();
+        let id = self.allocate_id();
         let (address, node_incarnation) = (address.to_owned(), self.nodes[node].incarnation);
         let kept = OpenConnection {
             node,
@@ -155,7 +155,7 @@
     pub(super) fn send_duplicate_response(
         &mut self,
         exchange: u64,
-        reply: &Reply,
+        reply: &Response,
         delay: Duration,
     ) {
         let surplus = self.connections.faults_on_connections.duplicates_per_mille;
@@ -179,7 +179,7 @@
 
     /// A surplus answer reaches the proxy: it is what the next look finds, or it stands in the place of the answer to
     /// the request that was written meanwhile.
-    pub(super) fn receive_duplicate_response(&mut self, connection: u64, reply: Reply) {
+    pub(super) fn receive_duplicate_response(&mut self, connection: u64, reply: Response) {
         let Some(kept) = self.connections.open.get_mut(&connection) else {
             return;
         };
@@ -211,7 +211,7 @@
                     return;
                 }
                 ResponseMatch::CurrentRequest => {
-                    reply.judge(&exchange.sent.attempt_id, exchange.instance.as_deref())
+                    reply.classify(&exchange.sent.attempt_id, exchange.instance.as_deref())
                 }
                 _ => CallOutcome::InvalidResponse,
             };
--- /dev/null
+++ b/crates/simulator/src/exchanges.rs
@@ -0,0 +1,573 @@
+//! Requests at a proxy: each is routed by the data plane's own core, called at an upstream, and answered.
+
+use crate::nodes::{Core, NodeEvent};
+use crate::responses::Response;
+use crate::schedule::Action;
+use crate::world::World;
+use name_directory::View;
+use protocol::Upstream;
+use request_routing::{CallOutcome, NextStep, RequestInfo, RequestState, WakeUp};
+use result_code::ResultCode;
+use std::sync::{Arc, PoisonError};
+use std::time::Duration;
+use transport::CallError;
+
+/// How long a proxy tries to reach another that does not answer.
+const UNREACHABLE_PROXY_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// A request on its way to a proxy.
+#[derive(Clone, Debug)]
+pub struct Request {
+    pub attempt_id: String,
+    pub operation: String,
+    pub service: &'static str,
+    pub key: String,
+    pub remaining: Duration,
+    pub from: Requester,
+}
+
+/// Who waits for the answer.
+#[derive(Clone, Debug)]
+pub enum Requester {
+    Origin {
+        operation: u64,
+        attempt: u32,
+    },
+    /// Nobody: a probe shows by where it arrives.
+    Nobody,
+    /// Another proxy forwarded it.
+    Proxy {
+        exchange: u64,
+        send: u32,
+        node: usize,
+    },
+}
+
+/// What a call carries to an upstream.
+#[derive(Clone, Debug, Default)]
+pub struct UpstreamCall {
+    pub attempt_id: String,
+    pub operation: String,
+    pub path: &'static str,
+    pub key: String,
+    pub epoch: Option<u64>,
+}
+
+/// One request at one proxy.
+pub struct Exchange {
+    pub node: usize,
+    pub routing: RequestState,
+    pub request: Request,
+    pub sent: UpstreamCall,
+    /// Counts calls, so that an answer to an earlier one is dropped.
+    pub send: u32,
+    pub instance: Option<String>,
+    /// Where the connection leads: the address, and the life of whoever accepted it.
+    pub address: String,
+    pub incarnation: Option<(usize, u64)>,
+    /// The connection, where they are kept, and whether a kept one may be taken.
+    pub connection: Option<u64>,
+    pub may_reuse_connection: bool,
+    /// How many answers to other requests were read past.
+    pub skipped: usize,
+    pub waiting: bool,
+    /// In a world that does not judge again: what it chose by.
+    pub chosen_by: Option<(Duration, View)>,
+}
+
+/// What a journey is told.
+enum RoutingEvent {
+    Start,
+    Connected {
+        /// Its kept connection ended, or something came on it, before it was written to.
+        unwritable: bool,
+    },
+    WokenUp,
+    CallEnded(CallOutcome, Option<Response>),
+}
+
+impl World {
+    /// A request reaches a proxy.
+    pub(crate) fn receive_request(&mut self, at: usize, exchange: u64, request: Request) {
+        let node = &self.nodes[at];
+        if node
+            .data_node()
+            .is_some_and(|data_node| data_node.phase() == data_plane::Phase::Rejecting)
+        {
+            let retry_after = request_routing::retry_after_for(
+                ResultCode::ShuttingDown,
+                0.0,
+                &request.attempt_id,
+            );
+            let denied =
+                Response::coded(&request.attempt_id, ResultCode::ShuttingDown, retry_after);
+            return self.respond(&request, Some(at), denied);
+        }
+        let wake_ups = self.wake_ups.clone();
+        let order = RequestInfo {
+            attempt_id: request.attempt_id.clone(),
+            name: match request.from {
+                Requester::Nobody => request.service.to_owned(),
+                _ => format!("{}.{}.example", request.service, self.shape.name),
+            },
+            path: format!("/{}", request.service),
+            key: Some(request.key.clone()),
+            arrived_at: node.local(self.now),
+            remaining: request.remaining,
+            body_bytes: request.operation.len() as u64,
+            forwarded: matches!(request.from, Requester::Proxy { .. }),
+            wake_up: WakeUp::new(move || {
+                wake_ups
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push(exchange)
+            }),
+        };
+        let routing = RequestState::new(order, node.site.clone());
+        let sent = UpstreamCall {
+            attempt_id: request.attempt_id.clone(),
+            operation: request.operation.clone(),
+            path: request.service,
+            key: request.key.clone(),
+            epoch: None,
+        };
+        let (address, instance, incarnation, waiting, chosen_by) =
+            (String::new(), None, None, false, None);
+        let made = Exchange {
+            node: at,
+            routing,
+            request,
+            sent,
+            send: 0,
+            instance,
+            address,
+            incarnation,
+            connection: None,
+            may_reuse_connection: true,
+            skipped: 0,
+            waiting,
+            chosen_by,
+        };
+        self.exchanges.insert(exchange, made);
+        self.advance_exchange(exchange, RoutingEvent::Start);
+    }
+
+    /// Whoever waits for a seat and was called, or waited long enough.
+    pub(crate) fn wake_exchange(&mut self, at: usize, id: u64) {
+        let waits = self
+            .exchanges
+            .get(&id)
+            .is_some_and(|exchange| exchange.node == at && exchange.waiting);
+        if waits {
+            self.advance_exchange(id, RoutingEvent::WokenUp);
+        }
+    }
+
+    /// The bells that rang while the last thing happened.
+    pub(crate) fn deliver_wake_ups(&mut self) {
+        let wake_ups =
+            std::mem::take(&mut *self.wake_ups.lock().unwrap_or_else(PoisonError::into_inner));
+        wake_ups.into_iter().for_each(|exchange| {
+            let node = self.exchanges.get(&exchange).map(|exchange| exchange.node);
+            node.into_iter().for_each(|node| {
+                self.after(
+                    Duration::ZERO,
+                    Action::Deliver {
+                        node,
+                        event: NodeEvent::WakeUp { exchange },
+                    },
+                )
+            });
+        });
+    }
+
+    /// The connection that a proxy asked for came up.
+    pub(crate) fn connection_opened(
+        &mut self,
+        at: usize,
+        id: u64,
+        send: u32,
+        incarnation: (usize, u64),
+    ) {
+        let mine = self.exchanges.get_mut(&id).filter(|exchange| {
+            exchange.node == at && exchange.send == send && exchange.incarnation.is_none()
+        });
+        let opened = mine.map(|exchange| {
+            exchange.incarnation = Some(incarnation);
+            (exchange.address.clone(), exchange.connection)
+        });
+        opened.into_iter().for_each(|(address, kept)| {
+            let connection = kept.or_else(|| self.open_connection(at, &address, incarnation));
+            let unwritable = connection.is_some_and(|connection| self.is_unwritable(connection));
+            self.exchanges
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|exchange| exchange.connection = connection);
+            self.advance_exchange(id, RoutingEvent::Connected { unwritable });
+        });
+    }
+
+    /// Steps a journey.
+    fn advance_exchange(&mut self, id: u64, told: RoutingEvent) {
+        let Some(exchange) = self.exchanges.get_mut(&id) else {
+            return;
+        };
+        let node = &self.nodes[exchange.node];
+        let Core::DataNode(data_node, proxy_stats) = &node.core else {
+            return;
+        };
+        let local = node.local(self.now);
+        let mut view = data_node.view().clone();
+        if self.defects.ignores_warm_up {
+            let warm = |upstream: &Arc<Upstream>| {
+                Arc::new(Upstream {
+                    warm: true,
+                    ..(**upstream).clone()
+                })
+            };
+            Arc::make_mut(&mut view.upstreams)
+                .values_mut()
+                .for_each(|lookups| {
+                    lookups
+                        .values_mut()
+                        .for_each(|upstream| *upstream = warm(upstream));
+                });
+        }
+        exchange.waiting = false;
+        let mut reply = None;
+        let next = match told {
+            RoutingEvent::Start => exchange.routing.start(local, &view, proxy_stats),
+            RoutingEvent::WokenUp => exchange.routing.on_wake_up(local, &view, proxy_stats),
+            RoutingEvent::Connected { unwritable } => {
+                let (judged_at, judged_by) =
+                    exchange.chosen_by.take().unwrap_or((local, view.clone()));
+                match exchange
+                    .routing
+                    .on_connected(judged_at, &judged_by, proxy_stats)
+                {
+                    NextStep::Send { .. } if unwritable => {
+                        exchange.may_reuse_connection = false;
+                        exchange.routing.on_not_written(local)
+                    }
+                    next => next,
+                }
+            }
+            RoutingEvent::CallEnded(outcome, came) => {
+                reply = came;
+                if self.defects.unlimited_retry_budget {
+                    let service = proxy_stats.service(exchange.request.service);
+                    (0..1000).for_each(|_| service.retry_budget.record_first_send(local));
+                }
+                exchange
+                    .routing
+                    .on_outcome(local, &view, proxy_stats, outcome)
+            }
+        };
+        match next {
+            NextStep::Connect { upstream, within } => {
+                exchange.send += 1;
+                exchange.instance = Some(upstream.instance.clone());
+                (
+                    exchange.address,
+                    exchange.incarnation,
+                    exchange.connection,
+                    exchange.skipped,
+                ) = (upstream.address.clone(), None, None, 0);
+                exchange.chosen_by =
+                    Some((local, view)).filter(|_| self.defects.skips_check_after_connect);
+                let (send, at, may_reuse_connection) =
+                    (exchange.send, exchange.node, exchange.may_reuse_connection);
+                let kept = if may_reuse_connection {
+                    self.reuse_connection(at, &upstream.address)
+                } else {
+                    None
+                };
+                if let Some((connection, incarnation)) = kept {
+                    self.exchanges
+                        .get_mut(&id)
+                        .into_iter()
+                        .for_each(|exchange| exchange.connection = Some(connection));
+                    let event = NodeEvent::Connected {
+                        exchange: id,
+                        send,
+                        incarnation,
+                    };
+                    self.after(Duration::ZERO, Action::Deliver { node: at, event });
+                    return self.trigger_ambush(at, &upstream.instance);
+                }
+                let (delay, cut) = self.route_to_upstream(
+                    at,
+                    &upstream.address,
+                    within.min(transport::CONNECT_TIMEOUT),
+                );
+                self.after(
+                    delay,
+                    Action::AcceptConnection {
+                        exchange: id,
+                        send,
+                        address: upstream.address.clone(),
+                        cut,
+                    },
+                );
+                let late = (CallOutcome::NotConnected, None);
+                self.schedule_outcome(id, send, late, within.min(transport::CONNECT_TIMEOUT));
+                self.trigger_ambush(at, &upstream.instance);
+            }
+            NextStep::Send { share, within } => {
+                // From here on an answer to the connecting is of no interest.
+                exchange.send += 1;
+                exchange.sent.epoch = share.map(|share| share.epoch);
+                let (send, at, address) = (exchange.send, exchange.node, exchange.address.clone());
+                let (delay, cut) = self.route_to_upstream(at, &address, transport::CONNECT_TIMEOUT);
+                self.after(
+                    delay,
+                    Action::ReceiveCall {
+                        exchange: id,
+                        send,
+                        cut,
+                    },
+                );
+                self.schedule_outcome(id, send, (CallOutcome::TimedOut, None), within);
+            }
+            NextStep::Wait { within } => {
+                exchange.waiting = true;
+                let node = exchange.node;
+                self.after(
+                    within,
+                    Action::Deliver {
+                        node,
+                        event: NodeEvent::WakeUp { exchange: id },
+                    },
+                );
+            }
+            NextStep::Forward { proxies, within } => {
+                exchange.send += 1;
+                exchange.instance = None;
+                let (send, at) = (exchange.send, exchange.node);
+                let from = Requester::Proxy {
+                    exchange: id,
+                    send,
+                    node: at,
+                };
+                let request = Request {
+                    remaining: within,
+                    from,
+                    ..exchange.request.clone()
+                };
+                let reachable = proxies
+                    .iter()
+                    .filter_map(|proxy| self.nodes.iter().position(|node| node.name == *proxy));
+                let mut reachable = reachable.filter(|to| self.nodes[*to].up);
+                let to = reachable.next();
+                let delay = to.and_then(|to| {
+                    self.network
+                        .delay(
+                            &mut self.random,
+                            &self.nodes[at].place,
+                            &self.nodes[to].place,
+                        )
+                        .map(|delay| (to, delay))
+                });
+                match delay {
+                    Some((node, delay)) => {
+                        let next = self.allocate_id();
+                        self.after(
+                            delay,
+                            Action::Deliver {
+                                node,
+                                event: NodeEvent::Request {
+                                    exchange: next,
+                                    request,
+                                },
+                            },
+                        );
+                        self.schedule_outcome(id, send, (CallOutcome::TimedOut, None), within);
+                    }
+                    None => self.schedule_outcome(
+                        id,
+                        send,
+                        (CallOutcome::NotConnected, None),
+                        within.min(UNREACHABLE_PROXY_TIMEOUT),
+                    ),
+                }
+            }
+            NextStep::PassResponse => self.end_exchange(
+                id,
+                reply.unwrap_or_else(|| Response::coded("", ResultCode::ResponseLost, None)),
+            ),
+            NextStep::Answer { code, retry_after } => {
+                let attempt_id = exchange.request.attempt_id.clone();
+                self.end_exchange(id, Response::coded(&attempt_id, code, retry_after));
+            }
+        }
+    }
+
+    /// How long something takes from a proxy to an address, and whether a cut keeps it from arriving; `patience` is
+    /// how long the proxy's machine goes on trying.
+    fn route_to_upstream(
+        &mut self,
+        from: usize,
+        address: &str,
+        patience: Duration,
+    ) -> (Duration, bool) {
+        let from = self.nodes[from].place.clone();
+        let to = self
+            .upstreams
+            .iter()
+            .find(|upstream| upstream.address == address)
+            .map(|upstream| upstream.place.clone());
+        let cut = to.as_ref().is_none_or(|to| self.network.blocked(&from, to));
+        let delay = to.and_then(|to| self.network.delay(&mut self.random, &from, &to));
+        // TCP sends a lost packet again; only a cut keeps it from arriving at all.
+        (
+            delay.unwrap_or(if cut {
+                patience
+            } else {
+                Duration::from_millis(200)
+            }),
+            cut,
+        )
+    }
+
+    fn end_exchange(&mut self, id: u64, reply: Response) {
+        let exchange = self.exchanges.remove(&id);
+        exchange.into_iter().for_each(|exchange| {
+            self.respond(&exchange.request, Some(exchange.node), reply.clone())
+        });
+    }
+
+    /// Sends an answer back to whoever waits for it.
+    fn respond(&mut self, request: &Request, node: Option<usize>, reply: Response) {
+        match &request.from {
+            Requester::Origin { operation, attempt } => {
+                let (operation, attempt) = (*operation, *attempt);
+                self.after(
+                    Duration::from_millis(8),
+                    Action::ReceiveResponse {
+                        operation,
+                        attempt,
+                        answer: reply,
+                    },
+                );
+            }
+            Requester::Nobody => {}
+            Requester::Proxy {
+                exchange,
+                send,
+                node: to,
+            } => {
+                let (exchange, send, to) = (*exchange, *send, *to);
+                let places =
+                    node.map(|node| (self.nodes[node].place.clone(), self.nodes[to].place.clone()));
+                let delay = match places {
+                    None => Some(Duration::from_millis(1)),
+                    Some((from, to)) => self.network.delay(&mut self.random, &from, &to),
+                };
+                let code = reply.code.filter(|_| reply.failed.is_none());
+                let denied =
+                    reply.seal.is_empty() && code.is_some_and(|code| code != ResultCode::Success);
+                let judged = reply.classify(&request.attempt_id, None);
+                let outcome = if denied || judged == CallOutcome::NotExecuted {
+                    CallOutcome::Complete
+                } else {
+                    judged
+                };
+                delay.into_iter().for_each(|delay| {
+                    self.schedule_outcome(
+                        exchange,
+                        send,
+                        (outcome.clone(), Some(reply.clone())),
+                        delay,
+                    );
+                });
+            }
+        }
+    }
+
+    /// A process died, or was down, with this request.
+    pub(crate) fn fail_exchange(&mut self, exchange: &Exchange, called: Result<(), CallError>) {
+        called.err().into_iter().for_each(|called| {
+            self.respond(
+                &exchange.request,
+                Some(exchange.node),
+                Response::failed(called),
+            );
+        });
+    }
+
+    pub(crate) fn fail_request(&mut self, request: &Request, called: Result<(), CallError>) {
+        called
+            .err()
+            .into_iter()
+            .for_each(|called| self.respond(request, None, Response::failed(called)));
+    }
+
+    fn schedule_outcome(
+        &mut self,
+        exchange: u64,
+        send: u32,
+        outcome: (CallOutcome, Option<Response>),
+        span: Duration,
+    ) {
+        let node = self.exchanges.get(&exchange).map(|exchange| exchange.node);
+        node.into_iter().for_each(|node| {
+            let (outcome, reply) = outcome.clone();
+            let event = NodeEvent::CallEnded {
+                exchange,
+                send,
+                outcome,
+                reply,
+            };
+            self.after(span, Action::Deliver { node, event });
+        });
+    }
+
+    /// What came of a call to an upstream, on its way back to the proxy.
+    pub(crate) fn return_response(
+        &mut self,
+        exchange: u64,
+        send: u32,
+        called: Result<Response, CallError>,
+        delay: Duration,
+    ) {
+        let Some(waiting) = self.exchanges.get(&exchange) else {
+            return;
+        };
+        let reply = called.unwrap_or_else(Response::failed);
+        if self.defects.trusts_any_response {
+            let outcome = reply
+                .failed
+                .map(|_| CallOutcome::NotExecuted)
+                .unwrap_or(CallOutcome::Complete);
+            return self.schedule_outcome(exchange, send, (outcome, Some(reply)), delay);
+        }
+        let outcome = reply.classify(&waiting.sent.attempt_id, waiting.instance.as_deref());
+        self.schedule_outcome(exchange, send, (outcome, Some(reply)), delay);
+    }
+
+    pub(crate) fn receive_outcome(
+        &mut self,
+        at: usize,
+        exchange: u64,
+        send: u32,
+        outcome: CallOutcome,
+        reply: Option<Response>,
+    ) {
+        let mine = self
+            .exchanges
+            .get(&exchange)
+            .is_some_and(|exchange| exchange.node == at && exchange.send == send);
+        if mine {
+            let connection = self
+                .exchanges
+                .get_mut(&exchange)
+                .and_then(|exchange| exchange.connection.take());
+            let answered = reply.as_ref().is_some_and(|reply| reply.failed.is_none());
+            let expected = answered && outcome != CallOutcome::InvalidResponse;
+            connection
+                .into_iter()
+                .for_each(|connection| self.release_connection(connection, expected));
+            self.advance_exchange(exchange, RoutingEvent::CallEnded(outcome, reply));
+        }
+    }
+}
--- a/crates/simulator/src/fault_injection/upstreams.rs
+++ b/crates/simulator/src/fault_injection/upstreams.rs
@@ -107,7 +107,7 @@
     pub(super) fn restart_crashed_upstreams(&mut self) {
         for upstream in 0..self.upstreams.len() {
             if !self.upstreams[upstream].up {
-                let profile = self.upstreams[upstream].work;
+                let profile = self.upstreams[upstream].profile;
                 self.replace_upstream(upstream, profile, true);
             }
         }
@@ -116,7 +116,7 @@
     fn replace_if_draining(&mut self, upstream: usize) {
         if self.upstreams[upstream].state == protocol::UpstreamState::Draining {
             self.crash_upstream(upstream);
-            let profile = self.upstreams[upstream].work;
+            let profile = self.upstreams[upstream].profile;
             self.replace_upstream(upstream, profile, true);
         }
     }
@@ -125,7 +125,7 @@
     fn reuse_address(&mut self, upstream: usize) {
         self.crash_upstream(upstream);
         let services = self.shape.services;
-        let service = self.upstreams[upstream].work.service;
+        let service = self.upstreams[upstream].profile.service;
         let known = services
             .iter()
             .position(|profile| profile.service == service);
@@ -137,14 +137,14 @@
     fn restart_cold(&mut self, every: usize) {
         for upstream in (0..self.upstreams.len()).step_by(every) {
             self.crash_upstream(upstream);
-            let profile = self.upstreams[upstream].work;
+            let profile = self.upstreams[upstream].profile;
             self.replace_upstream(upstream, profile, false);
         }
     }
 
     fn crash_home_upstreams(&mut self) {
         for upstream in 0..self.upstreams.len() {
-            if self.upstreams[upstream].work.homes > 0 {
+            if self.upstreams[upstream].profile.homes > 0 {
                 self.crash_upstream(upstream);
             }
         }
@@ -153,7 +153,7 @@
     fn set_first_service_garbling(&mut self, per_mille: u64) {
         let service = self.shape.services[0].service;
         for upstream in &mut self.upstreams {
-            if upstream.work.service == service {
+            if upstream.profile.service == service {
                 upstream.garbles_per_mille = per_mille;
             }
         }
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -1,7 +1,7 @@
 //! Postmasters and carriers in the simulator: their cores, their disks, their effects.
 
 use super::network::Endpoint;
-use super::path::Exchange;
+use crate::exchanges::Exchange;
 use crate::schedule::Action;
 use crate::world::World;
 use config::{Configuration, ValidationError};
@@ -44,14 +44,14 @@
         ask: ControlRequest,
     },
     Lookup {
-        work: u64,
+        operation: u64,
         name: String,
         place: String,
         asked_at: Duration,
     },
     Request {
         exchange: u64,
-        request: super::path::Request,
+        request: crate::exchanges::Request,
     },
     Connected {
         exchange: u64,
@@ -65,7 +65,7 @@
         exchange: u64,
         send: u32,
         outcome: CallOutcome,
-        reply: Option<super::path::Reply>,
+        reply: Option<crate::responses::Response>,
     },
 }
 
@@ -414,7 +414,7 @@
 
     /// The connection of a request dies with the process that served it.
     fn lose(&mut self, exchange: &Exchange) {
-        self.reply(exchange, Err(transport::CallError::ConnectionLost));
+        self.fail_exchange(exchange, Err(transport::CallError::ConnectionLost));
     }
 
     /// Asks a process to end; it does so once it owes nothing.
@@ -824,24 +824,24 @@
         }
         match event {
             NodeEvent::Lookup {
-                work,
+                operation,
                 name,
                 place,
                 asked_at,
-            } => self.lookup(at, work, &name, &place, asked_at),
-            NodeEvent::Request { exchange, request } => self.request(at, exchange, request),
+            } => self.answer_lookup(at, operation, &name, &place, asked_at),
+            NodeEvent::Request { exchange, request } => self.receive_request(at, exchange, request),
             NodeEvent::Connected {
                 exchange,
                 send,
                 incarnation,
-            } => self.connected(at, exchange, send, incarnation),
-            NodeEvent::WakeUp { exchange } => self.called(at, exchange),
+            } => self.connection_opened(at, exchange, send, incarnation),
+            NodeEvent::WakeUp { exchange } => self.wake_exchange(at, exchange),
             NodeEvent::CallEnded {
                 exchange,
                 send,
                 outcome,
                 reply,
-            } => self.outcome(at, exchange, send, outcome, reply),
+            } => self.receive_outcome(at, exchange, send, outcome, reply),
             other => self.step_node(at, Some(other)),
         }
     }
@@ -849,18 +849,22 @@
     /// What was sent to a process that is down: the other side learns at once that it can't connect.
     fn reject_undeliverable(&mut self, event: NodeEvent) {
         match event {
-            NodeEvent::Lookup { work, asked_at, .. } => {
+            NodeEvent::Lookup {
+                operation,
+                asked_at,
+                ..
+            } => {
                 self.after(
                     Duration::from_millis(1),
                     Action::ReceiveLookup {
-                        work,
+                        operation,
                         listing: None,
                         asked_at,
                     },
                 );
             }
             NodeEvent::Request { request, .. } => {
-                self.reply_to(&request, Err(transport::CallError::NotConnected));
+                self.fail_request(&request, Err(transport::CallError::NotConnected));
             }
             NodeEvent::ControlRequest { request_id, .. } => {
                 let answer = ControlResponse::Outcome {
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -298,7 +298,7 @@
     }
 
     fn send_command_to(&mut self, at: usize, node: usize) {
-        let request_id = self.id();
+        let request_id = self.allocate_id();
         self.operators.tokens.insert(request_id, (at, node));
         let mut ask = self.operators.submissions[at].ask();
         if let (
@@ -497,7 +497,7 @@
             if self.defects.reads_local_disk_only {
                 return self.read_local_configuration(node);
             }
-            let request_id = self.id();
+            let request_id = self.allocate_id();
             self.operators
                 .read_backs
                 .insert(request_id, (node, self.now));
--- a/crates/simulator/src/outcome.rs
+++ b/crates/simulator/src/outcome.rs
@@ -12,7 +12,7 @@
 pub struct Outcome {
     pub seed: u64,
     pub plan: Plan,
-    pub seen: Vec<TimedObservation>,
+    pub observations: Vec<TimedObservation>,
     pub ended: Vec<FinishedOperation>,
     pub violations: Vec<Violation>,
     /// When the last fault was healed.
@@ -64,7 +64,7 @@
 
 impl World {
     pub(crate) fn finish(self, healed_at: Duration) -> Outcome {
-        let violations = check_all(&self.seen, &self.shape.rule_parameters());
+        let violations = check_all(&self.observations, &self.shape.rule_parameters());
         let started_at = |ended: &FinishedOperation| ended.at.saturating_sub(ended.took);
         let failed = self.ended.iter().filter(|ended| ended.code != 1000);
         let last_failed = failed.map(started_at).max().unwrap_or(Duration::ZERO);
@@ -101,12 +101,12 @@
             .map(|node| node.name.clone())
             .collect();
         let voters_gone = voters.intersection(&gone).cloned().collect();
-        let digest = protocol::digest(format!("{:?}", self.seen).as_bytes());
+        let digest = protocol::digest(format!("{:?}", self.observations).as_bytes());
         Outcome {
             seed: self.seed,
             plan: self.plan,
             served_per_mille,
-            seen: self.seen,
+            observations: self.observations,
             ended: self.ended,
             violations,
             healed_at,
--- a/crates/simulator/src/overload.rs
+++ b/crates/simulator/src/overload.rs
@@ -137,7 +137,7 @@
         .services
         .iter_mut()
         .zip(case.percent)
-        .for_each(|(work, percent)| work.percent = percent);
+        .for_each(|(profile, percent)| profile.percent = percent);
     World::loaded(
         seed,
         Plan::named(case.plan, seed).unwrap_or_default(),
@@ -181,13 +181,13 @@
     };
     let shares = ROADWISE
         .services
-        .map(|work| share(work.service).to_string())
+        .map(|profile| share(profile.service).to_string())
         .join("/");
     let (mut denied, mut arrived, mut first) = (0usize, 0usize, std::collections::BTreeSet::new());
     let mut attempts: BTreeMap<(usize, u128), usize> = BTreeMap::new();
     outcomes.iter().enumerate().for_each(|(run, outcome)| {
         outcome
-            .seen
+            .observations
             .iter()
             .for_each(|(at, observation)| match observation {
                 Observation::AttemptAnswered {
--- a/crates/simulator/src/partitions.rs
+++ b/crates/simulator/src/partitions.rs
@@ -188,8 +188,8 @@
             .collect();
         left.into_iter().for_each(|upstream| {
             self.crash_upstream(upstream);
-            let work = self.upstreams[upstream].work;
-            self.replace_upstream(upstream, work, true);
+            let profile = self.upstreams[upstream].profile;
+            self.replace_upstream(upstream, profile, true);
         });
     }
 
--- a/crates/simulator/src/range_leases.rs
+++ b/crates/simulator/src/range_leases.rs
@@ -178,7 +178,10 @@
         let upstream = &mut self.upstreams[at];
         upstream.range_leases.run_out(now);
         let token = format!("{}@{}", upstream.instance, upstream.heartbeat);
-        let (service, instance) = (upstream.work.service.to_owned(), upstream.instance.clone());
+        let (service, instance) = (
+            upstream.profile.service.to_owned(),
+            upstream.instance.clone(),
+        );
         upstream
             .range_leases
             .release_keys(&token)
@@ -276,7 +279,7 @@
         );
         let asked = !upstream.range_leases.ending.is_empty();
         let (service, instance, keys) = (
-            upstream.work.service.to_owned(),
+            upstream.profile.service.to_owned(),
             upstream.instance.clone(),
             upstream.range_leases.spans(),
         );
--- a/crates/simulator/src/schedule.rs
+++ b/crates/simulator/src/schedule.rs
@@ -1,7 +1,7 @@
 //! The queue of actions in virtual time.
 
 use crate::nodes::NodeEvent;
-use crate::path::Reply;
+use crate::responses::Response;
 use config::JsonValue;
 use protocol::{Departure, KeyShare};
 use std::cmp::Reverse;
@@ -71,21 +71,21 @@
     },
     ReceiveDuplicateResponse {
         connection: u64,
-        reply: Reply,
+        reply: Response,
     },
     StartOperation,
     StartAttempt {
-        work: u64,
+        operation: u64,
     },
     ReceiveLookup {
-        work: u64,
+        operation: u64,
         listing: Option<name_directory::LookupAnswer>,
         asked_at: Duration,
     },
     ReceiveResponse {
-        work: u64,
+        operation: u64,
         attempt: u32,
-        answer: Reply,
+        answer: Response,
     },
     RunOperators,
     SendSubmission {
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -155,7 +155,7 @@
 }
 
 fn show_facts(outcome: &Outcome, show: &str) {
-    outcome.seen.iter().for_each(|(at, observation)| {
+    outcome.observations.iter().for_each(|(at, observation)| {
         let text = format!("{observation:?}");
         if text.contains(show) {
             println!("{at:?} {text}");
--- a/crates/simulator/src/shapes.rs
+++ b/crates/simulator/src/shapes.rs
@@ -32,7 +32,7 @@
     pub percent: u64,
 }
 
-const fn work(
+const fn profile(
     service: &'static str,
     at_most_once: bool,
     keyed: bool,
@@ -50,11 +50,11 @@
 }
 
 /// The same with numeric keys.
-const fn numbered(work: ServiceProfile) -> ServiceProfile {
+const fn numbered(profile: ServiceProfile) -> ServiceProfile {
     ServiceProfile {
         keyed: true,
         numbered: true,
-        ..work
+        ..profile
     }
 }
 
@@ -69,9 +69,9 @@
     near_micros: 1500,
     far_micros: 20_000,
     services: [
-        work("practice", false, false, 0, 50),
-        work("booking", true, false, 2, 30),
-        work("payment", true, true, 0, 20),
+        profile("practice", false, false, 0, 50),
+        profile("booking", true, false, 2, 30),
+        profile("payment", true, true, 0, 20),
     ],
 };
 
@@ -86,9 +86,9 @@
     near_micros: 500,
     far_micros: 35_000,
     services: [
-        work("clause", false, false, 0, 50),
-        work("posting", true, true, 0, 30),
-        work("renewal", true, false, 2, 20),
+        profile("clause", false, false, 0, 50),
+        profile("posting", true, true, 0, 30),
+        profile("renewal", true, false, 2, 20),
     ],
 };
 
@@ -104,9 +104,9 @@
     near_micros: 1500,
     far_micros: 20_000,
     services: [
-        work("statement", false, false, 0, 30),
-        numbered(work("account", true, true, 0, 50)),
-        work("transfer", true, false, 2, 20),
+        profile("statement", false, false, 0, 30),
+        numbered(profile("account", true, true, 0, 50)),
+        profile("transfer", true, false, 2, 20),
     ],
 };
 
@@ -115,11 +115,11 @@
 /// Services of one upstream each. Every setup leads the name `probe` to one of them, so that arrivals there show
 /// which setup a proxy served by.
 pub const MARKERS: [ServiceProfile; 5] = [
-    work("mark-0", false, false, 0, 0),
-    work("mark-1", false, false, 0, 0),
-    work("mark-2", false, false, 0, 0),
-    work("mark-3", false, false, 0, 0),
-    work("mark-4", false, false, 0, 0),
+    profile("mark-0", false, false, 0, 0),
+    profile("mark-1", false, false, 0, 0),
+    profile("mark-2", false, false, 0, 0),
+    profile("mark-3", false, false, 0, 0),
+    profile("mark-4", false, false, 0, 0),
 ];
 
 /// The number of a marking service.
@@ -178,8 +178,8 @@
     /// let shape = simulator::shapes::ROADWISE;
     /// assert_eq!(shape.homes(&shape.services[1]), ["north", "middle"]);
     /// ```
-    pub fn homes(&self, work: &ServiceProfile) -> &[&'static str] {
-        &self.regions[..work.homes]
+    pub fn homes(&self, profile: &ServiceProfile) -> &[&'static str] {
+        &self.regions[..profile.homes]
     }
 
     /// All that its upstreams do, those that only mark setups last, and how many there are of each.
@@ -191,7 +191,7 @@
         let markers = MARKERS.into_iter().map(|marker| (marker, 1));
         self.services
             .into_iter()
-            .map(|work| (work, self.per_service))
+            .map(|profile| (profile, self.per_service))
             .chain(markers)
     }
 
@@ -216,14 +216,14 @@
     }
 
     fn written(&self, extra: usize, number: Option<u64>) -> String {
-        let services = self.services.iter().chain(&MARKERS).map(|work| {
-            let homes = self.homes(work).iter().map(|home| format!("\"{home}\"")).collect::<Vec<_>>().join(", ");
+        let services = self.services.iter().chain(&MARKERS).map(|profile| {
+            let homes = self.homes(profile).iter().map(|home| format!("\"{home}\"")).collect::<Vec<_>>().join(", ");
             format!(
                 r#"    {{"name": "{}", "work": "{}", "keyed": {}, "numbered": {}, "warmUpPerSecond": {WARM_UP_PER_SECOND}, "homeRegions": [{homes}]}}"#,
-                work.service,
-                if work.at_most_once { "once" } else { "repeatable" },
-                work.keyed,
-                work.numbered
+                profile.service,
+                if profile.at_most_once { "once" } else { "repeatable" },
+                profile.keyed,
+                profile.numbered
             )
         });
         let route = |id: String, name: &str, path: String, service: &str| {
@@ -231,12 +231,12 @@
                 r#"    {{"id": "{id}", "name": "{name}", "path": "{path}", "service": "{service}"}}"#
             )
         };
-        let routes = self.services.iter().enumerate().map(|(at, work)| {
+        let routes = self.services.iter().enumerate().map(|(at, profile)| {
             route(
                 format!("r{at}"),
-                work.service,
-                format!("/{}", work.service),
-                work.service,
+                profile.service,
+                format!("/{}", profile.service),
+                profile.service,
             )
         });
         let marked = MARKERS[extra % MARKERS.len()].service;
@@ -251,10 +251,10 @@
                 self.services[0].service,
             )
         });
-        let aliases = self.services.iter().enumerate().map(|(at, work)| {
+        let aliases = self.services.iter().enumerate().map(|(at, profile)| {
             format!(
                 r#"    {{"alias": "{}.{}.example", "to": "r{at}"}}"#,
-                work.service, self.name
+                profile.service, self.name
             )
         });
         let list = |items: Vec<String>| items.join(",\n");
@@ -275,14 +275,14 @@
     /// assert_eq!(simulator::shapes::KALAM.rule_parameters().homes.len(), 1);
     /// ```
     pub fn rule_parameters(&self) -> RuleParameters {
-        let bound = self.services.iter().filter(|work| work.homes > 0);
-        let homes = bound.map(|work| {
+        let bound = self.services.iter().filter(|profile| profile.homes > 0);
+        let homes = bound.map(|profile| {
             let homes: BTreeSet<String> = self
-                .homes(work)
+                .homes(profile)
                 .iter()
                 .map(|home| (*home).to_owned())
                 .collect();
-            (work.service.to_owned(), homes)
+            (profile.service.to_owned(), homes)
         });
         RuleParameters {
             homes: homes.collect(),
--- a/crates/simulator/src/upstreams.rs
+++ b/crates/simulator/src/upstreams.rs
@@ -2,9 +2,9 @@
 
 use super::network::Endpoint;
 use super::nodes::{DRIFT, NodeEvent, true_span};
-use super::path::Reply;
 use super::range_leases::RangeLeases;
 use crate::grants::granted_slots;
+use crate::responses::Response;
 use crate::schedule::Action;
 use crate::shapes::{ServiceProfile, marker_index};
 use crate::world::World;
@@ -21,7 +21,7 @@
 
 /// One stand-in.
 pub struct SimulatedUpstream {
-    pub work: ServiceProfile,
+    pub profile: ServiceProfile,
     pub instance: String,
     pub address: String,
     pub place: Endpoint,
@@ -52,11 +52,11 @@
 impl World {
     pub(super) fn create_upstreams(&mut self) {
         let shape = self.shape.clone();
-        shape.profiles().for_each(|(work, count)| {
+        shape.profiles().for_each(|(profile, count)| {
             (0..count).for_each(|at| {
                 // Marks stand apart from one another.
-                let place = crate::shapes::marker_index(work.service).unwrap_or(at);
-                let number = self.push_upstream(work, at, shape.locality(place), true);
+                let place = crate::shapes::marker_index(profile.service).unwrap_or(at);
+                let number = self.push_upstream(profile, at, shape.locality(place), true);
                 let first = Duration::from_millis(5000 + self.random.below(500));
                 self.at(
                     first,
@@ -71,17 +71,17 @@
 
     fn push_upstream(
         &mut self,
-        work: ServiceProfile,
+        profile: ServiceProfile,
         at: usize,
         locality: String,
         warm: bool,
     ) -> usize {
         let number = self.upstreams.len();
         // The contract of numeric keys allows for clocks that are twice as slow.
-        let slow = if work.numbered { 2 * DRIFT } else { DRIFT };
+        let slow = if profile.numbered { 2 * DRIFT } else { DRIFT };
         self.upstreams.push(SimulatedUpstream {
-            work,
-            instance: format!("{}-{at}", work.service),
+            profile,
+            instance: format!("{}-{at}", profile.service),
             address: format!("10.0.{}.{}:80", number / 200, number % 200),
             place: Endpoint {
                 machine: None,
@@ -109,8 +109,8 @@
 
     /// A further upstream, empty and cold.
     pub(super) fn add_upstream(&mut self, at: usize) -> usize {
-        let (work, place) = (self.shape.services[at % 3], self.shape.locality(at));
-        let upstream = self.push_upstream(work, 100 + self.upstreams.len(), place, false);
+        let (profile, place) = (self.shape.services[at % 3], self.shape.locality(at));
+        let upstream = self.push_upstream(profile, 100 + self.upstreams.len(), place, false);
         self.after(
             Duration::from_millis(10),
             Action::Heartbeat {
@@ -122,12 +122,12 @@
     }
 
     /// Starts a new instance in the place of an old one, perhaps of another service.
-    pub(super) fn replace_upstream(&mut self, at: usize, work: ServiceProfile, warm: bool) {
+    pub(super) fn replace_upstream(&mut self, at: usize, profile: ServiceProfile, warm: bool) {
         let incarnation = self.upstreams[at].incarnation + 1;
         let upstream = &mut self.upstreams[at];
-        upstream.work = work;
+        upstream.profile = profile;
         upstream.incarnation = incarnation;
-        upstream.instance = format!("{}-{at}-{incarnation}", work.service);
+        upstream.instance = format!("{}-{at}-{incarnation}", profile.service);
         upstream.up = true;
         upstream.state = protocol::UpstreamState::Ready;
         upstream.warm = warm;
@@ -155,14 +155,17 @@
         let upstream = &mut self.upstreams[at];
         upstream.up = false;
         upstream.incarnation += 1;
-        let (service, instance) = (upstream.work.service.to_owned(), upstream.instance.clone());
-        let held = std::mem::take(&mut upstream.holds)
+        let (service, instance) = (
+            upstream.profile.service.to_owned(),
+            upstream.instance.clone(),
+        );
+        let held_epoch = std::mem::take(&mut upstream.holds)
             .into_keys()
             .map(|slot| slot..slot + 1);
-        let held: Vec<Range<u32>> = held
+        let held_epoch: Vec<Range<u32>> = held_epoch
             .chain(std::mem::take(&mut upstream.range_leases).keys())
             .collect();
-        held.into_iter().for_each(|keys| {
+        held_epoch.into_iter().for_each(|keys| {
             self.note(Observation::KeysReleased {
                 service: service.clone(),
                 keys,
@@ -215,7 +218,7 @@
     /// One beat, to some postmaster.
     pub(super) fn send_heartbeat(&mut self, at: usize) {
         let (now, incarnation) = (self.now, self.upstreams[at].incarnation);
-        if self.upstreams[at].work.numbered {
+        if self.upstreams[at].profile.numbered {
             self.release_keys(at);
         }
         let control_nodes = self.control_nodes();
@@ -231,7 +234,7 @@
             ..KeyShare::default()
         });
         let told = Upstream {
-            service: upstream.work.service.into(),
+            service: upstream.profile.service.into(),
             instance: upstream.instance.clone(),
             address: upstream.address.clone(),
             locality: upstream.place.locality.clone(),
@@ -249,7 +252,7 @@
             .network
             .delay(&mut self.random, &place, &self.nodes[node].place);
         delay.into_iter().for_each(|delay| {
-            let request_id = self.id();
+            let request_id = self.allocate_id();
             self.operators
                 .pending_heartbeats
                 .insert(request_id, (at, incarnation, heartbeat, now, node));
@@ -293,7 +296,7 @@
         if self.upstreams[upstream].deregistered {
             return;
         }
-        if self.upstreams[upstream].work.numbered {
+        if self.upstreams[upstream].profile.numbered {
             return self.send_range_grants(from, shares, span);
         }
         let json = control_plane::heartbeat_json(holder, shares, span);
@@ -365,7 +368,7 @@
         if new_holder {
             upstream.holder = told;
         }
-        if new_holder && told > 0 && upstream.work.keyed && now >= upstream.paused_until {
+        if new_holder && told > 0 && upstream.profile.keyed && now >= upstream.paused_until {
             // The next beat proves that it knows the new holder: the sooner, the less runs out.
             self.send_heartbeat(at);
         }
@@ -396,7 +399,10 @@
             + true_span(Duration::from_millis(span_ms), upstream.drift)
             + self.defects.lease_overrun;
         let given = granted_slots(json);
-        let (service, instance) = (upstream.work.service.to_owned(), upstream.instance.clone());
+        let (service, instance) = (
+            upstream.profile.service.to_owned(),
+            upstream.instance.clone(),
+        );
         let gone: Vec<u32> = upstream
             .holds
             .keys()
@@ -436,16 +442,19 @@
             .holds
             .values_mut()
             .for_each(|(_, until)| *until += span);
-        let (service, instance) = (upstream.work.service.to_owned(), upstream.instance.clone());
+        let (service, instance) = (
+            upstream.profile.service.to_owned(),
+            upstream.instance.clone(),
+        );
         upstream.range_leases.until += span;
         upstream.range_leases.ending_until += span;
         let slots = upstream
             .holds
             .iter()
             .map(|(slot, (_, until))| (*slot..slot + 1, *until));
-        let held: Vec<(Range<u32>, Duration)> =
+        let held_epoch: Vec<(Range<u32>, Duration)> =
             slots.chain(upstream.range_leases.spans()).collect();
-        held.into_iter().for_each(|(keys, until)| {
+        held_epoch.into_iter().for_each(|(keys, until)| {
             self.note(Observation::KeysHeld {
                 service: service.clone(),
                 keys,
@@ -463,7 +472,7 @@
             .position(|upstream| upstream.address == address);
         let up = at.filter(|at| self.upstreams[*at].up && !cut);
         let Some(at) = up else {
-            return self.back(
+            return self.return_response(
                 exchange,
                 send,
                 Err(transport::CallError::NotConnected),
@@ -505,7 +514,7 @@
             self.upstreams[*at].up && self.upstreams[*at].incarnation == *incarnation && !cut
         });
         let Some((at, _)) = alive else {
-            return self.back(
+            return self.return_response(
                 exchange,
                 send,
                 Err(transport::CallError::ConnectionLost),
@@ -527,14 +536,14 @@
             return;
         }
         if self.draw_reset() {
-            return self.back(
+            return self.return_response(
                 exchange,
                 send,
                 Err(transport::CallError::ConnectionLost),
                 Duration::from_micros(300),
             );
         }
-        let Some(order) = self
+        let Some(call) = self
             .exchanges
             .get(&exchange)
             .map(|exchange| exchange.sent.clone())
@@ -544,36 +553,36 @@
         let now = self.now;
         let upstream = &mut self.upstreams[at];
         let arrived = Observation::RequestArrived {
-            attempt_id: order.attempt_id.clone(),
-            service: order.path.into(),
+            attempt_id: call.attempt_id.clone(),
+            service: call.path.into(),
             instance: upstream.instance.clone(),
             locality: upstream.place.locality.clone(),
             cold: !upstream.warm,
         };
-        let slot = key_space::slot_of_key(&order.key);
-        let held = upstream
+        let slot = key_space::slot_of_key(&call.key);
+        let held_epoch = upstream
             .holds
             .get(&slot)
             .filter(|(_, until)| now < *until)
             .map(|(epoch, _)| *epoch);
         // A back end of another service, which took over the address, knows nothing of this path.
-        let marker = marker_index(upstream.work.service);
+        let marker = marker_index(upstream.profile.service);
         let mine =
-            upstream.work.service == order.path || (marker.is_some() && order.path == "probe");
-        let number = order
+            upstream.profile.service == call.path || (marker.is_some() && call.path == "probe");
+        let number = call
             .key
             .parse::<u32>()
             .ok()
-            .filter(|_| upstream.work.numbered);
-        let may = match (upstream.work.keyed, number) {
+            .filter(|_| upstream.profile.numbered);
+        let may = match (upstream.profile.keyed, number) {
             (false, _) => true,
             (true, Some(key)) => upstream.range_leases.holds(key, now),
-            (true, None) => held.is_some() && held == order.epoch,
+            (true, None) => held_epoch.is_some() && held_epoch == call.epoch,
         };
         let runs = mine && upstream.busy < self.load.slots && may;
         let (instance, at_most_once, incarnation) = (
             upstream.instance.clone(),
-            upstream.work.at_most_once,
+            upstream.profile.at_most_once,
             upstream.incarnation,
         );
         if runs {
@@ -594,8 +603,8 @@
         probed.into_iter().for_each(|probed| self.note(probed));
         if runs {
             self.note(Observation::OperationExecuted {
-                work: order.work.clone(),
-                attempt_id: order.attempt_id.clone(),
+                operation: call.operation.clone(),
+                attempt_id: call.attempt_id.clone(),
                 at_most_once,
             });
             let (least, most) = self.load.takes;
@@ -617,10 +626,15 @@
                 },
             );
         } else {
-            self.back(
+            self.return_response(
                 exchange,
                 send,
-                Ok(Reply::sealed(&order.attempt_id, &instance, 503, "not run")),
+                Ok(Response::sealed(
+                    &call.attempt_id,
+                    &instance,
+                    503,
+                    "not run",
+                )),
                 Duration::from_micros(500),
             );
         }
@@ -637,25 +651,25 @@
                 .working
                 .remove(&(exchange, send));
         }
-        let Some(order) = self
+        let Some(call) = self
             .exchanges
             .get(&exchange)
             .map(|exchange| exchange.sent.clone())
         else {
             return;
         };
-        let mut reply = Reply::sealed(
-            &order.attempt_id,
+        let mut reply = Response::sealed(
+            &call.attempt_id,
             &self.upstreams[at].instance,
             200,
-            &order.work,
+            &call.operation,
         );
         if garbled {
             // Cut short, or the whole and well sealed verdict of somebody else's try.
             if self.random.below(2) == 0 {
                 reply.body.truncate(reply.body.len() / 2);
             } else {
-                reply = Reply::sealed(
+                reply = Response::sealed(
                     "try-of-another",
                     &self.upstreams[at].instance,
                     200,
@@ -679,7 +693,7 @@
             called
                 .iter()
                 .for_each(|reply| self.send_duplicate_response(exchange, reply, delay));
-            self.back(exchange, send, called.clone(), delay);
+            self.return_response(exchange, send, called.clone(), delay);
         });
     }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -2,13 +2,14 @@
 
 use crate::connections::Connections;
 use crate::defects::Defects;
+use crate::exchanges::Exchange;
 use crate::faults::Plan;
 use crate::load::LoadProfile;
 use crate::network::Network;
 use crate::nodes::Node;
 use crate::operators::Operators;
+use crate::origins::Origins;
 use crate::outcome::{Outcome, VoterLoss};
-use crate::path::{Exchange, Origins};
 use crate::schedule::{Action, Schedule};
 use crate::shapes::{ROADWISE, Shape};
 use crate::upstreams::SimulatedUpstream;
@@ -53,7 +54,7 @@
     pub(super) exchanges: BTreeMap<u64, Exchange>,
     pub(super) origins: Origins,
     pub(super) operators: Operators,
-    pub(super) seen: Vec<TimedObservation>,
+    pub(super) observations: Vec<TimedObservation>,
     pub(super) ended: Vec<FinishedOperation>,
     pub(super) messages: u64,
     pub(super) message_bytes: u64,
@@ -97,7 +98,7 @@
             exchanges: BTreeMap::new(),
             origins: Origins::default(),
             operators: Operators::default(),
-            seen: Vec::new(),
+            observations: Vec::new(),
             ended: Vec::new(),
             messages: 0,
             message_bytes: 0,
@@ -114,7 +115,7 @@
         world
     }
 
-    pub(super) fn id(&mut self) -> u64 {
+    pub(super) fn allocate_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
@@ -128,7 +129,7 @@
     }
 
     pub(super) fn note(&mut self, observation: Observation) {
-        self.seen.push((self.now, observation));
+        self.observations.push((self.now, observation));
     }
 
     /// The same world with something taken away that the rules rest on.
@@ -265,20 +266,20 @@
                         Duration::from_micros(1_000_000 / self.shape.per_second),
                         Action::StartOperation,
                     );
-                    self.origin_start();
+                    self.start_operation();
                 }
             }
-            Action::StartAttempt { work } => self.origin_try(work),
+            Action::StartAttempt { operation } => self.start_attempt(operation),
             Action::ReceiveLookup {
-                work,
+                operation,
                 listing,
                 asked_at,
-            } => self.origin_told(work, listing, asked_at),
+            } => self.receive_lookup(operation, listing, asked_at),
             Action::ReceiveResponse {
-                work,
+                operation,
                 attempt,
                 answer,
-            } => self.origin_answer(work, attempt, answer),
+            } => self.receive_response(operation, attempt, answer),
             Action::RunOperators => self.run_operators(),
             Action::SendSubmission { submission } => self.send_submission(submission),
             Action::RepeatSubmission { submission } => self.send_command(submission),
@@ -292,7 +293,7 @@
                     self.observe_nodes();
                 }
                 if self.now < load_until && self.now.as_millis().is_multiple_of(300) {
-                    self.probe();
+                    self.probe_markers();
                 }
                 self.after(Duration::from_millis(100), Action::ObserveNodes);
             }
--- a/crates/simulator/tests/configurations.rs
+++ b/crates/simulator/tests/configurations.rs
@@ -23,7 +23,7 @@
     let outcome = played("number-race", 1);
     let most = |wanted: fn(&Observation) -> Option<u64>| {
         outcome
-            .seen
+            .observations
             .iter()
             .filter_map(|(_, observation)| wanted(observation))
             .max()
@@ -38,7 +38,7 @@
         "six rounds, each to five above the last"
     );
     let last = outcome
-        .seen
+        .observations
         .iter()
         .rev()
         .find_map(|(_, observation)| match observation {
@@ -46,7 +46,7 @@
             _ => None,
         });
     let holds = outcome
-        .seen
+        .observations
         .iter()
         .any(|(_, observation)| match observation {
             Observation::VersionSubmitted { number: 30, digest } => last.as_ref() == Some(digest),
@@ -88,26 +88,29 @@
 fn in_force_after(outcome: &Outcome) -> Option<Duration> {
     let restart = |observation: &Observation| matches!(observation, Observation::Fault { what } if what.contains("healed: KillControlNodes"));
     let restarted = outcome
-        .seen
+        .observations
         .iter()
         .find(|(_, observation)| restart(observation))
         .map(|(at, _)| *at)?;
     let accepted = outcome
-        .seen
+        .observations
         .iter()
         .filter_map(|(_, observation)| match observation {
             Observation::RevisionAccepted { revision } => Some(*revision),
             _ => None,
         });
     let accepted = accepted.max()?;
-    let before = outcome.seen.iter().filter(|(at, _)| *at < restarted);
+    let before = outcome
+        .observations
+        .iter()
+        .filter(|(at, _)| *at < restarted);
     let early = before.filter(
         |(_, observation)| matches!(observation, Observation::RevisionInForce { revision, .. } if *revision >= accepted),
     );
     assert_eq!(early.count(), 0, "no carrier was told before the restart");
     let mut since: BTreeMap<&str, Duration> = BTreeMap::new();
     outcome
-        .seen
+        .observations
         .iter()
         .filter(|(at, _)| *at >= restarted)
         .for_each(|(at, observation)| match observation {
--- a/crates/simulator/tests/cuts.rs
+++ b/crates/simulator/tests/cuts.rs
@@ -47,7 +47,7 @@
 
 fn slowest_order(outcome: &Outcome) -> Duration {
     let took = outcome
-        .seen
+        .observations
         .iter()
         .filter_map(|(_, observation)| match observation {
             Observation::ConfigurationAccepted { took, .. } => Some(*took),
--- a/crates/simulator/tests/numbered.rs
+++ b/crates/simulator/tests/numbered.rs
@@ -84,7 +84,7 @@
     let parts = outcomes.map(|outcome| {
         let mut arrived: BTreeMap<String, u64> = BTreeMap::new();
         outcome
-            .seen
+            .observations
             .iter()
             .filter(|(at, _)| at.as_secs() >= 24)
             .for_each(|(_, observation)| match observation {
@@ -122,7 +122,7 @@
     let mut free: BTreeMap<u32, Duration> = BTreeMap::new();
     let mut longest = (Duration::ZERO, 0);
     outcome
-        .seen
+        .observations
         .iter()
         .for_each(|(at, observation)| match observation {
             Observation::KeysReleased { keys, .. } => {
--- a/crates/simulator/tests/orders.rs
+++ b/crates/simulator/tests/orders.rs
@@ -119,7 +119,7 @@
     let outcome = run(seed, Plan::named(plan, seed), ROADWISE);
     let mut known = BTreeSet::new();
     let told = outcome
-        .seen
+        .observations
         .iter()
         .filter_map(|(_, observation)| match observation {
             Observation::CommandReturned {
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -245,7 +245,7 @@
         );
         let digests = |at: &dyn Fn(&Observation) -> Option<String>| {
             outcome
-                .seen
+                .observations
                 .iter()
                 .filter_map(|(_, observation)| at(observation))
                 .last()
--- a/crates/testbed/src/stand_in_clients.rs
+++ b/crates/testbed/src/stand_in_clients.rs
@@ -150,7 +150,7 @@
         self.record.note(
             self.clock.now(),
             Observation::AttemptStarted {
-                work: work.into(),
+                operation: work.into(),
                 attempt_id: attempt_id.into(),
             },
         );
--- a/crates/testbed/src/stand_in_upstreams.rs
+++ b/crates/testbed/src/stand_in_upstreams.rs
@@ -340,7 +340,7 @@
         let body = if runs {
             let work = String::from_utf8_lossy(&request.body).into_owned();
             let ran = Observation::OperationExecuted {
-                work: work.clone(),
+                operation: work.clone(),
                 attempt_id: attempt_id.clone(),
                 at_most_once: self.work.at_most_once,
             };
