--- a/crates/simulator/src/exchanges.rs
+++ b/crates/simulator/src/exchanges.rs
@@ -1,20 +1,17 @@
 //! Requests at a proxy: each is routed by the data plane's own core, called at an upstream, and answered.
 
-use crate::nodes::{Core, NodeEvent};
+use crate::exchange_steps::RoutingEvent;
+use crate::nodes::NodeEvent;
 use crate::responses::Response;
 use crate::schedule::Action;
 use crate::world::World;
 use name_directory::View;
-use protocol::Upstream;
-use request_routing::{CallOutcome, NextStep, RequestInfo, RequestState, WakeUp};
+use request_routing::{CallOutcome, RequestInfo, RequestState, WakeUp};
 use result_code::ResultCode;
-use std::sync::{Arc, PoisonError};
+use std::sync::PoisonError;
 use std::time::Duration;
 use transport::CallError;
 
-/// How long a proxy tries to reach another that does not answer.
-const UNREACHABLE_PROXY_TIMEOUT: Duration = Duration::from_millis(200);
-
 /// A request on its way to a proxy.
 #[derive(Clone, Debug)]
 pub struct Request {
@@ -75,17 +72,6 @@
     pub chosen_by: Option<(Duration, View)>,
 }
 
-/// What a journey is told.
-enum RoutingEvent {
-    Start,
-    Connected {
-        /// Its kept connection ended, or something came on it, before it was written to.
-        unwritable: bool,
-    },
-    WokenUp,
-    CallEnded(CallOutcome, Option<Response>),
-}
-
 impl World {
     /// A request reaches a proxy.
     pub(crate) fn receive_request(&mut self, at: usize, exchange: u64, request: Request) {
@@ -207,229 +193,7 @@
         });
     }
 
-    /// Steps a journey.
-    fn advance_exchange(&mut self, id: u64, told: RoutingEvent) {
-        let Some(exchange) = self.exchanges.get_mut(&id) else {
-            return;
-        };
-        let node = &self.nodes[exchange.node];
-        let Core::DataNode(data_node, proxy_stats) = &node.core else {
-            return;
-        };
-        let local = node.local(self.now);
-        let mut view = data_node.view().clone();
-        if self.defects.ignores_warm_up {
-            let warm = |upstream: &Arc<Upstream>| {
-                Arc::new(Upstream {
-                    warm: true,
-                    ..(**upstream).clone()
-                })
-            };
-            Arc::make_mut(&mut view.upstreams)
-                .values_mut()
-                .for_each(|lookups| {
-                    lookups
-                        .values_mut()
-                        .for_each(|upstream| *upstream = warm(upstream));
-                });
-        }
-        exchange.waiting = false;
-        let mut reply = None;
-        let next = match told {
-            RoutingEvent::Start => exchange.routing.start(local, &view, proxy_stats),
-            RoutingEvent::WokenUp => exchange.routing.on_wake_up(local, &view, proxy_stats),
-            RoutingEvent::Connected { unwritable } => {
-                let (judged_at, judged_by) =
-                    exchange.chosen_by.take().unwrap_or((local, view.clone()));
-                match exchange
-                    .routing
-                    .on_connected(judged_at, &judged_by, proxy_stats)
-                {
-                    NextStep::Send { .. } if unwritable => {
-                        exchange.may_reuse_connection = false;
-                        exchange.routing.on_not_written(local)
-                    }
-                    next => next,
-                }
-            }
-            RoutingEvent::CallEnded(outcome, came) => {
-                reply = came;
-                if self.defects.unlimited_retry_budget {
-                    let service = proxy_stats.service(exchange.request.service);
-                    (0..1000).for_each(|_| service.retry_budget.record_first_send(local));
-                }
-                exchange
-                    .routing
-                    .on_outcome(local, &view, proxy_stats, outcome)
-            }
-        };
-        match next {
-            NextStep::Connect { upstream, within } => {
-                exchange.send += 1;
-                exchange.instance = Some(upstream.instance.clone());
-                (
-                    exchange.address,
-                    exchange.incarnation,
-                    exchange.connection,
-                    exchange.skipped,
-                ) = (upstream.address.clone(), None, None, 0);
-                exchange.chosen_by =
-                    Some((local, view)).filter(|_| self.defects.skips_check_after_connect);
-                let (send, at, may_reuse_connection) =
-                    (exchange.send, exchange.node, exchange.may_reuse_connection);
-                let kept = if may_reuse_connection {
-                    self.reuse_connection(at, &upstream.address)
-                } else {
-                    None
-                };
-                if let Some((connection, incarnation)) = kept {
-                    self.exchanges
-                        .get_mut(&id)
-                        .into_iter()
-                        .for_each(|exchange| exchange.connection = Some(connection));
-                    let event = NodeEvent::Connected {
-                        exchange: id,
-                        send,
-                        incarnation,
-                    };
-                    self.after(Duration::ZERO, Action::Deliver { node: at, event });
-                    return self.trigger_ambush(at, &upstream.instance);
-                }
-                let (delay, cut) = self.route_to_upstream(
-                    at,
-                    &upstream.address,
-                    within.min(transport::CONNECT_TIMEOUT),
-                );
-                self.after(
-                    delay,
-                    Action::AcceptConnection {
-                        exchange: id,
-                        send,
-                        address: upstream.address.clone(),
-                        cut,
-                    },
-                );
-                let late = (CallOutcome::NotConnected, None);
-                self.schedule_outcome(id, send, late, within.min(transport::CONNECT_TIMEOUT));
-                self.trigger_ambush(at, &upstream.instance);
-            }
-            NextStep::Send { share, within } => {
-                // From here on an answer to the connecting is of no interest.
-                exchange.send += 1;
-                exchange.sent.epoch = share.map(|share| share.epoch);
-                let (send, at, address) = (exchange.send, exchange.node, exchange.address.clone());
-                let (delay, cut) = self.route_to_upstream(at, &address, transport::CONNECT_TIMEOUT);
-                self.after(
-                    delay,
-                    Action::ReceiveCall {
-                        exchange: id,
-                        send,
-                        cut,
-                    },
-                );
-                self.schedule_outcome(id, send, (CallOutcome::TimedOut, None), within);
-            }
-            NextStep::Wait { within } => {
-                exchange.waiting = true;
-                let node = exchange.node;
-                self.after(
-                    within,
-                    Action::Deliver {
-                        node,
-                        event: NodeEvent::WakeUp { exchange: id },
-                    },
-                );
-            }
-            NextStep::Forward { proxies, within } => {
-                exchange.send += 1;
-                exchange.instance = None;
-                let (send, at) = (exchange.send, exchange.node);
-                let from = Requester::Proxy {
-                    exchange: id,
-                    send,
-                    node: at,
-                };
-                let request = Request {
-                    remaining: within,
-                    from,
-                    ..exchange.request.clone()
-                };
-                let reachable = proxies
-                    .iter()
-                    .filter_map(|proxy| self.nodes.iter().position(|node| node.name == *proxy));
-                let mut reachable = reachable.filter(|to| self.nodes[*to].up);
-                let to = reachable.next();
-                let delay = to.and_then(|to| {
-                    self.network
-                        .delay(
-                            &mut self.random,
-                            &self.nodes[at].place,
-                            &self.nodes[to].place,
-                        )
-                        .map(|delay| (to, delay))
-                });
-                match delay {
-                    Some((node, delay)) => {
-                        let next = self.allocate_id();
-                        self.after(
-                            delay,
-                            Action::Deliver {
-                                node,
-                                event: NodeEvent::Request {
-                                    exchange: next,
-                                    request,
-                                },
-                            },
-                        );
-                        self.schedule_outcome(id, send, (CallOutcome::TimedOut, None), within);
-                    }
-                    None => self.schedule_outcome(
-                        id,
-                        send,
-                        (CallOutcome::NotConnected, None),
-                        within.min(UNREACHABLE_PROXY_TIMEOUT),
-                    ),
-                }
-            }
-            NextStep::PassResponse => self.end_exchange(
-                id,
-                reply.unwrap_or_else(|| Response::coded("", ResultCode::ResponseLost, None)),
-            ),
-            NextStep::Answer { code, retry_after } => {
-                let attempt_id = exchange.request.attempt_id.clone();
-                self.end_exchange(id, Response::coded(&attempt_id, code, retry_after));
-            }
-        }
-    }
-
-    /// How long something takes from a proxy to an address, and whether a cut keeps it from arriving; `patience` is
-    /// how long the proxy's machine goes on trying.
-    fn route_to_upstream(
-        &mut self,
-        from: usize,
-        address: &str,
-        patience: Duration,
-    ) -> (Duration, bool) {
-        let from = self.nodes[from].place.clone();
-        let to = self
-            .upstreams
-            .iter()
-            .find(|upstream| upstream.address == address)
-            .map(|upstream| upstream.place.clone());
-        let cut = to.as_ref().is_none_or(|to| self.network.blocked(&from, to));
-        let delay = to.and_then(|to| self.network.delay(&mut self.random, &from, &to));
-        // TCP sends a lost packet again; only a cut keeps it from arriving at all.
-        (
-            delay.unwrap_or(if cut {
-                patience
-            } else {
-                Duration::from_millis(200)
-            }),
-            cut,
-        )
-    }
-
-    fn end_exchange(&mut self, id: u64, reply: Response) {
+    pub(crate) fn end_exchange(&mut self, id: u64, reply: Response) {
         let exchange = self.exchanges.remove(&id);
         exchange.into_iter().for_each(|exchange| {
             self.respond(&exchange.request, Some(exchange.node), reply.clone())
@@ -502,7 +266,7 @@
             .for_each(|called| self.respond(request, None, Response::failed(called)));
     }
 
-    fn schedule_outcome(
+    pub(crate) fn schedule_outcome(
         &mut self,
         exchange: u64,
         send: u32,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -8,6 +8,7 @@
 mod defects;
 mod deregistration;
 mod disks;
+mod exchange_steps;
 mod exchanges;
 mod fault_injection;
 mod faults;
