--- a/crates/invariants/src/observations.rs
+++ b/crates/invariants/src/observations.rs
@@ -1,142 +1,230 @@
-//! What was seen from outside the system, in the order it was seen. Checkers know nothing else.
+//! Observations of the system from outside, in the order in which they were made. Checkers know nothing else.
 
 use crate::history::{Command, CommandResult};
 use std::ops::Range;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What an answer of a control node vouches for.
+/// What a response of a control node confirms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// An order was taken.
+    /// A command was accepted.
     Command,
-    /// This is what holds.
+    /// The configuration that was read is the current one.
     Read,
-    /// Nothing more will be sent to an upstream that leaves.
+    /// Nothing more will be sent to a draining upstream.
     Draining,
-    /// An upstream that stays was heard.
+    /// The heartbeat of an upstream that stays was received.
     Heartbeat,
 }
 
-/// One thing seen, by a stand-in or an operator.
+/// One thing observed, by an upstream, a client or an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// An upstream was handed a try; `service` is what the try is for.
+    /// A request arrived at an upstream.
     RequestArrived {
+        /// The client's attempt that the request belongs to.
         attempt_id: String,
+        /// The service that the request is for.
         service: String,
+        /// The upstream's instance.
         instance: String,
+        /// The upstream's region and zone.
         locality: String,
+        /// Whether the upstream is still warming up.
         cold: bool,
     },
-    /// An upstream did a piece of work.
+    /// An upstream executed an operation.
     OperationExecuted {
+        /// The client's operation.
         operation: String,
+        /// The attempt that it was executed for.
         attempt_id: String,
+        /// Whether the operation may be executed only once.
         at_most_once: bool,
     },
-    /// An origin made a try.
+    /// A client started an attempt of an operation.
     AttemptStarted {
+        /// The client's operation.
         operation: String,
+        /// The attempt.
         attempt_id: String,
     },
-    /// An origin got the final answer of a try. `complete`: a success whose seal, try and work are right.
+    /// A client received the final response to an attempt.
     AttemptAnswered {
+        /// The attempt.
         attempt_id: String,
+        /// The number of the result code.
         code: u32,
+        /// Whether the response says that the operation succeeded.
         success: bool,
+        /// Whether it is a success whose seal, attempt and operation are right.
         complete: bool,
+        /// Whether the response promises that the operation was not executed.
         not_executed: bool,
     },
-    /// An origin used an address this long after the directory gave it.
-    AddressUsed { age: Duration },
-    /// An upstream told that it leaves.
-    UpstreamDraining { instance: String },
-    /// The system said yes to an evacuation; or an operator asked to take the place back, which may be in force before
-    /// the yes comes.
-    Evacuation { locality: String, back: bool },
-    /// The system said yes to an edition.
-    RevisionAccepted { revision: u64 },
-    /// A node that says it serves has this edition in force.
-    RevisionInForce { node: String, revision: u64 },
-    /// An operator read the setup back from a node.
+    /// A client used an address this long after the directory gave it.
+    AddressUsed {
+        /// Since the directory was asked.
+        age: Duration,
+    },
+    /// An upstream announced that it drains.
+    UpstreamDraining {
+        /// The upstream's instance.
+        instance: String,
+    },
+    /// An evacuation was accepted; or an operator asked to end one, which may take effect before it is accepted.
+    Evacuation {
+        /// The evacuated region and zone.
+        locality: String,
+        /// Whether the evacuation ends.
+        back: bool,
+    },
+    /// A revision was accepted.
+    RevisionAccepted {
+        /// The revision.
+        revision: u64,
+    },
+    /// A node that reports itself ready has this revision in force.
+    RevisionInForce {
+        /// The node's name.
+        node: String,
+        /// The revision.
+        revision: u64,
+    },
+    /// An operator read the configuration from a node.
     ConfigurationRead {
+        /// The node's name.
         node: String,
+        /// The revision that was read.
         revision: u64,
+        /// A digest of the configuration; empty where there was none.
         digest: String,
+        /// When the operator asked.
         asked_at: Duration,
     },
-    /// An operator's setup, accepted under an edition; where it leads the probes, and how long the yes took.
+    /// An operator's configuration was accepted under a revision.
     ConfigurationAccepted {
+        /// The revision.
         revision: u64,
+        /// A digest of the configuration.
         digest: String,
+        /// The marker upstream that it routes probes to.
         marker: usize,
+        /// How long it took until it was accepted.
         took: Duration,
     },
-    /// An operator asks for a setup with a number of its own.
-    VersionSubmitted { number: u64, digest: String },
-    /// The system said yes to such a one, which it may have because a higher one holds.
-    VersionAcknowledged { number: u64 },
-    /// An operator calls for something, by a name of the call's own, however often it is sent.
-    CommandInvoked { call: String, command: Command },
-    /// An operator is told the outcome of a call; again where it was sent again.
-    CommandReturned { call: String, reply: CommandResult },
-    /// What was left after a lost majority was put in force.
+    /// An operator submits a configuration with a version of its own.
+    VersionSubmitted {
+        /// The operator's version.
+        number: u64,
+        /// A digest of the configuration.
+        digest: String,
+    },
+    /// Such a configuration was acknowledged, perhaps because a higher version is in force.
+    VersionAcknowledged {
+        /// The operator's version.
+        number: u64,
+    },
+    /// An operator invokes a command.
+    CommandInvoked {
+        /// Names the call, however often it is sent.
+        call: String,
+        /// What is asked for.
+        command: Command,
+    },
+    /// An operator receives the result of a call; once more for each time that it is sent again.
+    CommandReturned {
+        /// Names the call.
+        call: String,
+        /// The result.
+        reply: CommandResult,
+    },
+    /// Operators recovered the cluster from the states that survived the loss of its quorum.
     ClusterRecovered,
-    /// A probe through this proxy came to a marking upstream.
-    MarkerReached { node: String, marker: usize },
-    /// An upstream holds slots, or numeric keys, of a keyed service until a moment, unless it lets go.
+    /// A probe through this proxy arrived at a marker upstream.
+    MarkerReached {
+        /// The proxy's name.
+        node: String,
+        /// The marker upstream.
+        marker: usize,
+    },
+    /// An upstream holds keys of a service until a moment, unless it releases them.
     KeysHeld {
+        /// The service.
         service: String,
+        /// Slots, or numeric keys.
         keys: Range<u32>,
+        /// The upstream's instance.
         instance: String,
+        /// The end of its lease.
         until: Duration,
     },
+    /// An upstream released keys.
     KeysReleased {
+        /// The service.
         service: String,
+        /// Slots, or numeric keys.
         keys: Range<u32>,
+        /// The upstream's instance.
         instance: String,
     },
-    /// A control node is cut off from all others from now on, in one direction at least.
-    NodeIsolated { node: String },
-    /// It is no longer.
-    NodeReconnected { node: String },
-    /// A control node that was cut off vouched for something that it was asked at that moment.
+    /// A control node is partitioned from all others from now on, in one direction at least.
+    NodeIsolated {
+        /// The node's name.
+        node: String,
+    },
+    /// The partition of a control node has healed.
+    NodeReconnected {
+        /// The node's name.
+        node: String,
+    },
+    /// A control node that was partitioned confirmed something.
     NodeConfirmed {
+        /// The node's name.
         node: String,
+        /// What it confirmed.
         what: Confirmation,
+        /// When it was asked.
         asked_at: Duration,
     },
-    /// A fault was brought about, or healed.
-    Fault { what: String },
+    /// A fault was injected, or healed.
+    Fault {
+        /// Describes the fault.
+        what: String,
+    },
 }
 
-/// How one piece of work ended.
+/// How a client's operation ended.
 #[derive(Clone, Debug)]
 pub struct FinishedOperation {
+    /// When it ended.
     pub at: Duration,
+    /// How long it took, with all its attempts.
     pub took: Duration,
+    /// The service that it was for.
     pub service: &'static str,
-    /// The last code, 0 where no node could be reached.
+    /// The number of the last result code; 0 where no node could be reached.
     pub code: u32,
+    /// Attempts that were made.
     pub attempts: u32,
 }
 
-/// A fact and when it was seen.
+/// An observation and the time of it, since the start of the run.
 pub type TimedObservation = (Duration, Observation);
 
-/// A shared record of facts.
+/// A log of observations that many tasks write to.
 #[derive(Clone, Default)]
 pub struct ObservationLog(Arc<Mutex<Vec<TimedObservation>>>);
 
 impl ObservationLog {
-    /// Notes a fact.
+    /// Adds an observation.
     ///
     /// ```
     /// use invariants::observations::{Observation, ObservationLog};
-    /// let record = ObservationLog::default();
-    /// record.note(std::time::Duration::ZERO, Observation::Fault { what: "none".into() });
-    /// assert_eq!(record.all().len(), 1);
+    /// let log = ObservationLog::default();
+    /// log.note(std::time::Duration::ZERO, Observation::Fault { what: "none".into() });
+    /// assert_eq!(log.all().len(), 1);
     /// ```
     pub fn note(&self, at: Duration, observation: Observation) {
         self.0
@@ -145,7 +233,7 @@
             .push((at, observation));
     }
 
-    /// All facts, in the order of their moments.
+    /// All observations, sorted by time.
     ///
     /// ```
     /// assert!(invariants::observations::ObservationLog::default().all().is_empty());
--- a/crates/invariants/tests/checkers.rs
+++ b/crates/invariants/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! Each checker must catch a deliberate breach, and pass its lawful twin.
+//! Each checker must catch a deliberate violation, and pass its lawful twin.
 
 use invariants::history::{Command, CommandResult};
 use invariants::observations::{Confirmation, Observation, TimedObservation};
@@ -111,109 +111,150 @@
     }
 }
 
-/// For each rule: what breaks it, and what just doesn't.
-fn cases() -> Vec<(u32, Vec<TimedObservation>, Vec<TimedObservation>)> {
-    let leaving = || {
-        at(
-            0,
-            Observation::UpstreamDraining {
-                instance: "unit-1".into(),
-            },
-        )
-    };
-    let configuration = |revision: u64, marker| {
-        let (digest, took) = ("d".into(), Duration::ZERO);
-        at(
-            revision - 2,
-            Observation::ConfigurationAccepted {
-                revision,
-                digest,
-                marker,
-                took,
-            },
-        )
-    };
-    let offered = |number, digest: &str| {
-        at(
-            0,
-            Observation::VersionSubmitted {
-                number,
-                digest: digest.into(),
-            },
-        )
-    };
-    let numbered = |number| at(0, Observation::VersionAcknowledged { number });
-    let submitted = || configuration(2, 2);
-    let probed = |ms, marker| {
-        at(
-            ms,
-            Observation::MarkerReached {
-                node: "c-1".into(),
-                marker,
-            },
-        )
-    };
-    let resent = |count: u64| {
-        (0..count)
-            .map(|ms| at(ms, arrived("t1", "north/n1", false)))
-            .collect::<Vec<_>>()
-    };
-    let cold = |count: u64| {
-        (0..count)
-            .map(|ms| at(ms, arrived(&format!("t{ms}"), "north/n1", true)))
-            .collect::<Vec<_>>()
-    };
-    let called = || {
-        let command = Command::Configuration {
-            number: None,
-            base: None,
+fn draining() -> TimedObservation {
+    at(
+        0,
+        Observation::UpstreamDraining {
+            instance: "unit-1".into(),
+        },
+    )
+}
+
+fn configuration(revision: u64, marker: usize) -> TimedObservation {
+    at(
+        revision - 2,
+        Observation::ConfigurationAccepted {
+            revision,
             digest: "d".into(),
-        };
-        at(
-            0,
-            Observation::CommandInvoked {
-                call: "c".into(),
-                command,
-            },
-        )
+            marker,
+            took: Duration::ZERO,
+        },
+    )
+}
+
+fn submitted() -> TimedObservation {
+    configuration(2, 2)
+}
+
+fn offered(number: u64, digest: &str) -> TimedObservation {
+    at(
+        0,
+        Observation::VersionSubmitted {
+            number,
+            digest: digest.into(),
+        },
+    )
+}
+
+fn acknowledged(number: u64) -> TimedObservation {
+    at(0, Observation::VersionAcknowledged { number })
+}
+
+fn accepted() -> TimedObservation {
+    at(0, Observation::RevisionAccepted { revision: 2 })
+}
+
+fn probed(ms: u64, marker: usize) -> TimedObservation {
+    at(
+        ms,
+        Observation::MarkerReached {
+            node: "c-1".into(),
+            marker,
+        },
+    )
+}
+
+fn retried(count: u64) -> Vec<TimedObservation> {
+    (0..count)
+        .map(|ms| at(ms, arrived("t1", "north/n1", false)))
+        .collect()
+}
+
+fn cold(count: u64) -> Vec<TimedObservation> {
+    (0..count)
+        .map(|ms| at(ms, arrived(&format!("t{ms}"), "north/n1", true)))
+        .collect()
+}
+
+fn invoked() -> TimedObservation {
+    let command = Command::Configuration {
+        number: None,
+        base: None,
+        digest: "d".into(),
     };
-    let returned = |ms, revision| {
-        let reply = CommandResult::Decided {
-            code: ResultCode::Success,
-            revision: Some(revision),
-        };
-        at(
-            ms,
-            Observation::CommandReturned {
-                call: "c".into(),
-                reply,
-            },
-        )
+    at(
+        0,
+        Observation::CommandInvoked {
+            call: "c".into(),
+            command,
+        },
+    )
+}
+
+fn returned(ms: u64, revision: u64) -> TimedObservation {
+    let reply = CommandResult::Decided {
+        code: ResultCode::Success,
+        revision: Some(revision),
     };
-    let accepted = || at(0, Observation::RevisionAccepted { revision: 2 });
-    let let_go = |keys: Range<u32>| Observation::KeysReleased {
+    at(
+        ms,
+        Observation::CommandReturned {
+            call: "c".into(),
+            reply,
+        },
+    )
+}
+
+fn released(keys: Range<u32>) -> Observation {
+    Observation::KeysReleased {
         service: "payment".into(),
         keys,
         instance: "a".into(),
-    };
-    let holds_all = || at(0, holds_keys("a", 0..100, 100));
+    }
+}
+
+fn holds_all() -> TimedObservation {
+    at(0, holds_keys("a", 0..100, 100))
+}
+
+/// Observations that violate a rule, and similar ones that just don't.
+struct Case {
+    rule: u32,
+    violating: Vec<TimedObservation>,
+    lawful: Vec<TimedObservation>,
+}
+
+fn case(rule: u32, violating: Vec<TimedObservation>, lawful: Vec<TimedObservation>) -> Case {
+    Case {
+        rule,
+        violating,
+        lawful,
+    }
+}
+
+fn execution_cases() -> Vec<Case> {
     vec![
-        (
+        case(
             1,
             vec![at(0, ran("w", "t1")), at(1, ran("w", "t2"))],
             vec![at(0, ran("w", "t1")), at(1, ran("x", "t2"))],
         ),
-        (
+        case(
             2,
             vec![at(0, answered(false, false, true)), at(9, ran("w", "t1"))],
             vec![at(0, answered(false, false, true))],
         ),
-        (
+        case(
             3,
             vec![at(0, answered(true, false, false))],
             vec![at(0, answered(true, true, false))],
         ),
-        (
+    ]
+}
+
+fn routing_cases() -> Vec<Case> {
+    vec![
+        case(
             4,
             vec![at(
                 0,
@@ -228,12 +269,12 @@
                 },
             )],
         ),
-        (
+        case(
             5,
-            vec![leaving(), at(3001, arrived("t", "north/n1", false))],
-            vec![leaving(), at(3000, arrived("t", "north/n1", false))],
+            vec![draining(), at(3001, arrived("t", "north/n1", false))],
+            vec![draining(), at(3000, arrived("t", "north/n1", false))],
         ),
-        (
+        case(
             6,
             vec![
                 at(0, evacuated(false)),
@@ -245,22 +286,34 @@
                 at(5001, arrived("t", "north/n1", false)),
             ],
         ),
-        (
+        case(9, retried(12), retried(11)),
+        case(10, cold(9), cold(8)),
+        case(
+            12,
+            vec![at(0, arrived("t", "south/s1", false))],
+            vec![at(0, arrived("t", "north/n1", false))],
+        ),
+    ]
+}
+
+fn revision_cases() -> Vec<Case> {
+    vec![
+        case(
             7,
             vec![at(0, in_force(2)), at(1, in_force(1))],
             vec![at(0, in_force(1)), at(1, in_force(2))],
         ),
-        (
+        case(
             7,
             vec![accepted(), at(3001, in_force(1))],
             vec![accepted(), at(3000, in_force(1))],
         ),
-        (
+        case(
             7,
             vec![submitted(), configuration(3, 3), probed(3002, 2)],
             vec![submitted(), configuration(3, 3), probed(3001, 2)],
         ),
-        (
+        case(
             7,
             vec![
                 submitted(),
@@ -270,12 +323,12 @@
             ],
             vec![configuration(2, 2), probed(9, 2), probed(10, 2)],
         ),
-        (
+        case(
             8,
             vec![submitted(), at(1, read_back(2, "e"))],
             vec![submitted(), at(1, read_back(2, "d"))],
         ),
-        (
+        case(
             8,
             vec![
                 at(0, Observation::RevisionAccepted { revision: 3 }),
@@ -283,22 +336,22 @@
             ],
             vec![accepted(), at(1, read_back(2, "d"))],
         ),
-        (
+        case(
             8,
             vec![
                 offered(3, "d"),
                 offered(4, "e"),
-                numbered(4),
+                acknowledged(4),
                 at(1, read_back(2, "d")),
             ],
             vec![
                 offered(3, "d"),
                 offered(4, "e"),
-                numbered(3),
+                acknowledged(3),
                 at(1, read_back(2, "d")),
             ],
         ),
-        (
+        case(
             8,
             vec![
                 offered(3, "d"),
@@ -313,41 +366,44 @@
                 at(1, read_back(3, "e")),
             ],
         ),
-        (9, resent(12), resent(11)),
-        (10, cold(9), cold(8)),
-        (
+    ]
+}
+
+fn key_cases() -> Vec<Case> {
+    vec![
+        case(
             11,
             vec![at(0, holds("a", 100)), at(99, holds("b", 200))],
             vec![at(0, holds("a", 100)), at(100, holds("b", 200))],
         ),
-        (
+        case(
             11,
             vec![at(0, holds("a", 100)), at(9, holds("b", 200))],
             vec![
                 at(0, holds("a", 100)),
-                at(8, let_go(3..4)),
+                at(8, released(3..4)),
                 at(9, holds("b", 200)),
             ],
         ),
-        (
+        case(
             11,
             vec![holds_all(), at(9, holds_keys("b", 99..120, 200))],
             vec![holds_all(), at(9, holds_keys("b", 100..120, 200))],
         ),
-        (
+        case(
             11,
             vec![
                 holds_all(),
-                at(8, let_go(10..21)),
+                at(8, released(10..21)),
                 at(9, holds_keys("b", 10..22, 200)),
             ],
             vec![
                 holds_all(),
-                at(8, let_go(10..21)),
+                at(8, released(10..21)),
                 at(9, holds_keys("b", 10..21, 200)),
             ],
         ),
-        (
+        case(
             11,
             vec![
                 holds_all(),
@@ -360,12 +416,17 @@
                 at(150, holds_keys("b", 0..10, 300)),
             ],
         ),
-        (
+    ]
+}
+
+fn command_cases() -> Vec<Case> {
+    vec![
+        case(
             14,
             vec![isolated(), at(200, vouched(Confirmation::Command, 101))],
             vec![isolated(), at(200, vouched(Confirmation::Command, 100))],
         ),
-        (
+        case(
             14,
             vec![isolated(), at(1600, vouched(Confirmation::Heartbeat, 1501))],
             vec![
@@ -374,44 +435,57 @@
                 at(1600, vouched(Confirmation::Draining, 1501)),
             ],
         ),
-        (
+        case(
             13,
-            vec![called(), at(9, read_back(1, "e"))],
-            vec![called(), at(9, read_back(1, "d"))],
+            vec![invoked(), at(9, read_back(1, "e"))],
+            vec![invoked(), at(9, read_back(1, "d"))],
         ),
-        (
+        case(
             13,
-            vec![called(), returned(1, 1), returned(5, 2)],
-            vec![called(), returned(1, 1), returned(5, 1)],
-        ),
-        (
-            12,
-            vec![at(0, arrived("t", "south/s1", false))],
-            vec![at(0, arrived("t", "north/n1", false))],
+            vec![invoked(), returned(1, 1), returned(5, 2)],
+            vec![invoked(), returned(1, 1), returned(5, 1)],
         ),
     ]
 }
 
+fn cases() -> Vec<Case> {
+    let groups = [
+        execution_cases(),
+        routing_cases(),
+        revision_cases(),
+        key_cases(),
+        command_cases(),
+    ];
+    groups.into_iter().flatten().collect()
+}
+
 #[test]
-fn every_checker_catches_its_breach_and_passes_what_is_lawful() {
-    cases().into_iter().for_each(|(rule, breach, lawful)| {
-        let caught = check_all(&breach, &rule_parameters());
+fn every_checker_catches_its_violation_and_passes_what_is_lawful() {
+    for case in cases() {
+        let rule = case.rule;
+        let caught = check_all(&case.violating, &rule_parameters());
         assert!(
             caught.iter().any(|violation| violation.rule == rule),
-            "rule {rule} missed {breach:?}"
+            "rule {rule} missed {:?}",
+            case.violating
         );
         assert_eq!(
-            check_all(&lawful, &rule_parameters()),
+            check_all(&case.lawful, &rule_parameters()),
             vec![],
-            "rule {rule} blames {lawful:?}"
+            "rule {rule} blames {:?}",
+            case.lawful
         );
-    });
+    }
 }
 
 #[test]
-fn every_checker_has_a_breach() {
-    let broken: BTreeSet<u32> = cases().into_iter().map(|(rule, ..)| rule).collect();
-    CHECKERS
-        .iter()
-        .for_each(|(rule, name, _)| assert!(broken.contains(rule), "no breach for '{name}'"));
+fn every_checker_has_a_violating_case() {
+    let violated: BTreeSet<u32> = cases().into_iter().map(|case| case.rule).collect();
+    for checker in CHECKERS {
+        assert!(
+            violated.contains(&checker.rule),
+            "no violating case for '{}'",
+            checker.name
+        );
+    }
 }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -2,7 +2,7 @@
 
 use invariants::observations::FinishedOperation;
 use invariants::observations::{Observation, TimedObservation};
-use invariants::rules::{CHECKERS, Violation};
+use invariants::rules::{CHECKERS, Checker, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     print_latency(ended);
     print_sends(seen, ended);
     print_faults(seen, ended);
-    CHECKERS.iter().for_each(|(rule, name, _)| {
+    CHECKERS.iter().for_each(|Checker { rule, name, .. }| {
         let count = violations
             .iter()
             .filter(|violation| violation.rule == *rule)
