--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -2,63 +2,65 @@
 
 use std::time::Duration;
 
-/// What a deliberately broken system does wrong, to show that the checkers see it. The default is the real one.
+/// What a deliberately defective system does wrong, to show that the checkers catch it. The default has no defects.
 #[derive(Clone, Copy, Debug)]
 pub struct Defects {
+    /// After this without an update a view counts as stale.
     pub stale_after: Duration,
+    /// How long clients may use what the directory answered.
     pub lifetime: Duration,
-    /// Disks tell that they synced, and lose it in a power cut.
+    /// Disks report a sync as done, and lose it in a power loss.
     pub disks_lose_synced_writes: bool,
-    /// A disk's first failure ends its voter's part until its process is started again.
+    /// A disk's first error ends its voter's participation until its process is restarted.
     pub first_disk_error_is_final: bool,
-    /// Disks thin out setups by the times of their files, on a clock that jumped back: the newest go first, whatever refers
-    /// to them.
+    /// Disks delete configurations by the times of their files, on a clock that jumped back: the newest go first, whatever
+    /// refers to them.
     pub deletes_newest_configurations: bool,
-    /// Nobody takes the place of a voter that is gone.
+    /// No node takes the place of a voter that is lost.
     pub never_replaces_voters: bool,
-    /// Proxies pass on whatever an upstream says, and call a lost verdict busy.
+    /// Proxies pass on whatever an upstream says, and report a lost response as not executed.
     pub trusts_any_response: bool,
-    /// Upstreams hold their shares this much longer than they may.
+    /// Upstreams hold their keys this much longer than their leases allow.
     pub lease_overrun: Duration,
-    /// Upstreams with numeric keys take answers that came late, or to a beat that a newer one overtook.
+    /// Upstreams with numeric keys accept responses that came late, or to a heartbeat that a newer one overtook.
     pub accepts_late_grants: bool,
-    /// Configurations are read without their operators' numbers.
+    /// Configurations are parsed without their operators' versions.
     pub ignores_versions: bool,
-    /// Postmasters tell carriers nothing before they know all upstreams.
+    /// Control nodes send data-plane nodes nothing before they know all upstreams.
     pub withholds_upstream_views: bool,
-    /// Carriers' counts of requests by key reach nobody.
+    /// Data-plane nodes' counts of requests by key are lost.
     pub drops_key_counts: bool,
-    /// The operators' setups leave the home regions out.
+    /// The operators' configurations lack the home regions.
     pub omits_home_regions: bool,
-    /// Upstreams that leave say so to nobody.
+    /// Upstreams that drain announce it to nobody.
     pub drains_unannounced: bool,
-    /// What an upstream holds counts as let go once it signed off: a heartbeat that lists nothing follows in its name.
+    /// What an upstream holds counts as released once it deregistered: a heartbeat that lists nothing follows in its name.
     pub lists_no_keys_after_deregistering: bool,
-    /// Proxies do not judge again, once connected, what they chose.
+    /// Proxies do not check their choice of an upstream again once they are connected.
     pub skips_check_after_connect: bool,
     /// Clocks stand still while a machine is suspended.
     pub clock_stops_while_suspended: bool,
-    /// The lease holder counts whatever its clock jumps ahead as time in which holds run out.
+    /// The lease holder counts whatever its clock jumps ahead as time in which leases expire.
     pub lease_counts_clock_jumps: bool,
-    /// Nobody asks the nodes which edition they have: only traffic shows it.
+    /// No observer asks the nodes which revision they have: only traffic shows it.
     pub revisions_unobserved: bool,
-    /// Proxies have no budget for resends.
+    /// Proxies have no budget for retries.
     pub unlimited_retry_budget: bool,
     /// Proxies take every upstream for warm.
     pub ignores_warm_up: bool,
-    /// Proxies take whatever comes next on a kept connection for the answer.
+    /// Proxies take whatever comes next on a reused connection for the response.
     pub accepts_any_response_on_connection: bool,
-    /// A control node takes every other for in agreement with it: whatever it asks them counts as answered.
+    /// A control node takes every peer to agree with it: whatever it asks them counts as answered.
     pub forges_peer_agreement: bool,
-    /// A control node takes a departure for known by the others as soon as it has told them.
+    /// A control node takes a departure as known to its peers as soon as it has sent it.
     pub skips_departure_acks: bool,
-    /// Nodes read back what their own disk holds.
+    /// Nodes answer reads from their own disks.
     pub reads_local_disk_only: bool,
-    /// An order under a number that is taken is confirmed.
+    /// A command under a version that is taken is confirmed.
     pub confirms_version_conflicts: bool,
-    /// Every sending of an order is taken for a new one.
+    /// Every sending of a command is taken for a new one.
     pub reexecutes_commands: bool,
-    /// The first proxy is told of no change of the placement.
+    /// The first proxy gets no update of the placement.
     pub withholds_placement_changes: bool,
 }
 
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! What is broken in a run, when, and how it heals.
+//! The faults of a run: what fails, when, and until when.
 
 use super::connections::ConnectionFaults;
 use super::world::LOAD_STARTS_AT;
@@ -8,168 +8,206 @@
 /// A fault. Machines, zones and upstreams are numbers, taken modulo what there is.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
+    /// A machine loses its power.
     KillMachine(usize),
-    /// Several machines at once.
+    /// Several machines lose their power at once.
     KillMachines(Vec<usize>),
     /// Power and disk of one machine are lost; it comes back blank.
     WipeMachine(usize),
-    /// Its state is found rotten when it starts again.
+    /// A machine's stored configurations are found corrupt when it starts again.
     CorruptConfigurations(usize),
+    /// A machine is suspended.
     Freeze(usize),
+    /// Syncs of a machine's disk take longer.
     SlowDisk(usize),
+    /// A machine's disk fails.
     FailDisk(usize),
     /// A sync hangs, and goes on much later.
     HangDisk(usize),
     /// The power goes in the middle of a write, and the state can't be read any more.
     TearStateWrite(usize),
-    /// Two disks are lost at the same moment, while setups are submitted.
+    /// Two disks are lost at the same moment, while configurations are submitted.
     WipeTwo(usize),
-    /// The power is lost at this write from now on, before or right after it is synced; a blank disk mends meanwhile.
+    /// The power is lost at a write, right before or after it is synced.
     PowerLossAtWrite {
+        /// The machine.
         machine: usize,
+        /// The number of the write, counted from now.
         write: u32,
+        /// Whether the write is synced.
         synced: bool,
+        /// Whether the disk starts blank and is repaired meanwhile.
         wiped: bool,
     },
+    /// A machine is partitioned from everything.
     PartitionMachine(usize),
-    /// It hears, but nobody hears it.
+    /// What a machine sends is lost.
     DropOutbound(usize),
-    /// It speaks, but hears nobody.
+    /// What is sent to a machine is lost.
     DropInbound(usize),
+    /// A zone is partitioned from the others.
     PartitionZone(usize),
+    /// A region is partitioned from the others.
     PartitionRegion(usize),
+    /// Machines and upstreams of a zone lose their power.
     ZonePowerLoss(usize),
+    /// Machines and upstreams of a region lose their power.
     RegionPowerLoss(usize),
+    /// So many of a thousand messages are lost.
     PacketLoss(u64),
+    /// Each machine is shut down gracefully in turn and started again.
     RollingRestart,
+    /// Upstreams crash.
     CrashUpstreams(Vec<usize>),
-    /// Leave with notice, and be replaced by a new instance on the same address.
+    /// Upstreams drain, and are replaced by new instances at the same addresses.
     RollUpstreams(Vec<usize>),
-    /// Sign off without having left before, serve on, and are replaced by a new instance on the same address.
+    /// Upstreams deregister without having drained, serve on, and are replaced by new instances at the same addresses.
     DeregisterBeforeDraining(Vec<usize>),
-    /// Vanish, and the address is taken by another service.
+    /// An upstream vanishes, and another service takes its address.
     ReuseAddress(usize),
-    /// Every so-many-th upstream comes back cold.
+    /// Every so-many-th upstream restarts cold.
     RestartCold(usize),
+    /// An upstream loses some of its responses.
     LoseResponses(usize),
+    /// An upstream garbles some of its responses.
     GarbleResponses(usize),
     /// Every upstream of the first service garbles: a release that went wrong.
     BadRelease,
+    /// An upstream is suspended.
     PauseUpstream(usize),
+    /// A zone is evacuated, and the evacuation ends.
     Evacuate(usize),
-    /// A zone is evacuated while it is cut off.
+    /// A zone is evacuated while it is partitioned.
     EvacuatePartitionedZone(usize),
+    /// Many configurations are submitted at once.
     ConfigurationStorm,
+    /// Operators submit configurations based on the same revision at the same moment.
     OperatorRace,
+    /// The node that holds the lease on the placement crashes.
     KillPlacementHolder,
+    /// The node that holds the lease on the placement is suspended.
     FreezePlacementHolder,
-    /// While the voters found themselves, some are killed, one of them with its disk.
+    /// While the voters bootstrap, some are killed, one of them with its disk.
     InterruptBootstrap(Vec<usize>),
     /// One key takes most of the traffic.
     HotKey,
     /// Every upstream of the region-bound services vanishes.
     CrashHomeUpstreams,
-    /// The next proxy that opens a connection is frozen at that moment; meanwhile the upstream it chose leaves, or
-    /// its zone is evacuated.
+    /// The next proxy that opens a connection is suspended at that moment.
     Ambush {
+        /// Whether the zone of the chosen upstream is evacuated meanwhile; else the upstream drains.
         evacuate: bool,
     },
-    /// New upstreams start empty and cold; later they leave with notice.
+    /// New upstreams start empty and cold; later they drain.
     AddUpstreams(usize),
-    /// One zone after another is evacuated and taken back, so that names move on while marks are in use.
+    /// One zone after another is evacuated for a while, so that names change their owners.
     EvacuateZonesInTurn,
     /// A machine's clock jumps ahead.
     JumpClock(usize, Duration),
-    /// The placement holder's clock jumps ahead.
+    /// The clock of the node that holds the lease on the placement jumps ahead.
     JumpPlacementHolderClock(Duration),
-    /// A part of the answers to beats with numeric keys takes up to 1.5 s longer.
+    /// Some responses to heartbeats with numeric keys take up to 1.5 s longer.
     DelayGrants,
-    /// A setup every 120 ms, so many in all, while a disk is slow; then all postmasters are killed.
+    /// A configuration every 120 ms, so many in all, while a disk is slow; then all control nodes are killed.
     LongConfigurationStorm(u32),
-    /// Machines of voters, one after the other in these places, are gone for good; an empty one comes for each 1 s
-    /// later, or 5 s earlier where it is planned. Meanwhile setups come.
+    /// Voters' machines are lost for good, one after the other, and empty ones take their places; meanwhile
+    /// configurations are submitted.
     ReplaceVoters {
+        /// The machines' places.
         places: Vec<usize>,
+        /// Between one replacement and the next.
         gap: Duration,
+        /// Whether the new machine comes before the old one goes.
         planned: bool,
     },
-    /// The machine in this place is gone, and another is there or comes.
+    /// One voter's machine is replaced.
     ReplaceOne {
+        /// The machine's place.
         place: usize,
+        /// Whether the new machine comes before the old one goes.
         planned: bool,
     },
-    /// Takes no more writes, and tries each again until it does.
+    /// A disk rejects writes, which are retried until it takes them.
     RefuseDisk(usize),
-    /// In a storm of so many setups, one disk after the other takes no more writes for a while; then all postmasters are
-    /// killed.
+    /// In a storm of so many configurations, one disk after the other rejects writes for a while; then all control nodes
+    /// are killed.
     DisksFullInTurn(u32),
-    /// The same with disks that answer nothing for a while.
+    /// The same with disks whose syncs hang for a while.
     DisksStallInTurn(u32),
-    /// Operators race with numbers of their own, again and again; the step tells how often.
+    /// Operators race with versions of their own, so many rounds.
     VersionRace(u32),
-    /// So many of a thousand answers to operators are lost; the same order is sent again, to another node.
+    /// So many of a thousand results to operators are lost; the same command is sent again, to another node.
     LoseCommandResults(u64),
-    /// Orders and their answers come late, doubled and in any order.
+    /// Commands and their results come late, duplicated and in any order.
     ReorderCommands,
-    /// So many orders of all kinds, up to eight under way at once.
+    /// So many commands of all kinds, up to eight in flight at once.
     CommandStorm(u32),
     /// The same, and at the end the oldest are sent again.
     StaleCommandStorm(u32),
-    /// Two operators offer different setups under one number at the same moment, to two nodes, so many times.
+    /// Two operators submit different configurations under one version at the same moment, to two nodes, so many times.
     EqualVersions(u32),
-    /// A zone is evacuated and taken back; the order to evacuate comes again before and after that, to other nodes.
+    /// A zone is evacuated and the evacuation ends; the command to evacuate comes again before and after that, to other
+    /// nodes.
     LateEvacuation(usize),
-    /// An order without an id to evacuate a zone lies in a frozen node's sockets, while the zone is evacuated by another
-    /// node and taken back.
+    /// A command without an id to evacuate a zone lies in a suspended node's sockets, while the zone is evacuated by
+    /// another node and the evacuation ends.
     FrozenEvacuation(usize),
-    /// A setup is accepted, and all postmasters end at that moment.
+    /// A configuration is accepted, and all control nodes end at that moment.
     RestartControlNodes,
+    /// All control nodes are killed.
     KillControlNodes,
-    /// Ends politely: what it has to do, it does, and nothing is lost.
+    /// A machine is shut down gracefully.
     StopMachine(usize),
-    /// A control machine is cut off from the others for some twenty seconds, while operators and upstreams reach it.
+    /// A control node's machine is partitioned from the others for some twenty seconds, while operators and upstreams
+    /// reach it.
     LongPartition {
+        /// The machine.
         machine: usize,
+        /// How it is partitioned.
         how: LongPartition,
     },
-    /// One control machine is cut off from all other machines.
+    /// One control node's machine is partitioned from all other machines.
     PartitionFromPeers {
+        /// The machine.
         machine: usize,
+        /// Whether it still receives.
         receives: bool,
+        /// Whether it still sends.
         sends: bool,
     },
-    /// Operators send orders, and upstreams say that they leave, to this machine first.
+    /// Operators send commands, and upstreams announce that they drain, to this machine first.
     RouteCommandsTo(usize),
-    /// Proxies keep connections, and upstreams behave like this on them.
+    /// Proxies reuse connections, and upstreams misbehave on them.
     Connections(ConnectionFaults),
-    /// Proxies keep connections, and some upstreams vanish while others take their addresses.
+    /// Proxies reuse connections, and some upstreams vanish while others take their addresses.
     ReuseAddressesUnderKeepAlive(Vec<usize>),
 }
 
-/// How a control machine is cut off.
+/// How a control node's machine is partitioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LongPartition {
+    /// In both directions.
     BothWays,
-    /// It hears, but nobody hears it.
+    /// It receives, but what it sends is lost.
     DropOutbound,
-    /// It speaks, but hears nobody.
+    /// It sends, but receives nothing.
     DropInbound,
     /// On and off, with less than a second between.
     Flapping,
     /// Its processes are restarted meanwhile.
     Restarted,
-    /// The settings name it first, and other machines are restarted with them.
+    /// The settings name it as the first seed, and other machines are restarted with them.
     Seeds,
 }
 
-/// How long such a cut lasts.
+/// How long such a partition lasts.
 pub(super) const LONG_PARTITION: Duration = Duration::from_secs(20);
 
 /// How long a rolling restart gives each machine.
 pub(super) const RESTART_EVERY: Duration = Duration::from_millis(4500);
-/// Between two setups of a long storm.
+/// Between two configurations of a long storm.
 pub(super) const STORM_GAP: Duration = Duration::from_millis(120);
-/// From a long storm's last setup until all postmasters are killed: everything is decided by then.
+/// From a long storm's last configuration until all control nodes are killed: everything is decided by then.
 pub(super) const STORM_SETTLES: Duration = Duration::from_secs(4);
 /// How much later than the loss the machine comes that takes its place, and how much earlier where it is planned.
 pub(super) const SUCCESSOR_LATER: Duration = Duration::from_secs(1);
@@ -181,14 +219,15 @@
 pub(super) const DISK_BROKEN_FOR: Duration = Duration::from_millis(2500);
 pub(super) const RESTART_TAKES: Duration = Duration::from_millis(3500);
 
-/// How long a storm of hundreds of orders may take.
+/// How long a storm of hundreds of commands may take.
 const STORM_TAKES: Duration = Duration::from_secs(25);
 /// How long after each other addresses change hands.
 pub(super) const REUSE_EVERY: Duration = Duration::from_millis(700);
 
-type DrawFault = fn(&mut Random) -> Fault;
+/// Draws a fault of one kind.
+pub type DrawFault = fn(&mut Random) -> Fault;
 
-/// Every kind of fault, as a seed draws it.
+/// Every kind of fault that a seed draws by itself, by its name on the command line.
 pub const DRAWN_FAULTS: &[(&str, DrawFault)] = &[
     ("kill-machine", |d| Fault::KillMachine(d.below(99) as usize)),
     ("kill-herd", |d| {
@@ -276,7 +315,7 @@
     }),
 ];
 
-/// Further kinds, which no seed draws by itself: so the drawn plans of known seeds stay as they were.
+/// Further kinds, which run only by name: so the drawn plans of known seeds stay as they were.
 pub const EXTRA_FAULTS: &[(&str, DrawFault)] = &[
     ("late-answers", |_| Fault::DelayGrants),
     ("sign-off-first", |d| {
@@ -376,22 +415,26 @@
         .map(|(name, _)| *name)
 }
 
-/// One fault and its span.
+/// One fault and its time span.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
+    /// When it is injected, since the start of the run.
     pub at: Duration,
+    /// When it is healed.
     pub until: Duration,
+    /// The fault.
     pub fault: Fault,
 }
 
-/// What a run breaks.
+/// The faults of a run.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Plan {
+    /// In no special order.
     pub steps: Vec<Step>,
 }
 
 impl Plan {
-    /// Nothing is broken.
+    /// No faults.
     ///
     /// ```
     /// assert!(simulator::Plan::quiet().steps.is_empty());
--- a/crates/simulator/src/load.rs
+++ b/crates/simulator/src/load.rs
@@ -2,17 +2,18 @@
 
 use std::time::Duration;
 
-/// How much the upstreams can bear, and what is asked of the site. The default is room enough for everything.
+/// The capacity of the upstreams, and how clients retry. The default has capacity for every request.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadProfile {
-    /// Places at one upstream.
+    /// Requests that one upstream executes at once.
     pub slots: u32,
-    /// Least and most that a piece of work takes; every sixth upstream is three times as slow.
+    /// The least and the most time that a request takes.
     pub takes: (Duration, Duration),
+    /// Whether every sixth upstream is three times as slow.
     pub some_slow: bool,
-    /// How long requests may wait for a seat.
+    /// How long requests may wait for capacity.
     pub wait_for: Duration,
-    /// Origins come back after this, whatever they are told.
+    /// Clients retry after this, whatever a response asks for.
     pub retry_after_for: Option<Duration>,
 }
 
--- a/crates/simulator/src/outcome.rs
+++ b/crates/simulator/src/outcome.rs
@@ -10,44 +10,56 @@
 
 /// What a run came to.
 pub struct Outcome {
+    /// The seed of the run.
     pub seed: u64,
+    /// Its faults, with those that came up while it ran.
     pub plan: Plan,
+    /// All that was observed, in order.
     pub observations: Vec<TimedObservation>,
+    /// The clients' operations, in the order in which they ended.
     pub ended: Vec<FinishedOperation>,
+    /// The rules that were broken.
     pub violations: Vec<Violation>,
     /// When the last fault was healed.
     pub healed_at: Duration,
-    /// How long after that the last piece of work failed.
+    /// How long after that the last operation failed.
     pub resumed_after: Duration,
-    /// Of the work started before the first fault, between it and the last healing, and after that, in
-    /// thousandths, how much was served.
+    /// How much was served, in thousandths, of the operations started before the first fault, between it and the last
+    /// healing, and after that.
     pub served_per_mille: [u64; 3],
+    /// Messages between nodes.
     pub messages: u64,
+    /// Their bytes.
     pub message_bytes: u64,
-    /// The same bytes and those of datagrams, by what they were about and how far they went.
+    /// The same bytes and those of datagrams, by topic and distance.
     pub traffic: TrafficByTopic,
+    /// Virtual time from start to end.
     pub lasted: Duration,
-    /// Who votes at the end, as the control nodes know it, and which of them are gone for good.
+    /// The voters at the end, as the control nodes know them.
     pub voters: BTreeSet<String>,
+    /// Those of them that are lost for good.
     pub voters_gone: BTreeSet<String>,
-    /// Voters that were lost for good or told to end for good, in this order.
+    /// Voters that were lost for good or decommissioned, in this order.
     pub losses: Vec<VoterLoss>,
-    /// How often a connection to an upstream was used again, and how many answers to other requests were read past.
+    /// How often a connection to an upstream was reused.
     pub reused_connections: u64,
+    /// How many responses to other requests were skipped.
     pub skipped_responses: u64,
-    /// True where at the end, or once news on its way had come, every node had the same edition, and every carrier the same
-    /// reservations and marks.
+    /// Whether at the end, or once updates in flight had arrived, every node had the same revision, and every data-plane
+    /// node the same reservations and tombstones.
     pub agreed: bool,
-    /// A digest over everything seen.
+    /// A digest of all observations.
     pub digest: String,
 }
 
-/// A voter that goes for good, and how long it takes until no control node counts it any more.
+/// A voter that is lost for good, and how long it takes until no control node counts it any more.
 #[derive(Clone, Debug)]
 pub struct VoterLoss {
+    /// The voter.
     pub node: String,
+    /// When it was lost.
     pub lost_at: Duration,
-    /// Looked at every 100 ms.
+    /// When it was replaced; looked at every 100 ms.
     pub replaced_at: Option<Duration>,
 }
 
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -8,10 +8,15 @@
 
 /// Which seeds to run, and how.
 pub struct Sim {
+    /// The first seed.
     pub from: u64,
+    /// The seed after the last.
     pub until: u64,
+    /// The plan by name; `each` and `pairs` stand for many. Without it each seed draws its own.
     pub plan: Option<String>,
+    /// Also prints the observations whose text holds this.
     pub show: Option<String>,
+    /// The site.
     pub shape: Shape,
 }
 
--- a/crates/simulator/src/shapes.rs
+++ b/crates/simulator/src/shapes.rs
@@ -1,34 +1,45 @@
-//! The sites' shapes: places, machines, upstreams and traffic.
+//! Layouts of sites: regions, machines, upstreams and traffic.
 
 use invariants::rules::RuleParameters;
 use std::collections::BTreeSet;
 
-/// One site.
+/// The layout of one site.
 #[derive(Clone, Debug)]
 pub struct Shape {
+    /// Its name on the command line.
     pub name: &'static str,
+    /// Its regions; each has two zones.
     pub regions: [&'static str; 3],
-    /// Machines; the first six have a disk and run a postmaster beside their carrier.
+    /// Machines; the first [`disks`](Shape::disks) have a disk and run a control node beside their data-plane node.
     pub machines: usize,
+    /// Machines with a disk.
     pub disks: usize,
+    /// Upstreams of each service.
     pub per_service: usize,
+    /// Requests a second in all.
     pub per_second: u64,
-    /// One way, in microseconds: within a region, and between regions.
+    /// One-way delay between the zones of a region, in microseconds.
     pub near_micros: u64,
+    /// One-way delay between regions, in microseconds.
     pub far_micros: u64,
+    /// The services.
     pub services: [ServiceProfile; 3],
 }
 
 /// One service and its part of the traffic.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceProfile {
+    /// The service's name.
     pub service: &'static str,
+    /// Whether its operations may be executed only once.
     pub at_most_once: bool,
+    /// Whether its requests belong to keys, each held by one upstream.
     pub keyed: bool,
-    /// Keys are whole numbers, held in ranges; else they fall into slots.
+    /// Whether its keys are whole numbers, held in ranges; else they fall into slots.
     pub numbered: bool,
     /// How many of the three regions are its home, from the first; 0 for anywhere.
     pub homes: usize,
+    /// Its part of the requests, in percent.
     pub percent: u64,
 }
 
@@ -110,10 +121,11 @@
     ],
 };
 
+/// First sends a second that one upstream may get while it warms up.
 pub const WARM_UP_PER_SECOND: u64 = 5;
 
-/// Services of one upstream each. Every setup leads the name `probe` to one of them, so that arrivals there show
-/// which setup a proxy served by.
+/// Marker services of one upstream each. Every configuration routes the name `probe` to one of them, so that arrivals
+/// there show which configuration a proxy served by.
 pub const MARKERS: [ServiceProfile; 5] = [
     profile("mark-0", false, false, 0, 0),
     profile("mark-1", false, false, 0, 0),
@@ -122,7 +134,7 @@
     profile("mark-4", false, false, 0, 0),
 ];
 
-/// The number of a marking service.
+/// The number of a marker service.
 ///
 /// ```
 /// assert_eq!(simulator::shapes::marker_index("mark-3"), Some(3));
@@ -145,7 +157,7 @@
             .find(|shape| shape.name == name)
     }
 
-    /// Where machine or upstream number `at` stands.
+    /// The region and zone of machine or upstream number `at`.
     ///
     /// ```
     /// assert_eq!(simulator::shapes::ROADWISE.locality(0), "north/north-1");
@@ -172,7 +184,7 @@
         std::time::Duration::from_micros(micros)
     }
 
-    /// The regions where a service's work may go.
+    /// The regions where a service's requests may go.
     ///
     /// ```
     /// let shape = simulator::shapes::ROADWISE;
@@ -182,7 +194,7 @@
         &self.regions[..profile.homes]
     }
 
-    /// All that its upstreams do, those that only mark setups last, and how many there are of each.
+    /// The profiles of its services, the marker services last, and how many upstreams each has.
     ///
     /// ```
     /// assert_eq!(simulator::shapes::ROADWISE.profiles().map(|(_, count)| count).sum::<usize>(), 36 + 5);
@@ -195,7 +207,7 @@
             .chain(markers)
     }
 
-    /// The site's setup. `extra` adds that many further routes, for larger ones, and chooses which service the name
+    /// The site's configuration. `extra` adds that many further routes, for larger ones, and chooses which service the name
     /// `probe` leads to.
     ///
     /// ```
@@ -205,7 +217,7 @@
         self.written(extra, None)
     }
 
-    /// The same with an operator's own number, and without `probe`: whether it is in force can't be told by its number.
+    /// The same with an operator's own version, and without `probe`: its version does not say whether it is in force.
     ///
     /// ```
     /// let configuration = simulator::shapes::KALAM.versioned_configuration(3, 7);
@@ -269,7 +281,7 @@
         )
     }
 
-    /// What the checkers hold the system to.
+    /// The parameters of the rules for this site.
     ///
     /// ```
     /// assert_eq!(simulator::shapes::KALAM.rule_parameters().homes.len(), 1);
