--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn answer(id: &str, body: &str) -> String {
+fn response_text(id: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nx-try-id: {id}\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
@@ -51,13 +51,18 @@
 }
 
 /// One exchange, with what the peer does once it read the request.
-async fn exchange(connection: Connection, peer: &mut TcpStream, id: &str, told: &str) -> Exchange {
-    let telling = async {
+async fn exchange(
+    connection: Connection,
+    peer: &mut TcpStream,
+    id: &str,
+    response_bytes: &str,
+) -> Exchange {
+    let responding = async {
         let read = read_request(peer).await;
         assert!(read.contains(&format!("x-try-id: {id}\r\n")), "{read}");
-        peer.write_all(told.as_bytes()).await.unwrap();
+        peer.write_all(response_bytes.as_bytes()).await.unwrap();
     };
-    tokio::join!(connection.exchange(outbound(id), AMPLE), telling).0
+    tokio::join!(connection.exchange(outbound(id), AMPLE), responding).0
 }
 
 /// Waits until something stands on the socket, or its end does.
@@ -80,70 +85,74 @@
     let Exchange {
         result: reply,
         connection: kept,
-    } = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
+    } = exchange(connection, &mut peer, "t-1", &response_text("t-1", "one")).await;
     assert_eq!(&reply.unwrap().body[..], b"one");
     drop(peer);
     tokio::task::yield_now().await;
     let began = Instant::now();
     let Exchange {
-        result: called,
-        connection: again,
+        result,
+        connection: reusable,
     } = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
     assert_eq!(
-        (called.unwrap_err(), again.is_none()),
+        (result.unwrap_err(), reusable.is_none()),
         (CallError::NotConnected, true)
     );
     assert!(began.elapsed() < AMPLE / 2, "it is known at once");
 }
 
 #[tokio::test]
-async fn a_request_that_meets_a_surplus_answer_before_its_first_byte_is_known_to_be_unsent() {
+async fn a_request_that_meets_a_surplus_response_before_its_first_byte_is_known_to_be_unsent() {
     let (connection, mut peer) = pair().await;
     let Exchange {
         connection: kept, ..
-    } = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
-    peer.write_all(answer("t-1", "one").as_bytes())
+    } = exchange(connection, &mut peer, "t-1", &response_text("t-1", "one")).await;
+    peer.write_all(response_text("t-1", "one").as_bytes())
         .await
         .unwrap();
     let Exchange {
-        result: called,
-        connection: again,
+        result,
+        connection: reusable,
     } = kept.unwrap().exchange(outbound("t-2"), AMPLE).await;
     assert_eq!(
-        (called.unwrap_err(), again.is_none()),
+        (result.unwrap_err(), reusable.is_none()),
         (CallError::NotConnected, true)
     );
     assert_eq!(read_request(&mut peer).await, "", "no byte of it left");
 }
 
 #[tokio::test]
-async fn what_stands_on_an_idle_connection_is_seen_before_it_is_used() {
-    for told in [answer("t-1", "one"), "\r\n".to_owned(), String::new()] {
+async fn bytes_on_an_idle_connection_are_noticed_before_it_is_reused() {
+    for response_bytes in [
+        response_text("t-1", "one"),
+        "\r\n".to_owned(),
+        String::new(),
+    ] {
         let (connection, mut peer) = pair().await;
         let Exchange {
             connection: kept, ..
-        } = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
-        peer.write_all(told.as_bytes()).await.unwrap();
-        let peer = Some(peer).filter(|_| !told.is_empty());
-        let looked = tokio::time::timeout(AMPLE, until_readable(kept.unwrap())).await;
-        assert!(looked.unwrap().is_none(), "{told:?}");
+        } = exchange(connection, &mut peer, "t-1", &response_text("t-1", "one")).await;
+        peer.write_all(response_bytes.as_bytes()).await.unwrap();
+        let peer = Some(peer).filter(|_| !response_bytes.is_empty());
+        let connection_if_quiet = tokio::time::timeout(AMPLE, until_readable(kept.unwrap())).await;
+        assert!(connection_if_quiet.unwrap().is_none(), "{response_bytes:?}");
         drop(peer);
     }
 }
 
 #[tokio::test]
-async fn a_part_of_a_request_may_have_been_read() {
+async fn a_partly_sent_request_may_have_been_read() {
     let (connection, peer) = pair().await;
     let long = OutboundRequest {
         body: vec![0; LONG].into(),
         ..outbound("t-1")
     };
     let Exchange {
-        result: called,
-        connection: again,
+        result,
+        connection: reusable,
     } = connection.exchange(long, Duration::from_millis(30)).await;
     assert_eq!(
-        (called.unwrap_err(), again.is_none()),
+        (result.unwrap_err(), reusable.is_none()),
         (CallError::TimedOut, true)
     );
     drop(peer);
@@ -162,20 +171,20 @@
     };
     let (
         Exchange {
-            result: called,
-            connection: again,
+            result,
+            connection: reusable,
         },
         (),
     ) = tokio::join!(connection.exchange(long, AMPLE), resetting);
     assert_eq!(
-        (called.unwrap_err(), again.is_none()),
+        (result.unwrap_err(), reusable.is_none()),
         (CallError::ConnectionLost, true)
     );
 }
 
 #[tokio::test]
-async fn an_answer_before_the_request_was_whole_ends_the_connection() {
-    let early = |told: String, id: Option<ResponseId<'static>>| async move {
+async fn a_response_before_the_request_is_complete_closes_the_connection() {
+    let early = |response_bytes: String, id: Option<ResponseId<'static>>| async move {
         let (connection, mut peer) = pair().await;
         let long = OutboundRequest {
             body: vec![0; LONG].into(),
@@ -183,31 +192,31 @@
             ..outbound("t-1")
         };
         let mut head = vec![0; 64];
-        let telling = async {
+        let responding = async {
             peer.read_exact(&mut head).await.unwrap();
-            peer.write_all(told.as_bytes()).await.unwrap();
+            peer.write_all(response_bytes.as_bytes()).await.unwrap();
         };
         let (
             Exchange {
-                result: called,
-                connection: again,
+                result,
+                connection: reusable,
             },
             (),
-        ) = tokio::join!(connection.exchange(long, AMPLE), telling);
-        assert!(again.is_none());
-        called.map(|reply| reply.status)
+        ) = tokio::join!(connection.exchange(long, AMPLE), responding);
+        assert!(reusable.is_none());
+        result.map(|reply| reply.status)
     };
     let id = Some(ResponseId {
         header: "x-try-id",
         value: "t-1",
     });
     assert_eq!(
-        early(answer("t-1", "own"), id).await,
+        early(response_text("t-1", "own"), id).await,
         Ok(200),
         "it says whose it is"
     );
     assert_eq!(
-        early(answer("t-0", "of another"), id).await,
+        early(response_text("t-0", "of another"), id).await,
         Err(CallError::InvalidResponse)
     );
     let too_large = "HTTP/1.1 413 Too Large\r\ncontent-length: 0\r\n\r\n";
@@ -217,55 +226,63 @@
         "a refusal needs not have read all"
     );
     assert_eq!(
-        early(answer("t-1", "own"), None).await,
+        early(response_text("t-1", "own"), None).await,
         Err(CallError::InvalidResponse),
         "a success of nobody knows what"
     );
 }
 
 #[tokio::test]
-async fn the_answer_behind_those_to_other_requests_is_found_and_the_connection_ends() {
+async fn the_response_behind_those_to_other_requests_is_found_and_the_connection_closes() {
     let (connection, mut peer) = pair().await;
     let Exchange {
         connection: kept, ..
-    } = exchange(connection, &mut peer, "t-1", &answer("t-1", "one")).await;
-    let told = [
-        answer("t-1", "one"),
-        answer("t-0", ""),
-        answer("t-2", "two"),
+    } = exchange(connection, &mut peer, "t-1", &response_text("t-1", "one")).await;
+    let response_bytes = [
+        response_text("t-1", "one"),
+        response_text("t-0", ""),
+        response_text("t-2", "two"),
     ]
     .concat();
     let Exchange {
-        result: called,
-        connection: again,
-    } = exchange(kept.unwrap(), &mut peer, "t-2", &told).await;
+        result,
+        connection: reusable,
+    } = exchange(kept.unwrap(), &mut peer, "t-2", &response_bytes).await;
     assert_eq!(
-        (&called.unwrap().body[..], again.is_none()),
+        (&result.unwrap().body[..], reusable.is_none()),
         (&b"two"[..], true)
     );
 }
 
 #[tokio::test]
-async fn the_next_answer_may_come_in_any_pieces() {
-    let told = [answer("t-0", "of another"), answer("t-1", "own")].concat();
-    for cut in 1..told.len() {
+async fn the_next_response_may_arrive_in_any_pieces() {
+    let response_bytes = [
+        response_text("t-0", "of another"),
+        response_text("t-1", "own"),
+    ]
+    .concat();
+    for cut in 1..response_bytes.len() {
         let (connection, mut peer) = pair().await;
-        let telling = async {
+        let responding = async {
             read_request(&mut peer).await;
-            peer.write_all(&told.as_bytes()[..cut]).await.unwrap();
+            peer.write_all(&response_bytes.as_bytes()[..cut])
+                .await
+                .unwrap();
             tokio::task::yield_now().await;
             tokio::task::yield_now().await;
-            peer.write_all(&told.as_bytes()[cut..]).await.unwrap();
+            peer.write_all(&response_bytes.as_bytes()[cut..])
+                .await
+                .unwrap();
         };
         let (
             Exchange {
-                result: called,
-                connection: again,
+                result,
+                connection: reusable,
             },
             (),
-        ) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
+        ) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), responding);
         assert_eq!(
-            (&called.unwrap().body[..], again.is_none()),
+            (&result.unwrap().body[..], reusable.is_none()),
             (&b"own"[..], true),
             "cut at {cut}"
         );
@@ -273,28 +290,28 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_names_nobody_counts_on_a_connection_of_its_own_only() {
+async fn a_response_without_an_id_counts_only_on_a_connection_of_its_own() {
     let nameless = "HTTP/1.1 503 No Room\r\ncontent-length: 0\r\n\r\n";
     let (connection, mut peer) = pair().await;
     let Exchange {
-        result: called,
+        result,
         connection: kept,
     } = exchange(connection, &mut peer, "t-1", nameless).await;
-    assert_eq!(called.unwrap().status, 503);
+    assert_eq!(result.unwrap().status, 503);
     let Exchange {
-        result: called,
-        connection: again,
+        result,
+        connection: reusable,
     } = exchange(kept.unwrap(), &mut peer, "t-2", nameless).await;
     assert_eq!(
-        (called.unwrap_err(), again.is_none()),
+        (result.unwrap_err(), reusable.is_none()),
         (CallError::InvalidResponse, true)
     );
 }
 
 #[tokio::test]
-async fn a_body_whose_end_nobody_tells_is_never_whole() {
+async fn a_body_of_unknown_length_is_never_complete() {
     let (connection, mut peer) = pair().await;
-    let telling = async {
+    let responding = async {
         read_request(&mut peer).await;
         peer.write_all(b"HTTP/1.1 200 OK\r\nx-try-id: t-1\r\n\r\nperhaps all")
             .await
@@ -303,25 +320,25 @@
     };
     let (
         Exchange {
-            result: called,
-            connection: again,
+            result,
+            connection: reusable,
         },
         (),
-    ) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), telling);
+    ) = tokio::join!(connection.exchange(outbound("t-1"), AMPLE), responding);
     assert_eq!(
-        (called.unwrap_err(), again.is_none()),
+        (result.unwrap_err(), reusable.is_none()),
         (CallError::InvalidResponse, true)
     );
 }
 
 #[tokio::test]
-async fn an_answer_without_a_body_leaves_the_connection_in_doubt() {
+async fn a_response_without_a_body_closes_the_connection() {
     let (connection, mut peer) = pair().await;
     let head = OutboundRequest {
         method: "HEAD",
         ..outbound("t-1")
     };
-    let telling = async {
+    let responding = async {
         read_request(&mut peer).await;
         peer.write_all(b"HTTP/1.1 200 OK\r\nx-try-id: t-1\r\ncontent-length: 99\r\n\r\n")
             .await
@@ -329,10 +346,10 @@
     };
     let (
         Exchange {
-            result: called,
-            connection: again,
+            result,
+            connection: reusable,
         },
         (),
-    ) = tokio::join!(connection.exchange(head, AMPLE), telling);
-    assert_eq!((called.unwrap().status, again.is_none()), (200, true));
+    ) = tokio::join!(connection.exchange(head, AMPLE), responding);
+    assert_eq!((result.unwrap().status, reusable.is_none()), (200, true));
 }
