--- a/crates/simulator/src/fault_injection/upstreams.rs
+++ b/crates/simulator/src/fault_injection/upstreams.rs
@@ -75,10 +75,8 @@
                 self.upstreams[upstream].garbles_per_mille = 0;
             }
             Fault::BadRelease => self.set_first_service_garbling(0),
-            Fault::PauseUpstream(upstream) => {
-                if self.defects.clock_stops_while_suspended {
-                    self.extend_leases(self.upstream_index(upstream), lasted);
-                }
+            Fault::PauseUpstream(upstream) if self.defects.clock_stops_while_suspended => {
+                self.extend_leases(self.upstream_index(upstream), lasted);
             }
             Fault::HotKey => self.hot_key = false,
             Fault::AddUpstreams(_) => {
