--- a/deploy/hunting/results.py
+++ b/deploy/hunting/results.py
@@ -70,17 +70,17 @@
 def table(results, whole=False):
     """Days with their runs, how many broke, which rules on which seeds, and what did not strike.
 
-    Days of which there is nothing to say stand only in the last line, unless the whole table is asked for.
+    Days without anything to report stand only in the last line, unless the whole table is asked for.
     """
     by_day = collections.defaultdict(list)
     for result in results:
         by_day[(result.site, result.day)].append(result)
-    told = {key: runs for key, runs in sorted(by_day.items()) if whole or any(map(_is_worth_a_row, runs))}
+    shown = {key: runs for key, runs in sorted(by_day.items()) if whole or any(map(_is_worth_a_row, runs))}
     lines = [
         "| site | day | runs | broken | rules broken, by seed | gate | did not strike |",
         "|---|---|---|---|---|---|---|",
     ]
-    lines += [_row(site, day, runs) for (site, day), runs in told.items()]
+    lines += [_row(site, day, runs) for (site, day), runs in shown.items()]
     counts = collections.Counter(result.outcome for result in results)
     summary = f"{len(results)} runs of {len(by_day)} days: "
     summary += f"{counts[PASSED]} passed, {counts[BROKEN]} broken, {counts[NOT_PLAYED]} not played"
--- a/deploy/hunting/tests/test_bench.py
+++ b/deploy/hunting/tests/test_bench.py
@@ -48,10 +48,10 @@
     def play(self, days, jobs=2):
         """The last results of days on seed 7."""
         found = []
-        self.told = []
+        self.reported = []
 
         def tell(result, is_again):
-            self.told.append((result.outcome, is_again))
+            self.reported.append((result.outcome, is_again))
             if not is_again:
                 found.append(result)
 
@@ -73,13 +73,13 @@
     def test_a_day_that_was_given_up_is_played_again(self):
         (result,) = self.play(["busy"])
         self.assertEqual(result.outcome, results.PASSED)
-        self.assertEqual(self.told, [(results.NOT_PLAYED, True), (results.PASSED, False)])
+        self.assertEqual(self.reported, [(results.NOT_PLAYED, True), (results.PASSED, False)])
 
-    def test_a_day_that_is_given_up_played_is_told_as_not_played(self):
+    def test_a_day_that_is_given_up_played_is_reported_as_not_played(self):
         (result,) = self.play(["busy"], jobs=1)
         self.assertEqual(result.outcome, results.NOT_PLAYED)
 
-    def test_a_run_without_an_entry_is_told_with_the_benchs_words(self):
+    def test_a_run_without_an_entry_is_reported_with_the_benchs_words(self):
         (result,) = self.play(["odd"])
         self.assertEqual((result.outcome, result.notes), (results.NOT_PLAYED, ["the day can't be read"]))
 
--- a/deploy/hunting/tests/test_results.py
+++ b/deploy/hunting/tests/test_results.py
@@ -58,11 +58,11 @@
         self.assertIn("| cut |", results.table(found, whole=True))
         self.assertIn("1 runs of 1 days: 1 passed", results.table(found))
 
-    def test_a_gate_that_is_missed_without_a_rule_is_told(self):
+    def test_a_gate_that_is_missed_without_a_rule_is_reported(self):
         found = results.of_entry(entry(gate=False, short=["no ack after 6054 ms"]), "a.json")
         self.assertIn("3: gate only | no ack after 6054 ms |", results.table(found))
 
-    def test_troubles_that_did_not_strike_are_told(self):
+    def test_troubles_that_did_not_strike_are_reported(self):
         found = dataclasses.replace(results.of_entry(entry(), "a.json")[0], missing={"wipe": 2})
         self.assertIn("| 3: wipe 2 |", results.table([found]))
 
--- a/deploy/hunting/tests/test_strikes.py
+++ b/deploy/hunting/tests/test_strikes.py
@@ -14,7 +14,7 @@
 class Missing(unittest.TestCase):
     """Counts by kind."""
 
-    def test_a_kind_that_struck_seldomer_than_asked_is_told_with_how_often(self):
+    def test_a_kind_that_struck_seldomer_than_asked_is_reported_with_its_count(self):
         events = [{"kind": "change (route)"}, {"kind": "wipe"}]
         self.assertEqual(strikes.missing(DAY, events), {"wipe": 1, "closing": 1})
 
