--- a/crates/scale-model/src/calls.rs
+++ b/crates/scale-model/src/call_tracker.rs
@@ -1,4 +1,4 @@
-//! Orders and departures that come one after the other, and how long each waits for its answer.
+//! Submissions and deregistrations that come one after the other, and how long each waits for its answer.
 
 use super::fleet::Fleet;
 use control_plane::{ControlRequest, ControlResponse};
@@ -7,41 +7,41 @@
 
 /// Calls to control nodes, and what came of them.
 #[derive(Default)]
-pub struct Calls {
-    asked_at: HashMap<u64, Duration>,
-    asked: usize,
-    refused: usize,
+pub struct CallTracker {
+    requested_at: HashMap<u64, Duration>,
+    requested: usize,
+    rejected: usize,
     /// Sent on to a node that is in contact with a majority.
     redirected: usize,
     /// From the question to the answer, of those that were taken.
-    taken_after: Vec<Duration>,
-    /// Editions that were accepted and are not in force everywhere yet, and when they were asked for.
-    awaited: Vec<(u64, Duration)>,
+    accepted_after: Vec<Duration>,
+    /// Revisions that were accepted and are not in force everywhere yet, and when they were asked for.
+    pending: Vec<(u64, Duration)>,
     in_force_after: Vec<Duration>,
 }
 
-impl Calls {
+impl CallTracker {
     /// How many were made, how many of them the control nodes refused or didn't know the outcome of, and how many they
     /// sent on.
     pub(crate) fn counts(&self) -> (usize, usize, usize) {
-        (self.asked, self.refused, self.redirected)
+        (self.requested, self.rejected, self.redirected)
     }
 
     /// How long the answers of those that were taken took.
-    pub(crate) fn taken_after(&self) -> &[Duration] {
-        &self.taken_after
+    pub(crate) fn accepted_after(&self) -> &[Duration] {
+        &self.accepted_after
     }
 
-    /// How long it took from each order until what it brought was in force at every carrier.
+    /// How long it took from each submission until what it changed was in force at every carrier.
     pub(crate) fn in_force_after(&self) -> &[Duration] {
         &self.in_force_after
     }
 }
 
 impl Fleet {
-    /// An operator hands a setup of the usual size to this control node, or to some other each time.
-    pub(crate) fn order_setup(&mut self, at: Option<usize>) {
-        let number = self.calls.asked;
+    /// An operator submits a configuration of the usual size to this control node, or to some other each time.
+    pub(crate) fn submit_configuration(&mut self, at: Option<usize>) {
+        let number = self.calls.requested;
         // Each is another one, of the same size.
         let text = self
             .size
@@ -61,9 +61,9 @@
     }
 
     /// An upstream says that it ends now, and does.
-    pub(crate) fn sign_off_unit(&mut self, at: usize) {
+    pub(crate) fn deregister_upstream(&mut self, at: usize) {
         let instance = format!("unit-{at}");
-        self.crash_unit(at);
+        self.crash_upstream(at);
         self.call(None, "sign off", ControlRequest::Deregister { instance });
     }
 
@@ -72,8 +72,8 @@
             return;
         };
         let request_id = self.request_id();
-        self.calls.asked += 1;
-        self.calls.asked_at.insert(request_id, self.now);
+        self.calls.requested += 1;
+        self.calls.requested_at.insert(request_id, self.now);
         self.step_control(
             at,
             kind,
@@ -86,7 +86,7 @@
 
     /// True where the answer was one to such a call.
     pub(super) fn answer_call(&mut self, request_id: u64, answer: &ControlResponse) -> bool {
-        let Some(asked_at) = self.calls.asked_at.remove(&request_id) else {
+        let Some(requested_at) = self.calls.requested_at.remove(&request_id) else {
             return false;
         };
         match answer {
@@ -94,18 +94,20 @@
                 code: result_code::ResultCode::Success,
                 revision,
             } => {
-                self.calls.taken_after.push(self.now - asked_at);
-                self.calls.awaited.push((*revision, asked_at));
+                self.calls.accepted_after.push(self.now - requested_at);
+                self.calls.pending.push((*revision, requested_at));
+            }
+            ControlResponse::Heartbeat { .. } => {
+                self.calls.accepted_after.push(self.now - requested_at)
             }
-            ControlResponse::Heartbeat { .. } => self.calls.taken_after.push(self.now - asked_at),
             ControlResponse::Redirect { .. } => self.calls.redirected += 1,
-            _ => self.calls.refused += 1,
+            _ => self.calls.rejected += 1,
         }
         true
     }
 
     /// Lets time pass, and notes which orders came into force everywhere meanwhile.
-    pub(crate) fn run_watching_orders(&mut self, span: Duration, step: Duration) {
+    pub(crate) fn run_watching_submissions(&mut self, span: Duration, step: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.run_for(step.min(until - self.now));
@@ -115,13 +117,13 @@
                 .min()
                 .unwrap_or(0);
             let now = self.now;
-            let (done, awaited): (Vec<_>, Vec<_>) = std::mem::take(&mut self.calls.awaited)
+            let (done, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut self.calls.pending)
                 .into_iter()
                 .partition(|(revision, _)| *revision <= everywhere);
-            self.calls.awaited = awaited;
+            self.calls.pending = pending;
             self.calls
                 .in_force_after
-                .extend(done.into_iter().map(|(_, asked_at)| now - asked_at));
+                .extend(done.into_iter().map(|(_, requested_at)| now - requested_at));
         }
     }
 }
--- a/crates/scale-model/src/changes.rs
+++ b/crates/scale-model/src/changes.rs
@@ -47,7 +47,7 @@
 }
 
 /// Counts and bytes of what was sent, by kind.
-pub type Sent = BTreeMap<&'static str, (u64, u64)>;
+pub type TrafficByKind = BTreeMap<&'static str, (u64, u64)>;
 
 /// How a node came back.
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
     /// Until it had what was in force when it came back, confirmed by a majority, on its disk.
     pub took: Option<Duration>,
     /// What it was sent until then.
-    pub received: Sent,
+    pub received: TrafficByKind,
 }
 
 /// How a node followed a storm of changes, looked at after each of them.
@@ -63,20 +63,24 @@
 pub struct Following {
     /// How long ago a majority confirmed its state to it; none before the first time.
     pub ages: Vec<Option<Duration>>,
-    /// How many editions it was behind the first node.
-    pub editions_behind: Vec<u64>,
+    /// How many revisions it was behind the first node.
+    pub revisions_behind: Vec<u64>,
     /// Between two looks.
     pub gap: Duration,
     /// What it was sent.
-    pub received: Sent,
+    pub received: TrafficByKind,
 }
 
 impl Following {
     /// How long it took until the node was never again further behind than this; none where it still was at the end.
-    pub fn caught_up_after(&self, max_age: Duration, max_editions_behind: u64) -> Option<Duration> {
-        let looks = self.ages.iter().zip(&self.editions_behind);
+    pub fn caught_up_after(
+        &self,
+        max_age: Duration,
+        max_revisions_behind: u64,
+    ) -> Option<Duration> {
+        let looks = self.ages.iter().zip(&self.revisions_behind);
         let is_late = |(age, behind): (&Option<Duration>, &u64)| {
-            age.is_none_or(|age| age > max_age) || *behind > max_editions_behind
+            age.is_none_or(|age| age > max_age) || *behind > max_revisions_behind
         };
         let looks_before = looks
             .map(is_late)
@@ -103,23 +107,23 @@
     disk: Disk,
     writes: VecDeque<Write>,
     up: bool,
-    life: u64,
+    incarnation: u64,
     /// Bits a second that reach it; none: any number.
     bits: Option<u64>,
     link_free_at: Duration,
     on_link: usize,
-    received: Sent,
+    received: TrafficByKind,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum ScheduledEvent {
     Tick,
     Disk,
     Message(usize),
 }
 
 /// When, in which order, to which life of which node.
-type Item = std::cmp::Reverse<(Duration, u64, usize, u64, What)>;
+type Item = std::cmp::Reverse<(Duration, u64, usize, u64, ScheduledEvent)>;
 
 /// A few control nodes.
 pub struct Site {
@@ -129,8 +133,8 @@
     queue: BinaryHeap<Item>,
     messages: BTreeMap<usize, (String, Payload)>,
     number: u64,
-    pub sent: Sent,
-    asked: usize,
+    pub sent: TrafficByKind,
+    requested: usize,
     pub accepted: usize,
 }
 
@@ -173,11 +177,11 @@
             },
             writes: VecDeque::new(),
             up: true,
-            life: 0,
+            incarnation: 0,
             bits: None,
             link_free_at: Duration::ZERO,
             on_link: 0,
-            received: Sent::new(),
+            received: TrafficByKind::new(),
         });
         let nodes: Vec<Node> = nodes.collect();
         let mut site = Site {
@@ -187,38 +191,38 @@
             queue: BinaryHeap::new(),
             messages: BTreeMap::new(),
             number: 0,
-            sent: Sent::new(),
-            asked: 0,
+            sent: TrafficByKind::new(),
+            requested: 0,
             accepted: 0,
         };
-        (0..site.nodes.len()).for_each(|at| site.at(site.now, at, What::Tick));
+        (0..site.nodes.len()).for_each(|at| site.at(site.now, at, ScheduledEvent::Tick));
         site.run_until(Duration::from_secs(8));
         site
     }
 
-    fn at(&mut self, at: Duration, node: usize, what: What) {
+    fn at(&mut self, at: Duration, node: usize, what: ScheduledEvent) {
         self.number += 1;
         self.queue.push(std::cmp::Reverse((
             at,
             self.number,
             node,
-            self.nodes[node].life,
+            self.nodes[node].incarnation,
             what,
         )));
     }
 
     fn run_until(&mut self, until: Duration) {
         while self.queue.peek().is_some_and(|item| item.0.0 <= until) {
-            let Some(std::cmp::Reverse((at, _, node, life, what))) = self.queue.pop() else {
+            let Some(std::cmp::Reverse((at, _, node, incarnation, what))) = self.queue.pop() else {
                 break;
             };
             self.now = at;
-            let alive = self.nodes[node].life == life && self.nodes[node].up;
+            let alive = self.nodes[node].incarnation == incarnation && self.nodes[node].up;
             match what {
-                What::Message(id) => self.deliver(node, id, alive),
+                ScheduledEvent::Message(id) => self.deliver(node, id, alive),
                 _ if !alive => {}
-                What::Tick => {
-                    self.at(at + TICK, node, What::Tick);
+                ScheduledEvent::Tick => {
+                    self.at(at + TICK, node, ScheduledEvent::Tick);
                     let peers = self
                         .nodes
                         .iter()
@@ -228,7 +232,7 @@
                     self.step(node, Event::Peers(peers));
                     self.step(node, Event::Tick);
                 }
-                What::Disk => self.write_one(node),
+                ScheduledEvent::Disk => self.write_one(node),
             }
         }
         self.now = until;
@@ -241,12 +245,12 @@
         let receiver = &mut self.nodes[node];
         receiver.on_link = receiver.on_link.saturating_sub(1);
         if alive {
-            let parcel = Envelope {
+            let envelope = Envelope {
                 from: from.clone(),
                 body: Some(body.clone()),
             };
             let counted = receiver.received.entry(protocol::kind(&body)).or_default();
-            *counted = (counted.0 + 1, counted.1 + parcel.encoded_len() as u64);
+            *counted = (counted.0 + 1, counted.1 + envelope.encoded_len() as u64);
             self.step(node, Event::Received { from, body });
         }
     }
@@ -277,11 +281,11 @@
         let Some(to) = self.nodes.iter().position(|node| node.name == to) else {
             return;
         };
-        let parcel = Envelope {
+        let envelope = Envelope {
             from: self.nodes[from].name.clone(),
             body: Some(body.clone()),
         };
-        let bytes = parcel.encoded_len() as u64;
+        let bytes = envelope.encoded_len() as u64;
         let counted = self.sent.entry(protocol::kind(&body)).or_default();
         *counted = (counted.0 + 1, counted.1 + bytes);
         let node = &mut self.nodes[to];
@@ -296,13 +300,13 @@
         let (at, id) = (node.link_free_at + WAY, self.number as usize);
         self.messages
             .insert(id, (self.nodes[from].name.clone(), body));
-        self.at(at, to, What::Message(id));
+        self.at(at, to, ScheduledEvent::Message(id));
     }
 
     fn write(&mut self, at: usize, write: Write) {
         self.nodes[at].writes.push_back(write);
         if self.nodes[at].writes.len() == 1 {
-            self.at(self.now + SYNC, at, What::Disk);
+            self.at(self.now + SYNC, at, ScheduledEvent::Disk);
         }
     }
 
@@ -313,7 +317,7 @@
         };
         let write_id = node.disk.apply(write);
         if !node.writes.is_empty() {
-            self.at(self.now + SYNC, at, What::Disk);
+            self.at(self.now + SYNC, at, ScheduledEvent::Disk);
         }
         write_id
             .into_iter()
@@ -324,18 +328,18 @@
         let size = Size {
             routes: self.trial.routes,
             services: 40,
-            ..crate::TODAY
+            ..crate::CURRENT_SIZE
         };
         // Each change is another one, of the same size.
         size.configuration(0)
-            .replace("\"r0\"", &format!("\"r0-{:06}\"", self.asked))
+            .replace("\"r0\"", &format!("\"r0-{:06}\"", self.requested))
             .into_bytes()
     }
 
     /// So many changes, all handed to one node: what a race of two costs is another question.
     pub fn change(&mut self, count: usize) {
         for _ in 0..count {
-            self.asked += 1;
+            self.requested += 1;
             let bytes = self.bytes_of_change();
             let digest = protocol::digest(&bytes);
             let up: Vec<usize> = (0..self.nodes.len())
@@ -344,7 +348,7 @@
             let node = up[1 % up.len()];
             let since = Some(self.nodes[node].register.state().decided);
             let id = ChangeId {
-                id: format!("change-{:012}", self.asked),
+                id: format!("change-{:012}", self.requested),
                 since,
             };
             let change = Change::Configuration {
@@ -356,7 +360,7 @@
             self.step(
                 node,
                 Event::Submit {
-                    request_id: self.asked as u64,
+                    request_id: self.requested as u64,
                     change,
                     bytes: Some(bytes),
                 },
@@ -366,7 +370,7 @@
     }
 
     /// Lets everything settle.
-    pub fn settle(&mut self) {
+    pub fn run_until_idle(&mut self) {
         self.run_until(self.now + Duration::from_secs(6));
     }
 
@@ -385,14 +389,14 @@
         node.register = register(&node.name, trial, seed, &contents);
         node.disk = Disk::Real(Box::new(storage));
         node.writes.clear();
-        node.life += 1;
-        self.at(self.now, 0, What::Tick);
+        node.incarnation += 1;
+        self.at(self.now, 0, ScheduledEvent::Tick);
         Checkpoint {
-            changes: self.asked,
+            changes: self.requested,
             folder_bytes,
             files,
             open_took,
-            resident_bytes: resident(),
+            resident_bytes: resident_bytes(),
             state_bytes,
             written_per_change: 0,
         }
@@ -403,19 +407,19 @@
         let last = self.nodes.len() - 1;
         let node = &mut self.nodes[last];
         node.up = false;
-        node.life += 1;
+        node.incarnation += 1;
         node.writes.clear();
     }
 
     /// The last node comes back, with its disk or a blank one, behind a link of so many bits a second. With a storm, the
     /// changes go on meanwhile.
-    pub fn bring_back_last(&mut self, blank: bool, bits: u64, storm: bool) -> CatchUp {
+    pub fn restart_last(&mut self, blank: bool, bits: u64, submit_in_parts: bool) -> CatchUp {
         let (last, begun_at) = (self.nodes.len() - 1, self.now);
         let wanted = self.nodes[0].register.state().revision;
         self.start_last(blank, bits);
         let mut took = None;
         while took.is_none() && self.now < begun_at + Duration::from_secs(60) {
-            if storm {
+            if submit_in_parts {
                 self.change(1);
             } else {
                 self.run_until(self.now + TICK);
@@ -455,12 +459,12 @@
                     .saturating_sub(register.state().revision),
             )
         });
-        let (ages, editions_behind) = ages.unzip();
+        let (ages, revisions_behind) = ages.unzip();
         self.nodes[last].bits = None;
         let gap = self.trial.gap;
         Following {
             ages,
-            editions_behind,
+            revisions_behind,
             gap,
             received: self.nodes[last].received.clone(),
         }
@@ -479,8 +483,8 @@
         node.register = register(&node.name, trial, seed, contents);
         node.up = true;
         node.bits = Some(bits);
-        (node.link_free_at, node.on_link, node.received) = (begun_at, 0, Sent::new());
-        self.at(begun_at, last, What::Tick);
+        (node.link_free_at, node.on_link, node.received) = (begun_at, 0, TrafficByKind::new());
+        self.at(begun_at, last, ScheduledEvent::Tick);
     }
 }
 
@@ -544,17 +548,17 @@
     line.unwrap_or(0)
 }
 
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     about_this_process("status", "VmRSS:") * 1024
 }
 
 /// The checkpoints of a storm of changes, after each of so many parts; the first node is started anew at each.
-pub fn storm(site: &mut Site, parts: usize) -> Vec<Checkpoint> {
+pub fn submit_in_parts(site: &mut Site, parts: usize) -> Vec<Checkpoint> {
     let each = site.trial.changes / parts;
     let checkpoints = (0..parts).map(|_| {
         let written = about_this_process("io", "wchar:");
         site.change(each);
-        site.settle();
+        site.run_until_idle();
         let written = about_this_process("io", "wchar:") - written;
         Checkpoint {
             written_per_change: written / each as u64,
@@ -564,7 +568,7 @@
     checkpoints.collect()
 }
 
-fn show_sent(sent: &Sent) -> String {
+fn show_sent(sent: &TrafficByKind) -> String {
     let kinds = sent
         .iter()
         .map(|(kind, (count, bytes))| format!("{kind} {count} of {bytes} B"));
@@ -581,7 +585,7 @@
         bytes.len(),
         protocol::compress(&bytes).len()
     );
-    for checkpoint in storm(&mut site, 10) {
+    for checkpoint in submit_in_parts(&mut site, 10) {
         println!("{checkpoint:?}");
     }
     println!(
@@ -593,7 +597,7 @@
         .iter()
         .map(|(kind, (count, bytes))| (*kind, (count / changes as u64, bytes / changes as u64)));
     println!("  {}", show_sent(&per_change.collect()));
-    for (blank, bits, storm) in [
+    for (blank, bits, submit_in_parts) in [
         (false, 2_000_000, false),
         (true, 2_000_000, false),
         (false, 2_000_000, true),
@@ -602,13 +606,17 @@
     ] {
         site.stop_last();
         site.change(40);
-        site.settle();
-        let back = site.bring_back_last(blank, bits, storm);
-        site.settle();
+        site.run_until_idle();
+        let back = site.restart_last(blank, bits, submit_in_parts);
+        site.run_until_idle();
         println!(
             "back with {} disk over {bits} bit/s{}: {:?}; received {}",
             if blank { "a blank" } else { "its" },
-            if storm { ", changes going on" } else { "" },
+            if submit_in_parts {
+                ", changes going on"
+            } else {
+                ""
+            },
             back.took,
             show_sent(&back.received)
         );
@@ -621,9 +629,9 @@
     ] {
         site.stop_last();
         site.change(40);
-        site.settle();
+        site.run_until_idle();
         let followed = site.follow_with_last(blank, bits, FOLLOWED_CHANGES);
-        site.settle();
+        site.run_until_idle();
         let second_half = FOLLOWED_CHANGES / 2;
         println!(
             "follows {FOLLOWED_CHANGES} changes with {} disk over {bits} bit/s: no older than 1 s and 8 editions after {:?}; \
@@ -631,7 +639,7 @@
             if blank { "a blank" } else { "its" },
             followed.caught_up_after(Duration::from_secs(1), 8),
             followed.ages[second_half..].iter().max(),
-            followed.editions_behind[second_half..].iter().max(),
+            followed.revisions_behind[second_half..].iter().max(),
             show_sent(&followed.received)
         );
     }
--- a/crates/scale-model/src/flags.rs
+++ b/crates/scale-model/src/command.rs
@@ -1,12 +1,12 @@
 //! The command: one run, or a grid of them with their fits.
 
+use super::encoded_sizes::encoded_sizes;
 use super::figures::Figures;
 use super::fit::fit;
 use super::fleet::Load;
 use super::request;
-use super::size::{Size, TARGET, TODAY};
-use super::trials::{Run, SETTLE, TRIALS, run};
-use super::ways::ways;
+use super::size::{CURRENT_SIZE, Size, TARGET_SIZE};
+use super::trials::{Run, SETTLING_TIME, TRIALS, run};
 use std::collections::BTreeMap;
 use std::process::Command;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 each line is one run. Rates are of one process of a role and a second; core% is processor time in step functions.
 'zone', 'region' and 'far' are bytes in and out within a zone, between zones and between regions.";
 
-struct Wish {
+struct Arguments {
     run: Run,
     grid: Option<String>,
     sizes: Vec<usize>,
@@ -52,7 +52,7 @@
 /// std::process::exit(scale_model::command());
 /// ```
 pub fn command() -> i32 {
-    let done = read().and_then(|wish| wish.map_or(Ok(()), |wish| act(&wish)));
+    let done = read().and_then(|arguments| arguments.map_or(Ok(()), |arguments| act(&arguments)));
     done.map_or_else(
         |text| {
             eprintln!("drill: {text}; see drill hollow --help");
@@ -62,28 +62,28 @@
     )
 }
 
-fn act(wish: &Wish) -> Result<(), String> {
-    match &wish.grid {
-        Some(grid) if wish.recorded.is_some() => {
-            recorded(grid, wish.recorded.as_deref().unwrap_or_default())
+fn act(arguments: &Arguments) -> Result<(), String> {
+    match &arguments.grid {
+        Some(grid) if arguments.recorded.is_some() => {
+            recorded(grid, arguments.recorded.as_deref().unwrap_or_default())
         }
-        Some(grid) => gridded(grid, wish),
+        Some(grid) => run_grid(grid, arguments),
         None => {
-            let figures = one(&wish.run)?;
+            let figures = one(&arguments.run)?;
             println!(
                 "what={} seed={} {} {figures}",
-                wish.run.what, wish.run.seed, wish.run.size
+                arguments.run.what, arguments.run.seed, arguments.run.size
             );
             Ok(())
         }
     }
 }
 
-fn one(wish: &Run) -> Result<Figures, String> {
-    match wish.what.as_str() {
-        "request" => Ok(request::measured(&wish.size)),
-        "ways" => Ok(ways(&wish.size)),
-        _ => run(wish),
+fn one(arguments: &Run) -> Result<Figures, String> {
+    match arguments.what.as_str() {
+        "request" => Ok(request::measure_request_path(&arguments.size)),
+        "ways" => Ok(encoded_sizes(&arguments.size)),
+        _ => run(arguments),
     }
 }
 
@@ -91,7 +91,7 @@
 fn dimension(size: &mut Size, grid: &str) -> Result<Option<usize>, String> {
     let known: [(&str, &mut usize); 5] = [
         ("nodes", &mut size.nodes),
-        ("postmasters", &mut size.postmasters),
+        ("postmasters", &mut size.control_nodes),
         ("upstreams", &mut size.upstreams),
         ("routes", &mut size.routes),
         ("services", &mut size.services),
@@ -105,14 +105,14 @@
         .ok_or(format!("--grid '{grid}'"))
 }
 
-fn gridded(grid: &str, wish: &Wish) -> Result<(), String> {
-    dimension(&mut wish.run.size.clone(), grid)?;
+fn run_grid(grid: &str, arguments: &Arguments) -> Result<(), String> {
+    dimension(&mut arguments.run.size.clone(), grid)?;
     let program = std::env::current_exe().map_err(|failure| failure.to_string())?;
     let flags = |n: usize| -> Vec<String> {
         if grid == "all" {
             let Size {
                 nodes,
-                postmasters,
+                control_nodes,
                 upstreams,
                 services,
                 routes,
@@ -121,7 +121,7 @@
             } = Size::shrunk(n);
             let all = [
                 ("nodes", nodes),
-                ("postmasters", postmasters),
+                ("postmasters", control_nodes),
                 ("upstreams", upstreams),
                 ("services", services),
                 ("routes", routes),
@@ -136,12 +136,15 @@
         }
     };
     let mut lines = Vec::new();
-    for sizes in wish.sizes.chunks(wish.jobs) {
+    for sizes in arguments.sizes.chunks(arguments.jobs) {
         let started: Vec<_> = sizes
             .iter()
             .map(|n| {
                 let mut command = Command::new(&program);
-                command.arg("hollow").args(&wish.passed).args(flags(*n));
+                command
+                    .arg("hollow")
+                    .args(&arguments.passed)
+                    .args(flags(*n));
                 (*n, command.stdout(std::process::Stdio::piped()).spawn())
             })
             .collect();
@@ -164,7 +167,7 @@
 
 /// Fits the lines of earlier runs; of two of one size the later counts.
 fn recorded(grid: &str, file: &str) -> Result<(), String> {
-    dimension(&mut TODAY.clone(), grid)?;
+    dimension(&mut CURRENT_SIZE.clone(), grid)?;
     let text = std::fs::read_to_string(file).map_err(|failure| format!("{file}: {failure}"))?;
     let number = if grid == "all" { "nodes" } else { grid };
     let runs = text
@@ -187,11 +190,11 @@
 /// How each figure grows, where there are points enough.
 fn print_fits(grid: &str, lines: &[(f64, Figures)]) {
     let target = match grid {
-        "upstreams" => TARGET.upstreams,
-        "routes" => TARGET.routes,
-        "services" => TARGET.services,
-        "postmasters" => TARGET.postmasters,
-        _ => TARGET.nodes,
+        "upstreams" => TARGET_SIZE.upstreams,
+        "routes" => TARGET_SIZE.routes,
+        "services" => TARGET_SIZE.services,
+        "postmasters" => TARGET_SIZE.control_nodes,
+        _ => TARGET_SIZE.nodes,
     } as f64;
     let (Some((_, first)), true) = (lines.first(), lines.len() >= 4) else {
         return println!("no fits: {} runs of at least 4", lines.len());
@@ -238,18 +241,18 @@
     others.collect::<Vec<_>>().join(", ")
 }
 
-fn read() -> Result<Option<Wish>, String> {
+fn read() -> Result<Option<Arguments>, String> {
     let run = Run {
-        size: TODAY,
+        size: CURRENT_SIZE,
         window: Duration::from_secs(10),
         seed: 1,
         what: "idle".into(),
         load: Load::default(),
-        settle: SETTLE,
+        settle: SETTLING_TIME,
         replicas: 0,
         kinds: false,
     };
-    let mut wish = Wish {
+    let mut arguments = Arguments {
         run,
         grid: None,
         sizes: Vec::new(),
@@ -270,13 +273,13 @@
             }
             Value(word) if word == "hollow" => continue,
             Long("cold") => {
-                wish.run.load.cold = true;
-                wish.passed.push("--cold".into());
+                arguments.run.load.cold = true;
+                arguments.passed.push("--cold".into());
                 continue;
             }
             Long("kinds") => {
-                wish.run.kinds = true;
-                wish.passed.push("--kinds".into());
+                arguments.run.kinds = true;
+                arguments.passed.push("--kinds".into());
                 continue;
             }
             Long(name) => name.to_owned(),
@@ -287,12 +290,12 @@
             .map_err(|failure| failure.to_string())?
             .to_string_lossy()
             .into_owned();
-        take(&mut wish, &name, value)?;
+        take(&mut arguments, &name, value)?;
     }
-    Ok(Some(wish))
+    Ok(Some(arguments))
 }
 
-fn take(wish: &mut Wish, name: &str, value: String) -> Result<(), String> {
+fn take(arguments: &mut Arguments, name: &str, value: String) -> Result<(), String> {
     let number = |value: &str| {
         value
             .parse::<usize>()
@@ -302,27 +305,29 @@
         number(value).and_then(|n| Some(n).filter(|n| *n > 0).ok_or(format!("--{name} 0")))
     };
     match name {
-        "grid" => wish.grid = Some(value),
-        "sizes" => wish.sizes = value.split(',').map(some).collect::<Result<_, _>>()?,
-        "recorded" => wish.recorded = Some(value),
-        "jobs" => wish.jobs = some(&value)?,
+        "grid" => arguments.grid = Some(value),
+        "sizes" => arguments.sizes = value.split(',').map(some).collect::<Result<_, _>>()?,
+        "recorded" => arguments.recorded = Some(value),
+        "jobs" => arguments.jobs = some(&value)?,
         _ => {
-            wish.passed.extend([format!("--{name}"), value.clone()]);
-            let size = &mut wish.run.size;
+            arguments
+                .passed
+                .extend([format!("--{name}"), value.clone()]);
+            let size = &mut arguments.run.size;
             match name {
                 "nodes" => size.nodes = some(&value)?,
-                "postmasters" => size.postmasters = some(&value)?,
+                "postmasters" => size.control_nodes = some(&value)?,
                 "upstreams" => size.upstreams = some(&value)?,
                 "services" => size.services = some(&value)?,
                 "routes" => size.routes = some(&value)?,
                 "regions" => size.regions = some(&value)?,
                 "zones" => size.zones = some(&value)?,
-                "seconds" => wish.run.window = Duration::from_secs(some(&value)? as u64),
-                "settle" => wish.run.settle = Duration::from_secs(some(&value)? as u64),
-                "seed" => wish.run.seed = number(&value)? as u64,
-                "replicas" => wish.run.replicas = number(&value)?,
-                "changing" => wish.run.load.changing_per_mille = number(&value)? as u64,
-                "what" => wish.run.what = value,
+                "seconds" => arguments.run.window = Duration::from_secs(some(&value)? as u64),
+                "settle" => arguments.run.settle = Duration::from_secs(some(&value)? as u64),
+                "seed" => arguments.run.seed = number(&value)? as u64,
+                "replicas" => arguments.run.replicas = number(&value)?,
+                "changing" => arguments.run.load.changing_per_mille = number(&value)? as u64,
+                "what" => arguments.run.what = value,
                 _ => return Err(format!("--{name} is unknown")),
             }
         }
--- a/crates/scale-model/src/ways.rs
+++ b/crates/scale-model/src/encoded_sizes.rs
@@ -1,4 +1,4 @@
-//! What the same news comes to on the wire when it is told in another way: real messages, encoded, at some size.
+//! What the same update comes to on the wire when it is encoded in another way: real messages, encoded, at some size.
 
 use super::figures::Figures;
 use super::request::{placement, upstream};
@@ -8,21 +8,21 @@
     ViewUpdate,
 };
 
-/// Encoded bytes of each way.
+/// Encoded bytes of each encoding.
 ///
 /// ```
-/// let figures = scale_model::ways(&scale_model::TODAY);
+/// let figures = scale_model::encoded_sizes(&scale_model::CURRENT_SIZE);
 /// assert!(figures.get("image.by-need.bytes") < figures.get("image.bytes"));
 /// assert!(figures.get("told-on.hundred.bytes") < figures.get("told-on.one.bytes"));
 /// ```
-pub fn ways(size: &Size) -> Figures {
+pub fn encoded_sizes(size: &Size) -> Figures {
     let mut figures = Figures::default();
     let mut add = |name: &str, body: Payload, parts: usize| {
-        let parcel = Envelope {
+        let envelope = Envelope {
             from: "postmaster-0".into(),
             body: Some(body),
         };
-        figures.add(name, (parcel.encoded_len() + 4) as f64 / parts as f64);
+        figures.add(name, (envelope.encoded_len() + 4) as f64 / parts as f64);
     };
     let all: Vec<Upstream> = (0..size.upstreams).map(|at| upstream(size, at)).collect();
     let state = || {
@@ -48,7 +48,7 @@
             ..ViewUpdate::default()
         })
     };
-    // A zone's carriers send to the services of the names that it owns: one zone's part of the routes.
+    // A zone's data nodes send to the services of the names that it owns: one zone's part of the routes.
     let here = |service: usize| {
         (0..size.routes).any(|route| route % size.zones == 0 && route % size.services == service)
     };
@@ -58,11 +58,11 @@
         .collect();
     add("image.bytes", image(all.clone()), 1);
     add("image.by-need.bytes", image(needed), 1);
-    let change = |news| {
+    let change = |update| {
         Payload::ViewUpdate(ViewUpdate {
             stream: u64::MAX,
             number: 300,
-            ..news
+            ..update
         })
     };
     let configuration = Some(size.configuration(1).into_bytes());
--- a/crates/scale-model/src/queue.rs
+++ b/crates/scale-model/src/event_queue.rs
@@ -1,6 +1,6 @@
 //! What happens when, in virtual time.
 
-use super::units::Answered;
+use super::upstreams::HeartbeatResponse;
 use control_plane::ControlResponse;
 use protocol::{DurableState, Payload, Upstream};
 use std::cmp::Reverse;
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 /// What happens at a moment.
-pub enum Happening {
+pub enum ScheduledEvent {
     Tick {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     Envelope {
         node: usize,
@@ -25,30 +25,30 @@
     },
     Synced {
         node: usize,
-        life: u64,
+        incarnation: u64,
         write_id: u64,
         write: Write,
     },
     Beat {
-        unit: usize,
-        life: u64,
+        upstream: usize,
+        incarnation: u64,
     },
     BeatComes {
         node: usize,
-        unit: usize,
-        life: u64,
+        upstream: usize,
+        incarnation: u64,
         told: Box<Upstream>,
     },
-    BeatAnswered {
-        unit: usize,
-        answered: Answered,
+    HeartbeatAnswered {
+        upstream: usize,
+        answered: HeartbeatResponse,
     },
     Submit {
         bytes: Vec<u8>,
-        asked: u32,
+        requested: u32,
     },
     Verdict {
-        asked: u32,
+        requested: u32,
         answer: ControlResponse,
     },
 }
@@ -62,7 +62,7 @@
 struct Item {
     at: Duration,
     number: u64,
-    what: Happening,
+    what: ScheduledEvent,
 }
 
 impl PartialEq for Item {
@@ -93,7 +93,7 @@
 }
 
 impl Queue {
-    pub fn push(&mut self, at: Duration, what: Happening) {
+    pub fn push(&mut self, at: Duration, what: ScheduledEvent) {
         self.number += 1;
         self.items.push(Reverse(Item {
             at,
@@ -103,7 +103,7 @@
     }
 
     /// The next that happens no later than `until`.
-    pub fn pop(&mut self, until: Duration) -> Option<(Duration, Happening)> {
+    pub fn pop(&mut self, until: Duration) -> Option<(Duration, ScheduledEvent)> {
         let due = self
             .items
             .peek()
--- a/crates/scale-model/src/figures.rs
+++ b/crates/scale-model/src/figures.rs
@@ -1,7 +1,7 @@
 //! What a run comes to: plain figures by name.
 
-use super::count::{Ledger, REACHES, ROLES, Role};
 use super::size::Size;
+use super::traffic_stats::{REACHES, ROLES, Role, TrafficStats};
 use std::time::Duration;
 
 /// Figures in the order of their making.
@@ -51,28 +51,28 @@
     }
 
     /// Rates of a window: by role and process, a second.
-    pub(crate) fn of(ledger: &Ledger, size: &Size, window: Duration) -> Figures {
+    pub(crate) fn of(stats: &TrafficStats, size: &Size, window: Duration) -> Figures {
         let mut figures = Figures::default();
         let there = ROLES
             .into_iter()
-            .filter(|role| *role != Role::Replica || processes(ledger, size, *role) > 0);
-        there.for_each(|role| figures.add_role(ledger, size, window, role));
+            .filter(|role| *role != Role::Replica || processes(stats, size, *role) > 0);
+        there.for_each(|role| figures.add_role(stats, size, window, role));
         figures
     }
 
-    fn add_role(&mut self, ledger: &Ledger, size: &Size, window: Duration, role: Role) {
-        let each = processes(ledger, size, role).max(1) as f64 * window.as_secs_f64();
-        let (out, into) = (ledger.out(role, None), ledger.into_role(role, None));
+    fn add_role(&mut self, stats: &TrafficStats, size: &Size, window: Duration, role: Role) {
+        let each = processes(stats, size, role).max(1) as f64 * window.as_secs_f64();
+        let (out, into) = (stats.out(role, None), stats.received_by(role, None));
         self.add(format!("{role}.out.msgs"), out.messages as f64 / each);
         self.add(format!("{role}.in.msgs"), into.messages as f64 / each);
         self.add(format!("{role}.out.bytes"), out.bytes as f64 / each);
         self.add(format!("{role}.in.bytes"), into.bytes as f64 / each);
         REACHES.into_iter().for_each(|reach| {
             let both =
-                ledger.out(role, Some(reach)).bytes + ledger.into_role(role, Some(reach)).bytes;
+                stats.out(role, Some(reach)).bytes + stats.received_by(role, Some(reach)).bytes;
             self.add(format!("{role}.{reach}.bytes"), both as f64 / each);
         });
-        let shares = ledger
+        let shares = stats
             .busy(role)
             .into_iter()
             .map(|busy| busy.as_secs_f64() * 100.0 / window.as_secs_f64());
@@ -116,25 +116,25 @@
 }
 
 /// How many processes have a role.
-fn processes(ledger: &Ledger, size: &Size, role: Role) -> usize {
+fn processes(stats: &TrafficStats, size: &Size, role: Role) -> usize {
     match role {
         Role::DataNode => size.nodes,
-        Role::Voter => size.postmasters.saturating_sub(1),
+        Role::Voter => size.control_nodes.saturating_sub(1),
         Role::Holder => 1,
-        Role::Replica => ledger.busy(role).len(),
+        Role::Replica => stats.busy(role).len(),
         Role::Upstream => size.upstreams,
     }
 }
 
 /// Tables of one window by kind of message and cause of step.
-pub(crate) fn print_kinds(ledger: &Ledger, size: &Size, window: Duration) {
+pub(crate) fn print_kinds(stats: &TrafficStats, size: &Size, window: Duration) {
     let shown = ROLES
         .into_iter()
-        .filter(|role| *role != Role::Upstream && processes(ledger, size, *role) > 0);
+        .filter(|role| *role != Role::Upstream && processes(stats, size, *role) > 0);
     shown.for_each(|role| {
-        let each = processes(ledger, size, role) as f64 * window.as_secs_f64();
+        let each = processes(stats, size, role) as f64 * window.as_secs_f64();
         println!("{role}, one process, a second:");
-        ledger.kinds(role).into_iter().for_each(|(kind, (out, into))| {
+        stats.kinds(role).into_iter().for_each(|(kind, (out, into))| {
             println!(
                 "  {kind:<14} out {:>10.2} messages {:>12.0} bytes, in {:>10.2} messages {:>12.0} bytes",
                 out.messages as f64 / each,
@@ -144,7 +144,7 @@
             );
         });
         println!("{role}, steps by cause:");
-        ledger.steps(role).into_iter().for_each(|(kind, steps)| {
+        stats.steps(role).into_iter().for_each(|(kind, steps)| {
             println!(
                 "  {kind:<14} {:>10.2} a second, {:>10.1} us each, most {:>10.0} us, {:>8.3} % of a core",
                 steps.count as f64 / each,
--- a/crates/scale-model/src/fleet.rs
+++ b/crates/scale-model/src/fleet.rs
@@ -1,10 +1,10 @@
 //! Many hollow nodes in one process: the daemons' own cores over a simple network, in virtual time.
 
-use super::calls::Calls;
-use super::count::{Ledger, Role, kind};
-use super::queue::{Happening, Queue};
+use super::call_tracker::CallTracker;
+use super::event_queue::{Queue, ScheduledEvent};
 use super::size::Size;
-use super::units::Unit;
+use super::traffic_stats::{Role, TrafficStats, kind};
+use super::upstreams::HollowUpstream;
 use control_plane::ControlNode;
 use data_plane::DataNode;
 use name_directory::View;
@@ -19,7 +19,7 @@
 /// What the hollow site is asked to bear.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Of a thousand beats, how many tell of other room than the last.
+    /// Of a thousand heartbeats, how many report another capacity than the last.
     pub changing_per_mille: u64,
     /// True where nodes have to find each other, and are not told of all others at their start.
     pub cold: bool,
@@ -38,7 +38,7 @@
     pub(super) zone: usize,
     pub(super) role: Role,
     pub(super) core: Core,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) started_at: Duration,
     pub(super) durable: DurableState,
     pub(super) configurations: BTreeMap<String, Vec<u8>>,
@@ -55,22 +55,22 @@
     pub(super) random: Random,
     pub(super) queue: Queue,
     pub(super) nodes: Vec<Node>,
-    pub(super) units: Vec<Unit>,
-    /// Unit, life and beat of those that wait for an answer.
+    pub(super) upstreams: Vec<HollowUpstream>,
+    /// Upstream, incarnation and heartbeat number of those that wait for an answer.
     pub(super) beats: HashMap<u64, (usize, u64, u64)>,
-    pub(super) ledger: Ledger,
+    pub(super) stats: TrafficStats,
     pub(super) named: HashMap<String, usize>,
     pub(super) in_order: HashMap<(usize, usize), Duration>,
     pub(super) tokens: u64,
     pub(super) submitted: HashMap<u64, (u32, Vec<u8>)>,
-    /// The edition that the last setup was accepted as, and when.
+    /// The revision that the last configuration was accepted as, and when.
     pub(super) accepted: Option<(u64, Duration)>,
-    pub(super) awaited: u32,
+    pub(super) pending: u32,
     /// Calls of the trials that make many.
-    pub(crate) calls: Calls,
+    pub(crate) calls: CallTracker,
     pub(super) watched: BTreeSet<String>,
-    pub(super) cut: Option<usize>,
-    /// Where the postmasters stand among the nodes.
+    pub(super) partition_region: Option<usize>,
+    /// Where the control nodes stand among the nodes.
     pub(super) control_nodes: std::ops::Range<usize>,
 }
 
@@ -78,8 +78,8 @@
     /// A site that is about to start, on blank disks.
     ///
     /// ```
-    /// use scale_model::{Fleet, Load, TODAY};
-    /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
+    /// use scale_model::{Fleet, Load, CURRENT_SIZE};
+    /// let mut fleet = Fleet::new(CURRENT_SIZE, 1, Load::default());
     /// fleet.run_for(std::time::Duration::from_millis(100));
     /// assert_eq!(fleet.in_force(1), 0);
     /// ```
@@ -91,29 +91,29 @@
             random: Random::new(seed),
             queue: Queue::default(),
             nodes: Vec::new(),
-            units: Vec::new(),
+            upstreams: Vec::new(),
             beats: HashMap::new(),
-            ledger: Ledger::default(),
+            stats: TrafficStats::default(),
             named: HashMap::new(),
             in_order: HashMap::new(),
             tokens: 0,
             submitted: HashMap::new(),
             accepted: None,
-            awaited: 0,
-            calls: Calls::default(),
+            pending: 0,
+            calls: CallTracker::default(),
             watched: BTreeSet::new(),
-            cut: None,
-            control_nodes: size.nodes..size.nodes + size.postmasters,
+            partition_region: None,
+            control_nodes: size.nodes..size.nodes + size.control_nodes,
         };
-        let carriers =
+        let data_nodes =
             (0..size.nodes).map(|at| (format!("carrier-{at}"), size.zone(at), Role::DataNode));
-        let control_nodes = (0..size.postmasters)
+        let control_nodes = (0..size.control_nodes)
             .map(|at| (format!("postmaster-{at}"), size.zone(at), Role::Voter));
-        carriers
+        data_nodes
             .chain(control_nodes)
             .for_each(|(name, zone, role)| fleet.push(name, zone, role));
         (0..fleet.nodes.len()).for_each(|at| fleet.start(at));
-        fleet.lay_out_units();
+        fleet.create_upstreams();
         fleet
     }
 
@@ -124,7 +124,7 @@
             zone,
             role,
             core: Core::Down,
-            life: 0,
+            incarnation: 0,
             started_at: Duration::ZERO,
             durable: DurableState::default(),
             configurations: BTreeMap::new(),
@@ -175,9 +175,9 @@
             config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap_or_default();
         let seed = self.random.next_u64();
         let without_vote = self.nodes[at].role == Role::Replica;
-        let initial_voter_count = self.size.postmasters;
+        let initial_voter_count = self.size.control_nodes;
         let node = &mut self.nodes[at];
-        node.life += 1;
+        node.incarnation += 1;
         node.started_at = self.now;
         node.synced_at = self.now;
         node.lacks = None;
@@ -214,7 +214,7 @@
                 times,
             })))
         };
-        let life = node.life;
+        let incarnation = node.incarnation;
         let first = self.now + Duration::from_micros(self.random.below(TICK.as_micros() as u64));
         if !self.load.cold {
             let members = (0..self.nodes.len()).map(|at| self.member(at)).collect();
@@ -224,27 +224,33 @@
             });
             self.queue.push(
                 first,
-                Happening::Datagram {
+                ScheduledEvent::Datagram {
                     node: at,
                     from: at,
                     body,
                 },
             );
         }
-        self.queue.push(first, Happening::Tick { node: at, life });
+        self.queue.push(
+            first,
+            ScheduledEvent::Tick {
+                node: at,
+                incarnation,
+            },
+        );
     }
 
     /// Ends a process at once; its disk keeps what was synced.
     pub(crate) fn kill(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        node.life += 1;
+        node.incarnation += 1;
         node.core = Core::Down;
         if node.role == Role::Holder {
             node.role = Role::Voter;
         }
     }
 
-    /// Further carriers start.
+    /// Further data nodes start.
     pub(crate) fn grow(&mut self, count: usize) {
         (0..count).for_each(|_| {
             let at = self.nodes.len();
@@ -267,23 +273,23 @@
     }
 
     /// Everything within a region talks to nothing outside, or all is whole again.
-    pub(crate) fn cut(&mut self, region: Option<usize>) {
-        self.cut = region;
+    pub(crate) fn partition_region(&mut self, region: Option<usize>) {
+        self.partition_region = region;
     }
 
     /// Lets some virtual time pass.
     ///
     /// ```
-    /// use scale_model::{Fleet, Load, TODAY};
-    /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
+    /// use scale_model::{Fleet, Load, CURRENT_SIZE};
+    /// let mut fleet = Fleet::new(CURRENT_SIZE, 1, Load::default());
     /// fleet.run_for(std::time::Duration::from_secs(1));
-    /// assert!(fleet.take_ledger().all().messages > 0);
+    /// assert!(fleet.take_stats().all().messages > 0);
     /// ```
     pub fn run_for(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some((at, what)) = self.queue.pop(until) {
             self.now = at;
-            self.happen(what);
+            self.handle_event(what);
         }
         self.now = until;
     }
@@ -291,8 +297,8 @@
     /// Lets time pass until something is so; how long that took, none where the limit came first.
     ///
     /// ```
-    /// use scale_model::{Fleet, Load, TODAY};
-    /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
+    /// use scale_model::{Fleet, Load, CURRENT_SIZE};
+    /// let mut fleet = Fleet::new(CURRENT_SIZE, 1, Load::default());
     /// let took = fleet.run_until(std::time::Duration::from_millis(50), |_| false);
     /// assert_eq!(took, None);
     /// ```
@@ -311,12 +317,12 @@
         Some(self.now - from)
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn handle_event(&mut self, what: ScheduledEvent) {
         match what {
-            Happening::Tick { node, life } => {
-                if self.nodes[node].life == life {
+            ScheduledEvent::Tick { node, incarnation } => {
+                if self.nodes[node].incarnation == incarnation {
                     self.queue
-                        .push(self.now + TICK, Happening::Tick { node, life });
+                        .push(self.now + TICK, ScheduledEvent::Tick { node, incarnation });
                     self.step(
                         node,
                         "tick",
@@ -325,13 +331,15 @@
                     );
                 }
             }
-            Happening::Envelope { node, from, body } => self.parcel(node, from, body),
-            Happening::Datagram { node, from, body } => {
+            ScheduledEvent::Envelope { node, from, body } => self.envelope(node, from, body),
+            ScheduledEvent::Datagram { node, from, body } => {
                 let (address, kind) = (self.member(from).probe_address, kind(&body));
                 match self.nodes[node].role {
-                    Role::DataNode => {
-                        self.step_carrier(node, kind, data_plane::Event::Datagram { address, body })
-                    }
+                    Role::DataNode => self.step_data_node(
+                        node,
+                        kind,
+                        data_plane::Event::Datagram { address, body },
+                    ),
                     _ => self.step_control(
                         node,
                         kind,
@@ -339,22 +347,27 @@
                     ),
                 }
             }
-            Happening::Synced {
+            ScheduledEvent::Synced {
                 node,
-                life,
+                incarnation,
                 write_id,
                 write,
-            } => self.synced(node, life, write_id, write),
-            Happening::Beat { unit, life } => self.beat(unit, life),
-            Happening::BeatComes {
+            } => self.synced(node, incarnation, write_id, write),
+            ScheduledEvent::Beat {
+                upstream,
+                incarnation,
+            } => self.beat(upstream, incarnation),
+            ScheduledEvent::BeatComes {
                 node,
-                unit,
-                life,
+                upstream,
+                incarnation,
                 told,
-            } => self.beat_comes(node, unit, life, *told),
-            Happening::BeatAnswered { unit, answered } => self.beat_answered(unit, answered),
-            Happening::Submit { bytes, asked } => self.ask_to_submit(bytes, asked),
-            Happening::Verdict { asked, answer } => self.verdict(asked, &answer),
+            } => self.receive_heartbeat(node, upstream, incarnation, *told),
+            ScheduledEvent::HeartbeatAnswered { upstream, answered } => {
+                self.receive_heartbeat_response(upstream, answered)
+            }
+            ScheduledEvent::Submit { bytes, requested } => self.ask_to_submit(bytes, requested),
+            ScheduledEvent::Verdict { requested, answer } => self.verdict(requested, &answer),
         }
     }
 }
--- a/crates/scale-model/src/lib.rs
+++ b/crates/scale-model/src/lib.rs
@@ -1,28 +1,28 @@
 //! Hollow nodes: the daemons' own cores by the hundred in one process, in virtual time, to count what they say and
 //! what they cost at sizes that no machine here could run.
 
-mod calls;
+mod call_tracker;
 pub mod changes;
-mod count;
+mod command;
+mod encoded_sizes;
+mod event_queue;
 mod figures;
 mod fit;
-mod flags;
 mod fleet;
-mod queue;
+mod observation;
 mod request;
-mod sights;
 mod size;
 mod steps;
+mod traffic_stats;
 mod trials;
-mod units;
-mod ways;
+mod upstreams;
 
-pub use count::{Flow, Ledger, Reach, Role, Steps, Stopwatch, kind};
+pub use command::command;
+pub use encoded_sizes::encoded_sizes;
 pub use figures::Figures;
 pub use fit::{Fit, Growth, fit};
-pub use flags::command;
 pub use fleet::{Fleet, Load};
 pub use request::request_path;
-pub use size::{Size, TARGET, TODAY};
-pub use trials::{Run, SETTLE, TRIALS, run};
-pub use ways::ways;
+pub use size::{CURRENT_SIZE, Size, TARGET_SIZE};
+pub use traffic_stats::{Flow, Reach, Role, StepStats, Stopwatch, TrafficStats, kind};
+pub use trials::{Run, SETTLING_TIME, TRIALS, run};
--- a/crates/scale-model/src/sights.rs
+++ b/crates/scale-model/src/observation.rs
@@ -1,8 +1,8 @@
 //! What is asked of a hollow site from outside, and what is seen of it.
 
-use super::count::Ledger;
+use super::event_queue::ScheduledEvent;
 use super::fleet::{Core, Fleet};
-use super::queue::Happening;
+use super::traffic_stats::TrafficStats;
 use control_plane::{ControlRequest, ControlResponse};
 use name_directory::View;
 use std::time::Duration;
@@ -10,45 +10,46 @@
 const STALE_AFTER: Duration = Duration::from_secs(2);
 
 impl Fleet {
-    /// An operator submits a setup with so many further routes, and asks again until it is accepted.
+    /// An operator submits a configuration with so many further routes, and asks again until it is accepted.
     ///
     /// ```
-    /// use scale_model::{Fleet, Load, TODAY};
-    /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
+    /// use scale_model::{Fleet, Load, CURRENT_SIZE};
+    /// let mut fleet = Fleet::new(CURRENT_SIZE, 1, Load::default());
     /// fleet.submit(0);
     /// assert_eq!(fleet.in_force(1), 0, "nobody has founded the register yet");
     /// ```
     pub fn submit(&mut self, extra: usize) {
         self.accepted = None;
-        self.awaited += 1;
+        self.pending += 1;
         let bytes = self.size.configuration(extra).into_bytes();
         self.queue.push(
             self.now,
-            Happening::Submit {
+            ScheduledEvent::Submit {
                 bytes,
-                asked: self.awaited,
+                requested: self.pending,
             },
         );
     }
 
-    pub(super) fn ask_to_submit(&mut self, bytes: Vec<u8>, asked: u32) {
-        if asked != self.awaited || self.accepted.is_some() {
+    pub(super) fn ask_to_submit(&mut self, bytes: Vec<u8>, requested: u32) {
+        if requested != self.pending || self.accepted.is_some() {
             return;
         }
         let Some(at) = self.some_control_node() else {
             return;
         };
         let request_id = self.request_id();
-        self.submitted.insert(request_id, (asked, bytes.clone()));
+        self.submitted
+            .insert(request_id, (requested, bytes.clone()));
         let ask = ControlRequest::SubmitConfiguration {
-            id: format!("setup-{asked}").into(),
+            id: format!("setup-{requested}").into(),
             base: None,
             bytes: bytes.clone(),
             in_force: false,
         };
         self.queue.push(
             self.now + Duration::from_secs(3),
-            Happening::Submit { bytes, asked },
+            ScheduledEvent::Submit { bytes, requested },
         );
         self.step_control(
             at,
@@ -62,12 +63,12 @@
 
     pub(super) fn answered(&mut self, at: usize, request_id: u64, answer: ControlResponse) {
         if !self.answer_beat(at, request_id, &answer) && !self.answer_call(request_id, &answer) {
-            let asked = self.submitted.remove(&request_id);
-            asked.into_iter().for_each(|(asked, _)| {
+            let requested = self.submitted.remove(&request_id);
+            requested.into_iter().for_each(|(requested, _)| {
                 self.queue.push(
                     self.now,
-                    Happening::Verdict {
-                        asked,
+                    ScheduledEvent::Verdict {
+                        requested,
                         answer: answer.clone(),
                     },
                 );
@@ -75,19 +76,19 @@
         }
     }
 
-    pub(super) fn verdict(&mut self, asked: u32, answer: &ControlResponse) {
+    pub(super) fn verdict(&mut self, requested: u32, answer: &ControlResponse) {
         if let ControlResponse::Outcome {
             code: result_code::ResultCode::Success,
             revision,
         } = answer
         {
             self.accepted = Some((*revision, self.now))
-                .filter(|_| asked == self.awaited)
+                .filter(|_| requested == self.pending)
                 .or(self.accepted);
         }
     }
 
-    /// The edition of the last setup, once it was accepted.
+    /// The revision of the last configuration, once it was accepted.
     pub(crate) fn accepted(&self) -> Option<u64> {
         self.accepted.map(|(revision, _)| revision)
     }
@@ -111,7 +112,7 @@
     }
 
     /// When each of those that know that all that are watched are gone came to know it, the first of them first.
-    pub(crate) fn noticed(&self) -> Vec<Duration> {
+    pub(crate) fn departure_noticed_at(&self) -> Vec<Duration> {
         let up = self
             .nodes
             .iter()
@@ -134,24 +135,24 @@
             .count()
     }
 
-    /// The carriers' views with the time that each counts.
+    /// The data nodes' views with the time that each counts.
     pub(crate) fn views(&self) -> impl Iterator<Item = (usize, Duration, &View)> {
         self.nodes
             .iter()
             .enumerate()
             .filter_map(|(at, node)| match &node.core {
-                Core::DataNode(carrier, _) => {
-                    Some((at, self.now - node.started_at, carrier.view()))
+                Core::DataNode(data_node, _) => {
+                    Some((at, self.now - node.started_at, data_node.view()))
                 }
                 _ => None,
             })
     }
 
-    /// How many carriers serve by this edition or a later one.
+    /// How many data nodes serve by this revision or a later one.
     ///
     /// ```
-    /// use scale_model::{Fleet, Load, TODAY};
-    /// let fleet = Fleet::new(TODAY, 1, Load::default());
+    /// use scale_model::{Fleet, Load, CURRENT_SIZE};
+    /// let fleet = Fleet::new(CURRENT_SIZE, 1, Load::default());
     /// assert_eq!(fleet.in_force(0), 0, "no view is fresh yet");
     /// ```
     pub fn in_force(&self, revision: u64) -> usize {
@@ -160,11 +161,11 @@
             .count()
     }
 
-    /// How many carriers could serve every name: a fresh view in which each has an owner that is served.
+    /// How many data nodes could serve every name: a fresh view in which each has an owner that is served.
     ///
     /// ```
-    /// use scale_model::{Fleet, Load, TODAY};
-    /// let fleet = Fleet::new(TODAY, 1, Load::default());
+    /// use scale_model::{Fleet, Load, CURRENT_SIZE};
+    /// let fleet = Fleet::new(CURRENT_SIZE, 1, Load::default());
     /// assert_eq!(fleet.serving(), 0);
     /// ```
     pub fn serving(&self) -> usize {
@@ -178,12 +179,12 @@
     /// The counts since the last call.
     ///
     /// ```
-    /// use scale_model::{Fleet, Load, TODAY};
-    /// let mut fleet = Fleet::new(TODAY, 1, Load::default());
-    /// assert_eq!(fleet.take_ledger().all().messages, 0, "nothing was said yet");
+    /// use scale_model::{Fleet, Load, CURRENT_SIZE};
+    /// let mut fleet = Fleet::new(CURRENT_SIZE, 1, Load::default());
+    /// assert_eq!(fleet.take_stats().all().messages, 0, "nothing was said yet");
     /// ```
-    pub fn take_ledger(&mut self) -> Ledger {
-        std::mem::take(&mut self.ledger)
+    pub fn take_stats(&mut self) -> TrafficStats {
+        std::mem::take(&mut self.stats)
     }
 
     /// The processes in a zone, and the upstreams there.
@@ -193,8 +194,8 @@
             .collect();
         (
             nodes,
-            (0..self.units.len())
-                .filter(|at| self.units[*at].zone == zone)
+            (0..self.upstreams.len())
+                .filter(|at| self.upstreams[*at].zone == zone)
                 .collect(),
         )
     }
--- a/crates/scale-model/src/request.rs
+++ b/crates/scale-model/src/request.rs
@@ -1,9 +1,9 @@
-//! What a request costs a proxy's processor away from its sockets: the journey over a view of some size, a directory
+//! What a request costs a proxy's processor away from its sockets: routing over a view of some size, a directory
 //! look-up, and what a node does with its view in between.
 
-use super::count::Stopwatch;
 use super::figures::Figures;
 use super::size::Size;
+use super::traffic_stats::Stopwatch;
 use name_directory::{Proxy, View};
 use protocol::{ClusterState, Placement, Reservation, Upstream, ViewUpdate};
 use request_routing::{CallOutcome, NextStep, ProxyContext, ProxyStats, RequestInfo, RequestState};
@@ -17,7 +17,7 @@
 /// Measures the path at a size.
 ///
 /// ```
-/// let figures = scale_model::request_path(&scale_model::TODAY, 50);
+/// let figures = scale_model::request_path(&scale_model::CURRENT_SIZE, 50);
 /// assert_eq!(figures.get("served"), Some(50.0));
 /// ```
 pub fn request_path(size: &Size, requests: usize) -> Figures {
@@ -35,7 +35,7 @@
         .map(|at| {
             let order = order(size, at);
             let watch = Stopwatch::start();
-            served += usize::from(journey(order, &site, &view, &board));
+            served += usize::from(route_request(order, &site, &view, &board));
             watch.took()
         })
         .collect();
@@ -76,15 +76,15 @@
         "settle-senders",
         times(|| moved.update_senders(NOW)),
     );
-    // A beat that tells of other room, while requests hold the view before it.
+    // A heartbeat that reports another capacity, while requests hold the view before it.
     let change = || ViewUpdate {
         upstreams: vec![upstream(size, 7)],
         ..ViewUpdate::default()
     };
     let took = (0..20).map(|_| {
-        let (held, news) = (view.clone(), change());
+        let (held, update) = (view.clone(), change());
         let watch = Stopwatch::start();
-        let taken = view.apply_update(news, false);
+        let taken = view.apply_update(update, false);
         let took = watch.took();
         assert!(taken.is_ok(), "no setup to misread");
         drop(held);
@@ -95,7 +95,7 @@
 }
 
 /// The default number of requests.
-pub fn measured(size: &Size) -> Figures {
+pub fn measure_request_path(size: &Size) -> Figures {
     request_path(size, REQUESTS)
 }
 
@@ -112,15 +112,15 @@
 }
 
 /// From the choice to the verdict; true where it was sent.
-fn journey(order: RequestInfo, site: &ProxyContext, view: &View, board: &ProxyStats) -> bool {
-    let mut journey = RequestState::new(order, site.clone());
-    match journey.start(NOW, view, board) {
+fn route_request(order: RequestInfo, site: &ProxyContext, view: &View, board: &ProxyStats) -> bool {
+    let mut route_request = RequestState::new(order, site.clone());
+    match route_request.start(NOW, view, board) {
         NextStep::Connect { .. } => {
             let sent = matches!(
-                journey.on_connected(NOW, view, board),
+                route_request.on_connected(NOW, view, board),
                 NextStep::Send { .. }
             );
-            journey.on_outcome(NOW, view, board, CallOutcome::Complete);
+            route_request.on_outcome(NOW, view, board, CallOutcome::Complete);
             sent
         }
         _ => false,
@@ -151,7 +151,7 @@
         service: format!("service-{}", at % size.services),
         instance: format!("unit-{at}"),
         address: format!("10.{}.{}.{}:8080", at / 62_500, at / 250 % 250, at % 250),
-        locality: size.locality(size.unit_zone(at)),
+        locality: size.locality(size.upstream_zone(at)),
         free_slots: 16,
         warm: true,
         beat: 1,
@@ -196,10 +196,10 @@
     }
 }
 
-/// A fresh view: the site's setup, and every name owned by the first proxy's zone, as for a proxy that serves them all.
+/// A fresh view: the site's configuration, and every name owned by the first proxy's zone, as for a proxy that serves them all.
 fn view(size: &Size) -> View {
     let mut view = View::default();
-    let news = ViewUpdate {
+    let update = ViewUpdate {
         state: Some(ClusterState {
             revision: 1,
             ..ClusterState::default()
@@ -209,7 +209,7 @@
         placement: Some(placement(size)),
         ..ViewUpdate::default()
     };
-    view.apply_update(news, true)
+    view.apply_update(update, true)
         .expect("the setup is well-formed");
     let proxies = (0..size.nodes).map(|at| Proxy {
         node: format!("carrier-{at}"),
--- a/crates/scale-model/src/size.rs
+++ b/crates/scale-model/src/size.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     pub nodes: usize,
-    pub postmasters: usize,
+    pub control_nodes: usize,
     pub upstreams: usize,
     pub services: usize,
     pub routes: usize,
@@ -13,9 +13,9 @@
 }
 
 /// Roadwise as it is.
-pub const TODAY: Size = Size {
+pub const CURRENT_SIZE: Size = Size {
     nodes: 13,
-    postmasters: 6,
+    control_nodes: 6,
     upstreams: 36,
     services: 3,
     routes: 20,
@@ -24,9 +24,9 @@
 };
 
 /// The size that the site is designed for.
-pub const TARGET: Size = Size {
+pub const TARGET_SIZE: Size = Size {
     nodes: 1200,
-    postmasters: 6,
+    control_nodes: 6,
     upstreams: 8500,
     services: 390,
     routes: 1900,
@@ -38,27 +38,27 @@
     /// The target shrunk to so many nodes, in everything alike; never smaller than today.
     ///
     /// ```
-    /// use scale_model::{Size, TARGET};
-    /// assert_eq!(Size::shrunk(1200), TARGET);
+    /// use scale_model::{Size, TARGET_SIZE};
+    /// assert_eq!(Size::shrunk(1200), TARGET_SIZE);
     /// assert_eq!(Size::shrunk(300).upstreams, 2125);
     /// ```
     pub fn shrunk(nodes: usize) -> Size {
-        let part = |target: usize, today: usize| (target * nodes / TARGET.nodes).max(today);
+        let part = |target: usize, today: usize| (target * nodes / TARGET_SIZE.nodes).max(today);
         Size {
             nodes,
-            postmasters: TARGET.postmasters,
-            upstreams: part(TARGET.upstreams, TODAY.upstreams),
-            services: part(TARGET.services, TODAY.services),
-            routes: part(TARGET.routes, TODAY.routes),
-            regions: part(TARGET.regions, TODAY.regions),
-            zones: part(TARGET.zones, TODAY.zones),
+            control_nodes: TARGET_SIZE.control_nodes,
+            upstreams: part(TARGET_SIZE.upstreams, CURRENT_SIZE.upstreams),
+            services: part(TARGET_SIZE.services, CURRENT_SIZE.services),
+            routes: part(TARGET_SIZE.routes, CURRENT_SIZE.routes),
+            regions: part(TARGET_SIZE.regions, CURRENT_SIZE.regions),
+            zones: part(TARGET_SIZE.zones, CURRENT_SIZE.zones),
         }
     }
 
     /// The zone of machine number `at`.
     ///
     /// ```
-    /// assert_eq!(scale_model::TODAY.zone(7), 1);
+    /// assert_eq!(scale_model::CURRENT_SIZE.zone(7), 1);
     /// ```
     pub fn zone(&self, at: usize) -> usize {
         at % self.zones.max(1)
@@ -67,11 +67,11 @@
     /// The zone of upstream number `at`: one service's upstreams stand in as many zones as there are of them.
     ///
     /// ```
-    /// use scale_model::TODAY;
-    /// let zones: std::collections::BTreeSet<usize> = (0..36).step_by(3).map(|at| TODAY.unit_zone(at)).collect();
+    /// use scale_model::CURRENT_SIZE;
+    /// let zones: std::collections::BTreeSet<usize> = (0..36).step_by(3).map(|at| CURRENT_SIZE.upstream_zone(at)).collect();
     /// assert_eq!(zones.len(), 6);
     /// ```
-    pub fn unit_zone(&self, at: usize) -> usize {
+    pub fn upstream_zone(&self, at: usize) -> usize {
         let services = self.services.max(1);
         self.zone(at / services + 7 * (at % services))
     }
@@ -79,7 +79,7 @@
     /// The region that a zone lies in.
     ///
     /// ```
-    /// assert_eq!(scale_model::TODAY.region(4), 1);
+    /// assert_eq!(scale_model::CURRENT_SIZE.region(4), 1);
     /// ```
     pub fn region(&self, zone: usize) -> usize {
         zone % self.regions.max(1)
@@ -88,7 +88,7 @@
     /// A zone in text form.
     ///
     /// ```
-    /// assert_eq!(scale_model::TODAY.locality(4), "region-1/zone-4");
+    /// assert_eq!(scale_model::CURRENT_SIZE.locality(4), "region-1/zone-4");
     /// ```
     pub fn locality(&self, zone: usize) -> String {
         format!("region-{}/zone-{zone}", self.region(zone))
@@ -97,16 +97,16 @@
     /// True where a service's keys have one holder each: every third, as on the sites of today.
     ///
     /// ```
-    /// assert!(scale_model::TODAY.is_keyed(2));
+    /// assert!(scale_model::CURRENT_SIZE.is_keyed(2));
     /// ```
     pub fn is_keyed(&self, service: usize) -> bool {
         service % 3 == 2
     }
 
-    /// A setup with a name for each route; `extra` adds routes.
+    /// A configuration with a name for each route; `extra` adds routes.
     ///
     /// ```
-    /// let configuration = config::Configuration::parse(scale_model::TODAY.configuration(1).as_bytes()).unwrap();
+    /// let configuration = config::Configuration::parse(scale_model::CURRENT_SIZE.configuration(1).as_bytes()).unwrap();
     /// assert_eq!(configuration.routes.len(), 21);
     /// ```
     pub fn configuration(&self, extra: usize) -> String {
@@ -134,7 +134,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let Size {
             nodes,
-            postmasters,
+            control_nodes,
             upstreams,
             services,
             routes,
@@ -143,7 +143,7 @@
         } = self;
         write!(
             f,
-            "nodes={nodes} postmasters={postmasters} upstreams={upstreams} services={services} routes={routes} \
+            "nodes={nodes} postmasters={control_nodes} upstreams={upstreams} services={services} routes={routes} \
              regions={regions} zones={zones}"
         )
     }
--- a/crates/scale-model/src/steps.rs
+++ b/crates/scale-model/src/steps.rs
@@ -1,8 +1,8 @@
 //! How a hollow node takes a step, and what becomes of its effects.
 
-use super::count::{Reach, Role, Stopwatch, kind};
+use super::event_queue::{ScheduledEvent, Write};
 use super::fleet::{Core, Fleet};
-use super::queue::{Happening, Write};
+use super::traffic_stats::{Reach, Role, Stopwatch, kind};
 use protocol::{Envelope, Message, Payload};
 use std::time::Duration;
 
@@ -15,41 +15,47 @@
         &mut self,
         at: usize,
         kind: &'static str,
-        carrier: data_plane::Event,
+        data_node: data_plane::Event,
         control: control_plane::Event,
     ) {
         match self.nodes[at].role {
-            Role::DataNode => self.step_carrier(at, kind, carrier),
+            Role::DataNode => self.step_data_node(at, kind, data_node),
             _ => self.step_control(at, kind, control),
         }
     }
 
-    pub(super) fn parcel(&mut self, at: usize, from: usize, body: Payload) {
+    pub(super) fn envelope(&mut self, at: usize, from: usize, body: Payload) {
         let (from, kind) = (self.nodes[from].name.clone(), kind(&body));
         match self.nodes[at].role {
             Role::DataNode => {
-                self.step_carrier(at, kind, data_plane::Event::Received { from, body })
+                self.step_data_node(at, kind, data_plane::Event::Received { from, body })
             }
             _ => self.step_control(at, kind, control_plane::Event::Received { from, body }),
         }
     }
 
-    pub(super) fn step_carrier(&mut self, at: usize, kind: &'static str, event: data_plane::Event) {
+    pub(super) fn step_data_node(
+        &mut self,
+        at: usize,
+        kind: &'static str,
+        event: data_plane::Event,
+    ) {
         let now = self.now;
         let node = &mut self.nodes[at];
         let local = now - node.started_at;
-        let Core::DataNode(carrier, view) = &mut node.core else {
+        let Core::DataNode(data_node, view) = &mut node.core else {
             return;
         };
         let watch = Stopwatch::start();
-        let effects = carrier.step(local, event);
+        let effects = data_node.step(local, event);
         if effects
             .iter()
             .any(|effect| matches!(effect, data_plane::Effect::Publish))
         {
-            **view = carrier.view().clone();
+            **view = data_node.view().clone();
         }
-        self.ledger.stepped(Role::DataNode, at, kind, watch.took());
+        self.stats
+            .record_step(Role::DataNode, at, kind, watch.took());
         effects.into_iter().for_each(|effect| match effect {
             data_plane::Effect::Send { to, body } => self.send(at, &to, body, true),
             data_plane::Effect::Datagram { address, body } => self.send(at, &address, body, false),
@@ -78,21 +84,21 @@
             _ if control.holds_placement(local) => Role::Holder,
             _ => Role::Voter,
         };
-        self.ledger.stepped(node.role, at, kind, took);
+        self.stats.record_step(node.role, at, kind, took);
         effects.into_iter().for_each(|effect| match effect {
             control_plane::Effect::Send { to, body } => self.send(at, &to, body, true),
             control_plane::Effect::SendDatagram { address, body } => {
                 self.send(at, &address, body, false)
             }
             control_plane::Effect::Persist { write_id, durable } => {
-                self.keep(at, write_id, Write::State(durable))
+                self.persist(at, write_id, Write::State(durable))
             }
             control_plane::Effect::StoreConfiguration {
                 write_id,
                 digest,
                 bytes,
             } => {
-                self.keep(at, write_id, Write::Configuration(digest, bytes));
+                self.persist(at, write_id, Write::Configuration(digest, bytes));
             }
             control_plane::Effect::PersistDepartures { write_id, .. } => {
                 self.step_control(
@@ -113,24 +119,24 @@
         });
     }
 
-    fn keep(&mut self, at: usize, write_id: u64, write: Write) {
+    fn persist(&mut self, at: usize, write_id: u64, write: Write) {
         let node = &mut self.nodes[at];
         node.synced_at = node.synced_at.max(self.now) + SYNC;
-        let life = node.life;
+        let incarnation = node.incarnation;
         self.queue.push(
             node.synced_at,
-            Happening::Synced {
+            ScheduledEvent::Synced {
                 node: at,
-                life,
+                incarnation,
                 write_id,
                 write,
             },
         );
     }
 
-    pub(super) fn synced(&mut self, at: usize, life: u64, write_id: u64, write: Write) {
+    pub(super) fn synced(&mut self, at: usize, incarnation: u64, write_id: u64, write: Write) {
         let node = &mut self.nodes[at];
-        if node.life != life {
+        if node.incarnation != incarnation {
             return;
         }
         match write {
@@ -145,20 +151,20 @@
     }
 
     /// Sends a message over a link, or as a datagram.
-    fn send(&mut self, from: usize, to: &str, body: Payload, linked: bool) {
+    fn send(&mut self, from: usize, to: &str, body: Payload, reliable: bool) {
         let Some(to) = self.named.get(to).copied() else {
             return;
         };
         let kind = kind(&body);
-        let parcel = Envelope {
-            from: if linked {
+        let envelope = Envelope {
+            from: if reliable {
                 self.nodes[from].name.clone()
             } else {
                 String::new()
             },
             body: Some(body),
         };
-        let bytes = parcel.encoded_len() + if linked { FRAME } else { 0 };
+        let bytes = envelope.encoded_len() + if reliable { FRAME } else { 0 };
         let (here, there) = (self.nodes[from].zone, self.nodes[to].zone);
         let way = (
             self.nodes[from].role,
@@ -166,17 +172,17 @@
             kind,
             self.reach(here, there),
         );
-        self.ledger.sent(way, bytes as u64);
-        let (Some(delay), Some(body)) = (self.delay(here, there), parcel.body) else {
+        self.stats.sent(way, bytes as u64);
+        let (Some(delay), Some(body)) = (self.delay(here, there), envelope.body) else {
             return;
         };
         let at = self.now + delay;
-        if linked {
+        if reliable {
             let last = self.in_order.entry((from, to)).or_default();
             *last = at.max(*last + Duration::from_nanos(1));
             self.queue.push(
                 *last,
-                Happening::Envelope {
+                ScheduledEvent::Envelope {
                     node: to,
                     from,
                     body,
@@ -185,7 +191,7 @@
         } else {
             self.queue.push(
                 at,
-                Happening::Datagram {
+                ScheduledEvent::Datagram {
                     node: to,
                     from,
                     body,
@@ -206,7 +212,7 @@
     pub(super) fn delay(&mut self, from: usize, to: usize) -> Option<Duration> {
         let within = |region: usize, zone: usize| self.size.region(zone) == region;
         let lost = self
-            .cut
+            .partition_region
             .is_some_and(|region| within(region, from) != within(region, to));
         let base = match self.reach(from, to) {
             Reach::Zone => 200,
@@ -217,7 +223,7 @@
         Some(Duration::from_micros(micros)).filter(|_| !lost)
     }
 
-    /// One of the postmasters that are up.
+    /// One of the control nodes that are up.
     pub(super) fn some_control_node(&mut self) -> Option<usize> {
         let all = self
             .control_nodes
--- a/crates/scale-model/src/count.rs
+++ b/crates/scale-model/src/traffic_stats.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     DataNode,
-    /// A postmaster without the placement duty.
+    /// A control node without the placement role.
     Voter,
-    /// The postmaster that holds it.
+    /// The control node that holds it.
     Holder,
-    /// A postmaster that has no vote.
+    /// A control node that has no vote.
     Replica,
     Upstream,
 }
@@ -86,48 +86,48 @@
 
 /// Steps of one kind and the time they took.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Steps {
+pub struct StepStats {
     pub count: u64,
     pub took: Duration,
     pub most: Duration,
 }
 
-type Way = (Role, Role, &'static str, Reach);
+type FlowKey = (Role, Role, &'static str, Reach);
 
 /// All counts of a window.
 #[derive(Default)]
-pub struct Ledger {
-    flows: BTreeMap<Way, Flow>,
-    steps: BTreeMap<(Role, &'static str), Steps>,
+pub struct TrafficStats {
+    flows: BTreeMap<FlowKey, Flow>,
+    steps: BTreeMap<(Role, &'static str), StepStats>,
     /// Time in step functions, by process.
     busy: BTreeMap<(Role, usize), Duration>,
 }
 
-impl Ledger {
+impl TrafficStats {
     /// Notes one message on its way.
     ///
     /// ```
-    /// use scale_model::{Ledger, Reach, Role};
-    /// let mut ledger = Ledger::default();
-    /// ledger.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
-    /// assert_eq!(ledger.out(Role::DataNode, None).bytes, 100);
-    /// assert_eq!(ledger.into_role(Role::Voter, Some(Reach::Far)).messages, 1);
-    /// assert_eq!(ledger.into_role(Role::Voter, Some(Reach::Zone)).messages, 0);
+    /// use scale_model::{TrafficStats, Reach, Role};
+    /// let mut stats = TrafficStats::default();
+    /// stats.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
+    /// assert_eq!(stats.out(Role::DataNode, None).bytes, 100);
+    /// assert_eq!(stats.received_by(Role::Voter, Some(Reach::Far)).messages, 1);
+    /// assert_eq!(stats.received_by(Role::Voter, Some(Reach::Zone)).messages, 0);
     /// ```
-    pub fn sent(&mut self, way: Way, bytes: u64) {
+    pub fn sent(&mut self, way: FlowKey, bytes: u64) {
         self.flows.entry(way).or_default().add(bytes);
     }
 
     /// Notes one step of a process.
     ///
     /// ```
-    /// use scale_model::{Ledger, Role};
+    /// use scale_model::{TrafficStats, Role};
     /// use std::time::Duration;
-    /// let mut ledger = Ledger::default();
-    /// ledger.stepped(Role::DataNode, 3, "tick", Duration::from_micros(5));
-    /// assert_eq!(ledger.busy(Role::DataNode), [Duration::from_micros(5)]);
+    /// let mut stats = TrafficStats::default();
+    /// stats.record_step(Role::DataNode, 3, "tick", Duration::from_micros(5));
+    /// assert_eq!(stats.busy(Role::DataNode), [Duration::from_micros(5)]);
     /// ```
-    pub fn stepped(&mut self, role: Role, node: usize, kind: &'static str, took: Duration) {
+    pub fn record_step(&mut self, role: Role, node: usize, kind: &'static str, took: Duration) {
         let steps = self.steps.entry((role, kind)).or_default();
         steps.count += 1;
         steps.took += took;
@@ -138,8 +138,8 @@
     /// What left the processes of a role.
     ///
     /// ```
-    /// use scale_model::{Ledger, Role};
-    /// assert_eq!(Ledger::default().out(Role::Voter, None).messages, 0);
+    /// use scale_model::{TrafficStats, Role};
+    /// assert_eq!(TrafficStats::default().out(Role::Voter, None).messages, 0);
     /// ```
     pub fn out(&self, role: Role, reach: Option<Reach>) -> Flow {
         self.sum(|way| way.0 == role && reach.is_none_or(|reach| way.3 == reach))
@@ -148,24 +148,24 @@
     /// What came in to the processes of a role.
     ///
     /// ```
-    /// use scale_model::{Ledger, Role};
-    /// assert_eq!(Ledger::default().into_role(Role::Voter, None).bytes, 0);
+    /// use scale_model::{TrafficStats, Role};
+    /// assert_eq!(TrafficStats::default().received_by(Role::Voter, None).bytes, 0);
     /// ```
-    pub fn into_role(&self, role: Role, reach: Option<Reach>) -> Flow {
+    pub fn received_by(&self, role: Role, reach: Option<Reach>) -> Flow {
         self.sum(|way| way.1 == role && reach.is_none_or(|reach| way.3 == reach))
     }
 
     /// Everything.
     ///
     /// ```
-    /// use scale_model::Ledger;
-    /// assert_eq!(Ledger::default().all().messages, 0);
+    /// use scale_model::TrafficStats;
+    /// assert_eq!(TrafficStats::default().all().messages, 0);
     /// ```
     pub fn all(&self) -> Flow {
         self.sum(|_| true)
     }
 
-    fn sum(&self, counts: impl Fn(&Way) -> bool) -> Flow {
+    fn sum(&self, counts: impl Fn(&FlowKey) -> bool) -> Flow {
         self.flows
             .iter()
             .filter(|(way, _)| counts(way))
@@ -176,10 +176,10 @@
     /// Everything by kind.
     ///
     /// ```
-    /// use scale_model::{Ledger, Reach, Role};
-    /// let mut ledger = Ledger::default();
-    /// ledger.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
-    /// assert_eq!(ledger.totals()["probe"].bytes, 100);
+    /// use scale_model::{TrafficStats, Reach, Role};
+    /// let mut stats = TrafficStats::default();
+    /// stats.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
+    /// assert_eq!(stats.totals()["probe"].bytes, 100);
     /// ```
     pub fn totals(&self) -> BTreeMap<&'static str, Flow> {
         self.flows
@@ -195,8 +195,8 @@
     /// Out of and into a role, by kind.
     ///
     /// ```
-    /// use scale_model::{Ledger, Role};
-    /// assert!(Ledger::default().kinds(Role::DataNode).is_empty());
+    /// use scale_model::{TrafficStats, Role};
+    /// assert!(TrafficStats::default().kinds(Role::DataNode).is_empty());
     /// ```
     pub fn kinds(&self, role: Role) -> BTreeMap<&'static str, (Flow, Flow)> {
         let mut kinds: BTreeMap<&'static str, (Flow, Flow)> = BTreeMap::new();
@@ -218,10 +218,10 @@
     /// The steps of a role by what caused them.
     ///
     /// ```
-    /// use scale_model::{Ledger, Role};
-    /// assert!(Ledger::default().steps(Role::DataNode).is_empty());
+    /// use scale_model::{TrafficStats, Role};
+    /// assert!(TrafficStats::default().steps(Role::DataNode).is_empty());
     /// ```
-    pub fn steps(&self, role: Role) -> BTreeMap<&'static str, Steps> {
+    pub fn steps(&self, role: Role) -> BTreeMap<&'static str, StepStats> {
         self.steps
             .iter()
             .filter(|((of, _), _)| *of == role)
@@ -232,8 +232,8 @@
     /// The time in step functions of each process of a role.
     ///
     /// ```
-    /// use scale_model::{Ledger, Role};
-    /// assert!(Ledger::default().busy(Role::DataNode).is_empty());
+    /// use scale_model::{TrafficStats, Role};
+    /// assert!(TrafficStats::default().busy(Role::DataNode).is_empty());
     /// ```
     pub fn busy(&self, role: Role) -> Vec<Duration> {
         self.busy
@@ -275,13 +275,13 @@
     /// assert!(sum > 0 && watch.took() > std::time::Duration::ZERO);
     /// ```
     pub fn took(&self) -> Duration {
-        let looking = *LOOKING.get_or_init(|| {
+        let measuring_cost = *MEASURING_COST.get_or_init(|| {
             (0..1000)
                 .map(|_| Stopwatch::start().plain())
                 .min()
                 .unwrap_or_default()
         });
-        self.plain().saturating_sub(looking)
+        self.plain().saturating_sub(measuring_cost)
     }
 
     fn plain(&self) -> Duration {
@@ -289,7 +289,7 @@
     }
 }
 
-static LOOKING: OnceLock<Duration> = OnceLock::new();
+static MEASURING_COST: OnceLock<Duration> = OnceLock::new();
 
 /// A message's kind as the tables name it.
 ///
@@ -313,7 +313,7 @@
         Payload::Placement(_) => "placement",
         Payload::UpdateRequest(_) => "news ask",
         Payload::Freshness(_) => "fresh",
-        Payload::ViewUpdate(news) if news.number == 0 => "news image",
+        Payload::ViewUpdate(update) if update.number == 0 => "news image",
         Payload::ViewUpdate(_) => "news change",
         Payload::UpdateAck(_) => "news kept",
         Payload::DataPlaneAck(_) => "carrier kept",
--- a/crates/scale-model/src/trials.rs
+++ b/crates/scale-model/src/trials.rs
@@ -38,10 +38,10 @@
     ),
 ];
 
-const READY_WITHIN: Duration = Duration::from_secs(60);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 /// Keys are given out anew only so long after a holder's claim.
-pub const SETTLE: Duration = Duration::from_secs(6);
-const NOTICE_WITHIN: Duration = Duration::from_secs(120);
+pub const SETTLING_TIME: Duration = Duration::from_secs(6);
+const NOTICE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// One run's orders.
 #[derive(Clone, Debug)]
@@ -61,27 +61,27 @@
 /// Runs a trial.
 ///
 /// ```
-/// use scale_model::{Load, Run, SETTLE, Size, TODAY, run};
+/// use scale_model::{Load, Run, SETTLING_TIME, Size, CURRENT_SIZE, run};
 /// use std::time::Duration;
-/// let size = Size { nodes: 3, postmasters: 3, upstreams: 6, routes: 3, ..TODAY };
+/// let size = Size { nodes: 3, control_nodes: 3, upstreams: 6, routes: 3, ..CURRENT_SIZE };
 /// let window = Duration::from_secs(2);
-/// let (what, load, settle, kinds) = ("idle".into(), Load::default(), SETTLE, false);
+/// let (what, load, settle, kinds) = ("idle".into(), Load::default(), SETTLING_TIME, false);
 /// let figures = run(&Run { size, window, seed: 1, what, load, settle, replicas: 0, kinds }).unwrap();
 /// assert!(figures.get("carrier.out.msgs").unwrap() > 1.0);
 /// ```
 pub fn run(run: &Run) -> Result<Figures, String> {
     let started_at = Instant::now();
-    let rss_before = resident();
+    let rss_before = resident_bytes();
     let (mut fleet, ready) = site(run)?;
     let mut figures = Figures::default();
     figures.add("up.s", ready.as_secs_f64());
-    fleet.take_ledger();
+    fleet.take_stats();
     match run.what.as_str() {
         "idle" => fleet.run_for(run.window),
         "config" => config(&mut fleet, run, &mut figures),
-        "orders" => orders(&mut fleet, run, true, &mut figures),
-        "order-race" => orders(&mut fleet, run, false, &mut figures),
-        "departures" => departures(&mut fleet, run, &mut figures),
+        "orders" => submissions(&mut fleet, run, true, &mut figures),
+        "order-race" => submissions(&mut fleet, run, false, &mut figures),
+        "departures" => deregistrations(&mut fleet, run, &mut figures),
         "node-loss" => node_loss(&mut fleet, run, &mut figures),
         "rack-loss" => rack_loss(&mut fleet, run, &mut figures),
         "zone-loss" => zone_loss(&mut fleet, run, &mut figures),
@@ -90,38 +90,41 @@
         "memory" => memory(&mut fleet, run, &mut figures),
         other => return Err(format!("--what '{other}' is unknown")),
     }
-    let ledger = fleet.take_ledger();
+    let stats = fleet.take_stats();
     let window = figures
         .get("window.s")
         .map(Duration::from_secs_f64)
         .unwrap_or(run.window);
-    let all = ledger.all();
+    let all = stats.all();
     figures.add("all.msgs", all.messages as f64);
     figures.add("all.bytes", all.bytes as f64);
-    ledger.totals().into_iter().for_each(|(kind, total)| {
+    stats.totals().into_iter().for_each(|(kind, total)| {
         let kind = kind.replace(' ', "-");
         figures.add(format!("all.{kind}.msgs"), total.messages as f64);
         figures.add(format!("all.{kind}.bytes"), total.bytes as f64);
     });
     if run.kinds {
-        print_kinds(&ledger, &run.size, window);
+        print_kinds(&stats, &run.size, window);
     }
-    figures.0.extend(Figures::of(&ledger, &run.size, window).0);
-    figures.add("rss.mb", resident().saturating_sub(rss_before) as f64 / 1e6);
+    figures.0.extend(Figures::of(&stats, &run.size, window).0);
+    figures.add(
+        "rss.mb",
+        resident_bytes().saturating_sub(rss_before) as f64 / 1e6,
+    );
     figures.add("took.s", started_at.elapsed().as_secs_f64());
     Ok(figures)
 }
 
-/// A site that serves every name at every carrier, and how long that took.
+/// A site that serves every name at every data node, and how long that took.
 fn site(run: &Run) -> Result<(Fleet, Duration), String> {
     let mut fleet = Fleet::new(run.size, run.seed, run.load);
     fleet.run_for(Duration::from_secs(3));
     fleet.submit(0);
     let all = run.size.nodes;
-    let ready = fleet.run_until(READY_WITHIN, |fleet| fleet.serving() == all);
+    let ready = fleet.run_until(READY_TIMEOUT, |fleet| fleet.serving() == all);
     let ready = ready.ok_or_else(|| {
         format!(
-            "{} of {all} carriers serve after {READY_WITHIN:?}",
+            "{} of {all} carriers serve after {READY_TIMEOUT:?}",
             fleet.serving()
         )
     })?;
@@ -134,12 +137,12 @@
     took.map(|took| took.as_secs_f64()).unwrap_or(f64::NAN)
 }
 
-/// Until the edition is in force at every carrier, counted from the asking.
+/// Until the revision is in force at every data node, counted from the asking.
 fn config(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
     fleet.submit(1);
-    let first = fleet.run_until(READY_WITHIN, |fleet| fleet.accepted().is_some());
+    let first = fleet.run_until(READY_TIMEOUT, |fleet| fleet.accepted().is_some());
     let revision = fleet.accepted().unwrap_or(u64::MAX);
-    let all = fleet.run_until(READY_WITHIN, |fleet| {
+    let all = fleet.run_until(READY_TIMEOUT, |fleet| {
         fleet.in_force(revision) == run.size.nodes
     });
     let (first, all) = (seconds(first), seconds(all));
@@ -152,50 +155,50 @@
 }
 
 /// How often a call is made by the trials that make many, and how closely their outcome is watched.
-const CALL_EVERY: Duration = Duration::from_millis(100);
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const CALL_INTERVAL: Duration = Duration::from_millis(100);
+const WATCH_INTERVAL: Duration = Duration::from_millis(5);
 /// How long the last calls may take beyond the window.
-const LAST_CALLS: Duration = Duration::from_secs(2);
+const LAST_CALLS_TIMEOUT: Duration = Duration::from_secs(2);
 
-fn orders(fleet: &mut Fleet, run: &Run, to_one: bool, figures: &mut Figures) {
+fn submissions(fleet: &mut Fleet, run: &Run, to_one: bool, figures: &mut Figures) {
     let until = fleet.now() + run.window;
     let at = Some(run.size.nodes + 1).filter(|_| to_one);
     while fleet.now() < until {
-        fleet.order_setup(at);
-        fleet.run_watching_orders(CALL_EVERY, LOOK_EVERY);
+        fleet.submit_configuration(at);
+        fleet.run_watching_submissions(CALL_INTERVAL, WATCH_INTERVAL);
     }
-    fleet.run_watching_orders(LAST_CALLS, LOOK_EVERY);
-    figures.add("window.s", (run.window + LAST_CALLS).as_secs_f64());
+    fleet.run_watching_submissions(LAST_CALLS_TIMEOUT, WATCH_INTERVAL);
+    figures.add("window.s", (run.window + LAST_CALLS_TIMEOUT).as_secs_f64());
     add_calls(fleet, figures);
-    add_spread(figures, "in-force", fleet.calls.in_force_after());
+    add_percentiles(figures, "in-force", fleet.calls.in_force_after());
 }
 
-fn departures(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
+fn deregistrations(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
     let until = fleet.now() + run.window;
     let mut leaving = 0..run.size.upstreams;
     while fleet.now() < until {
         leaving
             .next()
             .into_iter()
-            .for_each(|unit| fleet.sign_off_unit(unit));
-        fleet.run_for(CALL_EVERY);
+            .for_each(|upstream| fleet.deregister_upstream(upstream));
+        fleet.run_for(CALL_INTERVAL);
     }
-    fleet.run_for(LAST_CALLS);
-    figures.add("window.s", (run.window + LAST_CALLS).as_secs_f64());
+    fleet.run_for(LAST_CALLS_TIMEOUT);
+    figures.add("window.s", (run.window + LAST_CALLS_TIMEOUT).as_secs_f64());
     add_calls(fleet, figures);
 }
 
 fn add_calls(fleet: &Fleet, figures: &mut Figures) {
-    let (asked, refused, redirected) = fleet.calls.counts();
-    figures.add("calls", asked as f64);
-    figures.add("calls.taken", fleet.calls.taken_after().len() as f64);
-    figures.add("calls.refused", refused as f64);
+    let (requested, rejected, redirected) = fleet.calls.counts();
+    figures.add("calls", requested as f64);
+    figures.add("calls.taken", fleet.calls.accepted_after().len() as f64);
+    figures.add("calls.refused", rejected as f64);
     figures.add("calls.redirected", redirected as f64);
-    add_spread(figures, "answer", fleet.calls.taken_after());
+    add_percentiles(figures, "answer", fleet.calls.accepted_after());
 }
 
 /// The median, the time that 99 of 100 keep, and the longest.
-fn add_spread(figures: &mut Figures, name: &str, times: &[Duration]) {
+fn add_percentiles(figures: &mut Figures, name: &str, times: &[Duration]) {
     let mut times = times.to_vec();
     times.sort();
     let at = |part: usize| {
@@ -213,7 +216,7 @@
     let lost_at = fleet.now();
     fleet.kill(lost[0]);
     fleet.watch(&lost);
-    noticed(fleet, lost_at, figures);
+    departure_noticed_at(fleet, lost_at, figures);
 }
 
 fn rack_loss(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
@@ -227,13 +230,15 @@
     lost.iter().for_each(|at| fleet.kill(*at));
     fleet.watch(&lost);
     figures.add("lost.nodes", lost.len() as f64);
-    noticed(fleet, lost_at, figures);
+    departure_noticed_at(fleet, lost_at, figures);
 }
 
 /// Until the first, half and all of those left hold all that are watched for gone.
-fn noticed(fleet: &mut Fleet, lost_at: Duration, figures: &mut Figures) {
-    fleet.run_until(NOTICE_WITHIN, |fleet| fleet.noticed().len() == fleet.up());
-    let (times, up) = (fleet.noticed(), fleet.up());
+fn departure_noticed_at(fleet: &mut Fleet, lost_at: Duration, figures: &mut Figures) {
+    fleet.run_until(NOTICE_TIMEOUT, |fleet| {
+        fleet.departure_noticed_at().len() == fleet.up()
+    });
+    let (times, up) = (fleet.departure_noticed_at(), fleet.up());
     let at = |rank: usize| times.get(rank).map(|at| at.saturating_sub(lost_at));
     figures.add("first-knows.s", seconds(at(0)));
     figures.add("half-know.s", seconds(at(up / 2)));
@@ -242,14 +247,14 @@
 }
 
 fn zone_loss(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
-    // The last: where there are more zones than postmasters, one without a postmaster.
+    // The last: where there are more zones than control nodes, one without a control node.
     let zone = run.size.zones - 1;
-    let (nodes, units) = fleet.in_zone(zone);
+    let (nodes, upstreams) = fleet.in_zone(zone);
     let (place, lost_at) = (run.size.locality(zone), fleet.now());
     nodes.iter().for_each(|at| fleet.kill(*at));
-    units.iter().for_each(|at| fleet.crash_unit(*at));
+    upstreams.iter().for_each(|at| fleet.crash_upstream(*at));
     fleet.watch(&nodes);
-    let moved = fleet.run_until(NOTICE_WITHIN, |fleet| {
+    let moved = fleet.run_until(NOTICE_TIMEOUT, |fleet| {
         fleet.views().all(|(_, _, view)| {
             view.reservations
                 .values()
@@ -257,18 +262,18 @@
         })
     });
     figures.add("lost.nodes", nodes.len() as f64);
-    figures.add("lost.upstreams", units.len() as f64);
+    figures.add("lost.upstreams", upstreams.len() as f64);
     figures.add("names-moved.s", seconds(moved));
-    noticed(fleet, lost_at, figures);
+    departure_noticed_at(fleet, lost_at, figures);
 }
 
 fn cold_start(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
-    let all = run.size.nodes + run.size.postmasters;
+    let all = run.size.nodes + run.size.control_nodes;
     (0..all).for_each(|at| fleet.kill(at));
     fleet.run_for(Duration::from_secs(10));
-    fleet.take_ledger();
+    fleet.take_stats();
     (0..all).for_each(|at| fleet.start(at));
-    let first = fleet.run_until(READY_WITHIN, |fleet| fleet.serving() > 0);
+    let first = fleet.run_until(READY_TIMEOUT, |fleet| fleet.serving() > 0);
     let soon = fleet.run_until(Duration::from_secs(2), |fleet| {
         fleet.serving() == run.size.nodes
     });
@@ -278,7 +283,7 @@
         "late.no-owners",
         (fleet.in_force(1) - fleet.serving()) as f64,
     );
-    let rest = fleet.run_until(READY_WITHIN, |fleet| fleet.serving() == run.size.nodes);
+    let rest = fleet.run_until(READY_TIMEOUT, |fleet| fleet.serving() == run.size.nodes);
     let rest = rest.map(|rest| rest + soon.unwrap_or(Duration::from_secs(2)));
     let (first, rest) = (seconds(first), seconds(rest));
     figures.add("first-serves.s", first);
@@ -288,9 +293,9 @@
 
 fn region_cut(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
     let region = run.size.regions - 1;
-    fleet.cut(Some(region));
+    fleet.partition_region(Some(region));
     fleet.run_for(run.window);
-    let during = fleet.take_ledger().all();
+    let during = fleet.take_stats().all();
     figures.add(
         "cut.msgs/s",
         during.messages as f64 / run.window.as_secs_f64(),
@@ -309,32 +314,32 @@
             .min()
             .unwrap_or(0) as f64,
     );
-    fleet.cut(None);
-    let healed = fleet.run_until(NOTICE_WITHIN, |fleet| fleet.serving() == run.size.nodes);
+    fleet.partition_region(None);
+    let healed = fleet.run_until(NOTICE_TIMEOUT, |fleet| fleet.serving() == run.size.nodes);
     figures.add("healed.s", seconds(healed));
     figures.add("window.s", seconds(healed).max(0.1));
 }
 
 fn memory(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
     const MORE: usize = 12;
-    let before = resident();
+    let before = resident_bytes();
     fleet.grow(MORE);
     let all = run.size.nodes + MORE;
-    let served = fleet.run_until(READY_WITHIN, |fleet| fleet.serving() == all);
+    let served = fleet.run_until(READY_TIMEOUT, |fleet| fleet.serving() == all);
     figures.add("more-serve.s", seconds(served));
     figures.add(
         "one-more-carrier.mb",
-        resident().saturating_sub(before) as f64 / 1e6 / MORE as f64,
+        resident_bytes().saturating_sub(before) as f64 / 1e6 / MORE as f64,
     );
     fleet.run_for(run.window);
     figures.add(
         "window.s",
-        (served.unwrap_or(READY_WITHIN) + run.window).as_secs_f64(),
+        (served.unwrap_or(READY_TIMEOUT) + run.window).as_secs_f64(),
     );
 }
 
 /// The bytes of memory that this process has in use, as the kernel counts it.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let pages = std::fs::read_to_string("/proc/self/statm").ok();
     let pages = pages.and_then(|text| text.split_whitespace().nth(1)?.parse::<u64>().ok());
     pages.unwrap_or(0) * 4096
--- a/crates/scale-model/src/units.rs
+++ b/crates/scale-model/src/upstreams.rs
@@ -1,109 +1,127 @@
-//! Hollow upstreams: they beat twice a second and hold what keys they are given.
+//! Hollow upstreams: they send heartbeats twice a second and own the keys that they are granted.
 
-use super::count::Role;
+use super::event_queue::ScheduledEvent;
 use super::fleet::Fleet;
-use super::queue::Happening;
+use super::traffic_stats::Role;
 use config::JsonValue;
 use control_plane::{ControlRequest, ControlResponse};
 use protocol::{KeyShare, Upstream};
 use simulator::grants::granted_slots;
 use std::time::Duration;
 
-const BEAT_EVERY: Duration = Duration::from_millis(500);
-pub(super) const SLOTS_EACH: u32 = 16;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+pub(super) const SLOTS_PER_UPSTREAM: u32 = 16;
 
 /// One upstream.
-pub struct Unit {
+pub struct HollowUpstream {
     pub zone: usize,
     pub up: bool,
-    pub life: u64,
+    pub incarnation: u64,
     keyed: bool,
     told: Upstream,
 }
 
-/// The answer to a beat on its way back.
-pub struct Answered {
-    pub life: u64,
+/// The answer to a heartbeat on its way back.
+pub struct HeartbeatResponse {
+    pub incarnation: u64,
     pub beat: u64,
     pub json: JsonValue,
 }
 
 impl Fleet {
-    pub(super) fn lay_out_units(&mut self) {
+    pub(super) fn create_upstreams(&mut self) {
         (0..self.size.upstreams).for_each(|at| {
-            let zone = self.size.unit_zone(at);
+            let zone = self.size.upstream_zone(at);
             let service = at % self.size.services.max(1);
             let told = Upstream {
                 service: format!("service-{service}"),
                 instance: format!("unit-{at}"),
                 address: format!("10.{}.{}.{}:8080", at / 62_500, at / 250 % 250, at % 250),
                 locality: self.size.locality(zone),
-                free_slots: SLOTS_EACH,
+                free_slots: SLOTS_PER_UPSTREAM,
                 warm: true,
                 ..Upstream::default()
             };
             let keyed = self.size.is_keyed(service);
-            self.units.push(Unit {
+            self.upstreams.push(HollowUpstream {
                 zone,
                 up: true,
-                life: 1,
+                incarnation: 1,
                 keyed,
                 told,
             });
             let first = Duration::from_secs(1) + Duration::from_micros(self.random.below(500_000));
-            self.queue
-                .push(first, Happening::Beat { unit: at, life: 1 });
+            self.queue.push(
+                first,
+                ScheduledEvent::Beat {
+                    upstream: at,
+                    incarnation: 1,
+                },
+            );
         });
     }
 
-    /// A unit ends without a word.
-    pub(crate) fn crash_unit(&mut self, at: usize) {
-        self.units[at].up = false;
-        self.units[at].life += 1;
+    /// An upstream ends without notice.
+    pub(crate) fn crash_upstream(&mut self, at: usize) {
+        self.upstreams[at].up = false;
+        self.upstreams[at].incarnation += 1;
     }
 
-    pub(super) fn beat(&mut self, at: usize, life: u64) {
-        if self.units[at].up && self.units[at].life == life {
-            self.queue
-                .push(self.now + BEAT_EVERY, Happening::Beat { unit: at, life });
-            self.beat_once(at);
+    pub(super) fn beat(&mut self, at: usize, incarnation: u64) {
+        if self.upstreams[at].up && self.upstreams[at].incarnation == incarnation {
+            self.queue.push(
+                self.now + HEARTBEAT_INTERVAL,
+                ScheduledEvent::Beat {
+                    upstream: at,
+                    incarnation,
+                },
+            );
+            self.send_heartbeat(at);
         }
     }
 
-    fn beat_once(&mut self, at: usize) {
+    fn send_heartbeat(&mut self, at: usize) {
         let changes = self.random.below(1000) < self.load.changing_per_mille;
-        let free = self.random.below(u64::from(SLOTS_EACH)) as u32;
+        let free = self.random.below(u64::from(SLOTS_PER_UPSTREAM)) as u32;
         let Some(control) = self.some_control_node() else {
             return;
         };
-        let unit = &mut self.units[at];
-        unit.told.beat += 1;
+        let upstream = &mut self.upstreams[at];
+        upstream.told.beat += 1;
         if changes {
-            unit.told.free_slots = free;
+            upstream.told.free_slots = free;
         }
-        let (told, zone, life) = (unit.told.clone(), unit.zone, unit.life);
+        let (told, zone, incarnation) =
+            (upstream.told.clone(), upstream.zone, upstream.incarnation);
         let bytes = described(&told).to_string().len();
         let reach = self.reach(zone, self.nodes[control].zone);
         let to = self.nodes[control].role;
-        self.ledger
+        self.stats
             .sent((Role::Upstream, to, "beat", reach), bytes as u64);
         if let Some(delay) = self.delay(zone, self.nodes[control].zone) {
             let told = Box::new(told);
             self.queue.push(
                 self.now + delay,
-                Happening::BeatComes {
+                ScheduledEvent::BeatComes {
                     node: control,
-                    unit: at,
-                    life,
+                    upstream: at,
+                    incarnation,
                     told,
                 },
             );
         }
     }
 
-    pub(super) fn beat_comes(&mut self, node: usize, unit: usize, life: u64, told: Upstream) {
+    pub(super) fn receive_heartbeat(
+        &mut self,
+        node: usize,
+        upstream: usize,
+        incarnation: u64,
+        told: Upstream,
+    ) {
         let request_id = self.request_id();
-        self.beats.insert(request_id, (unit, life, told.beat));
+        self.beats
+            .insert(request_id, (upstream, incarnation, told.beat));
         self.step_control(
             node,
             "beat",
@@ -114,14 +132,14 @@
         );
     }
 
-    /// True where the answer was one to a beat.
+    /// True where the answer was one to a heartbeat.
     pub(super) fn answer_beat(
         &mut self,
         node: usize,
         request_id: u64,
         answer: &ControlResponse,
     ) -> bool {
-        let Some((unit, life, beat)) = self.beats.remove(&request_id) else {
+        let Some((upstream, incarnation, beat)) = self.beats.remove(&request_id) else {
             return false;
         };
         let ControlResponse::Heartbeat {
@@ -133,36 +151,42 @@
             return true;
         };
         let json = control_plane::heartbeat_json(*holder, shares.clone(), *span);
-        let (from, to) = (self.nodes[node].zone, self.units[unit].zone);
+        let (from, to) = (self.nodes[node].zone, self.upstreams[upstream].zone);
         let (role, reach) = (self.nodes[node].role, self.reach(from, to));
-        self.ledger.sent(
+        self.stats.sent(
             (role, Role::Upstream, "beat answer", reach),
             json.to_string().len() as u64,
         );
         if let Some(delay) = self.delay(from, to) {
-            let answered = Answered {
-                life,
+            let answered = HeartbeatResponse {
+                incarnation,
                 beat,
                 json: json.clone(),
             };
-            self.queue
-                .push(self.now + delay, Happening::BeatAnswered { unit, answered });
+            self.queue.push(
+                self.now + delay,
+                ScheduledEvent::HeartbeatAnswered { upstream, answered },
+            );
         }
         true
     }
 
-    pub(super) fn beat_answered(&mut self, at: usize, answered: Answered) {
-        let Answered { life, beat, json } = answered;
-        let unit = &mut self.units[at];
-        if !unit.up || unit.life != life || unit.told.beat != beat {
+    pub(super) fn receive_heartbeat_response(&mut self, at: usize, answered: HeartbeatResponse) {
+        let HeartbeatResponse {
+            incarnation,
+            beat,
+            json,
+        } = answered;
+        let upstream = &mut self.upstreams[at];
+        if !upstream.up || upstream.incarnation != incarnation || upstream.told.beat != beat {
             return;
         }
         let holder = json.count("holder").unwrap_or(0);
-        let new_holder = unit.told.holder != holder;
-        unit.told.holder = holder;
+        let new_holder = upstream.told.holder != holder;
+        upstream.told.holder = holder;
         if json.get("shares").is_some() {
             let given = granted_slots(&json).into_iter();
-            unit.told.holds = given
+            upstream.told.holds = given
                 .map(|(slot, epoch)| KeyShare {
                     from: slot,
                     until: slot + 1,
@@ -171,14 +195,14 @@
                 })
                 .collect();
         }
-        // The next beat proves that it knows the new holder: the sooner, the less runs out.
-        if new_holder && holder > 0 && unit.keyed {
-            self.beat_once(at);
+        // The next heartbeat proves that it knows the new holder: the sooner, the less runs out.
+        if new_holder && holder > 0 && upstream.keyed {
+            self.send_heartbeat(at);
         }
     }
 }
 
-/// A beat's body as upstreams write it.
+/// A heartbeat's body as upstreams write it.
 fn described(told: &Upstream) -> JsonValue {
     let runs = told.holds.iter().map(|share| {
         JsonValue::object([
--- a/crates/scale-model/tests/changes.rs
+++ b/crates/scale-model/tests/changes.rs
@@ -1,6 +1,6 @@
 //! A disk and a process stay as small as they were, however many changes there are.
 
-use scale_model::changes::{Checkpoint, Site, Trial, storm};
+use scale_model::changes::{Checkpoint, Site, Trial, submit_in_parts};
 use std::path::Path;
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
 #[test]
 fn hundreds_of_changes_leave_disk_and_memory_flat() {
     let mut site = Site::new(on_real_disk("flat", 900));
-    let checkpoints = storm(&mut site, 6);
+    let checkpoints = submit_in_parts(&mut site, 6);
     assert_eq!(site.accepted, 900);
     assert_flat(&checkpoints);
 }
@@ -72,7 +72,7 @@
 #[ignore = "minutes long"]
 fn ten_thousand_changes_leave_disk_and_memory_flat() {
     let mut site = Site::new(on_real_disk("flat-long", 10_000));
-    assert_flat(&storm(&mut site, 20));
+    assert_flat(&submit_in_parts(&mut site, 20));
 }
 
 #[test]
@@ -82,7 +82,7 @@
             let mut site = Site::new(trial(300));
             site.stop_last();
             site.change(300);
-            let back = site.bring_back_last(blank, 20_000_000, changes_go_on);
+            let back = site.restart_last(blank, 20_000_000, changes_go_on);
             assert!(
                 back.took.is_some_and(|took| took < Duration::from_secs(2)),
                 "{back:?}"
@@ -108,13 +108,13 @@
             site.change(560);
             site.stop_last();
             site.change(40);
-            site.settle();
+            site.run_until_idle();
             let gap = Duration::from_millis(120);
             let followed = site.follow_with_last(blank, 2_000_000, 250);
             let caught_up = (CAUGHT_UP_WITHIN.as_millis() / gap.as_millis()) as usize;
             let late = |age: &Option<Duration>| age.is_none_or(|age| age > MAX_AGE);
             let ages = &followed.ages[caught_up..];
-            let behind = &followed.editions_behind[caught_up..];
+            let behind = &followed.revisions_behind[caught_up..];
             let received = &followed.received;
             assert!(
                 !ages.iter().any(late)
--- a/crates/scale-model/tests/hollow.rs
+++ b/crates/scale-model/tests/hollow.rs
@@ -1,12 +1,14 @@
 //! The hollow harness counts rightly, and a hollow site keeps its promises.
 
 use protocol::{Envelope, Freshness, Message, Payload, UpdateRequest};
-use scale_model::{Figures, Fleet, Ledger, Load, Reach, Role, Run, SETTLE, Size, kind, run};
+use scale_model::{
+    Figures, Fleet, Load, Reach, Role, Run, SETTLING_TIME, Size, TrafficStats, kind, run,
+};
 use std::time::Duration;
 
 const FORTY: Size = Size {
     nodes: 34,
-    postmasters: 6,
+    control_nodes: 6,
     upstreams: 60,
     services: 6,
     routes: 30,
@@ -15,7 +17,7 @@
 };
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The site once every carrier could serve every name, with empty counts.
+/// The site once every data node could serve every name, with empty counts.
 fn site(seed: u64, load: Load) -> Fleet {
     let mut fleet = Fleet::new(FORTY, seed, load);
     fleet.run_for(Duration::from_secs(3));
@@ -30,12 +32,12 @@
         FORTY.nodes
     );
     fleet.run_for(Duration::from_secs(4));
-    fleet.take_ledger();
+    fleet.take_stats();
     fleet
 }
 
-fn counts(ledger: &Ledger, role: Role) -> Vec<(&'static str, u64, u64, u64, u64)> {
-    let kinds = ledger.kinds(role).into_iter();
+fn counts(stats: &TrafficStats, role: Role) -> Vec<(&'static str, u64, u64, u64, u64)> {
+    let kinds = stats.kinds(role).into_iter();
     kinds
         .map(|(kind, (out, into))| (kind, out.messages, out.bytes, into.messages, into.bytes))
         .collect()
@@ -45,10 +47,10 @@
 fn what_is_counted_is_what_the_nodes_say() {
     let mut fleet = site(1, Load::default());
     fleet.run_for(WINDOW);
-    let ledger = fleet.take_ledger();
-    let carriers = ledger.kinds(Role::DataNode);
-    // Each carrier asks twice a second, by its own clock; each ask is answered.
-    let (asks, answers) = (carriers["news ask"].0, carriers["fresh"].1);
+    let stats = fleet.take_stats();
+    let data_nodes = stats.kinds(Role::DataNode);
+    // Each data node asks twice a second, by its own clock; each ask is answered.
+    let (asks, answers) = (data_nodes["news ask"].0, data_nodes["fresh"].1);
     let expected = FORTY.nodes as u64 * 2 * WINDOW.as_secs();
     assert!(
         asks.messages.abs_diff(expected) <= FORTY.nodes as u64,
@@ -56,8 +58,8 @@
         asks.messages
     );
     assert!(asks.messages.abs_diff(answers.messages) <= FORTY.nodes as u64);
-    // Each upstream beats twice a second.
-    let beats = ledger.out(Role::Upstream, None).messages;
+    // Each upstream heartbeats twice a second.
+    let beats = stats.out(Role::Upstream, None).messages;
     assert!(
         beats.abs_diff(FORTY.upstreams as u64 * 2 * WINDOW.as_secs()) <= FORTY.upstreams as u64,
         "{beats} beats"
@@ -69,11 +71,11 @@
         number: 300,
         ..UpdateRequest::default()
     };
-    let parcel = Envelope {
+    let envelope = Envelope {
         from: "carrier-33".into(),
         body: Some(Payload::UpdateRequest(largest)),
     };
-    let (most, least) = (parcel.encoded_len() as u64 + 4, 4 + 12);
+    let (most, least) = (envelope.encoded_len() as u64 + 4, 4 + 12);
     assert!(asks.bytes <= most * asks.messages && asks.bytes > least * asks.messages);
     assert_eq!(kind(&Payload::Freshness(Freshness::default())), "fresh");
 }
@@ -88,28 +90,28 @@
         },
     );
     fleet.run_for(WINDOW);
-    let ledger = fleet.take_ledger();
+    let stats = fleet.take_stats();
     let roles = [Role::DataNode, Role::Voter, Role::Holder, Role::Upstream];
     let (out, into) = roles.iter().fold((0, 0), |(out, into), role| {
         (
-            out + ledger.out(*role, None).bytes,
-            into + ledger.into_role(*role, None).bytes,
+            out + stats.out(*role, None).bytes,
+            into + stats.received_by(*role, None).bytes,
         )
     });
-    assert_eq!((out, into), (ledger.all().bytes, ledger.all().bytes));
+    assert_eq!((out, into), (stats.all().bytes, stats.all().bytes));
     let reaches = [Reach::Zone, Reach::Region, Reach::Far];
     let split: u64 = reaches
         .iter()
-        .map(|reach| ledger.out(Role::DataNode, Some(*reach)).bytes)
+        .map(|reach| stats.out(Role::DataNode, Some(*reach)).bytes)
         .sum();
-    assert_eq!(split, ledger.out(Role::DataNode, None).bytes);
+    assert_eq!(split, stats.out(Role::DataNode, None).bytes);
     assert!(
-        ledger.kinds(Role::DataNode).contains_key("news change"),
+        stats.kinds(Role::DataNode).contains_key("news change"),
         "other room is told"
     );
     // Every process took steps, and each once for every tick.
-    assert_eq!(ledger.busy(Role::DataNode).len(), FORTY.nodes);
-    let ticks = ledger.steps(Role::DataNode)["tick"].count;
+    assert_eq!(stats.busy(Role::DataNode).len(), FORTY.nodes);
+    let ticks = stats.steps(Role::DataNode)["tick"].count;
     assert!(
         ticks.abs_diff(FORTY.nodes as u64 * 50 * WINDOW.as_secs()) <= FORTY.nodes as u64,
         "{ticks} ticks"
@@ -121,25 +123,25 @@
     let count = |seed| {
         let mut fleet = site(seed, Load::default());
         fleet.run_for(Duration::from_secs(3));
-        let ledger = fleet.take_ledger();
-        [Role::DataNode, Role::Voter, Role::Holder].map(|role| counts(&ledger, role))
+        let stats = fleet.take_stats();
+        [Role::DataNode, Role::Voter, Role::Holder].map(|role| counts(&stats, role))
     };
     assert_eq!(count(5), count(5));
     assert_ne!(count(5), count(6));
 }
 
 fn tried(what: &str, load: Load) -> Figures {
-    let wish = Run {
+    let arguments = Run {
         size: FORTY,
         window: WINDOW,
         seed: 3,
         what: what.into(),
         load,
-        settle: SETTLE,
+        settle: SETTLING_TIME,
         replicas: 0,
         kinds: false,
     };
-    run(&wish).expect("a known trial on a site that comes up")
+    run(&arguments).expect("a known trial on a site that comes up")
 }
 
 #[test]
@@ -187,7 +189,7 @@
 #[test]
 fn the_rest_serves_on_while_a_region_is_cut_off() {
     let figures = tried("region-cut", Load::default());
-    // A third of the carriers stands in the region that is cut off, and stops.
+    // A third of the data nodes stands in the region that is cut off, and stops.
     assert_eq!(
         figures.get("cut.serving"),
         Some((FORTY.nodes - FORTY.nodes / 3) as f64)
@@ -198,9 +200,9 @@
 #[test]
 fn every_order_of_many_is_taken_and_in_force_in_time() {
     let figures = tried("orders", Load::default());
-    let orders = figures.get("calls").expect("orders are counted");
-    assert_eq!(orders, 100.0, "one every 100 ms");
-    assert_eq!(figures.get("calls.taken"), Some(orders));
+    let submissions = figures.get("calls").expect("orders are counted");
+    assert_eq!(submissions, 100.0, "one every 100 ms");
+    assert_eq!(figures.get("calls.taken"), Some(submissions));
     let (half, all) = (
         figures.get("in-force.p50.s").unwrap(),
         figures.get("in-force.most.s").unwrap(),
@@ -214,10 +216,10 @@
 #[test]
 fn every_departure_of_many_is_taken_within_the_second_that_callers_wait() {
     let figures = tried("departures", Load::default());
-    let asked = FORTY.upstreams as f64;
+    let requested = FORTY.upstreams as f64;
     assert_eq!(
         (figures.get("calls"), figures.get("calls.taken")),
-        (Some(asked), Some(asked))
+        (Some(requested), Some(requested))
     );
     assert!(
         figures.get("all.beats-taken.msgs").unwrap() > 0.0,
@@ -237,7 +239,7 @@
             seed: 3,
             what,
             load,
-            settle: SETTLE,
+            settle: SETTLING_TIME,
             replicas,
             kinds,
         })
--- a/crates/test-harness/src/commands/measure.rs
+++ b/crates/test-harness/src/commands/measure.rs
@@ -91,7 +91,7 @@
         clients.run_operation().await;
     }
     latency(&nodes[0], &upstreams[0], work.service).await?;
-    news(&record, &clock, &nodes).await?;
+    update(&record, &clock, &nodes).await?;
     upstreams.iter().for_each(|upstream| upstream.crash());
     fleet.remove();
     Ok(())
@@ -123,7 +123,7 @@
     publishing();
 }
 
-/// What it costs a carrier to publish its view, against its size.
+/// What it costs a data node to publish its view, against its size.
 fn publishing() {
     println!("publishing a view, median of 2000:");
     [36, 288, 2304].into_iter().for_each(|count: u64| {
@@ -246,8 +246,8 @@
         .ok_or(format!("{path}: {}", reply.status))
 }
 
-/// From the asking to the edition in force at the last carrier.
-async fn news(record: &ObservationLog, clock: &Clock, nodes: &[String]) -> Result<(), String> {
+/// From the asking to the revision in force at the last carrier.
+async fn update(record: &ObservationLog, clock: &Clock, nodes: &[String]) -> Result<(), String> {
     let data_nodes = &nodes[..ROADWISE.machines];
     println!(
         "a setup, from the asking until the yes and until it is in force at all {} carriers:",
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -35,7 +35,7 @@
 pub struct Fleet {
     pub control_nodes: Vec<Process>,
     pub data_nodes: Vec<Process>,
-    /// Where the wires between them end.
+    /// The endpoints of the links between them.
     pub endpoints: Vec<LinkEndpoint>,
     pub folder: PathBuf,
     programs: PathBuf,
@@ -239,7 +239,7 @@
         Ok(fleet)
     }
 
-    /// Lays a site out with its wires. Ports that the kernel gave may be taken by others before they are used: then it
+    /// Lays a site out with its links. Ports that the kernel gave may be taken by others before they are used: then it
     /// is laid out anew.
     pub async fn create(
         shape: &Shape,
@@ -262,7 +262,7 @@
         self.all().try_for_each(Process::start)
     }
 
-    /// Runs the operator's tool to its end; what it complained of where it did not do it.
+    /// Runs the operator's tool to its end; its error output where it failed.
     pub fn run_operator_tool(&self, args: &[&str]) -> Result<(), String> {
         let done = Command::new(self.programs.join("mothspindlectl"))
             .args(args)
@@ -279,7 +279,7 @@
             .chain(self.data_nodes.iter_mut())
     }
 
-    /// Every node's HTTP address, carriers first.
+    /// Every node's HTTP address, data nodes first.
     pub fn nodes(&self) -> Vec<String> {
         self.data_nodes
             .iter()
--- a/crates/testbed/src/link_proxies.rs
+++ b/crates/testbed/src/link_proxies.rs
@@ -1,5 +1,5 @@
-//! The links between places on one machine: each process is known to the others by an address of drill's, which
-//! passes on what comes, late by the distance between the places, and not at all where a cut lies between.
+//! The links between the processes on one machine: each process is known to the others by an address of a proxy, which
+//! forwards what comes, late by the distance between the localities, and not at all across a partition.
 
 use simulator::shapes::Shape;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// One process's end of the wires.
+/// One process's endpoint of the links.
 #[derive(Clone, Debug)]
 pub struct LinkEndpoint {
     pub machine: usize,
@@ -23,19 +23,19 @@
     pub advertised_address: SocketAddr,
 }
 
-/// All wires of a site.
+/// All links of a site.
 pub struct LinkProxies {
     shape: Shape,
     endpoints: Vec<LinkEndpoint>,
     sockets: Vec<UdpSocket>,
-    /// Regions, zones or machines that are cut off, by the start of their locality or by number.
+    /// Regions, zones or machines that are partitioned, by the start of their locality or by number.
     partitions: watch::Sender<Vec<Partition>>,
     machines: BTreeMap<IpAddr, usize>,
     /// Keeps order among what one end sends another.
     last: Mutex<BTreeMap<(usize, usize), Instant>>,
 }
 
-/// What is cut off from everything else.
+/// What is partitioned from everything else.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Partition {
     /// A region, or a region and zone.
@@ -44,7 +44,7 @@
 }
 
 impl LinkProxies {
-    /// Lays the wires and keeps them going as long as the runtime lives.
+    /// Starts the proxies and keeps them running as long as the runtime lives.
     pub async fn start(shape: Shape, endpoints: Vec<LinkEndpoint>) -> io::Result<Arc<LinkProxies>> {
         let mut sockets = Vec::new();
         let mut listeners = Vec::new();
@@ -76,7 +76,7 @@
         Ok(link_proxies)
     }
 
-    /// Cuts these off from everything else; none mends all.
+    /// Partitions these from everything else; none heals all.
     pub fn partition(&self, partitions: Vec<Partition>) {
         self.partitions.send_replace(partitions);
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Passes bytes on, each late by the distance, none while a cut lies between.
+    /// Forwards bytes, each late by the distance, none across a partition.
     async fn pump(
         self: Arc<Self>,
         from: usize,
--- a/crates/testbed/src/plans.rs
+++ b/crates/testbed/src/plans.rs
@@ -1,4 +1,4 @@
-//! What is broken in a run of real processes, and how it heals.
+//! Faults in a run of real processes, and their end.
 
 use crate::fleet::{Fleet, Process};
 use crate::link_proxies::{LinkProxies, Partition};
@@ -99,7 +99,7 @@
     ),
 ];
 
-/// Everything that a plan may touch.
+/// What a plan acts on.
 pub struct FaultInjection<'a> {
     pub link_proxies: Arc<LinkProxies>,
     pub fleet: &'a mut Fleet,
@@ -120,7 +120,7 @@
         tokio::time::sleep(self.span / 4).await;
     }
 
-    /// Breaks and heals by name.
+    /// Injects the faults of a plan and heals them.
     pub async fn inject(mut self, plan: &str) -> Result<(), String> {
         self.wait().await;
         match plan {
@@ -252,7 +252,7 @@
         Ok(())
     }
 
-    /// Some upstreams fall ill for a quarter of the run.
+    /// Some upstreams have a fault for a quarter of the run.
     async fn inject_upstream_fault(
         &mut self,
         chosen: impl Fn(usize) -> bool,
@@ -308,7 +308,7 @@
         Ok(())
     }
 
-    /// Two operators from one edition, eight times: one yes and one clear denial.
+    /// Two operators from one revision, eight times: one success and one clear rejection.
     async fn race(&mut self) -> Result<(), String> {
         self.note("operators race");
         let nodes = self.fleet.nodes();
@@ -370,7 +370,7 @@
         Err("no node tells its status".into())
     }
 
-    /// The edition that any node reads back at present.
+    /// The revision that any node reads back at present.
     async fn revision(&self) -> Result<u64, String> {
         let client = HttpClient::default();
         for node in self.fleet.nodes() {
@@ -498,7 +498,7 @@
         self.wait_until_ready(&self.fleet.nodes()).await
     }
 
-    /// Machines and upstreams of a place go at once; both come back.
+    /// Machines and upstreams of a locality lose power at once; both come back.
     async fn power_off(&mut self, place: &str) -> Result<(), String> {
         let is_affected = |locality: &str| locality.starts_with(place);
         self.upstreams
@@ -571,7 +571,7 @@
         self.wait_until_ready(&back).await
     }
 
-    /// Every machine ends politely, must exit with 0 before it would be killed, and starts again.
+    /// Every machine shuts down gracefully, must exit with 0 before it would be killed, and starts again.
     async fn rolling(&mut self) -> Result<(), String> {
         for machine in 0..self.shape.machines {
             let asked = self.clock.now();
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,4 +1,4 @@
-//! A run of a real fleet: start, set up, load, break, heal, judge.
+//! A run of a real fleet: start, configure, load, inject faults, heal, check.
 
 use crate::fleet::{Fleet, Process};
 use crate::plans::FaultInjection;
@@ -27,7 +27,7 @@
     pub per_second: Option<u64>,
     pub plan: String,
     pub keep: Option<PathBuf>,
-    /// Rules that hold within a span are told, and don't decide.
+    /// Rules with a time limit are reported, and don't fail the run.
     pub untimed: bool,
 }
 
@@ -175,7 +175,7 @@
     Ok(passed && complete && !finished.is_empty())
 }
 
-/// While the voters found themselves: two are killed, one of them loses its disk, and both come back.
+/// While the cluster bootstraps: two are killed, one of them loses its disk, and both come back.
 async fn interrupt_bootstrap(fleet: &mut Fleet) -> std::io::Result<()> {
     for wait_ms in [150, 300, 450] {
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
@@ -189,7 +189,7 @@
     Ok(())
 }
 
-/// Submits a setup and waits until it is in force.
+/// Submits a configuration and waits until it is in force.
 pub async fn submit(
     client: &HttpClient,
     record: &ObservationLog,
@@ -266,7 +266,7 @@
     Err("not every service was served".into())
 }
 
-/// Sends probes through every carrier: where they arrive shows which setup is in force there.
+/// Sends probes through every data node: where they arrive shows which configuration is in force there.
 async fn probe(data_nodes: Vec<String>) {
     let client = HttpClient::default();
     for number in 0u64.. {
@@ -299,7 +299,7 @@
     }
 }
 
-/// Reads the setup back from every node, again and again: each gives the same answer, or says that it can't know.
+/// Reads the configuration back from every node, again and again: each gives the same answer, or says that it can't know.
 async fn read_everywhere(nodes: Arc<Vec<String>>, record: ObservationLog, clock: Clock) {
     loop {
         nodes.iter().for_each(|node| {
@@ -333,7 +333,7 @@
     }
 }
 
-/// Notes the edition in force at each carrier that says it serves.
+/// Notes the revision in force at each data node that says it serves.
 async fn watch_revisions(nodes: Vec<String>, record: ObservationLog, clock: Clock) {
     let client = HttpClient::default();
     loop {
@@ -370,7 +370,7 @@
     }
 }
 
-/// How many postmasters read the same setup back as the first.
+/// How many control nodes read the same configuration back as the first.
 async fn read_back_all(
     client: &HttpClient,
     record: &ObservationLog,
--- a/crates/testbed/src/scripted/clients.rs
+++ b/crates/testbed/src/scripted/clients.rs
@@ -23,7 +23,7 @@
     pub reader: ConfigurationParser,
     /// A configuration with the services `at_most_once` and `again`, one of each kind of work.
     pub configuration: &'static str,
-    /// The header that names the try in a request to an upstream.
+    /// The header that names the attempt in a request to an upstream.
     pub request_id: &'static str,
     /// The same in an upstream's answer.
     pub response_id: &'static str,
@@ -87,7 +87,7 @@
     };
 }
 
-/// The service of a try.
+/// The service of an attempt.
 fn service(attempt: &Attempt) -> &'static str {
     if attempt.at_most_once {
         "once"
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Makes a try and notes what it is told.
+    /// Makes an attempt and notes what it is told.
     pub async fn send_request(&self, attempt: &Attempt, within: Duration) -> Outcome {
         self.events.note(Event::Requested {
             attempt_id: attempt.id.clone(),
@@ -184,7 +184,7 @@
         outcome
     }
 
-    /// Why a try went where it went.
+    /// Why an attempt went where it went.
     pub async fn trace(&self, attempt_id: &str) -> String {
         let query = [("try".to_owned(), attempt_id.to_owned())].into();
         let request = HttpRequest {
@@ -260,7 +260,7 @@
             ..api_adapter
         },
         ResponseCheck::AnyResponse => ApiAdapter {
-            // Nothing names a try by this, so that no answer is told apart.
+            // Nothing names an attempt by this, so that no answer is told apart.
             response_id_header: "x-nobody",
             judge_response: Box::new(move |called, _, _| match called {
                 Ok(reply) if reply.status == 200 => request_routing::CallOutcome::Complete,
--- a/crates/testbed/src/stand_in_clients.rs
+++ b/crates/testbed/src/stand_in_clients.rs
@@ -1,4 +1,4 @@
-//! Stand-in origins: they ask a directory node, keep its answer for its lifetime, and try through a proxy.
+//! Stand-in clients: they look a name up at a directory node, cache its answer for its lifetime, and send requests through a proxy.
 
 use config::JsonValue;
 use invariants::observations::{FinishedOperation, Observation, ObservationLog};
@@ -15,7 +15,7 @@
 const MAX_ATTEMPTS: u32 = 4;
 const KEYS: u64 = 400;
 
-/// What a directory node told, and when it was asked.
+/// What a directory node answered, and when it was asked.
 #[derive(Clone)]
 struct CachedLookup {
     proxies: Vec<String>,
@@ -77,7 +77,7 @@
             .clone()
     }
 
-    /// One piece of work, tried until it is done, surely lost, or out of time.
+    /// One operation, retried until it is done, certainly failed, or out of time.
     pub async fn run_operation(&self) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let mut random = Random::new(number);
@@ -124,7 +124,7 @@
             .push(finished);
     }
 
-    /// One try: its code (none where surely nothing was reached) and when to come back.
+    /// One attempt: its code (none where nothing was reached) and when to retry.
     #[allow(clippy::too_many_arguments)]
     async fn attempt(
         &self,
--- a/crates/testbed/src/stand_in_upstreams.rs
+++ b/crates/testbed/src/stand_in_upstreams.rs
@@ -1,4 +1,4 @@
-//! Stand-in back ends: they beat, do work, seal verdicts, and hold key shares by the rules of the interface.
+//! Stand-in upstreams: they send heartbeats, execute requests, seal responses, and own key shares by the rules of the interface.
 
 use bytes::Bytes;
 use config::JsonValue;
@@ -39,19 +39,19 @@
     /// 0 ready, 1 leaving, 2 gone.
     condition: AtomicU32,
     heartbeat_number: AtomicU64,
-    /// The holder of the placement duty that answered last.
+    /// The lease holder of the placement role that answered last.
     lease_holder: AtomicU64,
     key_shares: Mutex<BTreeMap<u32, (u64, Duration)>>,
     fault: Mutex<UpstreamFault>,
     close: watch::Sender<bool>,
 }
 
-/// What is wrong with a stand-in, until it is told otherwise.
+/// The fault of a stand-in, until it is set again.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamFault {
-    /// Of a thousand verdicts, how many are cut short, another's, noise or never sent, after the work was done.
+    /// Of a thousand responses, how many are cut short, another's, noise or never sent, after the work was done.
     pub invalid_responses_per_mille: u64,
-    /// Does nothing, and tells nothing, before this.
+    /// Does and sends nothing before this.
     pub paused_until: Duration,
     /// Requests of these proxies never come through.
     pub ignores_requests_of: Vec<String>,
@@ -60,7 +60,7 @@
 }
 
 impl StandInUpstream {
-    /// Starts a stand-in at an address, [`ANY_PORT`] or one that another had before; it beats to the nodes in turn.
+    /// Starts a stand-in at an address, [`ANY_PORT`] or one that another had before; it sends heartbeats to the nodes in turn.
     #[allow(clippy::too_many_arguments)]
     pub async fn start(
         at: &str,
@@ -99,12 +99,12 @@
         Ok(upstream)
     }
 
-    /// Starts cold, or grows warm.
+    /// Sets whether it is warmed up.
     pub fn set_warm(&self, warm: bool) {
         self.warm.store(warm, Ordering::Release);
     }
 
-    /// Tells that it leaves; its next beat, sent at once by the caller of this, says so.
+    /// Begins to drain; the caller sends the next heartbeat, which says so, at once.
     pub fn start_draining(&self) {
         self.condition.store(1, Ordering::Release);
         self.record.note(
@@ -115,7 +115,7 @@
         );
     }
 
-    /// Falls ill, or gets well.
+    /// Sets its fault, or clears it.
     pub fn set_fault(&self, fault: UpstreamFault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Dies without a word.
+    /// Ends without notice.
     pub fn crash(&self) {
         let _ = self.close.send(true);
     }
@@ -152,7 +152,7 @@
             let known = self.lease_holder.load(Ordering::Acquire);
             let taken = self.send_heartbeat(&client, &node).await;
             let new_holder = self.work.keyed && self.lease_holder.load(Ordering::Acquire) != known;
-            // The next beat proves that it knows the new holder: the sooner, the less runs out.
+            // The next heartbeat proves that it knows the new holder: the sooner, the less runs out.
             let pause = if taken && !new_holder {
                 HEARTBEAT_INTERVAL
             } else {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Sends one beat; true where the node took it.
+    /// Sends one heartbeat; true where the node took it.
     pub async fn send_heartbeat(&self, client: &HttpClient, node: &str) -> bool {
         let sent_at = self.clock.now();
         let body = self.describe(sent_at).to_string();
@@ -242,7 +242,7 @@
         .collect()
     }
 
-    /// An answer that names shares says all that it holds from now on, counted from when the beat was sent.
+    /// An answer that names shares says all that it holds from now on, counted from when the heartbeat was sent.
     fn update_shares(&self, sent_at: Duration, json: &JsonValue) {
         json.count("holder")
             .into_iter()
--- a/crates/testbed/tests/scripts/mod.rs
+++ b/crates/testbed/tests/scripts/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of answers share: scripts drawn for upstreams, tries against them, and seeds run on all processors.
+//! What the tests of answers share: scripts drawn for upstreams, attempts against them, and seeds run on all processors.
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use arbtest::arbtest;
@@ -19,7 +19,7 @@
 const TURNS: u8 = 3;
 
 pub type Script = (Vec<Step>, Vec<ConnectionStart>);
-/// The tries of a wave are sent at the same time.
+/// The attempts of a wave are sent at the same time.
 pub type Waves = Vec<Vec<Attempt>>;
 
 /// A case that broke a rule: how, and what was drawn and seen.
@@ -34,7 +34,7 @@
     pub draw_waves: fn(&mut Unstructured) -> Drawn<Waves>,
 }
 
-/// One try, now and then with a long body.
+/// One attempt, now and then with a long body.
 pub fn drawn_try(noise: &mut Unstructured, number: usize) -> Drawn<Attempt> {
     let long = noise.ratio(1u8, 10u8)?;
     let body_bytes = if long {
@@ -70,7 +70,7 @@
     runtime.block_on(future)
 }
 
-/// What a success says to the try of this number.
+/// What a success says to the attempt of this number.
 pub fn success(number: usize) -> Outcome {
     Outcome::Success {
         body: work(&format!("try-{number}")).into(),
@@ -134,7 +134,7 @@
         })
     }
 
-    /// One upstream with this script, and so many tries one after the other, with less time for the last.
+    /// One upstream with this script, and so many attempts one after the other, with less time for the last.
     pub fn told_within(
         &self,
         steps: &[ResponseFault],
@@ -204,7 +204,7 @@
         );
     }
 
-    /// Answers to other tries are read past, and each request is sent once and answered.
+    /// Answers to other attempts are read past, and each request is sent once and answered.
     pub fn assert_surplus_costs_nothing(&self) {
         [
             ResponseFault::ExtraResponseFirst,
