--- a/crates/locality/src/lib.rs
+++ b/crates/locality/src/lib.rs
@@ -1,8 +1,13 @@
-//! Localities (a region and a zone inside it, as in xDS) and the form of ids.
+//! Localities (a region and a zone in it, as in xDS) and the form of ids.
+#![deny(missing_docs)]
 
 use std::fmt;
+use std::str::FromStr;
 
-/// Where a process, a back end or an origin stands: a region and a locality (zone) inside it.
+/// The longest id, in bytes.
+const MAX_ID_BYTES: usize = 64;
+
+/// The failure domain of a process, an upstream or a client: a region and a zone in it.
 ///
 /// ```
 /// use locality::Locality;
@@ -13,7 +18,9 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Locality {
+    /// The region.
     pub region: String,
+    /// The zone, unique within its region.
     pub zone: String,
 }
 
@@ -34,11 +41,11 @@
     }
 }
 
-/// A text that names no locality.
+/// A text that is not a locality.
 ///
 /// ```
-/// let failure = "north".parse::<locality::Locality>().unwrap_err();
-/// assert_eq!(failure.to_string(), "'north' is not a locality; write region/zone");
+/// let error = "north".parse::<locality::Locality>().unwrap_err();
+/// assert_eq!(error.to_string(), "'north' is not a locality; write region/zone");
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidLocality(String);
@@ -51,33 +58,33 @@
 
 impl std::error::Error for InvalidLocality {}
 
-/// As a complaint says it.
+/// The text of a validation error.
 ///
 /// ```
-/// let failure = "north".parse::<locality::Locality>().unwrap_err();
-/// assert!(String::from(failure).ends_with("region/zone"));
+/// let error = "north".parse::<locality::Locality>().unwrap_err();
+/// assert!(String::from(error).ends_with("region/zone"));
 /// ```
 impl From<InvalidLocality> for String {
-    fn from(failure: InvalidLocality) -> String {
-        failure.to_string()
+    fn from(error: InvalidLocality) -> String {
+        error.to_string()
     }
 }
 
-impl std::str::FromStr for Locality {
+impl FromStr for Locality {
     type Err = InvalidLocality;
 
     fn from_str(text: &str) -> Result<Self, InvalidLocality> {
-        text.split_once('/')
-            .filter(|(region, zone)| is_valid_id(region) && is_valid_id(zone))
-            .map(|(region, zone)| Locality {
-                region: region.into(),
-                zone: zone.into(),
-            })
-            .ok_or_else(|| InvalidLocality(text.to_owned()))
+        match text.split_once('/') {
+            Some((region, zone)) if is_valid_id(region) && is_valid_id(zone) => Ok(Locality {
+                region: region.to_owned(),
+                zone: zone.to_owned(),
+            }),
+            _ => Err(InvalidLocality(text.to_owned())),
+        }
     }
 }
 
-/// True for the ids that setups, nodes and tries may carry: 1 to 64 of `a-z A-Z 0-9 - _ .`.
+/// True for a valid id of a node, a request attempt or a name in a configuration: 1 to 64 of `a-z A-Z 0-9 - _ .`.
 ///
 /// ```
 /// assert!(locality::is_valid_id("exam-slot.7"));
@@ -85,8 +92,8 @@
 /// assert!(!locality::is_valid_id("two words"));
 /// ```
 pub fn is_valid_id(text: &str) -> bool {
-    (1..=64).contains(&text.len())
+    (1..=MAX_ID_BYTES).contains(&text.len())
         && text
             .bytes()
-            .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
+            .all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.'))
 }
--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -1,6 +1,17 @@
-//! Seeded random numbers (SplitMix64) and a text hash (FNV-1a, finalised by SplitMix64) that is the same on every node.
+//! Seeded random numbers (SplitMix64) and a hash (FNV-1a, finalized by SplitMix64) that is the same on every node.
+//!
+//! Nodes decide by the hash without talking to each other, and the simulator replays whole runs from a seed: the numbers
+//! must never change.
+#![deny(missing_docs)]
 
-/// A number that stable_hashs texts evenly and is the same on every node.
+/// Start value of FNV-1a with 64 bits.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Multiplier of FNV-1a with 64 bits.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+/// What SplitMix64 adds to its state with each number.
+const SPLITMIX_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// An evenly distributed hash of a text, the same on every node.
 ///
 /// ```
 /// assert_ne!(random::stable_hash("a"), random::stable_hash("b"));
@@ -9,18 +20,30 @@
     stable_hash_parts([text])
 }
 
-/// The same number for the parts of a text as for the whole.
+/// The same hash for the parts of a text as for the complete text.
 ///
 /// ```
 /// assert_eq!(random::stable_hash_parts(["a", "b"]), random::stable_hash("ab"));
 /// ```
 pub fn stable_hash_parts<'a>(parts: impl IntoIterator<Item = &'a str>) -> u64 {
-    let bytes = parts.into_iter().flat_map(str::bytes);
-    let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    Random::new(bytes.fold(0xcbf2_9ce4_8422_2325u64, fold)).next_u64()
+    stable_hash_bytes(parts.into_iter().flat_map(str::bytes))
+}
+
+/// The same hash of bytes.
+///
+/// ```
+/// assert_eq!(random::stable_hash_bytes("ab".bytes()), random::stable_hash("ab"));
+/// ```
+pub fn stable_hash_bytes(bytes: impl IntoIterator<Item = u8>) -> u64 {
+    let mut hash = FNV_OFFSET_BASIS;
+    for byte in bytes {
+        hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    }
+    // FNV's high bits are weak for short texts.
+    Random::new(hash).next_u64()
 }
 
-/// A small seeded source of random numbers (splitmix64), so that a core's choices can be replayed.
+/// A small seeded source of random numbers (SplitMix64), so that a run can be replayed. It is not for secrets.
 ///
 /// ```
 /// let mut a = random::Random::new(7);
@@ -48,7 +71,7 @@
     /// assert_ne!(random.next_u64(), random.next_u64());
     /// ```
     pub fn next_u64(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        self.0 = self.0.wrapping_add(SPLITMIX_INCREMENT);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/result-code/src/lib.rs
+++ b/crates/result-code/src/lib.rs
@@ -1,15 +1,19 @@
-//! The numbered result codes. `docs/codes.md` holds the same table; a test keeps the two alike.
+//! The numbered result codes. `docs/codes.md` has the same table; a test keeps the two equal.
+//!
+//! Numbers, statuses and texts are part of the HTTP interface: clients match on them, so the texts keep the words of the
+//! first release.
+#![deny(missing_docs)]
 
 use std::fmt;
 
-/// What a code says about the work that was asked for.
+/// What a code says about the request: whether it was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It ran, and the verdict is whole.
+    /// It was executed, and the response is complete.
     Executed,
-    /// It did not run and will not: it may be sent again.
+    /// It was not executed and will not be: a retry is safe.
     NotExecuted,
-    /// Nobody can tell: it must not be sent again blindly.
+    /// Unknown: a retry is safe only where the request is idempotent.
     Unknown,
 }
 
@@ -25,7 +29,9 @@
         /// assert_eq!(ResultCode::from_number(1201), Some(ResultCode::Overloaded));
         /// ```
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub enum ResultCode { $($name),* }
+        pub enum ResultCode {
+            $(#[doc = $text] $name),*
+        }
 
         impl ResultCode {
             /// Every code, in the order of the table.
@@ -35,7 +41,7 @@
             /// ```
             pub fn all() -> &'static [ResultCode] { &[$(ResultCode::$name),*] }
 
-            /// The number that callers see.
+            /// The number that clients see.
             ///
             /// ```
             /// assert_eq!(result_code::ResultCode::Success.number(), 1000);
@@ -49,14 +55,14 @@
             /// ```
             pub fn status(self) -> u16 { match self { $(ResultCode::$name => $status),* } }
 
-            /// What it says about the work.
+            /// Whether the request was executed.
             ///
             /// ```
             /// assert_eq!(result_code::ResultCode::Success.kind(), result_code::Execution::Executed);
             /// ```
             pub fn kind(self) -> Execution { match self { $(ResultCode::$name => Execution::$kind),* } }
 
-            /// One sentence for people.
+            /// One sentence for humans.
             ///
             /// ```
             /// assert!(result_code::ResultCode::Success.text().starts_with("Done"));
