--- a/crates/control-plane/src/daemon/settings.rs
+++ b/crates/control-plane/src/daemon/settings.rs
@@ -98,9 +98,9 @@
             confirm_interval: settings.duration("confirm-every-ms"),
             ..Default::default()
         },
-        membership: membership::Times {
-            probe_every: settings.duration("probe-every-ms"),
-            suspect_for: settings.duration("suspect-for-ms"),
+        membership: membership::MembershipTiming {
+            probe_interval: settings.duration("probe-every-ms"),
+            suspicion_timeout: settings.duration("suspect-for-ms"),
         },
         lease: lease::LeaseTiming::new(
             settings.duration("claim-span-ms"),
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -207,7 +207,7 @@
             Event::DiskFailed => self.run_register(now, quorum_register::Event::DiskFailed),
             Event::DiskRetrying => self.disk_failing = true,
             Event::DiskRecovered => self.disk_failing = false,
-            Event::SeedsChanged(seeds) => self.membership.learn_seeds(seeds),
+            Event::SeedsChanged(seeds) => self.membership.set_seeds(seeds),
             Event::Shutdown => self.shut_down(now),
         }
         self.complete_reads(now);
--- a/crates/control-plane/src/start.rs
+++ b/crates/control-plane/src/start.rs
@@ -11,7 +11,7 @@
     /// Of the replicated register.
     pub register: quorum_register::RegisterTiming,
     /// Of the membership protocol.
-    pub membership: membership::Times,
+    pub membership: membership::MembershipTiming,
     /// Of the placement lease.
     pub lease: lease::LeaseTiming,
     /// Of the placement of names.
--- a/crates/data-plane/src/data_node.rs
+++ b/crates/data-plane/src/data_node.rs
@@ -189,7 +189,7 @@
             } => self.on_freshness(now, from, freshness),
             Event::Received { .. } => {}
             Event::KeyLoadsCounted(loads) => self.loads.add(loads),
-            Event::SeedsChanged(seeds) => self.membership.learn_seeds(seeds),
+            Event::SeedsChanged(seeds) => self.membership.set_seeds(seeds),
             Event::Shutdown => self.begin_shutdown(now),
         }
         std::mem::take(&mut self.effects)
--- a/crates/data-plane/src/data_node/events.rs
+++ b/crates/data-plane/src/data_node/events.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// Those of membership.
-    pub membership: membership::Times,
+    pub membership: membership::MembershipTiming,
     /// How often it asks its control node for updates.
     pub poll_interval: Duration,
     /// After an answer that takes longer it turns to another control node.
--- a/crates/data-plane/src/settings.rs
+++ b/crates/data-plane/src/settings.rs
@@ -132,9 +132,9 @@
 /// ```
 pub fn times(settings: &Settings) -> Times {
     let poll_interval = settings.duration("confirm-every-ms");
-    let membership = membership::Times {
-        probe_every: settings.duration("probe-every-ms"),
-        suspect_for: settings.duration("suspect-for-ms"),
+    let membership = membership::MembershipTiming {
+        probe_interval: settings.duration("probe-every-ms"),
+        suspicion_timeout: settings.duration("suspect-for-ms"),
     };
     let lifetime = settings.duration("address-lifetime-ms");
     Times {
--- a/crates/membership/src/probing.rs
+++ b/crates/membership/src/probing.rs
@@ -1,289 +1,328 @@
-//! Failure detection: whom to probe next, second opinions, and when a silent node is suspect or gone.
+//! Failure detection: whom to probe next, indirect probes, and when a silent node is suspect or dead.
 
-use crate::members::{distance, folded};
-use crate::{Effect, Known, Membership, Probing};
+use crate::node::{Effect, Membership};
+use crate::record::{DISTANCES, OTHER_REGION, SAME_REGION, SAME_ZONE, compact, distance};
 use protocol::{IndirectProbe, Member, MemberState, Payload, Probe, ProbeReply};
+use random::Random;
 use std::time::Duration;
 
-/// How many third parties are asked for a second opinion.
-const SECOND_OPINIONS: usize = 3;
-/// How far the probes go in turn: 0 within the zone, 1 to the region's other zones, 2 to other regions.
-const TURNS: [usize; 4] = [2, 0, 1, 0];
-/// How many more probes go to another region for each of its nodes that falls silent, and at most.
-const MINDED: u64 = 2;
-const MAX_MINDED: u64 = 4;
-/// How long a node counts as just started, how often it then asks others, and how many at a time.
-const YOUNG: Duration = Duration::from_millis(1500);
-const INTRODUCE_EVERY: Duration = Duration::from_millis(120);
-const INTRODUCED: usize = 2;
-/// How long a gone member is remembered.
-const REMEMBERED: Duration = Duration::from_secs(120);
+/// How many nodes are asked for an indirect probe.
+const INDIRECT_PROBES: usize = 3;
+/// How far the probes go in turn. Most stay near; what is all unreachable is found by those further off.
+const PROBE_DISTANCES: [usize; 4] = [OTHER_REGION, SAME_ZONE, SAME_REGION, SAME_ZONE];
+/// How many of the next probes go to other regions for each suspect there.
+const EXTRA_PROBES: u64 = 2;
+/// The most such probes.
+const MAX_EXTRA_PROBES: u64 = 4;
+/// How long after its start a node looks for the others at a higher rate.
+const JOIN_PERIOD: Duration = Duration::from_millis(1500);
+/// How often it sends probes during that time.
+const JOIN_INTERVAL: Duration = Duration::from_millis(120);
+/// How many probes it sends at once during that time.
+const JOIN_PROBES: usize = 2;
+/// The most probes on behalf of others in flight.
+const MAX_FORWARDED_PROBES: usize = 64;
+
+/// The probe in flight.
+pub(crate) enum ProbeState {
+    /// There is none.
+    Idle,
+    /// The node was probed directly.
+    Direct {
+        nonce: u64,
+        node: String,
+        sent_at: Duration,
+    },
+    /// It did not answer, and others probe it on this node's behalf.
+    Indirect { nonce: u64, node: String },
+}
+
+impl ProbeState {
+    /// True where this reply answers the probe in flight.
+    fn is_answered_by(&self, reply_nonce: u64, reply_node: &str) -> bool {
+        match self {
+            ProbeState::Direct { nonce, node, .. } | ProbeState::Indirect { nonce, node } => {
+                *nonce == reply_nonce && node == reply_node
+            }
+            ProbeState::Idle => false,
+        }
+    }
+}
+
+/// A probe on behalf of another node.
+pub(crate) struct ForwardedProbe {
+    nonce: u64,
+    /// The address of the node that asked for it.
+    requester: String,
+    /// The nonce of its request.
+    requester_nonce: u64,
+    /// The node that is probed.
+    target: String,
+}
 
 impl Membership {
-    /// No word half-way through the turn: ask third parties.
-    pub(crate) fn escalate(&mut self, now: Duration) {
-        let half = self.times.probe_every / 2;
-        let late = match &self.probing {
-            Probing::Asked {
+    /// Without an answer half-way through the probe interval, other nodes are asked for an indirect probe.
+    pub(crate) fn send_indirect_probes(&mut self, now: Duration) {
+        let (nonce, target) = match &self.probe {
+            ProbeState::Direct {
                 nonce,
                 node,
-                asked_at,
-            } if now >= *asked_at + half => Some((*nonce, node.clone())),
-            _ => None,
+                sent_at,
+            } if now >= *sent_at + self.timing.probe_interval / 2 => (*nonce, node.clone()),
+            _ => return,
         };
-        late.into_iter().for_each(|(nonce, node)| {
-            let mut others: Vec<String> = self
-                .known
-                .values()
-                .filter(|known| {
-                    known.member.state() == MemberState::Alive && known.member.node != node
-                })
-                .map(|known| known.member.probe_address.clone())
-                .collect();
-            while others.len() > SECOND_OPINIONS {
-                let drop = self.random.below(others.len() as u64) as usize;
-                others.swap_remove(drop);
-            }
-            others.into_iter().for_each(|address| {
-                let members = self.tell(Some(&node));
-                let body = Payload::IndirectProbe(IndirectProbe {
-                    nonce,
-                    target: node.clone(),
-                    members,
-                });
-                self.effects.push(Effect::Send { address, body });
+        let mut addresses: Vec<String> = self
+            .table
+            .entries()
+            .filter(|entry| entry.is_alive() && entry.member.node != target)
+            .map(|entry| entry.member.probe_address.clone())
+            .collect();
+        while addresses.len() > INDIRECT_PROBES {
+            let surplus = self.random.below(addresses.len() as u64) as usize;
+            addresses.swap_remove(surplus);
+        }
+        for address in addresses {
+            let members = self.table.select_updates(Some(&target));
+            let body = Payload::IndirectProbe(IndirectProbe {
+                nonce,
+                target: target.clone(),
+                members,
             });
-            self.probing = Probing::SecondOpinion { nonce, node };
-        });
+            self.effects.push(Effect::Send { address, body });
+        }
+        self.probe = ProbeState::Indirect {
+            nonce,
+            node: target,
+        };
     }
 
-    pub(crate) fn suspect_silent(&mut self, now: Duration) {
-        let silent = match std::mem::replace(&mut self.probing, Probing::Resting) {
-            Probing::SecondOpinion { node, .. } if now >= self.slow_until => Some(node),
-            _ => None,
+    /// At the end of the probe interval: a node that nobody got an answer from is suspect.
+    pub(crate) fn suspect_unanswered(&mut self, now: Duration) {
+        let probe = std::mem::replace(&mut self.probe, ProbeState::Idle);
+        let ProbeState::Indirect { node, .. } = probe else {
+            return;
         };
-        let suspect = silent
-            .and_then(|node| self.known.get(&node))
-            .map(|known| known.member.clone());
-        suspect
-            .into_iter()
-            .filter(|member| member.state() == MemberState::Alive)
-            .for_each(|member| {
-                self.learn(
-                    now,
-                    Member {
-                        state: MemberState::Suspect.into(),
-                        ..member
-                    },
-                );
-            });
+        if now < self.lenient_until {
+            return;
+        }
+        if let Some(entry) = self.table.get(&node)
+            && entry.is_alive()
+        {
+            let suspect = with_state(&entry.member, MemberState::Suspect);
+            self.apply(now, suspect);
+        }
     }
 
-    /// Suspects that did not refute in time are gone; those long gone are forgotten.
-    pub(crate) fn bury(&mut self, now: Duration) {
-        let patience = if now < self.slow_until {
-            self.times.suspect_for * 2
+    /// Suspects that did not refute in time are dead; those long dead are forgotten.
+    pub(crate) fn declare_dead(&mut self, now: Duration) {
+        let timeout = if now < self.lenient_until {
+            self.timing.suspicion_timeout * 2
         } else {
-            self.times.suspect_for
+            self.timing.suspicion_timeout
         };
-        let due: Vec<Member> = self
-            .known
-            .values()
-            .filter(|known| {
-                known.member.state() == MemberState::Suspect && now >= known.since + patience
-            })
-            .map(|known| Member {
-                state: MemberState::Dead.into(),
-                ..known.member.clone()
-            })
+        let dead: Vec<Member> = self
+            .table
+            .entries()
+            .filter(|entry| entry.member.state() == MemberState::Suspect)
+            .filter(|entry| now >= entry.changed_at + timeout)
+            .map(|entry| with_state(&entry.member, MemberState::Dead))
             .collect();
-        due.into_iter().for_each(|member| self.learn(now, member));
-        self.known.retain(|_, known| {
-            known.member.state() < MemberState::Dead || now < known.since + REMEMBERED
-        });
+        for member in dead {
+            self.apply(now, member);
+        }
+        self.table.forget_dead(now);
     }
 
+    /// Probes the next node in turn.
     pub(crate) fn probe_next(&mut self, now: Duration) {
-        self.turns += 1;
-        let mut all: [Vec<String>; 3] = Default::default();
-        let there = self
-            .known
-            .values()
-            .filter(|known| known.member.state() < MemberState::Dead);
-        there.for_each(|known| {
-            all[distance(&self.me, &known.member)].push(known.member.node.clone())
-        });
-        // Most probes stay near; what is all dark is found by those further off.
-        let turn = TURNS[(self.turns % TURNS.len() as u64) as usize];
-        let wanted = if self.far_next > 0 { 2 } else { turn };
-        self.far_next = self.far_next.saturating_sub(1);
-        let reach = [wanted, 0, 1, 2]
+        let Some(node) = self.next_target() else {
+            return;
+        };
+        let Some(entry) = self.table.get(&node).filter(|entry| entry.is_present()) else {
+            return;
+        };
+        let address = entry.member.probe_address.clone();
+        let nonce = self.send_probe(address, Some(&node));
+        self.probe = ProbeState::Direct {
+            nonce,
+            node,
+            sent_at: now,
+        };
+    }
+
+    /// The next node of the queue whose turn it is. An empty queue is filled with all nodes of its distance, in random
+    /// order, so that each is probed within one round.
+    fn next_target(&mut self) -> Option<String> {
+        let mut by_distance: [Vec<String>; DISTANCES] = Default::default();
+        for entry in self.table.present() {
+            let nodes = &mut by_distance[distance(self.table.me(), &entry.member)];
+            nodes.push(entry.member.node.clone());
+        }
+        let wanted = self.next_distance();
+        let reach = [wanted, SAME_ZONE, SAME_REGION, OTHER_REGION]
             .into_iter()
-            .find(|reach| !all[*reach].is_empty())
+            .find(|reach| !by_distance[*reach].is_empty())
             .unwrap_or(wanted);
-        let turn = &mut self.turn[reach];
-        if turn.is_empty() {
-            *turn = std::mem::take(&mut all[reach]);
-            (1..turn.len()).for_each(|at| {
-                let other = self.random.below(at as u64 + 1) as usize;
-                turn.swap(at, other);
-            });
+        let queue = &mut self.probe_queues[reach];
+        if queue.is_empty() {
+            *queue = std::mem::take(&mut by_distance[reach]);
+            shuffle(&mut self.random, queue);
         }
-        let next = turn.pop().and_then(|node| {
-            let known = self
-                .known
-                .get(&node)
-                .filter(|known| known.member.state() < MemberState::Dead);
-            known.map(|known| (node, known.member.probe_address.clone()))
-        });
-        next.into_iter().for_each(|(node, address)| {
-            let nonce = self.nonce();
-            self.send_probe(address, nonce, Some(&node));
-            self.probing = Probing::Asked {
-                nonce,
-                node,
-                asked_at: now,
-            };
-        });
+        queue.pop()
     }
 
-    /// A node that just started asks seeds and whoever it knows in quick turn, until it knows them all.
-    pub(crate) fn introduce(&mut self, now: Duration) {
+    fn next_distance(&mut self) -> usize {
+        self.probe_count += 1;
+        let turn = (self.probe_count % PROBE_DISTANCES.len() as u64) as usize;
+        if self.probes_to_other_regions > 0 {
+            self.probes_to_other_regions -= 1;
+            return OTHER_REGION;
+        }
+        PROBE_DISTANCES[turn]
+    }
+
+    /// Where a node of another region is suspect, others there may be unreachable too: they are probed next.
+    pub(crate) fn prefer_region_of_suspect(&mut self, suspect: &Member) {
+        let is_far = distance(self.table.me(), suspect) == OTHER_REGION;
+        if suspect.state() != MemberState::Suspect || !is_far {
+            return;
+        }
+        let mut others: Vec<String> = self
+            .table
+            .entries()
+            .filter(|entry| entry.is_alive() && entry.member.node != suspect.node)
+            .filter(|entry| distance(suspect, &entry.member) < OTHER_REGION)
+            .map(|entry| entry.member.node.clone())
+            .collect();
+        shuffle(&mut self.random, &mut others);
+        let queue = &mut self.probe_queues[OTHER_REGION];
+        queue.retain(|node| !others.contains(node));
+        queue.extend(others);
+        self.probes_to_other_regions =
+            (self.probes_to_other_regions + EXTRA_PROBES).min(MAX_EXTRA_PROBES);
+    }
+
+    /// A node that just started probes seeds and members in quick succession, until it knows them all.
+    pub(crate) fn join(&mut self, now: Duration) {
         let started_at = *self.started_at.get_or_insert(now);
-        if now >= started_at + YOUNG || now < self.next_introduction {
+        if now >= started_at + JOIN_PERIOD || now < self.next_join_at {
             return;
         }
-        self.next_introduction = now + INTRODUCE_EVERY;
-        let known = self
-            .known
-            .values()
-            .filter(|known| known.member.state() < MemberState::Dead);
-        let mut all: Vec<String> = known
-            .map(|known| known.member.probe_address.clone())
+        self.next_join_at = now + JOIN_INTERVAL;
+        let mut addresses: Vec<String> = self
+            .table
+            .present()
+            .map(|entry| entry.member.probe_address.clone())
             .collect();
-        all.extend(
-            self.seeds
-                .iter()
-                .filter(|seed| !all.contains(seed))
-                .cloned()
-                .collect::<Vec<_>>(),
-        );
-        (0..INTRODUCED).for_each(|_| {
-            let at = self.random.below(all.len() as u64) as usize;
-            let next = all.get(at).cloned();
-            next.into_iter().for_each(|address| {
-                let nonce = self.nonce();
-                self.send_probe(address, nonce, None);
-            });
-        });
+        let unknown_seeds: Vec<String> = self
+            .seeds
+            .iter()
+            .filter(|seed| !addresses.contains(seed))
+            .cloned()
+            .collect();
+        addresses.extend(unknown_seeds);
+        for _ in 0..JOIN_PROBES {
+            let at = self.random.below(addresses.len() as u64) as usize;
+            if let Some(address) = addresses.get(at) {
+                self.send_probe(address.clone(), None);
+            }
+        }
     }
 
-    /// Seeds and gone nodes are still tried now and then, so that a split heals.
-    pub(crate) fn probe_seed(&mut self) {
-        let reached = |address: &String| {
-            self.known.values().any(|known| {
-                known.member.state() < MemberState::Dead && known.member.probe_address == *address
-            })
-        };
-        let gone = self
-            .known
-            .values()
-            .filter(|known| known.member.state() == MemberState::Dead);
-        let mut lost: Vec<String> = self.seeds.clone();
-        lost.extend(gone.map(|known| known.member.probe_address.clone()));
-        lost.retain(|address| !reached(address));
-        lost.dedup();
-        self.seed_turn = self.seed_turn.wrapping_add(1);
-        let next = self
-            .seed_turn
-            .checked_rem(lost.len())
-            .and_then(|at| lost.get(at).cloned());
-        next.into_iter().for_each(|address| {
-            let nonce = self.nonce();
-            self.send_probe(address, nonce, None);
+    /// Seeds and dead nodes are still probed now and then, so that a network partition heals.
+    pub(crate) fn probe_unreachable(&mut self) {
+        let dead = self
+            .table
+            .entries()
+            .filter(|entry| entry.member.state() == MemberState::Dead)
+            .map(|entry| entry.member.probe_address.clone());
+        let mut addresses: Vec<String> = self.seeds.iter().cloned().chain(dead).collect();
+        addresses.retain(|address| {
+            let is_present = |entry: &crate::table::Entry| entry.member.probe_address == *address;
+            !self.table.present().any(is_present)
         });
+        addresses.dedup();
+        self.seed_turn = self.seed_turn.wrapping_add(1);
+        let Some(turn) = self.seed_turn.checked_rem(addresses.len()) else {
+            return;
+        };
+        self.send_probe(addresses.swap_remove(turn), None);
     }
 
-    pub(crate) fn send_probe(&mut self, address: String, nonce: u64, about: Option<&str>) {
-        let mut members = self.tell(about);
-        // Nothing is known of who stands there.
-        if about.is_none() && !members.iter().any(|member| member.node == self.me.node) {
-            members.push(folded(&self.me));
+    /// Probes an address, with the updates for `target`; returns the nonce. Without a target it is unknown who is there,
+    /// and this node's own record always goes along.
+    pub(crate) fn send_probe(&mut self, address: String, target: Option<&str>) -> u64 {
+        let nonce = self.draw_nonce();
+        let mut members = self.table.select_updates(target);
+        let me = self.table.me();
+        if target.is_none() && !members.iter().any(|member| member.node == me.node) {
+            members.push(compact(me));
         }
-        let (node, table) = (self.me.node.clone(), self.table());
-        self.effects.push(Effect::Send {
-            address,
-            body: Payload::Probe(Probe {
-                nonce,
-                members,
-                node,
-                table,
-            }),
+        let body = Payload::Probe(Probe {
+            nonce,
+            members,
+            node: me.node.clone(),
+            table_digest: self.table.digest(),
         });
+        self.effects.push(Effect::Send { address, body });
+        nonce
     }
 
-    pub(crate) fn heard(&mut self, nonce: u64, node: &str) {
-        let mine = match &self.probing {
-            Probing::Asked {
-                nonce: asked,
-                node: target,
-                ..
-            }
-            | Probing::SecondOpinion {
-                nonce: asked,
-                node: target,
-                ..
-            } => *asked == nonce && target == node,
-            Probing::Resting => false,
+    /// Probes a node on behalf of another one.
+    pub(crate) fn forward_probe(&mut self, now: Duration, requester: &str, probe: IndirectProbe) {
+        self.apply_all(now, probe.members);
+        let Some(entry) = self.table.get(&probe.target) else {
+            return;
         };
-        if mine {
-            self.probing = Probing::Resting;
-        }
-        let favour = self
-            .favours
-            .iter()
-            .position(|favour| favour.nonce == nonce && favour.node == node);
-        favour
-            .map(|at| self.favours.swap_remove(at))
-            .into_iter()
-            .for_each(|favour| {
-                let body = Payload::ProbeReply(ProbeReply {
-                    nonce: favour.theirs,
-                    node: favour.node,
-                    ..ProbeReply::default()
-                });
-                self.effects.push(Effect::Send {
-                    address: favour.address,
-                    body,
-                });
-            });
+        let address = entry.member.probe_address.clone();
+        let nonce = self.send_probe(address, Some(&probe.target));
+        let excess = (self.forwarded_probes.len() + 1).saturating_sub(MAX_FORWARDED_PROBES);
+        self.forwarded_probes.drain(..excess);
+        self.forwarded_probes.push(ForwardedProbe {
+            nonce,
+            requester: requester.to_owned(),
+            requester_nonce: probe.nonce,
+            target: probe.target,
+        });
     }
 
-    /// Where one of another region falls silent, others there may have: they are looked at next.
-    pub(crate) fn mind_region(&mut self, member: &Member) {
-        if member.state() != MemberState::Suspect || distance(&self.me, member) < 2 {
-            return;
+    /// Takes a reply from `node`: the probe in flight is answered, or one on behalf of another node, which is told.
+    pub(crate) fn handle_reply(&mut self, nonce: u64, node: &str) {
+        if self.probe.is_answered_by(nonce, node) {
+            self.probe = ProbeState::Idle;
+        }
+        let forwarded = self
+            .forwarded_probes
+            .iter()
+            .position(|probe| probe.nonce == nonce && probe.target == node);
+        if let Some(at) = forwarded {
+            let probe = self.forwarded_probes.swap_remove(at);
+            let reply = ProbeReply {
+                nonce: probe.requester_nonce,
+                node: probe.target,
+                ..ProbeReply::default()
+            };
+            self.send_reply(probe.requester, reply);
         }
-        let alive = |known: &&Known| {
-            known.member.state() == MemberState::Alive && known.member.node != member.node
-        };
-        let others = self
-            .known
-            .values()
-            .filter(alive)
-            .filter(|known| distance(member, &known.member) < 2);
-        let mut others: Vec<String> = others.map(|known| known.member.node.clone()).collect();
-        (1..others.len()).for_each(|at| {
-            let other = self.random.below(at as u64 + 1) as usize;
-            others.swap(at, other);
-        });
-        self.turn[2].retain(|node| !others.contains(node));
-        self.turn[2].extend(others);
-        self.far_next = (self.far_next + MINDED).min(MAX_MINDED);
     }
 
-    /// 32 bits suffice for the few answers that are waited for.
-    pub(crate) fn nonce(&mut self) -> u64 {
+    /// 32 bits suffice for the few replies that are in flight.
+    fn draw_nonce(&mut self) -> u64 {
         (self.random.next_u64() >> 32).max(1)
     }
 }
+
+fn with_state(member: &Member, state: MemberState) -> Member {
+    Member {
+        state: state.into(),
+        ..member.clone()
+    }
+}
+
+/// Fisher and Yates' shuffle.
+fn shuffle(random: &mut Random, nodes: &mut [String]) {
+    for at in 1..nodes.len() {
+        let other = random.below(at as u64 + 1) as usize;
+        nodes.swap(at, other);
+    }
+}
--- a/crates/membership/tests/arbitrary.rs
+++ b/crates/membership/tests/arbitrary.rs
@@ -1,7 +1,7 @@
 //! Whatever was lost, doubted and restarted: once the network is whole again, everybody knows everybody.
 
 use arbtest::arbtest;
-use membership::{Effect, Event, Membership, Times};
+use membership::{Effect, Event, Membership, MembershipTiming};
 use protocol::{Member, Payload};
 use std::time::Duration;
 
@@ -21,9 +21,9 @@
     Membership::new(
         me,
         vec![name(0), name(1), name(2)],
-        Times {
-            probe_every: MS(300),
-            suspect_for: MS(1500),
+        MembershipTiming {
+            probe_interval: MS(300),
+            suspicion_timeout: MS(1500),
         },
         seed,
     )
--- a/crates/membership/tests/table.rs
+++ b/crates/membership/tests/table.rs
@@ -1,6 +1,6 @@
 //! How fast a site of some size learns of its members, and how many bytes that takes.
 
-use membership::{Effect, Event, Membership, Times};
+use membership::{Effect, Event, Membership, MembershipTiming};
 use protocol::{Envelope, Member, Message, Payload};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -42,9 +42,9 @@
     Membership::new(
         me,
         seeds,
-        Times {
-            probe_every: MS(300),
-            suspect_for: MS(1500),
+        MembershipTiming {
+            probe_interval: MS(300),
+            suspicion_timeout: MS(1500),
         },
         seed,
     )
--- a/crates/protocol/src/messages/membership.rs
+++ b/crates/protocol/src/messages/membership.rs
@@ -46,7 +46,7 @@
     pub node: String,
     /// A digest of all members that the prober counts as present.
     #[prost(fixed64, tag = "4")]
-    pub table: u64,
+    pub table_digest: u64,
 }
 
 /// Asks a third node to probe `target` on the sender's behalf.
@@ -77,11 +77,11 @@
     pub node: String,
     /// Where the two membership tables differ: the digests of the sender's records in one partition of the table.
     #[prost(fixed64, repeated, tag = "4")]
-    pub marks: Vec<u64>,
+    pub record_digests: Vec<u64>,
     /// Which partition.
     #[prost(uint64, tag = "5")]
-    pub part: u64,
+    pub partition: u64,
     /// Into how many partitions the table is divided; 0 where no digests are sent.
     #[prost(uint64, tag = "6")]
-    pub parts: u64,
+    pub partitions: u64,
 }
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -280,7 +280,7 @@
             nonce: 311,
             members: members(312),
             node: "node-313".into(),
-            table: 314,
+            table_digest: 314,
         }),
         Payload::IndirectProbe(IndirectProbe {
             nonce: 321,
@@ -291,9 +291,9 @@
             nonce: 331,
             members: members(332),
             node: "node-333".into(),
-            marks: vec![334, 335],
-            part: 336,
-            parts: 337,
+            record_digests: vec![334, 335],
+            partition: 336,
+            partitions: 337,
         }),
         Payload::LeaseRequest(LeaseRequest {
             epoch: 341,
