--- a/crates/control-plane/src/daemon/http_handlers.rs
+++ b/crates/control-plane/src/daemon/http_handlers.rs
@@ -113,9 +113,9 @@
                 let response = self.submit(control_request).await;
                 with_full_url(response, &request.target)
             }
-            Err((code, validation_errors)) => ControlResponse::Rejected {
-                code,
-                validation_errors,
+            Err(error) => ControlResponse::Rejected {
+                code: error.code,
+                validation_errors: error.validation_errors,
             },
         };
         (self.api_adapter.write_response)(response)
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,5 +1,10 @@
-//! The control plane. [`ControlNode`] is the pure core; [`daemon`] turns sockets, timers and disks into events
-//! and carries effects out.
+//! The control plane: replicated configuration, registry of upstreams, placement of names and keys, and updates to the
+//! data plane.
+//!
+//! [`ControlNode`] is a pure reducer: [`Event`]s in, [`Effect`]s out, time as an argument. [`daemon`] turns sockets, timers
+//! and disks into events and carries effects out; [`persistence`] holds the threads that write to disk.
+
+#![deny(missing_docs)]
 
 mod anonymous_orders;
 mod api_adapter;
@@ -19,7 +24,7 @@
 mod update_streams;
 mod voters;
 
-pub use api_adapter::{ApiAdapter, RequestError, heartbeat_json};
+pub use api_adapter::{ApiAdapter, RequestError, RequestReader, ResponseWriter, heartbeat_json};
 pub use interface::{ControlRequest, ControlResponse, Effect, Event};
 pub use node::ControlNode;
 pub use start::{Start, Times};
