--- a/crates/transport/src/links.rs
+++ b/crates/transport/src/links.rs
@@ -4,68 +4,21 @@
 //! is dropped, as the network may drop any message. So a slow peer holds up neither the sender nor other peers, and
 //! protocols above must bear losses. What waits too long is dropped too, since messages tell ages as of their sending.
 
-use crate::recorded_stream::set_unacknowledged_timeout;
-use futures::{SinkExt, StreamExt};
-use protocol::{Envelope, Frames, Message, Payload};
+use crate::link::Link;
+use crate::link_queue::{Queue, QueuedEnvelope};
+use protocol::{Envelope, Message, Payload};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::mpsc;
-use tokio::time::Instant;
-use tokio_util::codec::{FramedRead, FramedWrite};
 
-const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
-/// How many envelopes wait for one peer.
-const MAX_QUEUED: usize = 512;
 /// Beyond so many, links that have ended are forgotten.
 const MAX_LINKS: usize = 4096;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes that are written before the writer waits for the kernel.
-const WRITE_BUFFER_BYTES: usize = 64 * 1024;
 /// The pause after a connection could not be accepted, for instance because descriptors ran out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How long an envelope may wait in a queue before it is dropped.
-pub const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
-/// A link whose other side acknowledges nothing for so long is closed, with all that the kernel holds for it: no view
-/// in use is older, so nothing in it is missed.
-const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
-
-/// An envelope in a link's queue.
-struct QueuedEnvelope {
-    envelope: Envelope,
-    since: Instant,
-}
-
-impl QueuedEnvelope {
-    fn new(envelope: Envelope) -> QueuedEnvelope {
-        QueuedEnvelope {
-            envelope,
-            since: Instant::now(),
-        }
-    }
-
-    /// The envelope; none where it waited too long.
-    fn if_recent(self) -> Option<Envelope> {
-        Some(self.envelope).filter(|_| self.since.elapsed() < MAX_QUEUE_TIME)
-    }
-}
-
-/// Both ends of a link's queue.
-struct Queue {
-    sender: mpsc::Sender<QueuedEnvelope>,
-    receiver: mpsc::Receiver<QueuedEnvelope>,
-}
-
-impl Queue {
-    fn new() -> Queue {
-        let (sender, receiver) = mpsc::channel(MAX_QUEUED);
-        Queue { sender, receiver }
-    }
-}
 
 /// What is known about peers.
 #[derive(Default)]
@@ -192,6 +145,16 @@
         self.with_peers(|peers| peers.addresses = addresses);
     }
 
+    /// Hands a received message to the process; false where it takes no more.
+    pub(crate) async fn deliver(&self, arrival: Arrival) -> bool {
+        self.arrivals.send(arrival).await.is_ok()
+    }
+
+    /// Makes a link's queue the one that messages for a node go into.
+    pub(crate) fn register(&self, node: &str, queue: mpsc::Sender<QueuedEnvelope>) {
+        self.with_peers(|peers| peers.register(node, queue));
+    }
+
     fn with_peers<T>(&self, change: impl FnOnce(&mut Peers) -> T) -> T {
         change(&mut self.peers.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -283,108 +246,6 @@
     }
 }
 
-/// One connection to a peer.
-struct Link {
-    links: Links,
-    reader: FramedRead<OwnedReadHalf, Frames>,
-    writer: FramedWrite<OwnedWriteHalf, Frames>,
-    /// The sender is kept here, so that a newer link to the same node does not end this one.
-    queue: Queue,
-    /// True once the peer is known, and envelopes for it go into this link's queue.
-    is_registered: bool,
-}
-
-/// What a link does next.
-enum LinkEvent {
-    Send(QueuedEnvelope),
-    Received(Envelope),
-    Closed,
-}
-
-impl Link {
-    /// A link that the peer opened; its first envelope says who it is.
-    fn accepted(links: Links, stream: TcpStream) -> Link {
-        Link::new(links, stream, Queue::new(), false)
-    }
-
-    /// A link to a known peer, whose queue is registered already.
-    fn dialled(links: Links, stream: TcpStream, queue: Queue) -> Link {
-        Link::new(links, stream, queue, true)
-    }
-
-    fn new(links: Links, stream: TcpStream, queue: Queue, is_registered: bool) -> Link {
-        // Nagle's algorithm only delays; without the option the link works as well.
-        let _ = stream.set_nodelay(true);
-        set_unacknowledged_timeout(&stream, UNACKNOWLEDGED_TIMEOUT);
-        let (reader, writer) = stream.into_split();
-        let frames = || Frames {
-            most_bytes: MAX_FRAME_BYTES,
-        };
-        let mut writer = FramedWrite::new(writer, frames());
-        writer.set_backpressure_boundary(WRITE_BUFFER_BYTES);
-        Link {
-            links,
-            reader: FramedRead::new(reader, frames()),
-            writer,
-            queue,
-            is_registered,
-        }
-    }
-
-    /// Serves the connection until either side ends it.
-    async fn run(mut self) {
-        loop {
-            let goes_on = match self.next_event().await {
-                LinkEvent::Send(queued) => self.write(queued).await,
-                LinkEvent::Received(envelope) => self.deliver(envelope).await,
-                LinkEvent::Closed => false,
-            };
-            if !goes_on {
-                return;
-            }
-        }
-    }
-
-    async fn next_event(&mut self) -> LinkEvent {
-        let received = if self.is_registered {
-            tokio::select! {
-                received = self.reader.next() => received,
-                queued = self.queue.receiver.recv() => {
-                    return queued.map_or(LinkEvent::Closed, LinkEvent::Send);
-                }
-            }
-        } else {
-            self.reader.next().await
-        };
-        match received {
-            Some(Ok(envelope)) => LinkEvent::Received(envelope),
-            Some(Err(_)) | None => LinkEvent::Closed,
-        }
-    }
-
-    /// Writes an envelope unless it waited too long; false where the link is broken.
-    async fn write(&mut self, queued: QueuedEnvelope) -> bool {
-        let Some(envelope) = queued.if_recent() else {
-            return true;
-        };
-        let written = tokio::time::timeout(WRITE_TIMEOUT, self.writer.send(envelope)).await;
-        matches!(written, Ok(Ok(())))
-    }
-
-    /// Hands a message to the process; false where it takes no more.
-    async fn deliver(&mut self, envelope: Envelope) -> bool {
-        let Envelope { from, body } = envelope;
-        if !self.is_registered {
-            self.is_registered = true;
-            let queue = self.queue.sender.clone();
-            self.links.with_peers(|peers| peers.register(&from, queue));
-        }
-        let Some(payload) = body else { return true };
-        let arrival = Arrival { from, payload };
-        self.links.arrivals.send(arrival).await.is_ok()
-    }
-}
-
 /// Sends one message as a datagram; a full socket loses it, as the network may.
 ///
 /// ```
