--- a/crates/membership/tests/arbitrary.rs
+++ b/crates/membership/tests/arbitrary_faults.rs
@@ -1,4 +1,4 @@
-//! Whatever was lost, doubted and restarted: once the network is whole again, everybody knows everybody.
+//! Whatever was lost, suspected and restarted: once the network works again, all nodes know each other.
 
 use arbtest::arbtest;
 use membership::{Effect, Event, Membership, MembershipTiming};
@@ -12,7 +12,7 @@
     format!("n{at}")
 }
 
-fn born(at: usize, seed: u64) -> Membership {
+fn start_node(at: usize, seed: u64) -> Membership {
     let me = Member {
         node: name(at),
         probe_address: name(at),
@@ -31,7 +31,7 @@
 
 fn step(
     nodes: &mut [Membership],
-    wire: &mut Vec<(usize, usize, Payload)>,
+    in_flight: &mut Vec<(usize, usize, Payload)>,
     now: Duration,
     at: usize,
     event: Event,
@@ -41,31 +41,50 @@
             let to = (0..NODES)
                 .find(|other| name(*other) == address)
                 .expect("a node");
-            wire.push((at, to, body));
+            in_flight.push((at, to, body));
         }
     });
 }
 
+/// The network works again: everything arrives, every node gets its ticks.
+fn run_without_faults(
+    nodes: &mut [Membership],
+    in_flight: &mut Vec<(usize, usize, Payload)>,
+    mut now: Duration,
+) {
+    for _ in 0..2400 {
+        now += MS(20);
+        for at in 0..NODES {
+            step(nodes, in_flight, now, at, Event::Tick);
+        }
+        while let Some((from, to, body)) = in_flight.pop() {
+            let address = name(from);
+            step(nodes, in_flight, now, to, Event::Received { address, body });
+        }
+    }
+}
+
 #[test]
-fn members_agree_once_the_network_is_whole() {
+fn members_converge_once_the_network_works_again() {
     (1..25u64).for_each(|number| {
         arbtest(|noise| {
             let mut nodes: Vec<Membership> = (0..NODES)
-                .map(|at| born(at, number * 7 + at as u64))
+                .map(|at| start_node(at, number * 7 + at as u64))
                 .collect();
-            let (mut now, mut wire) = (Duration::ZERO, Vec::new());
+            let (mut now, mut in_flight) = (Duration::ZERO, Vec::new());
             while !noise.is_empty() {
                 let at = noise.int_in_range(0..=NODES - 1)?;
                 match noise.int_in_range(0..=99u8)? {
-                    0 => nodes[at] = born(at, noise.arbitrary()?),
-                    1..=25 if !wire.is_empty() => {
-                        drop(wire.swap_remove(noise.int_in_range(0..=wire.len() - 1)?))
+                    0 => nodes[at] = start_node(at, noise.arbitrary()?),
+                    1..=25 if !in_flight.is_empty() => {
+                        drop(in_flight.swap_remove(noise.int_in_range(0..=in_flight.len() - 1)?))
                     }
-                    26..=70 if !wire.is_empty() => {
-                        let (from, to, body) = wire.remove(noise.int_in_range(0..=wire.len() - 1)?);
+                    26..=70 if !in_flight.is_empty() => {
+                        let (from, to, body) =
+                            in_flight.remove(noise.int_in_range(0..=in_flight.len() - 1)?);
                         step(
                             &mut nodes,
-                            &mut wire,
+                            &mut in_flight,
                             now,
                             to,
                             Event::Received {
@@ -76,27 +95,11 @@
                     }
                     _ => {
                         now += MS(noise.int_in_range(0..=60)?);
-                        step(&mut nodes, &mut wire, now, at, Event::Tick);
+                        step(&mut nodes, &mut in_flight, now, at, Event::Tick);
                     }
                 }
             }
-            // Whole again: everything arrives, everybody ticks.
-            (0..2400).for_each(|_| {
-                now += MS(20);
-                (0..NODES).for_each(|at| step(&mut nodes, &mut wire, now, at, Event::Tick));
-                while let Some((from, to, body)) = wire.pop() {
-                    step(
-                        &mut nodes,
-                        &mut wire,
-                        now,
-                        to,
-                        Event::Received {
-                            address: name(from),
-                            body,
-                        },
-                    );
-                }
-            });
+            run_without_faults(&mut nodes, &mut in_flight, now);
             nodes.iter().for_each(|node| {
                 let alive: Vec<&str> = node
                     .members()
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -210,8 +210,7 @@
     }
 }
 
-/// One payload of every kind, in the order of their tags.
-pub fn payloads() -> Vec<Payload> {
+fn paxos_payloads() -> Vec<Payload> {
     vec![
         Payload::Prepare(Prepare {
             ballot: ballot(101),
@@ -254,6 +253,11 @@
             wants_bytes: true,
             wants_state: false,
         }),
+    ]
+}
+
+fn read_and_configuration_payloads() -> Vec<Payload> {
+    vec![
         Payload::Read(read(201)),
         Payload::ReadBack(read_back(211)),
         Payload::Chosen(Chosen {
@@ -267,6 +271,11 @@
         Payload::ConfigurationRequest(ConfigurationRequest {
             digest: "digest-281".into(),
         }),
+    ]
+}
+
+fn bootstrap_and_membership_payloads() -> Vec<Payload> {
+    vec![
         Payload::BootstrapVote(BootstrapVote {
             initial_voters: vec!["voter-291".into(), "voter-292".into()],
             incarnation: 293,
@@ -295,6 +304,11 @@
             partition: 336,
             partitions: 337,
         }),
+    ]
+}
+
+fn lease_and_share_payloads() -> Vec<Payload> {
+    vec![
         Payload::LeaseRequest(LeaseRequest {
             epoch: 341,
             nonce: 342,
@@ -331,6 +345,11 @@
             span_ms: 510,
             holder: 511,
         }),
+    ]
+}
+
+fn placement_and_update_payloads() -> Vec<Payload> {
+    vec![
         Payload::Placement(placement(521)),
         Payload::UpdateRequest(UpdateRequest {
             nonce: 541,
@@ -361,6 +380,11 @@
             number: 692,
             revision: 693,
         }),
+    ]
+}
+
+fn upstreams_payloads() -> Vec<Payload> {
+    vec![
         Payload::LeaseRelease(LeaseRelease {
             epoch: 701,
             unheld: true,
@@ -380,6 +404,11 @@
             node: "node-831".into(),
             revision: 832,
         }),
+    ]
+}
+
+fn later_payloads() -> Vec<Payload> {
+    vec![
         Payload::HeartbeatDigest(HeartbeatDigest {
             marks: vec![841, 842],
             beats: vec![843, 844],
@@ -413,6 +442,20 @@
     ]
 }
 
+/// One payload of every kind, and several of those with flags, in the order of the recorded frames.
+pub fn payloads() -> Vec<Payload> {
+    [
+        paxos_payloads(),
+        read_and_configuration_payloads(),
+        bootstrap_and_membership_payloads(),
+        lease_and_share_payloads(),
+        placement_and_update_payloads(),
+        upstreams_payloads(),
+        later_payloads(),
+    ]
+    .concat()
+}
+
 /// The payloads in envelopes, each from a sender of its own.
 pub fn envelopes() -> Vec<Envelope> {
     let envelope = |(at, body)| Envelope {
