--- a/crates/control-plane/src/api_adapter/read_request.rs
+++ b/crates/control-plane/src/api_adapter/read_request.rs
@@ -175,7 +175,7 @@
         slots: 0,
         released: Vec::new(),
         age_ms: 0,
-        born_ms: 0,
+        registered_ms_ago: 0,
     }
 }
 
--- a/crates/control-plane/src/heartbeat_relay.rs
+++ b/crates/control-plane/src/heartbeat_relay.rs
@@ -72,10 +72,10 @@
         }
         upstreams.extend(registry.recently_deregistered(now));
         HeartbeatDigest {
-            marks: upstreams.iter().map(upstream_registry::digest).collect(),
+            digests: upstreams.iter().map(upstream_registry::digest).collect(),
             beats: upstreams.iter().map(encode_heartbeat_number).collect(),
             ages_ms: upstreams.iter().map(|upstream| upstream.age_ms).collect(),
-            tell_on: false,
+            should_forward: false,
         }
     }
 }
@@ -138,7 +138,7 @@
                 }
             } else {
                 let forwarded = HeartbeatDigest {
-                    tell_on: nodes.len() > 1,
+                    should_forward: nodes.len() > 1,
                     ..far_digest.clone()
                 };
                 let chosen = self.relay.rounds % nodes.len();
@@ -150,7 +150,7 @@
     }
 
     fn send_digest(&mut self, node: String, digest: HeartbeatDigest) {
-        if !digest.marks.is_empty() {
+        if !digest.digests.is_empty() {
             self.send(node, Payload::HeartbeatDigest(digest));
         }
     }
@@ -177,12 +177,16 @@
     ) {
         let mut requested = Vec::new();
         let mut news = HeartbeatDigest::default();
-        let entries = digest.marks.iter().zip(&digest.beats).zip(&digest.ages_ms);
+        let entries = digest
+            .digests
+            .iter()
+            .zip(&digest.beats)
+            .zip(&digest.ages_ms);
         for ((mark, encoded_number), age_ms) in entries {
             let number = decode_heartbeat_number(*mark, *encoded_number);
             let known = self.registry.find_by_digest(now, *mark);
             if known.is_none_or(|known| known.beat < number) {
-                news.marks.push(*mark);
+                news.digests.push(*mark);
                 news.beats.push(*encoded_number);
                 news.ages_ms.push(*age_ms);
             }
@@ -191,14 +195,14 @@
                 requested.push(*mark);
             }
         }
-        if digest.tell_on && !news.marks.is_empty() {
+        if digest.should_forward && !news.digests.is_empty() {
             self.forward_digest(&from, &news);
         }
         if !requested.is_empty() {
             requested.truncate(MAX_REQUESTED_RECORDS);
             let request = UpstreamsRequest {
-                marks: requested,
-                life: 0,
+                digests: requested,
+                incarnation: 0,
             };
             self.send(from, Payload::UpstreamsRequest(request));
         }
@@ -226,8 +230,8 @@
         from: String,
         request: UpstreamsRequest,
     ) {
-        if !request.marks.is_empty() {
-            let upstreams = self.requested_records(now, &request.marks);
+        if !request.digests.is_empty() {
+            let upstreams = self.requested_records(now, &request.digests);
             let heartbeats = Heartbeats {
                 upstreams,
                 nonce: 0,
@@ -238,14 +242,14 @@
                 upstreams: self.registry.snapshot(now),
                 placement: self.placement.current.clone(),
                 placed_by: self.placement.lease_holder.clone(),
-                life: request.life,
+                incarnation: request.incarnation,
             };
             self.send(from, Payload::UpstreamsReply(reply));
         }
     }
 
-    fn requested_records(&self, now: Duration, marks: &[u64]) -> Vec<Upstream> {
-        marks
+    fn requested_records(&self, now: Duration, digests: &[u64]) -> Vec<Upstream> {
+        digests
             .iter()
             .take(MAX_REQUESTED_RECORDS)
             .filter_map(|mark| self.registry.find_by_digest(now, *mark))
@@ -260,7 +264,7 @@
     /// Takes over all that another control node knows of upstreams and of the placement.
     pub(crate) fn handle_upstreams_reply(&mut self, now: Duration, reply: UpstreamsReply) {
         // A reply to an earlier process of this name may be older than that process's end.
-        if reply.life != 0 && reply.life != self.incarnation {
+        if reply.incarnation != 0 && reply.incarnation != self.incarnation {
             return;
         }
         for upstream in reply.upstreams {
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -245,7 +245,7 @@
             .expire_silent(now, self.times.upstream_silent + DIGEST_INTERVAL);
         if !self.knows_upstreams(now) {
             let request = UpstreamsRequest {
-                life: self.incarnation,
+                incarnation: self.incarnation,
                 ..UpstreamsRequest::default()
             };
             self.send_to_control_nodes(Payload::UpstreamsRequest(request));
--- a/crates/control-plane/src/update_streams.rs
+++ b/crates/control-plane/src/update_streams.rs
@@ -120,7 +120,7 @@
             configuration: configuration.cloned(),
             upstreams: changes.upstreams.clone(),
             placement: placement_changes.since(&self.placement),
-            keeps_upstreams: false,
+            keeps_unlisted_upstreams: false,
             age_ms: None,
             asked: 0,
         };
@@ -238,7 +238,7 @@
             state: Some(state.clone()),
             upstreams,
             placement: Some(Placement::clone(&placement)),
-            keeps_upstreams: !has_all_upstreams,
+            keeps_unlisted_upstreams: !has_all_upstreams,
             age_ms: self.confirmation_age_ms(now),
             asked: nonce,
         };
@@ -358,7 +358,7 @@
 fn without_local_fields(upstream: Upstream) -> Upstream {
     Upstream {
         age_ms: 0,
-        born_ms: 0,
+        registered_ms_ago: 0,
         holder: 0,
         holds: Vec::new(),
         released: Vec::new(),
--- a/crates/control-plane/tests/gossip.rs
+++ b/crates/control-plane/tests/gossip.rs
@@ -92,7 +92,7 @@
             Effect::Send {
                 to,
                 body: Payload::UpstreamsRequest(request),
-            } if !request.marks.is_empty() => Some((to, Payload::UpstreamsRequest(request))),
+            } if !request.digests.is_empty() => Some((to, Payload::UpstreamsRequest(request))),
             Effect::SendDatagram {
                 address,
                 body: Payload::Probe(probe),
@@ -164,7 +164,7 @@
     let far: Vec<(&str, bool)> = batches(&told)
         .into_iter()
         .filter(|(to, _)| *to != "b")
-        .map(|(to, alive)| (to, alive.tell_on))
+        .map(|(to, alive)| (to, alive.should_forward))
         .collect();
     assert!(
         far.contains(&("c", true)) && far.contains(&("d", true)),
@@ -173,7 +173,7 @@
     assert!(
         batches(&told)
             .iter()
-            .any(|(to, alive)| *to == "b" && alive.beats == [2] && !alive.tell_on)
+            .any(|(to, alive)| *to == "b" && alive.beats == [2] && !alive.should_forward)
     );
     assert!(
         told.iter()
@@ -203,7 +203,7 @@
         let told = ticked(&mut a, at, at + 600);
         let (to, alive) = batches(&told)
             .into_iter()
-            .find(|(_, alive)| alive.tell_on)
+            .find(|(_, alive)| alive.should_forward)
             .expect("a batch to the south");
         let (near, other) = if to == "c" {
             (&mut c, &mut d)
@@ -294,7 +294,7 @@
     let batch_to_the_south = |told: &[(String, Payload)]| {
         let far = batches(told)
             .into_iter()
-            .find(|(_, alive)| alive.tell_on)
+            .find(|(_, alive)| alive.should_forward)
             .expect("a batch to the south");
         (far.0.to_owned(), far.1.clone())
     };
@@ -406,13 +406,15 @@
     let asked = sent(&mut control, 1000, Event::Tick)
         .into_iter()
         .find_map(|body| match body {
-            Payload::UpstreamsRequest(request) if request.marks.is_empty() => Some(request.life),
+            Payload::UpstreamsRequest(request) if request.digests.is_empty() => {
+                Some(request.incarnation)
+            }
             _ => None,
         });
-    let life = asked.expect("it asks the others");
+    let incarnation = asked.expect("it asks the others");
     let settled = |control: &mut ControlNode| {
         let request = Payload::UpstreamsRequest(UpstreamsRequest {
-            life: 9,
+            incarnation: 9,
             ..UpstreamsRequest::default()
         });
         let told = sent(
@@ -424,18 +426,18 @@
             },
         );
         told.iter()
-            .any(|body| matches!(body, Payload::UpstreamsReply(told) if told.life == 9))
+            .any(|body| matches!(body, Payload::UpstreamsReply(told) if told.incarnation == 9))
     };
-    let answer = |life: u64| Event::Received {
+    let answer = |incarnation: u64| Event::Received {
         from: "b".into(),
         body: Payload::UpstreamsReply(UpstreamsReply {
             upstreams: vec![unit(1, protocol::UpstreamState::Ready)],
-            life,
+            incarnation,
             ..Default::default()
         }),
     };
-    sent(&mut control, 1050, answer(life ^ 1));
+    sent(&mut control, 1050, answer(incarnation ^ 1));
     assert!(!settled(&mut control), "of another life");
-    sent(&mut control, 1060, answer(life));
+    sent(&mut control, 1060, answer(incarnation));
     assert!(settled(&mut control));
 }
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -302,12 +302,15 @@
         let Some(epoch) = self.candidate.active_epoch() else {
             return;
         };
-        let unheld = matches!(self.candidate.phase, CandidatePhase::Requesting(_));
-        self.voter.release(&self.view.node, epoch, unheld);
+        let was_never_held = matches!(self.candidate.phase, CandidatePhase::Requesting(_));
+        self.voter.release(&self.view.node, epoch, was_never_held);
         for voter in self.view.other_voters() {
             self.effects.push(Effect::Send {
                 to: voter.clone(),
-                body: Payload::LeaseRelease(LeaseRelease { epoch, unheld }),
+                body: Payload::LeaseRelease(LeaseRelease {
+                    epoch,
+                    was_never_held,
+                }),
             });
         }
     }
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -174,8 +174,8 @@
             .is_some_and(|grant| grant.renewed && grant.is_for(node))
     }
 
-    /// Takes back what a candidate was granted up to this epoch. `unheld` tells that it never held the lease under it.
-    pub(crate) fn release(&mut self, candidate: &str, epoch: u64, unheld: bool) {
+    /// Takes back what a candidate was granted up to this epoch. `was_never_held` tells that it never held the lease under it.
+    pub(crate) fn release(&mut self, candidate: &str, epoch: u64, was_never_held: bool) {
         let was_granted = self
             .grant
             .as_ref()
@@ -184,7 +184,8 @@
             .pending
             .values()
             .any(|pending| pending.candidate == candidate && pending.request.epoch == epoch);
-        if unheld && (was_granted || was_pending) && self.first_granted_epoch == Some(epoch) {
+        if was_never_held && (was_granted || was_pending) && self.first_granted_epoch == Some(epoch)
+        {
             self.never_held = true;
             self.first_granted_epoch = None;
         }
@@ -251,7 +252,8 @@
 
     pub(crate) fn handle_release(&mut self, now: Duration, from: &str, release: &LeaseRelease) {
         let was_holder = self.voter.was_renewed_by(from);
-        self.voter.release(from, release.epoch, release.unheld);
+        self.voter
+            .release(from, release.epoch, release.was_never_held);
         if was_holder && self.candidate.is_idle() {
             // The lease is free: no need to wait until it would have expired.
             self.schedule_request(now);
--- a/crates/name-directory/src/view.rs
+++ b/crates/name-directory/src/view.rs
@@ -113,7 +113,7 @@
             .configuration
             .map(|bytes| (self.reader.0)(&bytes).map(Arc::new))
             .transpose()?;
-        if image && !news.keeps_upstreams {
+        if image && !news.keeps_unlisted_upstreams {
             self.upstreams = Arc::default();
         }
         // An older edition never follows a newer one.
--- a/crates/protocol/src/messages/lease.rs
+++ b/crates/protocol/src/messages/lease.rs
@@ -50,7 +50,7 @@
     pub epoch: u64,
     /// The sender never held it: the candidate gave up without a majority.
     #[prost(bool, tag = "2")]
-    pub unheld: bool,
+    pub was_never_held: bool,
 }
 
 /// The sender holds the lease from now on.
--- a/crates/protocol/src/messages/register.rs
+++ b/crates/protocol/src/messages/register.rs
@@ -203,10 +203,10 @@
     pub done: bool,
     /// The voter lacks the bytes of the configuration.
     #[prost(bool, tag = "4")]
-    pub wants_bytes: bool,
+    pub needs_configuration: bool,
     /// The voter has no state that the delta applies to.
     #[prost(bool, tag = "5")]
-    pub wants_state: bool,
+    pub needs_state: bool,
 }
 
 /// A state known to be accepted by a majority.
--- a/crates/protocol/src/messages/updates.rs
+++ b/crates/protocol/src/messages/updates.rs
@@ -63,7 +63,7 @@
     pub placement: Option<Placement>,
     /// In a snapshot: the sender does not know all upstreams yet, and the others that the receiver knows stay.
     #[prost(bool, tag = "7")]
-    pub keeps_upstreams: bool,
+    pub keeps_unlisted_upstreams: bool,
     /// In a snapshot: the nonce of the request that it answers; 0 from an earlier release.
     #[prost(uint64, tag = "8")]
     pub asked: u64,
--- a/crates/protocol/src/messages/upstreams.rs
+++ b/crates/protocol/src/messages/upstreams.rs
@@ -38,7 +38,7 @@
     pub holds: Vec<KeyShare>,
     /// How long ago the sender first heard of it, in milliseconds: of two registrations of one address the younger counts.
     #[prost(uint64, tag = "11")]
-    pub born_ms: u64,
+    pub registered_ms_ago: u64,
     /// The lease epoch of the placement holder that answered its last heartbeat.
     #[prost(uint64, tag = "12")]
     pub holder: u64,
@@ -94,7 +94,7 @@
 pub struct HeartbeatDigest {
     /// A digest of each upstream's record.
     #[prost(fixed64, repeated, tag = "1")]
-    pub marks: Vec<u64>,
+    pub digests: Vec<u64>,
     /// The sequence number of its last heartbeat.
     #[prost(uint64, repeated, tag = "2")]
     pub beats: Vec<u64>,
@@ -103,7 +103,7 @@
     pub ages_ms: Vec<u64>,
     /// The receiver forwards it to the control nodes of its region.
     #[prost(bool, tag = "4")]
-    pub tell_on: bool,
+    pub should_forward: bool,
 }
 
 /// Asks for all that the receiver knows of upstreams, after a start; with digests, for just these.
@@ -111,10 +111,10 @@
 pub struct UpstreamsRequest {
     /// Digests of the records that are asked for; empty for all.
     #[prost(fixed64, repeated, tag = "1")]
-    pub marks: Vec<u64>,
+    pub digests: Vec<u64>,
     /// Drawn anew at each start of the sender, where it asks for all.
     #[prost(uint64, tag = "2")]
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// The answer to [`UpstreamsRequest`], with the last placement.
@@ -131,7 +131,7 @@
     pub placed_by: String,
     /// That of the request; 0 from an earlier release.
     #[prost(uint64, tag = "4")]
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// Forwards a heartbeat to the placement holder, and asks for the key shares of that upstream.
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -145,7 +145,7 @@
         beat: u64::from(base) + 2,
         age_ms: u64::from(base) + 3,
         holds: vec![key_share(base + 4), key_share(base + 5)],
-        born_ms: u64::from(base) + 6,
+        registered_ms_ago: u64::from(base) + 6,
         holder: u64::from(base) + 7,
         slots: base + 8,
         released: vec![key_share(base + 9)],
@@ -236,22 +236,22 @@
             ballot: ballot(191),
             promised: ballot(192),
             done: true,
-            wants_bytes: true,
-            wants_state: true,
+            needs_configuration: true,
+            needs_state: true,
         }),
         Payload::Accepted(Accepted {
             ballot: ballot(193),
             promised: ballot(194),
             done: true,
-            wants_bytes: false,
-            wants_state: false,
+            needs_configuration: false,
+            needs_state: false,
         }),
         Payload::Accepted(Accepted {
             ballot: ballot(195),
             promised: ballot(196),
             done: false,
-            wants_bytes: true,
-            wants_state: false,
+            needs_configuration: true,
+            needs_state: false,
         }),
     ]
 }
@@ -371,7 +371,7 @@
             configuration: Some(vec![58, 1, 255, 0]),
             upstreams: upstreams(582),
             placement: Some(placement(660)),
-            keeps_upstreams: true,
+            keeps_unlisted_upstreams: true,
             asked: 680,
             age_ms: Some(681),
         }),
@@ -387,17 +387,17 @@
     vec![
         Payload::LeaseRelease(LeaseRelease {
             epoch: 701,
-            unheld: true,
+            was_never_held: true,
         }),
         Payload::UpstreamsRequest(UpstreamsRequest {
-            marks: vec![711, 712],
-            life: 713,
+            digests: vec![711, 712],
+            incarnation: 713,
         }),
         Payload::UpstreamsReply(UpstreamsReply {
             upstreams: upstreams(721),
             placement: placement(790),
             placed_by: "node-810".into(),
-            life: 811,
+            incarnation: 811,
         }),
         Payload::LeaseHolder(LeaseHolder { epoch: 821 }),
         Payload::DataPlaneAck(DataPlaneAck {
@@ -410,10 +410,10 @@
 fn later_payloads() -> Vec<Payload> {
     vec![
         Payload::HeartbeatDigest(HeartbeatDigest {
-            marks: vec![841, 842],
+            digests: vec![841, 842],
             beats: vec![843, 844],
             ages_ms: vec![845, 846],
-            tell_on: true,
+            should_forward: true,
         }),
         Payload::VoterLeaving(VoterLeaving {}),
         Payload::KeyLoads(KeyLoads {
--- a/crates/quorum-register/src/accept_phase.rs
+++ b/crates/quorum-register/src/accept_phase.rs
@@ -124,11 +124,11 @@
         if phase.ballot != reply.ballot {
             return;
         }
-        if reply.wants_state {
+        if reply.needs_state {
             if let Some(disk) = phase.disks.get(from).copied() {
                 self.send_accept(from, disk, FULL_STATE);
             }
-        } else if reply.wants_bytes {
+        } else if reply.needs_configuration {
             let digest = phase.state.digest.clone();
             self.send_configuration_then_prepare(from, digest, reply.ballot);
         } else if !reply.done {
--- a/crates/quorum-register/src/acceptor.rs
+++ b/crates/quorum-register/src/acceptor.rs
@@ -110,7 +110,7 @@
             ballot,
             promised: latest.promised.clone(),
             done: accepts,
-            wants_bytes: may_accept && lacks_bytes,
+            needs_configuration: may_accept && lacks_bytes,
             ..Accepted::default()
         });
         if accepts {
@@ -127,11 +127,11 @@
         if !self.can_write_votes() {
             return;
         }
-        let wants_state = self.acceptor.may_accept(&ballot, disk);
+        let needs_state = self.acceptor.may_accept(&ballot, disk);
         let accepted = Accepted {
             ballot,
             promised: self.acceptor.latest.promised.clone(),
-            wants_state,
+            needs_state,
             ..Accepted::default()
         };
         self.send(from, Payload::Accepted(accepted));
--- a/crates/quorum-register/tests/state_transfer.rs
+++ b/crates/quorum-register/tests/state_transfer.rs
@@ -191,7 +191,7 @@
     assert_eq!(cluster.decided_revision, CHANGES as u64);
     assert!(
         sent.iter()
-            .any(|body| matches!(body, Payload::Accepted(reply) if reply.wants_state))
+            .any(|body| matches!(body, Payload::Accepted(reply) if reply.needs_state))
     );
 }
 
--- a/crates/upstream-registry/src/registry/mod.rs
+++ b/crates/upstream-registry/src/registry/mod.rs
@@ -37,10 +37,10 @@
     /// The upstream's record with its ages as of `now`.
     fn record(&self, now: Duration) -> Upstream {
         let age_ms = now.saturating_sub(self.last_heard_at).as_millis() as u64;
-        let born_ms = (now.as_millis() as i64 - self.registered_at_ms).max(0) as u64;
+        let registered_ms_ago = (now.as_millis() as i64 - self.registered_at_ms).max(0) as u64;
         Upstream {
             age_ms,
-            born_ms,
+            registered_ms_ago,
             ..self.upstream.clone()
         }
     }
@@ -102,7 +102,7 @@
         let mut upstream = Upstream {
             state: state.into(),
             age_ms: 0,
-            born_ms: 0,
+            registered_ms_ago: 0,
             ..heartbeat
         };
         let is_unchanged = previous
@@ -231,7 +231,7 @@
 
 /// When the upstream was first heard of, by its sender or here, whichever is earlier.
 fn registered_at_ms(now: Duration, heartbeat: &Upstream, previous: Option<&Entry>) -> i64 {
-    let age_ms = heartbeat.born_ms.min(i64::MAX as u64 / 2) as i64;
+    let age_ms = heartbeat.registered_ms_ago.min(i64::MAX as u64 / 2) as i64;
     let by_sender_ms = now.as_millis() as i64 - age_ms;
     previous.map_or(by_sender_ms, |entry| {
         entry.registered_at_ms.min(by_sender_ms)
--- a/crates/upstream-registry/tests/address_ownership.rs
+++ b/crates/upstream-registry/tests/address_ownership.rs
@@ -7,13 +7,13 @@
 /// What a postmaster that just started is told, in whatever order: the live tenant keeps the address.
 #[test]
 fn a_gone_instance_takes_no_address_back() {
-    let told = |instance: &str, state: UpstreamState, born_ms| Upstream {
+    let told = |instance: &str, state: UpstreamState, registered_ms_ago| Upstream {
         service: "s".into(),
         instance: instance.into(),
         address: "127.0.0.1:9".into(),
         beat: 4,
         state: state.into(),
-        born_ms,
+        registered_ms_ago,
         ..Upstream::default()
     };
     let (old, new) = (
@@ -81,12 +81,12 @@
 /// Ages beyond the start of this process still tell the younger from the older.
 #[test]
 fn the_younger_registration_has_the_address() {
-    let told = |instance: &str, born_ms| Upstream {
+    let told = |instance: &str, registered_ms_ago| Upstream {
         service: "s".into(),
         instance: instance.into(),
         address: "127.0.0.1:9".into(),
         beat: 4,
-        born_ms,
+        registered_ms_ago,
         ..Upstream::default()
     };
     let mut registry = UpstreamRegistry::default();
