--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -4,7 +4,7 @@
 use simulator::shapes::Shape;
 use std::collections::BTreeSet;
 use std::io;
-use std::net::{TcpListener, UdpSocket};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
@@ -13,6 +13,8 @@
 use transport::HttpClient;
 
 const MAX_STARTS: u32 = 20;
+/// How many nodes the others know at their start.
+const SEEDS: usize = 3;
 /// A daemon that could not open its ports has ended by then.
 const STARTED_AFTER: Duration = Duration::from_millis(100);
 
@@ -140,103 +142,130 @@
     found.ok_or_else(|| io::Error::other("no free port"))
 }
 
-impl Fleet {
-    /// Lays a site out in a folder; nothing runs yet. `programs` holds the daemons.
-    fn new(shape: &Shape, programs: &Path, folder: &Path) -> io::Result<Fleet> {
-        std::fs::create_dir_all(folder)?;
-        // Loopback numbers of its own for each site and machine keep their ports apart.
-        let site = 64 + CREATED_SITES.fetch_add(1, Ordering::Relaxed) % 64;
-        let ip = |machine: usize| {
-            format!(
-                "127.{site}.{}.{}",
-                1 + std::process::id() % 200,
-                1 + machine
-            )
-        };
-        let on_machine = |machine: usize| if machine < shape.disks { 2 } else { 1 };
-        let (mut endpoints, mut taken) = (Vec::new(), BTreeSet::new());
-        for machine in 0..shape.machines {
-            for _ in 0..on_machine(machine) {
-                let mut address = |ip: &str| {
-                    free_address(ip, &mut taken)?
-                        .parse()
-                        .map_err(io::Error::other)
-                };
+/// Gives out addresses and describes the processes of one site.
+struct Layout<'a> {
+    shape: &'a Shape,
+    programs: &'a Path,
+    folder: &'a Path,
+    /// A loopback network of its own for each site keeps the ports of sites apart.
+    network: u32,
+    taken: BTreeSet<String>,
+}
+
+impl<'a> Layout<'a> {
+    fn new(shape: &'a Shape, programs: &'a Path, folder: &'a Path) -> Self {
+        Layout {
+            shape,
+            programs,
+            folder,
+            network: 64 + CREATED_SITES.fetch_add(1, Ordering::Relaxed) % 64,
+            taken: BTreeSet::new(),
+        }
+    }
+
+    /// A loopback address of its own for each machine.
+    fn ip(&self, machine: usize) -> String {
+        let process = 1 + std::process::id() % 200;
+        format!("127.{}.{process}.{}", self.network, 1 + machine)
+    }
+
+    fn link_address(&mut self, machine: usize) -> io::Result<SocketAddr> {
+        let address = free_address(&self.ip(machine), &mut self.taken)?;
+        address.parse().map_err(io::Error::other)
+    }
+
+    /// The endpoints of all processes: a machine with a disk has two of them.
+    fn endpoints(&mut self) -> io::Result<Vec<LinkEndpoint>> {
+        let mut endpoints = Vec::new();
+        for machine in 0..self.shape.machines {
+            let processes = if machine < self.shape.disks { 2 } else { 1 };
+            for _ in 0..processes {
                 endpoints.push(LinkEndpoint {
                     machine,
-                    link: address(&ip(machine))?,
-                    advertised_address: address(&ip(machine))?,
+                    link: self.link_address(machine)?,
+                    advertised_address: self.link_address(machine)?,
                 });
             }
         }
-        let first = |machine: usize| endpoints.iter().find(|end| end.machine == machine);
-        let seeds = (0..3)
-            .filter_map(first)
+        Ok(endpoints)
+    }
+
+    fn control_node(&mut self, end: &LinkEndpoint, seeds: &str) -> io::Result<Process> {
+        let data = self.folder.join(format!("data-{}", end.machine));
+        let more = vec![
+            "--roster-size".to_owned(),
+            self.shape.disks.to_string(),
+            "--data".to_owned(),
+            data.to_string_lossy().into_owned(),
+        ];
+        self.process("control-plane", end, seeds, more, Some(data))
+    }
+
+    fn process(
+        &mut self,
+        kind: &str,
+        end: &LinkEndpoint,
+        seeds: &str,
+        more: Vec<String>,
+        data: Option<PathBuf>,
+    ) -> io::Result<Process> {
+        let machine = end.machine;
+        let http = free_address(&self.ip(machine), &mut self.taken)?;
+        let node = format!("{kind}-{machine}");
+        let settings = [
+            ("--node", node.clone()),
+            ("--locality", self.shape.locality(machine)),
+            ("--http", http.clone()),
+            ("--link", end.link.to_string()),
+            ("--told", end.advertised_address.to_string()),
+            ("--seeds", seeds.to_owned()),
+        ];
+        let mut flags = Vec::new();
+        for (name, value) in settings {
+            flags.extend([name.to_owned(), value]);
+        }
+        flags.extend(more);
+        Ok(Process {
+            program: self.programs.join(kind),
+            log: self.folder.join(format!("{node}.log")),
+            node,
+            machine,
+            http,
+            flags,
+            data,
+            child: None,
+        })
+    }
+}
+
+impl Fleet {
+    /// Lays a site out in a folder; nothing runs yet. `programs` holds the daemons.
+    fn new(shape: &Shape, programs: &Path, folder: &Path) -> io::Result<Fleet> {
+        std::fs::create_dir_all(folder)?;
+        let mut layout = Layout::new(shape, programs, folder);
+        let endpoints = layout.endpoints()?;
+        let first_of = |machine: usize| endpoints.iter().find(|end| end.machine == machine);
+        let seeds: Vec<String> = (0..SEEDS)
+            .filter_map(first_of)
             .map(|end| end.advertised_address.to_string())
-            .collect::<Vec<_>>()
-            .join(",");
-        let mut process =
-            |kind: &str, end: &LinkEndpoint, more: &[String], data: Option<PathBuf>| {
-                let machine = end.machine;
-                let http = free_address(&ip(machine), &mut taken)?;
-                let node = format!("{kind}-{machine}");
-                let flags = [
-                    ("--node", node.as_str()),
-                    ("--locality", &shape.locality(machine)),
-                    ("--http", &http),
-                    ("--link", &end.link.to_string()),
-                    ("--told", &end.advertised_address.to_string()),
-                    ("--seeds", &seeds),
-                ];
-                let flags = flags
-                    .iter()
-                    .flat_map(|(name, value)| [(*name).to_owned(), (*value).to_owned()]);
-                let flags = flags.chain(more.iter().cloned()).collect();
-                let (program, log) = (programs.join(kind), folder.join(format!("{node}.log")));
-                io::Result::Ok(Process {
-                    node,
-                    machine,
-                    http,
-                    program,
-                    flags,
-                    log,
-                    data,
-                    child: None,
-                })
-            };
-        let folder = folder.to_owned();
-        let mut fleet = Fleet {
-            control_nodes: Vec::new(),
-            data_nodes: Vec::new(),
-            endpoints: endpoints.clone(),
-            folder,
-            programs: programs.to_owned(),
-        };
-        for (at, end) in endpoints.iter().enumerate() {
-            let is_office = end.machine < shape.disks
-                && first(end.machine).is_some_and(|first| first.link == end.link);
-            if is_office {
-                let data = fleet.folder.join(format!("data-{}", end.machine));
-                let more = [
-                    "--roster-size",
-                    &shape.disks.to_string(),
-                    "--data",
-                    &data.to_string_lossy(),
-                ];
-                let more: Vec<String> = more.iter().map(|flag| (*flag).to_owned()).collect();
-                fleet.control_nodes.push(process(
-                    "control-plane",
-                    &endpoints[at],
-                    &more,
-                    Some(data),
-                )?);
+            .collect();
+        let seeds = seeds.join(",");
+        let (mut control_nodes, mut data_nodes) = (Vec::new(), Vec::new());
+        for end in &endpoints {
+            let is_first = first_of(end.machine).is_some_and(|first| first.link == end.link);
+            if end.machine < shape.disks && is_first {
+                control_nodes.push(layout.control_node(end, &seeds)?);
             } else {
-                fleet
-                    .data_nodes
-                    .push(process("data-plane", &endpoints[at], &[], None)?);
+                data_nodes.push(layout.process("data-plane", end, &seeds, Vec::new(), None)?);
             }
         }
-        Ok(fleet)
+        Ok(Fleet {
+            control_nodes,
+            data_nodes,
+            endpoints,
+            folder: folder.to_owned(),
+            programs: programs.to_owned(),
+        })
     }
 
     /// Lays a site out with its links. Ports that the kernel gave may be taken by others before they are used: then it
--- a/crates/testbed/src/plans.rs
+++ b/crates/testbed/src/plans.rs
@@ -126,97 +126,100 @@
         match plan {
             "wipe" => self.kill(&[2], true).await,
             "kill" => self.kill(&[1, 5, 8], false).await,
+            "herd" => {
+                let with_disk: Vec<usize> = (0..self.shape.disks).collect();
+                self.kill(&with_disk, false).await
+            }
             "dark-zone" => self.power_off(&self.shape.locality(0)).await,
             "dark-region" => self.power_off(self.shape.regions[1]).await,
             "freeze" => self.freeze().await,
             "rolling" => self.rolling().await,
-            "cut-zone" => {
-                self.partition(Partition::Place(self.shape.locality(0)))
-                    .await
+            "cut-zone" | "cut-region" | "cut-machine" | "split" => {
+                self.inject_partition(plan).await
             }
-            "cut-region" => {
-                self.partition(Partition::Place(self.shape.regions[1].into()))
-                    .await
-            }
-            "cut-machine" => self.partition(Partition::Machine(4)).await,
             "evacuate" => self.evacuate().await,
-            "evacuate-cut" => {
-                self.link_proxies
-                    .partition(vec![Partition::Place(self.shape.locality(0))]);
-                self.evacuate().await?;
-                self.link_proxies.partition(Vec::new());
-                self.all_ready().await
-            }
+            "evacuate-cut" => self.evacuate_partitioned_zone().await,
             "release" => self.replace("release", |at| at % 3 == 0, true, true).await,
             "cold" => self.replace("cold", |at| at % 2 == 0, false, false).await,
             "crash" => self.replace("crash", |at| at % 3 == 0, false, true).await,
             "storm" => self.submit_many().await,
             "race" => self.race().await,
+            "garble" | "pause" | "deaf-units" | "mute-units" => {
+                self.inject_upstream_plan(plan).await
+            }
+            "reuse" => self.reuse().await,
+            "holder" => self.kill_lease_holder().await,
+            "rescue" => self.recover_from_survivors().await,
+            _ => Ok(()),
+        }
+    }
+
+    /// Partitions of a zone, a region, a machine, or of all regions from each other.
+    async fn inject_partition(&mut self, plan: &str) -> Result<(), String> {
+        let partitions = match plan {
+            "cut-zone" => vec![Partition::Place(self.shape.locality(0))],
+            "cut-region" => vec![Partition::Place(self.shape.regions[1].into())],
+            "cut-machine" => vec![Partition::Machine(4)],
+            _ => {
+                let regions = self.shape.regions.iter();
+                regions
+                    .map(|region| Partition::Place((*region).into()))
+                    .collect()
+            }
+        };
+        self.partition_all(partitions).await
+    }
+
+    async fn evacuate_partitioned_zone(&mut self) -> Result<(), String> {
+        let zone = self.shape.locality(0);
+        self.link_proxies.partition(vec![Partition::Place(zone)]);
+        self.evacuate().await?;
+        self.link_proxies.partition(Vec::new());
+        self.all_ready().await
+    }
+
+    /// Faults of upstreams that go on running.
+    async fn inject_upstream_plan(&mut self, plan: &str) -> Result<(), String> {
+        let none = UpstreamFault::default();
+        match plan {
             "garble" => {
-                self.inject_upstream_fault(
-                    |at| at % 3 == 0,
-                    |_| UpstreamFault {
-                        invalid_responses_per_mille: 300,
-                        ..UpstreamFault::default()
-                    },
-                )
-                .await
+                let fault = UpstreamFault {
+                    invalid_responses_per_mille: 300,
+                    ..none
+                };
+                self.inject_upstream_fault(|at| at % 3 == 0, fault).await
             }
             "pause" => {
-                let until = self.clock.now() + self.span / 4;
-                self.inject_upstream_fault(
-                    |at| at % 13 == 0,
-                    |_| UpstreamFault {
-                        paused_until: until,
-                        ..UpstreamFault::default()
-                    },
-                )
-                .await
-            }
-            "deaf-units" | "mute-units" => {
-                let here = |process: &&Process| {
-                    self.shape.locality(process.machine) == self.shape.locality(0)
+                let fault = UpstreamFault {
+                    paused_until: self.clock.now() + self.span / 4,
+                    ..none
                 };
-                let zone = self
-                    .fleet
-                    .data_nodes
-                    .iter()
-                    .filter(here)
-                    .map(|process| process.node.clone());
-                let proxies: Vec<String> = zone.collect();
-                let deaf = plan == "deaf-units";
-                let fault = |_: usize| match deaf {
-                    true => UpstreamFault {
-                        ignores_requests_of: proxies.clone(),
-                        ..UpstreamFault::default()
-                    },
-                    false => UpstreamFault {
-                        withholds_responses_to: proxies.clone(),
-                        ..UpstreamFault::default()
-                    },
+                self.inject_upstream_fault(|at| at % 13 == 0, fault).await
+            }
+            "deaf-units" => {
+                let fault = UpstreamFault {
+                    ignores_requests_of: self.proxies_of_first_zone(),
+                    ..none
                 };
                 self.inject_upstream_fault(|at| at % 6 < 2, fault).await
             }
-            "reuse" => self.reuse().await,
-            "herd" => {
-                self.kill(&(0..self.shape.disks).collect::<Vec<_>>(), false)
-                    .await
-            }
-            "split" => {
-                self.partition_all(
-                    self.shape
-                        .regions
-                        .map(|region| Partition::Place(region.into()))
-                        .to_vec(),
-                )
-                .await
+            _ => {
+                let fault = UpstreamFault {
+                    withholds_responses_to: self.proxies_of_first_zone(),
+                    ..none
+                };
+                self.inject_upstream_fault(|at| at % 6 < 2, fault).await
             }
-            "holder" => self.kill_lease_holder().await,
-            "rescue" => self.recover_from_survivors().await,
-            _ => Ok(()),
         }
     }
 
+    fn proxies_of_first_zone(&self) -> Vec<String> {
+        let zone = self.shape.locality(0);
+        let data_nodes = self.fleet.data_nodes.iter();
+        let proxies = data_nodes.filter(|process| self.shape.locality(process.machine) == zone);
+        proxies.map(|process| process.node.clone()).collect()
+    }
+
     async fn kill(&mut self, machines: &[usize], wipe: bool) -> Result<(), String> {
         self.note(&format!(
             "machines {machines:?} killed{}",
@@ -255,17 +258,20 @@
     /// Some upstreams have a fault for a quarter of the run.
     async fn inject_upstream_fault(
         &mut self,
-        chosen: impl Fn(usize) -> bool,
-        fault: impl Fn(usize) -> UpstreamFault,
+        is_chosen: impl Fn(usize) -> bool,
+        fault: UpstreamFault,
     ) -> Result<(), String> {
-        self.note("upstreams fall ill");
-        let is_affected = (0..self.upstreams.len()).filter(|at| chosen(*at));
-        is_affected.for_each(|at| self.upstreams[at].set_fault(fault(at)));
+        self.note("upstreams become unhealthy");
+        for (at, upstream) in self.upstreams.iter().enumerate() {
+            if is_chosen(at) {
+                upstream.set_fault(fault.clone());
+            }
+        }
         self.wait().await;
-        self.upstreams
-            .iter()
-            .for_each(|upstream| upstream.set_fault(UpstreamFault::default()));
-        self.note("upstreams are well again");
+        for upstream in self.upstreams.iter() {
+            upstream.set_fault(UpstreamFault::default());
+        }
+        self.note("upstreams are healthy again");
         Ok(())
     }
 
@@ -475,10 +481,6 @@
             .ok_or_else(|| "the edition did not rise".to_owned())
     }
 
-    async fn partition(&mut self, partition: Partition) -> Result<(), String> {
-        self.partition_all(vec![partition]).await
-    }
-
     async fn partition_all(&mut self, partitions: Vec<Partition>) -> Result<(), String> {
         self.note(&format!("{partitions:?} cut off"));
         self.link_proxies.partition(partitions);
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,12 +1,13 @@
 //! A run of a real fleet: start, configure, load, inject faults, heal, check.
 
 use crate::fleet::{Fleet, Process};
+use crate::link_proxies::LinkProxies;
 use crate::plans::FaultInjection;
 use crate::stand_in_clients::StandInClients;
 use crate::stand_in_upstreams::{ANY_PORT, StandInUpstream};
 use bytes::Bytes;
 use config::JsonValue;
-use invariants::observations::{Observation, ObservationLog};
+use invariants::observations::{FinishedOperation, Observation, ObservationLog};
 use invariants::rules;
 use result_code::ResultCode;
 use simulator::report;
@@ -14,6 +15,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
+use tokio::task::JoinHandle;
 use transport::{Clock, HttpClient};
 
 /// Within this after the last fault everything must be served again.
@@ -33,38 +35,19 @@
 
 /// Runs it; true where the fleet came up and no rule was broken.
 pub async fn fleet(run: Run) -> bool {
-    match bring_up(run).await {
+    match run_fleet(run).await {
         Ok(passed) => passed,
         Err(text) => {
-            eprintln!("drill: {text}");
+            eprintln!("test-harness: {text}");
             false
         }
     }
 }
 
-async fn bring_up(run: Run) -> Result<bool, String> {
+async fn run_fleet(run: Run) -> Result<bool, String> {
     let clock = Clock::default();
     let record = ObservationLog::default();
-    let programs = std::env::current_exe()
-        .map_err(|e| e.to_string())?
-        .parent()
-        .map(PathBuf::from)
-        .unwrap_or_default();
-    let folder = run
-        .keep
-        .clone()
-        .unwrap_or_else(|| std::env::temp_dir().join(format!("drill-{}", std::process::id())));
-    let (mut fleet, link_proxies) = Fleet::create(&run.shape, &programs, &folder)
-        .await
-        .map_err(|e| e.to_string())?;
-    fleet
-        .start()
-        .map_err(|e| format!("cannot start the daemons beside drill: {e}"))?;
-    if run.plan == "founding" {
-        interrupt_bootstrap(&mut fleet)
-            .await
-            .map_err(|e| e.to_string())?;
-    }
+    let (mut fleet, link_proxies) = start_fleet(&run).await?;
     let nodes = Arc::new(fleet.nodes());
     if !Fleet::ready(&nodes, READY_TIMEOUT).await {
         return Err(format!("the fleet was not ready within {READY_TIMEOUT:?}"));
@@ -72,24 +55,8 @@
     println!("{} processes ready after {:?}", nodes.len(), clock.now());
     let client = HttpClient::default();
     submit(&client, &record, &clock, &nodes[0], "first", &run.shape, 0).await?;
-    println!("first setup in force after {:?}", clock.now());
-    let mut upstreams = Vec::new();
-    for (work, count) in run.shape.profiles() {
-        for at in 0..count {
-            let at = marker_index(work.service).unwrap_or(at);
-            let upstream = StandInUpstream::start(
-                ANY_PORT,
-                work,
-                format!("{}-{at}", work.service),
-                run.shape.locality(at),
-                true,
-                nodes.clone(),
-                clock,
-                record.clone(),
-            );
-            upstreams.push(upstream.await.map_err(|e| e.to_string())?);
-        }
-    }
+    println!("first configuration in force after {:?}", clock.now());
+    let mut upstreams = start_upstreams(&run.shape, &nodes, clock, &record).await?;
     let directories: Vec<String> = fleet
         .data_nodes
         .iter()
@@ -104,11 +71,9 @@
     wait_until_served(&clients).await?;
     println!("every service served after {:?}", clock.now());
     let warm_up = clients.finished().len();
-    let reader = tokio::spawn(read_everywhere(nodes.clone(), record.clone(), clock));
-    let prober = tokio::spawn(probe(directories.clone()));
-    let watcher = tokio::spawn(watch_revisions(directories, record.clone(), clock));
+    let observers = Observers::start(&nodes, &directories, &record, clock);
     let loading = clients.clone();
-    let (per_second, span) = (run.per_second.unwrap_or(run.shape.per_second), run.load);
+    let (per_second, span) = (run.requests_per_second(), run.load);
     let load = tokio::spawn(async move { loading.load(per_second, span).await });
     let injection = FaultInjection {
         link_proxies,
@@ -121,58 +86,143 @@
     };
     injection.inject(&run.plan).await?;
     load.await.map_err(|e| e.to_string())?;
-    watcher.abort();
-    reader.abort();
-    prober.abort();
+    observers.stop();
     let matching = read_back_all(&client, &record, &clock, &fleet).await;
-    let seen = record.all();
-    let violations = rules::check_all(&seen, &run.shape.rule_parameters());
-    let finished: Vec<_> = clients.finished().into_iter().skip(warm_up).collect();
+    let finished: Vec<FinishedOperation> = clients.finished().into_iter().skip(warm_up).collect();
+    let passed = check_rules(&run, &record.all(), &finished);
+    let is_consistent = matching == fleet.control_nodes.len();
+    print_fleet(&fleet, matching);
+    for upstream in &upstreams {
+        upstream.crash();
+    }
+    if run.keep.is_none() {
+        fleet.remove();
+    }
+    Ok(passed && is_consistent && !finished.is_empty())
+}
+
+impl Run {
+    fn requests_per_second(&self) -> u64 {
+        self.per_second.unwrap_or(self.shape.per_second)
+    }
+}
+
+/// Lays the site out and starts all its processes.
+async fn start_fleet(run: &Run) -> Result<(Fleet, Arc<LinkProxies>), String> {
+    let program = std::env::current_exe().map_err(|e| e.to_string())?;
+    let programs = program.parent().map(PathBuf::from).unwrap_or_default();
+    let temporary = || std::env::temp_dir().join(format!("test-harness-{}", std::process::id()));
+    let folder = run.keep.clone().unwrap_or_else(temporary);
+    let (mut fleet, link_proxies) = Fleet::create(&run.shape, &programs, &folder)
+        .await
+        .map_err(|e| e.to_string())?;
+    fleet
+        .start()
+        .map_err(|e| format!("cannot start the daemons beside test-harness: {e}"))?;
+    if run.plan == "founding" {
+        let interrupted = interrupt_bootstrap(&mut fleet).await;
+        interrupted.map_err(|e| e.to_string())?;
+    }
+    Ok((fleet, link_proxies))
+}
+
+/// Starts the stand-in upstreams of every service.
+async fn start_upstreams(
+    shape: &Shape,
+    nodes: &Arc<Vec<String>>,
+    clock: Clock,
+    record: &ObservationLog,
+) -> Result<Vec<Arc<StandInUpstream>>, String> {
+    let mut upstreams = Vec::new();
+    for (work, count) in shape.profiles() {
+        for at in 0..count {
+            let at = marker_index(work.service).unwrap_or(at);
+            let upstream = StandInUpstream::start(
+                ANY_PORT,
+                work,
+                format!("{}-{at}", work.service),
+                shape.locality(at),
+                true,
+                nodes.clone(),
+                clock,
+                record.clone(),
+            );
+            upstreams.push(upstream.await.map_err(|e| e.to_string())?);
+        }
+    }
+    Ok(upstreams)
+}
+
+/// Tasks that note what nodes answer while the site is loaded.
+struct Observers(Vec<JoinHandle<()>>);
+
+impl Observers {
+    fn start(
+        nodes: &Arc<Vec<String>>,
+        directories: &[String],
+        record: &ObservationLog,
+        clock: Clock,
+    ) -> Self {
+        let directories = directories.to_vec();
+        Observers(vec![
+            tokio::spawn(read_everywhere(nodes.clone(), record.clone(), clock)),
+            tokio::spawn(probe(directories.clone())),
+            tokio::spawn(watch_revisions(directories, record.clone(), clock)),
+        ])
+    }
+
+    fn stop(self) {
+        for task in &self.0 {
+            task.abort();
+        }
+    }
+}
+
+/// Checks the rules and how soon requests succeeded again after the last fault, and prints both.
+fn check_rules(
+    run: &Run,
+    seen: &[(Duration, Observation)],
+    finished: &[FinishedOperation],
+) -> bool {
+    let violations = rules::check_all(seen, &run.shape.rule_parameters());
+    let (per_second, span) = (run.requests_per_second(), run.load);
     let title = format!(
         "{} at {per_second}/s for {span:?}, plan {}",
         run.shape.name, run.plan
     );
-    report::print(&title, &seen, &finished, &violations);
-    let passed = violations
+    report::print(&title, seen, finished, &violations);
+    let follows_rules = violations
         .iter()
         .all(|violation| run.untimed && rules::TIMED.contains(&violation.rule));
-    let healed_at = seen
+    let faults = seen
         .iter()
-        .filter(|(_, observation)| matches!(observation, Observation::Fault { .. }))
-        .map(|(at, _)| *at)
-        .max();
+        .filter(|(_, observation)| matches!(observation, Observation::Fault { .. }));
+    let healed_at = faults.map(|(at, _)| *at).max().unwrap_or_default();
     let failed = finished
         .iter()
-        .filter(|finished| finished.code != 1000)
-        .map(|finished| finished.at.saturating_sub(finished.took));
-    let resumed = failed
-        .max()
-        .unwrap_or_default()
-        .saturating_sub(healed_at.unwrap_or_default());
+        .filter(|operation| operation.code != ResultCode::Success.number())
+        .map(|operation| operation.at.saturating_sub(operation.took));
+    let resumed = failed.max().unwrap_or_default().saturating_sub(healed_at);
     println!("last failure {resumed:?} after the last fault ended");
-    let passed = passed && (run.untimed || resumed <= MAX_UNAVAILABILITY);
+    follows_rules && (run.untimed || resumed <= MAX_UNAVAILABILITY)
+}
+
+/// Prints how many control nodes agree, and what memory the processes took.
+fn print_fleet(fleet: &Fleet, matching: usize) {
     println!(
-        "postmasters that read the same setup back: {matching} of {}",
+        "control nodes that read the same configuration back: {matching} of {}",
         fleet.control_nodes.len()
     );
-    let peak = |processes: &[Process]| {
-        processes
-            .iter()
-            .filter_map(Process::peak_memory)
-            .max()
-            .unwrap_or(0)
-            / 1024
-    };
-    let (data_nodes, control_nodes) = (peak(&fleet.data_nodes), peak(&fleet.control_nodes));
+    let data_node = peak_mib(&fleet.data_nodes);
+    let control_node = peak_mib(&fleet.control_nodes);
     println!(
-        "most memory of one carrier: {data_nodes} MiB, of one postmaster: {control_nodes} MiB"
+        "most memory of one data node: {data_node} MiB, of one control node: {control_node} MiB"
     );
-    let complete = matching == fleet.control_nodes.len();
-    upstreams.iter().for_each(|upstream| upstream.crash());
-    if run.keep.is_none() {
-        fleet.remove();
-    }
-    Ok(passed && complete && !finished.is_empty())
+}
+
+fn peak_mib(processes: &[Process]) -> u64 {
+    let peaks = processes.iter().filter_map(Process::peak_memory);
+    peaks.max().unwrap_or(0) / 1024
 }
 
 /// While the cluster bootstraps: two are killed, one of them loses its disk, and both come back.
@@ -250,9 +300,9 @@
         clients.run_operation().await;
         let finished = clients.finished();
         let served = |service: &str| {
-            finished
-                .iter()
-                .any(|finished| finished.service == service && finished.code == 1000)
+            finished.iter().any(|finished| {
+                finished.service == service && finished.code == ResultCode::Success.number()
+            })
         };
         if clients
             .shape
