--- a/crates/cli/src/gateway_api.rs
+++ b/crates/cli/src/gateway_api.rs
@@ -29,7 +29,8 @@
 pub fn convert(manifests: &str, services: &str) -> Result<Converted, Vec<ValidationError>> {
     let documents = YamlLoader::load_from_str(manifests)
         .map_err(|error| single_error("/", error.to_string()))?;
-    let described = JsonValue::parse(services).map_err(|text| single_error("services", text))?;
+    let described =
+        JsonValue::parse(services).map_err(|error| single_error("services", error.to_string()))?;
     let mut converter = Converter::default();
     converter.read_documents(&documents);
     converter.check_backends(&described);
@@ -50,10 +51,7 @@
 }
 
 fn single_error(path: &str, text: String) -> Vec<ValidationError> {
-    vec![ValidationError {
-        path: path.into(),
-        text,
-    }]
+    vec![ValidationError::new(path, text)]
 }
 
 fn list(items: &[JsonValue]) -> JsonValue {
--- a/crates/control-plane/src/api_adapter/read_request.rs
+++ b/crates/control-plane/src/api_adapter/read_request.rs
@@ -182,7 +182,7 @@
 fn read_json(body: &[u8], errors: &mut Vec<ValidationError>) -> JsonValue {
     let parsed = std::str::from_utf8(body)
         .map_err(|_| "this is not UTF-8".to_owned())
-        .and_then(JsonValue::parse);
+        .and_then(|text| JsonValue::parse(text).map_err(|error| error.to_string()));
     parsed.unwrap_or_else(|text| {
         add_validation_error(errors, "/", text);
         JsonValue::Null
--- a/crates/control-plane/src/api_adapter/write_response.rs
+++ b/crates/control-plane/src/api_adapter/write_response.rs
@@ -61,7 +61,7 @@
     let errors = validation_errors.iter().map(|error| {
         JsonValue::object([
             ("path", error.path.as_str().into()),
-            ("text", error.text.as_str().into()),
+            ("text", error.message.as_str().into()),
         ])
     });
     let json = JsonValue::object([
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -243,7 +243,7 @@
             OwnershipMode::SingleZone => self.configuration.as_ref(),
             OwnershipMode::PerClientZone => &no_names,
         };
-        assigner.decide(
+        assigner.reassign(
             now,
             &PlacementInputs {
                 configuration,
@@ -265,7 +265,7 @@
     ) {
         let has_no_ages = self.placement.has_no_ages();
         if changed || !has_no_ages || self.placement.current.number == 0 {
-            assigner.count();
+            assigner.advance_number();
         }
         self.statistics.placements_published += 1;
         let placement = assigner.placement(now, shares.to_vec());
--- a/crates/data-plane/src/node.rs
+++ b/crates/data-plane/src/node.rs
@@ -193,8 +193,11 @@
                 &view,
                 name,
                 &origin,
-                self.lifetime,
-                (self.proxy.ownership, self.api_adapter.max_lookup_addresses),
+                &name_directory::LookupOptions {
+                    ownership: self.proxy.ownership,
+                    max_proxies: self.api_adapter.max_lookup_addresses,
+                    lifetime: self.lifetime,
+                },
             )
         } else {
             Err(ResultCode::StaleView)
--- /dev/null
+++ b/crates/name-directory/src/lookup.rs
@@ -0,0 +1,196 @@
+//! Directory lookups: the proxies of the locality that owns a name, for a short lifetime.
+
+use crate::home_regions::{is_allowed_in, is_in_regions};
+use crate::view::{Proxy, View};
+use locality::Locality;
+use result_code::ResultCode;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// How much a proxy counts when zones are compared by their proxies: any number of suspect ones weighs less than one
+/// that is alive.
+const ALIVE_PROXY_WEIGHT: u64 = 1000;
+const SUSPECT_PROXY_WEIGHT: u64 = 1;
+
+/// Where a name lives, for a client.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LookupAnswer {
+    /// The route name, also where an alias was looked up.
+    pub name: String,
+    /// The locality that owns the name (region/zone).
+    pub locality: String,
+    /// Rises with each change of the owner.
+    pub epoch: u64,
+    /// Addresses of proxies to connect to.
+    pub proxies: Vec<String>,
+    /// How long the client may use this answer.
+    pub lifetime: Duration,
+}
+
+/// Who owns a name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
+pub enum OwnershipMode {
+    /// One locality for all clients; the holder of the placement lease decides which.
+    #[default]
+    SingleZone,
+    /// One locality for the clients of each zone: their own where it can serve, else the nearest that can.
+    PerClientZone,
+}
+
+/// What a lookup's answer depends on beside the view.
+#[derive(Clone, Copy, Debug)]
+pub struct LookupOptions {
+    /// Who owns a name.
+    pub ownership: OwnershipMode,
+    /// Most proxies in an answer.
+    pub max_proxies: usize,
+    /// The lifetime of an answer.
+    pub lifetime: Duration,
+}
+
+/// The present owner of a name.
+struct Owner {
+    locality: Locality,
+    epoch: u64,
+}
+
+/// How near a proxy is to the owner of a name; lower is better. Only the best are named to a client.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Distance {
+    is_suspect: bool,
+    is_outside_locality: bool,
+    is_outside_region: bool,
+}
+
+/// Answers a directory request. Aliases are resolved to the route name; the owner's own proxies come first, and where
+/// none of them is alive, the nearest others that its requests may pass through.
+///
+/// ```
+/// use result_code::ResultCode;
+/// use name_directory::{LookupOptions, OwnershipMode};
+/// use std::time::Duration;
+/// let view = name_directory::View::default();
+/// let options = LookupOptions { ownership: OwnershipMode::SingleZone, max_proxies: 3, lifetime: Duration::from_secs(2) };
+/// let answer = name_directory::lookup(&view, "book", &"north/n1".parse().unwrap(), &options);
+/// assert_eq!(answer, Err(ResultCode::NoSuchName));
+/// ```
+pub fn lookup(
+    view: &View,
+    requested_name: &str,
+    client: &Locality,
+    options: &LookupOptions,
+) -> Result<LookupAnswer, ResultCode> {
+    let name = view
+        .configuration
+        .resolve(requested_name)
+        .ok_or(ResultCode::NoSuchName)?;
+    let owner = match options.ownership {
+        OwnershipMode::SingleZone => reserved_owner(view, name),
+        OwnershipMode::PerClientZone => owner_for_client(view, name, client),
+    };
+    let owner = owner.ok_or(ResultCode::NoOwner)?;
+    let proxies = nearest_proxies(view, name, requested_name, &owner.locality, client);
+    if proxies.is_empty() {
+        return Err(ResultCode::NoOwner);
+    }
+    Ok(LookupAnswer {
+        name: name.to_owned(),
+        locality: owner.locality.to_string(),
+        epoch: owner.epoch,
+        proxies: proxies
+            .into_iter()
+            .take(options.max_proxies)
+            .map(|proxy| proxy.address.clone())
+            .collect(),
+        lifetime: options.lifetime,
+    })
+}
+
+/// The owner that the placement names, unless its locality is evacuated.
+fn reserved_owner(view: &View, name: &str) -> Option<Owner> {
+    let reservation = view.reservations.get(name)?;
+    if view.evacuated.contains(&reservation.locality) {
+        return None;
+    }
+    Some(Owner {
+        locality: reservation.locality.parse().ok()?,
+        epoch: reservation.epoch,
+    })
+}
+
+/// The proxies at the least distance from the owner; those of the client's region first, then in an order that spreads
+/// clients and names over them.
+fn nearest_proxies<'a>(
+    view: &'a View,
+    name: &'a str,
+    requested_name: &str,
+    owner: &Locality,
+    client: &Locality,
+) -> Vec<&'a Proxy> {
+    let distance = |proxy: &Proxy| Distance {
+        is_suspect: proxy.suspect,
+        is_outside_locality: proxy.locality != *owner,
+        is_outside_region: proxy.locality.region != owner.region,
+    };
+    let order = |proxy: &&Proxy| {
+        let is_in_other_region = proxy.locality.region != client.region;
+        let spread_parts = [requested_name, &client.region, &client.zone, &proxy.node];
+        let spread = random::stable_hash_parts(spread_parts);
+        (distance(proxy), is_in_other_region, spread)
+    };
+    let mut proxies: Vec<&Proxy> = eligible_proxies(view, name).collect();
+    proxies.sort_by_cached_key(order);
+    if let Some(least) = proxies.first().map(|proxy| distance(proxy)) {
+        proxies.retain(|proxy| distance(proxy) == least);
+    }
+    proxies
+}
+
+/// The proxies that may carry a name's requests: not evacuated, and within the home regions of all its services and
+/// routes.
+fn eligible_proxies<'a>(view: &'a View, name: &'a str) -> impl Iterator<Item = &'a Proxy> {
+    let services: Vec<_> = view.configuration.services_of_name(name).collect();
+    let route_regions: Vec<_> = view
+        .configuration
+        .routes_of_name(name)
+        .map(|route| &route.policy.home_regions)
+        .collect();
+    view.proxies.iter().filter(move |proxy| {
+        let locality = proxy.locality.to_string();
+        !view.evacuated.contains(&locality)
+            && services
+                .iter()
+                .all(|service| is_allowed_in(service, &locality))
+            && route_regions
+                .iter()
+                .all(|regions| is_in_regions(regions, &locality))
+    })
+}
+
+/// The zone that owns a name for the clients of one zone: their own where a proxy of it is alive, else one of their
+/// region, else any; among equals the one with the most proxies, ties broken by a spread over name and zones.
+fn owner_for_client(view: &View, name: &str, client: &Locality) -> Option<Owner> {
+    let mut weights: BTreeMap<&Locality, u64> = BTreeMap::new();
+    for proxy in eligible_proxies(view, name) {
+        *weights.entry(&proxy.locality).or_default() += match proxy.suspect {
+            true => SUSPECT_PROXY_WEIGHT,
+            false => ALIVE_PROXY_WEIGHT,
+        };
+    }
+    let rank = |(locality, weight): &(&Locality, u64)| {
+        let has_alive_proxy = *weight >= ALIVE_PROXY_WEIGHT;
+        let spread = random::stable_hash_parts([name, &client.zone, &locality.zone]);
+        (
+            has_alive_proxy,
+            *locality == client,
+            locality.region == client.region,
+            *weight,
+            spread,
+        )
+    };
+    let (locality, _) = weights.into_iter().max_by_key(rank)?;
+    Some(Owner {
+        locality: locality.clone(),
+        epoch: view.revision,
+    })
+}
--- a/crates/name-directory/src/view.rs
+++ b/crates/name-directory/src/view.rs
@@ -1,50 +1,31 @@
-//! What a data node knows, as one immutable value.
+//! What a data-plane node knows of the site, as one immutable value.
 
-use config::{Configuration, Service, ValidationError};
+use crate::deltas::apply_share_delta;
+use crate::senders::ServiceSenders;
+use config::{Configuration, ValidationError};
 use locality::Locality;
 use protocol::{KeyShare, Placement, Reservation, Tombstone, Upstream, UpstreamState, ViewUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A proxy that membership holds for present.
+/// A proxy that membership considers present.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proxy {
+    /// Its node id.
     pub node: String,
+    /// Where it runs.
     pub locality: Locality,
+    /// Its address for clients.
     pub address: String,
-    /// Silent to its prober and to third parties: not worth naming to an origin while others are there.
+    /// It did not answer direct or indirect probes: not named to a client while others are there.
     pub suspect: bool,
 }
 
 /// One service's upstreams, by instance.
 pub type Upstreams = BTreeMap<String, Arc<Upstream>>;
 
-/// Who sends to the upstreams of each service.
-#[derive(Clone, Debug, Default)]
-pub struct ServiceSenders {
-    /// Proxies (node ids, in order) by service.
-    by_service: BTreeMap<String, Vec<String>>,
-    /// Since when these are they: until the others' views have caught up, more may send than are named here.
-    pub since: Duration,
-}
-
-impl ServiceSenders {
-    /// How many proxies send to this service's upstreams, and this one's rank among them.
-    ///
-    /// ```
-    /// assert_eq!(name_directory::ServiceSenders::default().rank_of("s", "proxy-1"), None);
-    /// ```
-    pub fn rank_of(&self, service: &str, proxy: &str) -> Option<(usize, usize)> {
-        let senders = self.by_service.get(service)?;
-        senders
-            .iter()
-            .position(|sender| sender == proxy)
-            .map(|rank| (senders.len(), rank))
-    }
-}
-
-/// How a configuration's bytes are read and checked.
+/// How a configuration's bytes are parsed and validated.
 #[derive(Clone, Copy)]
 pub struct ConfigurationParser(pub fn(&[u8]) -> Result<Configuration, Vec<ValidationError>>);
 
@@ -54,32 +35,57 @@
     }
 }
 
-/// One edition of the world, as requests read it. What a change leaves alone is shared by the editions.
+/// Orders placements: by the epoch of the placement lease, then by the number under that lease.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PlacementVersion {
+    /// Epoch of the placement lease.
+    pub epoch: u64,
+    /// Number of the placement under this lease.
+    pub number: u64,
+}
+
+/// Identifies a tombstone.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TombstoneKey {
+    /// The name that moved away.
+    pub name: String,
+    /// The locality that it left (region/zone).
+    pub left_locality: String,
+}
+
+/// One snapshot of the site, as requests use it. What an update does not change is shared between the snapshots.
 #[derive(Clone, Default)]
 pub struct View {
-    /// How configurations are read here.
+    /// How configurations are parsed here.
     pub reader: ConfigurationParser,
+    /// Revision of the replicated state.
     pub revision: u64,
+    /// Digest of the replicated state.
     pub digest: String,
+    /// The configuration of this revision.
     pub configuration: Arc<Configuration>,
+    /// Localities (region/zone) that are evacuated.
     pub evacuated: BTreeSet<String>,
-    /// By service, then by instance; only those that are not gone.
+    /// By service, then by instance; only those that are not deregistered.
     pub upstreams: Arc<BTreeMap<String, Upstreams>>,
+    /// By name.
     pub reservations: Arc<BTreeMap<String, Reservation>>,
-    /// By name and the locality left.
-    pub tombstones: Arc<BTreeMap<(String, String), Tombstone>>,
-    /// By service.
+    /// Where names have moved to from localities that they left.
+    pub tombstones: Arc<BTreeMap<TombstoneKey, Tombstone>>,
+    /// Key assignments by service.
     pub shares: Arc<BTreeMap<String, Vec<KeyShare>>>,
-    pub placement_version: (u64, u64),
+    /// The latest placement that was applied.
+    pub placement_version: PlacementVersion,
+    /// The proxies of the site, as membership knows them.
     pub proxies: Arc<Vec<Proxy>>,
     /// Which proxies send to a service's upstreams: those where its names are owned.
     pub senders: Arc<ServiceSenders>,
-    /// The moment that this view is surely no older than: its own ask, less the age it was told.
+    /// The view is certainly no older than this: the time of its own request, less the age that was reported.
     pub as_of: Option<Duration>,
 }
 
 impl View {
-    /// True while the view may be acted on. Ask at the moment of acting.
+    /// True while the view may be used. To be called at the moment of use.
     ///
     /// ```
     /// use std::time::Duration;
@@ -92,11 +98,26 @@
         self.as_of.is_some_and(|as_of| now < as_of + stale_after)
     }
 
-    /// Takes in a piece of news. An image replaces all that control tells; membership stays. A setup that
-    /// cannot be read is a failure of the sender, and nothing is taken in.
+    /// The tombstone of a name in a locality (region/zone) that it left.
+    ///
+    /// ```
+    /// assert_eq!(name_directory::View::default().tombstone("book", "north/n1"), None);
+    /// ```
+    pub fn tombstone(&self, name: &str, left_locality: &str) -> Option<&Tombstone> {
+        self.tombstones.get(&TombstoneKey {
+            name: name.to_owned(),
+            left_locality: left_locality.to_owned(),
+        })
+    }
+
+    /// Applies an update. A full snapshot replaces all that comes from the control plane; membership stays.
+    ///
+    /// # Errors
+    ///
+    /// A configuration that cannot be parsed is a fault of the sender, and nothing of the update is applied.
     ///
     /// ```
-    /// use protocol::{ViewUpdate, Upstream, UpstreamState};
+    /// use protocol::{ViewUpdate, Upstream};
     /// let mut view = name_directory::View::default();
     /// let ready = Upstream { service: "s".into(), instance: "a".into(), ..Default::default() };
     /// view.apply_update(ViewUpdate { upstreams: vec![ready.clone()], ..Default::default() }, true).unwrap();
@@ -106,85 +127,79 @@
     /// ```
     pub fn apply_update(
         &mut self,
-        news: ViewUpdate,
-        image: bool,
+        update: ViewUpdate,
+        is_snapshot: bool,
     ) -> Result<(), Vec<ValidationError>> {
-        let configuration = news
-            .configuration
-            .map(|bytes| (self.reader.0)(&bytes).map(Arc::new))
-            .transpose()?;
-        if image && !news.keeps_unlisted_upstreams {
+        let configuration = match update.configuration {
+            Some(bytes) => Some(Arc::new((self.reader.0)(&bytes)?)),
+            None => None,
+        };
+        if is_snapshot && !update.keeps_unlisted_upstreams {
             self.upstreams = Arc::default();
         }
-        // An older edition never follows a newer one.
-        let state = news.state.filter(|state| state.revision >= self.revision);
-        if let Some(state) = state {
+        // An older revision never follows a newer one.
+        if let Some(state) = update.state
+            && state.revision >= self.revision
+        {
             self.revision = state.revision;
             self.digest = state.digest;
             self.evacuated = state.evacuated.into_iter().collect();
-            self.configuration = configuration.unwrap_or_else(|| self.configuration.clone());
+            if let Some(configuration) = configuration {
+                self.configuration = configuration;
+            }
         }
-        if !news.upstreams.is_empty() {
+        if !update.upstreams.is_empty() {
             let known = Arc::make_mut(&mut self.upstreams);
-            news.upstreams.into_iter().for_each(|upstream| {
-                if upstream.service.is_empty() {
-                    // It signed off where nobody knew its service.
-                    let gone = upstream.state() >= UpstreamState::Deregistered;
-                    known
-                        .values_mut()
-                        .filter(|_| gone)
-                        .for_each(|service| drop(service.remove(&upstream.instance)));
-                    return;
-                }
-                let service = known.entry(upstream.service.clone()).or_default();
-                if upstream.state() >= UpstreamState::Deregistered {
-                    service.remove(&upstream.instance);
-                } else {
-                    service.insert(upstream.instance.clone(), Arc::new(upstream));
-                }
-            });
+            for upstream in update.upstreams {
+                apply_upstream(known, upstream);
+            }
+        }
+        if let Some(placement) = update.placement {
+            self.apply_placement(placement);
         }
-        news.placement
-            .into_iter()
-            .for_each(|placement| self.place(placement));
         Ok(())
     }
 
-    /// A placement of a lower claim epoch, or an earlier one of the same, is dropped.
-    fn place(&mut self, placement: Placement) {
-        let at = (placement.epoch, placement.number);
-        if at < self.placement_version {
+    /// Applies a placement, unless it is older than the present one: of a lower lease epoch, or an earlier one of the
+    /// same lease.
+    fn apply_placement(&mut self, placement: Placement) {
+        let version = PlacementVersion {
+            epoch: placement.epoch,
+            number: placement.number,
+        };
+        if version < self.placement_version {
             return;
         }
-        self.placement_version = at;
+        self.placement_version = version;
         if placement.partial {
             let shares = Arc::make_mut(&mut self.shares);
-            placement.shares.into_iter().for_each(|change| {
+            for change in placement.shares {
                 let known = shares.entry(change.service).or_default();
-                *known = crate::patch::apply_share_delta(known, &change.shares);
-            });
+                *known = apply_share_delta(known, &change.shares);
+            }
             return;
         }
         let reservations = placement
             .reservations
             .into_iter()
-            .map(|r| (r.name.clone(), r));
+            .map(|reservation| (reservation.name.clone(), reservation));
         self.reservations = Arc::new(reservations.collect());
-        let tombstones = placement
-            .tombstones
-            .into_iter()
-            .map(|m| ((m.name.clone(), m.from.clone()), m));
+        let tombstones = placement.tombstones.into_iter().map(|tombstone| {
+            let key = TombstoneKey {
+                name: tombstone.name.clone(),
+                left_locality: tombstone.from.clone(),
+            };
+            (key, tombstone)
+        });
         self.tombstones = Arc::new(tombstones.collect());
-        self.shares = Arc::new(
-            placement
-                .shares
-                .into_iter()
-                .map(|s| (s.service, s.shares))
-                .collect(),
-        );
+        let shares = placement
+            .shares
+            .into_iter()
+            .map(|service| (service.service, service.shares));
+        self.shares = Arc::new(shares.collect());
     }
 
-    /// Works out anew who sends where, after a change of the state, the placement or the proxies.
+    /// Works out anew which proxies send to which services, after a change of the state, the placement or the proxies.
     ///
     /// ```
     /// use std::time::Duration;
@@ -193,24 +208,21 @@
     /// assert_eq!(view.senders.since, Duration::ZERO, "nothing changed");
     /// ```
     pub fn update_senders(&mut self, now: Duration) {
-        let owners = self.configuration.routes.values().flat_map(|route| {
-            let owned = self.reservations.get(&route.name);
-            owned.into_iter().flat_map(|owned| {
-                route
-                    .services()
-                    .map(|service| (service, owned.locality.as_str()))
-            })
-        });
-        let places: BTreeSet<(&str, &str)> = owners.collect();
         let mut by_service: BTreeMap<String, Vec<String>> = BTreeMap::new();
-        places.into_iter().for_each(|(service, place)| {
-            let there = self.proxies.iter().filter(|proxy| proxy.locality == *place);
+        for (service, locality) in self.owning_localities() {
+            let proxies = self
+                .proxies
+                .iter()
+                .filter(|proxy| proxy.locality == *locality)
+                .map(|proxy| proxy.node.clone());
             by_service
                 .entry(service.to_owned())
                 .or_default()
-                .extend(there.map(|proxy| proxy.node.clone()));
-        });
-        by_service.values_mut().for_each(|senders| senders.sort());
+                .extend(proxies);
+        }
+        for senders in by_service.values_mut() {
+            senders.sort();
+        }
         if by_service != self.senders.by_service {
             self.senders = Arc::new(ServiceSenders {
                 by_service,
@@ -218,27 +230,38 @@
             });
         }
     }
-}
 
-/// True where a service's work may go to a locality (text form: region/zone).
-///
-/// ```
-/// use config::Service;
-/// let service = Service { home_regions: vec!["north".into()], ..Default::default() };
-/// assert!(name_directory::is_allowed_in(&service, "north/n1"));
-/// assert!(!name_directory::is_allowed_in(&service, "south/s1"));
-/// ```
-pub fn is_allowed_in(service: &Service, locality: &str) -> bool {
-    is_in_regions(&service.home_regions, locality)
+    /// Each service with each locality that owns a name of one of its routes.
+    fn owning_localities(&self) -> BTreeSet<(&str, &str)> {
+        let mut owners = BTreeSet::new();
+        for route in self.configuration.routes.values() {
+            let Some(reservation) = self.reservations.get(&route.name) else {
+                continue;
+            };
+            for service in route.services() {
+                owners.insert((service, reservation.locality.as_str()));
+            }
+        }
+        owners
+    }
 }
 
-/// True where a locality (text form: region/zone) lies in one of these regions, or none are named.
-///
-/// ```
-/// assert!(name_directory::is_in_regions(&[], "north/n1"));
-/// assert!(!name_directory::is_in_regions(&["south".to_owned()], "north/n1"));
-/// ```
-pub fn is_in_regions(regions: &[String], locality: &str) -> bool {
-    let region = locality.split('/').next().unwrap_or_default();
-    regions.is_empty() || regions.iter().any(|home| home == region)
+/// Adds, replaces or removes one upstream.
+fn apply_upstream(known: &mut BTreeMap<String, Upstreams>, upstream: Upstream) {
+    let is_gone = upstream.state() >= UpstreamState::Deregistered;
+    if upstream.service.is_empty() {
+        // It deregistered where nobody knew its service.
+        if is_gone {
+            for service in known.values_mut() {
+                service.remove(&upstream.instance);
+            }
+        }
+        return;
+    }
+    let service = known.entry(upstream.service.clone()).or_default();
+    if is_gone {
+        service.remove(&upstream.instance);
+    } else {
+        service.insert(upstream.instance.clone(), Arc::new(upstream));
+    }
 }
--- a/crates/name-directory/tests/patches.rs
+++ b/crates/name-directory/tests/key_share_deltas.rs
@@ -1,4 +1,4 @@
-//! A patch makes the new shares of the old, whatever they are.
+//! A delta of key shares turns the old shares into the new ones, whatever they are.
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Rows in order that don't overlap.
-fn rows(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<KeyShare>> {
+fn disjoint_rows(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<KeyShare>> {
     let (mut at, mut rows) = (0u32, Vec::new());
     while at < 60 && noise.ratio(9u8, 10u8)? {
         let from = at + noise.int_in_range(0..=4u32)?;
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn a_patch_makes_the_new_of_the_old() {
+fn a_delta_turns_the_old_shares_into_the_new() {
     (1..400u64).for_each(|number| {
         arbtest(|noise| {
-            let (old, new) = (rows(noise)?, rows(noise)?);
+            let (old, new) = (disjoint_rows(noise)?, disjoint_rows(noise)?);
             assert_eq!(
                 apply_share_delta(&old, &share_delta(&old, &new)),
                 new,
@@ -43,8 +43,8 @@
 }
 
 /// What is left of each row when the others are cut out of it one by one.
-fn cut_one_by_one(shares: &[KeyShare], by: &[KeyShare]) -> Vec<KeyShare> {
-    let cut = |shares: Vec<KeyShare>, by: &KeyShare| {
+fn subtract_one_by_one(shares: &[KeyShare], by: &[KeyShare]) -> Vec<KeyShare> {
+    let subtract = |shares: Vec<KeyShare>, by: &KeyShare| {
         let parts = shares.into_iter().flat_map(|share| {
             let before = KeyShare {
                 until: share.until.min(by.from),
@@ -60,11 +60,11 @@
         });
         parts.collect()
     };
-    by.iter().fold(shares.to_vec(), cut)
+    by.iter().fold(shares.to_vec(), subtract)
 }
 
 /// Rows in any order, some of which overlap.
-fn mixed(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<KeyShare>> {
+fn overlapping_rows(noise: &mut Unstructured) -> arbtest::arbitrary::Result<Vec<KeyShare>> {
     let count = noise.int_in_range(0..=9usize)?;
     (0..count)
         .map(|_| {
@@ -81,13 +81,13 @@
 }
 
 #[test]
-fn what_is_uncovered_is_what_cutting_one_by_one_leaves() {
+fn uncovered_equals_subtraction_one_by_one() {
     (1..400u64).for_each(|number| {
         arbtest(|noise| {
-            let (shares, by) = (mixed(noise)?, mixed(noise)?);
+            let (shares, by) = (overlapping_rows(noise)?, overlapping_rows(noise)?);
             assert_eq!(
                 uncovered(&shares, &by),
-                cut_one_by_one(&shares, &by),
+                subtract_one_by_one(&shares, &by),
                 "{shares:?} by {by:?}"
             );
             Ok(())
@@ -99,7 +99,7 @@
 /// A control node works out a change of all keys several times a second. With each row cut by each other this took a
 /// quarter of a core's whole time, and leases ran out meanwhile.
 #[test]
-fn a_change_of_many_rows_takes_little_time() {
+fn a_delta_of_many_rows_takes_little_time() {
     let row = |at: u32, instance: &str| KeyShare {
         from: at * 8,
         until: at * 8 + 8,
@@ -110,12 +110,12 @@
     let (old, new): (Vec<KeyShare>, Vec<KeyShare>) = (0..8192)
         .map(|at| (row(at, "one"), row(at, "another")))
         .unzip();
-    let begun_at = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(apply_share_delta(&old, &share_delta(&old, &new)), new);
     assert!(
-        begun_at.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "{:?}",
-        begun_at.elapsed()
+        started_at.elapsed()
     );
 }
 
@@ -125,7 +125,7 @@
     let mut shares = rows
         .iter()
         .fold(Vec::new(), |mut known: Vec<KeyShare>, row| {
-            known.extend(cut_one_by_one(std::slice::from_ref(row), &known));
+            known.extend(subtract_one_by_one(std::slice::from_ref(row), &known));
             known
         });
     shares.sort_by_key(|share| share.from);
@@ -133,10 +133,10 @@
 }
 
 #[test]
-fn the_latest_grants_are_what_cutting_one_by_one_leaves() {
+fn latest_grants_equal_subtraction_one_by_one() {
     (1..400u64).for_each(|number| {
         arbtest(|noise| {
-            let rows = mixed(noise)?;
+            let rows = overlapping_rows(noise)?;
             assert_eq!(
                 latest_grants(rows.clone()),
                 latest_one_by_one(rows.clone()),
@@ -159,11 +159,11 @@
         ..KeyShare::default()
     };
     let rows: Vec<KeyShare> = (0..8192).map(row).collect();
-    let begun_at = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(latest_grants(rows).len(), 8192);
     assert!(
-        begun_at.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "{:?}",
-        begun_at.elapsed()
+        started_at.elapsed()
     );
 }
--- a/crates/request-routing/src/admission.rs
+++ b/crates/request-routing/src/admission.rs
@@ -86,7 +86,7 @@
             locality: reservation.locality.clone(),
             epoch: reservation.epoch,
         });
-        let tombstone = view.tombstones.get(&(route.name.clone(), here.clone()));
+        let tombstone = view.tombstone(&route.name, &here);
         if let Some(tombstone) = tombstone {
             self.trace.push(TraceEvent::Tombstone {
                 to: tombstone.to.clone(),
--- a/crates/scale-model/src/request.rs
+++ b/crates/scale-model/src/request.rs
@@ -51,8 +51,11 @@
             &view,
             &name,
             origin,
-            Duration::from_secs(2),
-            (name_directory::OwnershipMode::SingleZone, 3),
+            &name_directory::LookupOptions {
+                ownership: name_directory::OwnershipMode::SingleZone,
+                max_proxies: 3,
+                lifetime: Duration::from_secs(2),
+            },
         );
         assert!(black_box(listed).is_ok(), "{name} has an owner");
         watch.took()
--- a/crates/simulator/src/origins.rs
+++ b/crates/simulator/src/origins.rs
@@ -151,8 +151,11 @@
                 view,
                 name,
                 &origin,
-                lifetime,
-                (name_directory::OwnershipMode::SingleZone, 3),
+                &name_directory::LookupOptions {
+                    ownership: name_directory::OwnershipMode::SingleZone,
+                    max_proxies: 3,
+                    lifetime,
+                },
             )
             .ok()
         });
--- a/crates/transport/src/command_line.rs
+++ b/crates/transport/src/command_line.rs
@@ -104,10 +104,7 @@
 }
 
 fn invalid(path: &str, text: String) -> Vec<ValidationError> {
-    vec![ValidationError {
-        path: path.to_owned(),
-        text,
-    }]
+    vec![ValidationError::new(path, text)]
 }
 
 fn version(program: &Program) -> String {
