--- a/crates/upstream-registry/tests/address_ownership.rs
+++ b/crates/upstream-registry/tests/address_ownership.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use upstream_registry::UpstreamRegistry;
 
-/// What a postmaster that just started is told, in whatever order: the live tenant keeps the address.
+/// Records that a control node gets just after its start, in either order: the live owner keeps the address.
 #[test]
-fn a_gone_instance_takes_no_address_back() {
-    let told = |instance: &str, state: UpstreamState, registered_ms_ago| Upstream {
+fn a_deregistered_instance_does_not_regain_its_address() {
+    let record = |instance: &str, state: UpstreamState, registered_ms_ago| Upstream {
         service: "s".into(),
         instance: instance.into(),
         address: "127.0.0.1:9".into(),
@@ -17,8 +17,8 @@
         ..Upstream::default()
     };
     let (old, new) = (
-        told("unit-3", UpstreamState::Deregistered, 90_000),
-        told("unit-27", UpstreamState::Ready, 40_000),
+        record("unit-3", UpstreamState::Deregistered, 90_000),
+        record("unit-27", UpstreamState::Ready, 40_000),
     );
     [[old.clone(), new.clone()], [new.clone(), old.clone()]]
         .into_iter()
@@ -38,10 +38,10 @@
         });
 }
 
-/// A beat of an old instance lay in a frozen process, and was told as news when its address had a new tenant.
+/// A heartbeat of an old instance was delayed in a frozen process, and gossiped as new when its address had a new owner.
 #[test]
-fn a_live_upstream_comes_back_from_a_late_beat_of_its_address() {
-    let told = |instance: &str, beat| Upstream {
+fn a_live_upstream_recovers_from_a_delayed_heartbeat_of_its_address() {
+    let record = |instance: &str, beat| Upstream {
         service: "s".into(),
         instance: instance.into(),
         address: "127.0.0.1:9".into(),
@@ -50,38 +50,38 @@
     };
     let ms = Duration::from_millis;
     let mut registry = UpstreamRegistry::default();
-    registry.apply_heartbeat(ms(1000), told("new", 1));
-    registry.apply_heartbeat(ms(1200), told("old", 9));
+    registry.apply_heartbeat(ms(1000), record("new", 1));
+    registry.apply_heartbeat(ms(1200), record("old", 9));
     assert_eq!(
         registry
-            .get(ms(1200), &told("new", 0))
+            .get(ms(1200), &record("new", 0))
             .map(|new| new.state()),
         Some(UpstreamState::Deregistered),
         "it seems the older"
     );
     assert!(
-        !registry.apply_heartbeat(ms(1500), told("new", 2)),
-        "for a moment it can't be known"
+        !registry.apply_heartbeat(ms(1500), record("new", 2)),
+        "for a moment the order can't be known"
     );
-    assert!(registry.apply_heartbeat(ms(3000), told("new", 5)));
+    assert!(registry.apply_heartbeat(ms(3000), record("new", 5)));
     assert_eq!(
         registry
-            .get(ms(3000), &told("new", 0))
+            .get(ms(3000), &record("new", 0))
             .map(|new| new.state()),
         Some(UpstreamState::Ready)
     );
     assert_eq!(
         registry
-            .get(ms(3000), &told("old", 0))
+            .get(ms(3000), &record("old", 0))
             .map(|old| old.state()),
         Some(UpstreamState::Deregistered)
     );
 }
 
-/// Ages beyond the start of this process still tell the younger from the older.
+/// Ages beyond the start of this process still distinguish the younger from the older registration.
 #[test]
-fn the_younger_registration_has_the_address() {
-    let told = |instance: &str, registered_ms_ago| Upstream {
+fn the_younger_registration_owns_the_address() {
+    let record = |instance: &str, registered_ms_ago| Upstream {
         service: "s".into(),
         instance: instance.into(),
         address: "127.0.0.1:9".into(),
@@ -90,8 +90,8 @@
         ..Upstream::default()
     };
     let mut registry = UpstreamRegistry::default();
-    registry.apply_heartbeat(Duration::from_secs(1), told("a-younger", 40_000));
-    registry.apply_heartbeat(Duration::from_secs(1), told("b-older", 90_000));
+    registry.apply_heartbeat(Duration::from_secs(1), record("a-younger", 40_000));
+    registry.apply_heartbeat(Duration::from_secs(1), record("b-older", 90_000));
     let ready: Vec<String> = registry
         .snapshot(Duration::from_secs(1))
         .into_iter()
--- a/crates/upstream-registry/tests/key_balance.rs
+++ b/crates/upstream-registry/tests/key_balance.rs
@@ -20,20 +20,20 @@
     }
 }
 
-/// Upstreams without faults: each beats every half second, and lets go at once with a token.
-struct Fleet {
+/// Upstreams without faults: each sends a heartbeat every half second, and releases revoked keys at once with a token.
+struct Cluster {
     now: Duration,
     ranges: KeyRangeAssigner,
     ready: BTreeMap<String, u32>,
     holds: BTreeMap<String, Vec<Grant>>,
     sequence: u64,
-    /// Keys that changed hands after their first grant, and how many of these came cold.
+    /// Keys that changed owners after their first grant, and how many of these came without a handover token.
     moved: u32,
-    cold: u32,
-    had: BTreeMap<u32, String>,
+    without_token: u32,
+    last_owners: BTreeMap<u32, String>,
 }
 
-impl Fleet {
+impl Cluster {
     fn new(ready: &[(&str, u32)]) -> Self {
         let now = MS(1000);
         let ranges = KeyRangeAssigner::new(now, terms(), KEYS, 1, true);
@@ -41,16 +41,16 @@
             .iter()
             .map(|(name, capacity)| ((*name).to_owned(), *capacity))
             .collect();
-        let (holds, had) = (BTreeMap::new(), BTreeMap::new());
-        Fleet {
+        let (holds, last_owners) = (BTreeMap::new(), BTreeMap::new());
+        Cluster {
             now,
             ranges,
             ready,
             holds,
             sequence: 0,
             moved: 0,
-            cold: 0,
-            had,
+            without_token: 0,
+            last_owners,
         }
     }
 
@@ -67,15 +67,15 @@
             .cloned()
             .collect();
         names.iter().for_each(|name| {
-            let released = self.beat(name, Vec::new(), load);
+            let released = self.send_heartbeat(name, Vec::new(), load);
             if !released.is_empty() {
-                self.beat(name, released, load);
+                self.send_heartbeat(name, released, load);
             }
         });
     }
 
-    /// One heartbeat, and what was let go on its answer.
-    fn beat(
+    /// One heartbeat; returns what was released on its response.
+    fn send_heartbeat(
         &mut self,
         name: &str,
         released: Vec<ReleasedKeyRange>,
@@ -91,30 +91,30 @@
                 fence: grant.fence,
             })
             .collect();
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             instance: name.to_owned(),
             sequence: self.sequence,
             holdings,
             released,
         };
-        let told = self
+        let granted = self
             .ranges
-            .handle_heartbeat(self.now, &beat, &self.ready, load)
+            .handle_heartbeat(self.now, &heartbeat, &self.ready, load)
             .unwrap();
         let lists =
             |rows: &[Grant], key: u32| rows.iter().any(|row| (row.from..=row.to).contains(&key));
-        told.iter().for_each(|grant| {
+        granted.iter().for_each(|grant| {
             (grant.from..=grant.to).for_each(|key| {
-                let last = self.had.insert(key, name.to_owned());
+                let last = self.last_owners.insert(key, name.to_owned());
                 let moved = last.is_some_and(|last| last != name);
                 self.moved += u32::from(moved);
-                self.cold += u32::from(moved && grant.handover.is_empty());
+                self.without_token += u32::from(moved && grant.handover.is_empty());
             });
         });
         let gone = held
             .iter()
             .flat_map(|row| row.from..=row.to)
-            .filter(|key| !lists(&told, *key));
+            .filter(|key| !lists(&granted, *key));
         let gone: Vec<u32> = gone.collect();
         let runs = gone.chunk_by(|one, other| one + 1 == *other);
         let runs = runs.map(|run| ReleasedKeyRange {
@@ -123,7 +123,7 @@
             handover: format!("of {name}"),
         });
         let runs = runs.collect();
-        self.holds.insert(name.to_owned(), told);
+        self.holds.insert(name.to_owned(), granted);
         runs
     }
 
@@ -136,7 +136,7 @@
         rows.map(|row| load.weight(row.from, row.to)).sum::<f64>() / load.total_weight()
     }
 
-    fn whole(&self) -> bool {
+    fn holds_all_keys(&self) -> bool {
         let keys: u32 = self
             .holds
             .values()
@@ -148,72 +148,76 @@
 }
 
 #[test]
-fn the_first_grant_is_by_capacity_and_in_one_piece_each() {
-    let (mut fleet, load) = (
-        Fleet::new(&[("a", 1), ("b", 2), ("c", 5)]),
+fn first_grants_follow_capacity_in_one_range_each() {
+    let (mut cluster, load) = (
+        Cluster::new(&[("a", 1), ("b", 2), ("c", 5)]),
         LoadHistogram::uniform(KEYS),
     );
-    fleet.round(&load);
-    assert!(fleet.whole());
-    assert!(fleet.holds.values().all(|rows| rows.len() == 1));
+    cluster.round(&load);
+    assert!(cluster.holds_all_keys());
+    assert!(cluster.holds.values().all(|rows| rows.len() == 1));
     [("a", 0.125), ("b", 0.25), ("c", 0.625)]
         .iter()
         .for_each(|(name, part)| {
             assert!(
-                (fleet.weight(name, &load) - part).abs() < 0.01,
+                (cluster.weight(name, &load) - part).abs() < 0.01,
                 "{name}: {}",
-                fleet.weight(name, &load)
+                cluster.weight(name, &load)
             );
         });
-    fleet.rounds(20, &load);
-    assert_eq!(fleet.moved, 0);
-    assert_eq!(fleet.ranges.assignments(fleet.now).len(), 3);
+    cluster.rounds(20, &load);
+    assert_eq!(cluster.moved, 0);
+    assert_eq!(cluster.ranges.assignments(cluster.now).len(), 3);
 }
 
 #[test]
-fn one_that_joins_takes_its_part_from_all_and_comes_warm() {
-    let (mut fleet, load) = (
-        Fleet::new(&[("a", 1), ("b", 1), ("c", 1)]),
+fn a_joining_instance_takes_its_share_from_all_with_tokens() {
+    let (mut cluster, load) = (
+        Cluster::new(&[("a", 1), ("b", 1), ("c", 1)]),
         LoadHistogram::uniform(KEYS),
     );
-    fleet.rounds(3, &load);
-    fleet.join("d", 1);
-    fleet.rounds(12, &load);
-    assert!(fleet.whole());
+    cluster.rounds(3, &load);
+    cluster.join("d", 1);
+    cluster.rounds(12, &load);
+    assert!(cluster.holds_all_keys());
     let parts: Vec<f64> = ["a", "b", "c", "d"]
         .iter()
-        .map(|name| fleet.weight(name, &load))
+        .map(|name| cluster.weight(name, &load))
         .collect();
-    println!("parts {parts:?}, {} keys moved", fleet.moved);
+    println!("parts {parts:?}, {} keys moved", cluster.moved);
     assert!(
         parts
             .iter()
             .all(|part| (0.75 * 0.25..1.25 * 0.25).contains(part)),
         "{parts:?}"
     );
-    assert!(fleet.moved <= KEYS * 3 / 10, "{} keys moved", fleet.moved);
-    assert_eq!(fleet.cold, 0);
+    assert!(
+        cluster.moved <= KEYS * 3 / 10,
+        "{} keys moved",
+        cluster.moved
+    );
+    assert_eq!(cluster.without_token, 0);
 }
 
 #[test]
-fn one_that_leaves_hands_all_over_and_nothing_else_moves() {
-    let (mut fleet, load) = (
-        Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]),
+fn a_draining_instance_hands_over_all_and_nothing_else_moves() {
+    let (mut cluster, load) = (
+        Cluster::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]),
         LoadHistogram::uniform(KEYS),
     );
-    fleet.rounds(3, &load);
-    fleet.ready.remove("b");
-    fleet.rounds(4, &load);
-    assert!(fleet.whole());
-    assert_eq!(fleet.weight("b", &load), 0.0);
-    assert_eq!((fleet.moved, fleet.cold), (KEYS / 4, 0));
-    fleet.rounds(20, &load);
-    assert_eq!(fleet.moved, KEYS / 4);
+    cluster.rounds(3, &load);
+    cluster.ready.remove("b");
+    cluster.rounds(4, &load);
+    assert!(cluster.holds_all_keys());
+    assert_eq!(cluster.weight("b", &load), 0.0);
+    assert_eq!((cluster.moved, cluster.without_token), (KEYS / 4, 0));
+    cluster.rounds(20, &load);
+    assert_eq!(cluster.moved, KEYS / 4);
 }
 
-/// Wherever the round of heartbeats stands, and although capacities, told as free slots, change with each heartbeat.
+/// At whatever point of the round of heartbeats, and although capacities (reported as free slots) change with each.
 #[test]
-fn free_keys_have_a_holder_once_everybody_was_heard() {
+fn free_keys_have_an_owner_after_one_round_of_heartbeats() {
     let names: Vec<String> = (0..12).map(|at| format!("u{at:02}")).collect();
     let counts: Vec<u64> = (0..1024u64)
         .map(|at| at * at % 61 + if at % 200 < 20 { 300 } else { 0 })
@@ -224,18 +228,18 @@
         .flat_map(|leaver| (1..12).map(move |first| (leaver, first)))
         .filter(|(leaver, first)| {
             let ready: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 8)).collect();
-            let mut fleet = Fleet::new(&ready);
-            fleet.rounds(3, &load);
-            fleet.ready.remove(&names[*leaver]);
-            fleet.now += MS(500);
-            let released = fleet.beat(&names[*leaver], Vec::new(), &load);
-            fleet.beat(&names[*leaver], released, &load);
+            let mut cluster = Cluster::new(&ready);
+            cluster.rounds(3, &load);
+            cluster.ready.remove(&names[*leaver]);
+            cluster.now += MS(500);
+            let released = cluster.send_heartbeat(&names[*leaver], Vec::new(), &load);
+            cluster.send_heartbeat(&names[*leaver], released, &load);
             (0..11).for_each(|at| {
                 let name = &names[(leaver + 1 + (first + at) % 11) % 12];
-                fleet.ready.insert(name.clone(), 5 + (at * 7 % 4) as u32);
-                fleet.beat(name, Vec::new(), &load);
+                cluster.ready.insert(name.clone(), 5 + (at * 7 % 4) as u32);
+                cluster.send_heartbeat(name, Vec::new(), &load);
             });
-            !fleet.whole()
+            !cluster.holds_all_keys()
         });
     assert_eq!(
         unheld.collect::<Vec<_>>(),
@@ -245,9 +249,9 @@
 }
 
 #[test]
-fn close_busy_keys_are_divided_again_when_they_lie_elsewhere() {
-    let mut fleet = Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
-    fleet.rounds(3, &LoadHistogram::uniform(KEYS));
+fn a_moved_hot_spot_is_divided_again() {
+    let mut cluster = Cluster::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
+    cluster.rounds(3, &LoadHistogram::uniform(KEYS));
     [1000, 3000].iter().for_each(|busy| {
         // Nine tenths of all on one part in 64.
         let counts: Vec<u64> = (0..4096u64)
@@ -259,14 +263,14 @@
                 }
             })
             .collect();
-        let (load, before) = (LoadHistogram::new(KEYS, &counts), fleet.moved);
-        fleet.rounds(60, &load);
+        let (load, before) = (LoadHistogram::new(KEYS, &counts), cluster.moved);
+        cluster.rounds(60, &load);
         let parts: Vec<f64> = ["a", "b", "c", "d"]
             .iter()
-            .map(|name| fleet.weight(name, &load))
+            .map(|name| cluster.weight(name, &load))
             .collect();
-        println!("parts {parts:?}, {} keys moved", fleet.moved - before);
-        assert!(fleet.whole());
+        println!("parts {parts:?}, {} keys moved", cluster.moved - before);
+        assert!(cluster.holds_all_keys());
         assert!(
             parts
                 .iter()
@@ -274,70 +278,70 @@
             "{parts:?}"
         );
         assert!(
-            fleet.moved - before < KEYS / 4,
+            cluster.moved - before < KEYS / 4,
             "{} keys moved",
-            fleet.moved - before
+            cluster.moved - before
         );
     });
 }
 
 #[test]
-fn the_holder_of_one_hot_key_is_rid_of_the_others() {
-    let mut fleet = Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
-    fleet.rounds(3, &LoadHistogram::uniform(KEYS));
+fn the_owner_of_a_hot_key_loses_its_other_keys() {
+    let mut cluster = Cluster::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
+    cluster.rounds(3, &LoadHistogram::uniform(KEYS));
     let counts: Vec<u64> = (0..4096)
         .map(|at| if at == 500 { 6000 } else { 1 })
         .collect();
     let load = LoadHistogram::new(KEYS, &counts);
-    fleet.rounds(60, &load);
+    cluster.rounds(60, &load);
     let parts: Vec<f64> = ["a", "b", "c", "d"]
         .iter()
-        .map(|name| fleet.weight(name, &load))
+        .map(|name| cluster.weight(name, &load))
         .collect();
-    println!("parts {parts:?}, {} keys moved", fleet.moved);
-    assert!(fleet.whole());
+    println!("parts {parts:?}, {} keys moved", cluster.moved);
+    assert!(cluster.holds_all_keys());
     let hot = load.weight(500 * 16, 500 * 16 + 15) / load.total_weight();
     assert!(parts[0] < hot + 0.03, "{parts:?}, {hot} of it hot");
-    let moved = fleet.moved;
-    fleet.rounds(60, &load);
-    assert_eq!(fleet.moved, moved, "what can't be divided is let be");
+    let moved = cluster.moved;
+    cluster.rounds(60, &load);
+    assert_eq!(cluster.moved, moved, "what can't be divided stays");
 }
 
 #[test]
-fn a_load_that_flutters_moves_nothing() {
-    let mut fleet = Fleet::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
+fn a_fluctuating_load_moves_nothing() {
+    let mut cluster = Cluster::new(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
     (0..100u64).for_each(|round| {
         let counts: Vec<u64> = (0..512u64)
             .map(|at| 100 + (at / 128 * 7 + round * 5) % 31)
             .collect();
-        fleet.round(&LoadHistogram::new(KEYS, &counts));
+        cluster.round(&LoadHistogram::new(KEYS, &counts));
     });
-    assert!(fleet.whole());
-    assert_eq!(fleet.moved, 0);
+    assert!(cluster.holds_all_keys());
+    assert_eq!(cluster.moved, 0);
 }
 
 #[test]
-fn a_new_lease_holder_keeps_everything_where_it_is() {
-    let (mut fleet, load) = (
-        Fleet::new(&[("a", 1), ("b", 1), ("c", 2)]),
+fn a_new_lease_holder_keeps_all_assignments() {
+    let (mut cluster, load) = (
+        Cluster::new(&[("a", 1), ("b", 1), ("c", 2)]),
         LoadHistogram::uniform(KEYS),
     );
-    fleet.rounds(3, &load);
-    let before = fleet.holds.clone();
-    fleet.ranges = KeyRangeAssigner::new(fleet.now - MS(600), terms(), KEYS, 2, false);
-    fleet.rounds(30, &load);
-    assert_eq!(fleet.holds, before);
-    assert_eq!(fleet.moved, 0);
+    cluster.rounds(3, &load);
+    let before = cluster.holds.clone();
+    cluster.ranges = KeyRangeAssigner::new(cluster.now - MS(600), terms(), KEYS, 2, false);
+    cluster.rounds(30, &load);
+    assert_eq!(cluster.holds, before);
+    assert_eq!(cluster.moved, 0);
 }
 
 #[test]
-fn the_later_of_two_listed_grants_counts() {
+fn the_later_of_two_listed_grants_wins() {
     let mut ranges = KeyRangeAssigner::new(MS(1000), terms(), KEYS, 3, false);
     let (load, ready) = (
         LoadHistogram::uniform(KEYS),
         [("a".to_owned(), 1), ("b".to_owned(), 1)].into(),
     );
-    let beat = |name: &str, sequence, fence| {
+    let heartbeat = |name: &str, sequence, fence| {
         let holdings = vec![HeldKeyRange {
             from: 10,
             to: 20,
@@ -352,28 +356,28 @@
     };
     assert_eq!(
         ranges
-            .handle_heartbeat(MS(2500), &beat("a", 1, 5), &ready, &load)
+            .handle_heartbeat(MS(2500), &heartbeat("a", 1, 5), &ready, &load)
             .unwrap()
             .len(),
         1
     );
     assert_eq!(
         ranges
-            .handle_heartbeat(MS(2510), &beat("b", 1, 6), &ready, &load)
+            .handle_heartbeat(MS(2510), &heartbeat("b", 1, 6), &ready, &load)
             .unwrap()
             .len(),
         1
     );
     assert_eq!(
         ranges
-            .handle_heartbeat(MS(2520), &beat("a", 2, 5), &ready, &load)
+            .handle_heartbeat(MS(2520), &heartbeat("a", 2, 5), &ready, &load)
             .unwrap(),
         []
     );
 }
 
 #[test]
-fn rows_beyond_the_bounds_do_nothing() {
+fn ranges_beyond_the_limits_are_ignored() {
     let (load, ready) = (LoadHistogram::uniform(KEYS), [("a".to_owned(), 1)].into());
     let mut ranges = KeyRangeAssigner::new(MS(1000), terms(), KEYS, 3, false);
     let own = 3 << 24;
@@ -398,7 +402,7 @@
         to: *to,
         handover: "x".repeat(9999),
     });
-    let beat = |sequence, holdings| Heartbeat {
+    let heartbeat = |sequence, holdings| Heartbeat {
         instance: "a".into(),
         sequence,
         holdings,
@@ -406,7 +410,7 @@
     };
     let bad = Heartbeat {
         released: released.collect(),
-        ..beat(1, holdings)
+        ..heartbeat(1, holdings)
     };
     assert_eq!(
         ranges.handle_heartbeat(MS(2500), &bad, &ready, &load),
@@ -421,7 +425,7 @@
         MAX_RANGES_PER_HEARTBEAT + 1
     ];
     assert_eq!(
-        ranges.handle_heartbeat(MS(2600), &beat(2, many), &ready, &load),
+        ranges.handle_heartbeat(MS(2600), &heartbeat(2, many), &ready, &load),
         None
     );
     (0..60).for_each(|at| {
@@ -433,7 +437,7 @@
         });
         ranges.handle_heartbeat(
             MS(2700),
-            &beat(3 + u64::from(at), holdings.collect()),
+            &heartbeat(3 + u64::from(at), holdings.collect()),
             &ready,
             &load,
         );
--- a/crates/upstream-registry/tests/key_ranges.rs
+++ b/crates/upstream-registry/tests/key_ranges.rs
@@ -1,5 +1,5 @@
-//! Whatever becomes of heartbeats and answers, and whoever holds the lease, no key has two live upstreams; and
-//! once all is calm, every key has one.
+//! Simulation of upstreams, a lossy network and changing holders of the placement lease: no key ever has two live owners,
+//! and once faults cease, every key has one.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
@@ -11,7 +11,7 @@
 };
 
 const KEYS: u32 = 64;
-const UNITS: usize = 4;
+const UPSTREAM_COUNT: usize = 4;
 const TICK: u64 = 10;
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
@@ -25,124 +25,130 @@
     }
 }
 
-/// What is wrong with the world on purpose.
+/// What is broken on purpose.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// A new lease holder adopts without waiting for earlier answers to lose their effect.
-    AdoptsAtOnce,
-    /// A new lease holder takes the world for a new one.
-    GivesAtOnce,
-    /// Upstreams take late answers, and the holder counts on it that they don't.
-    LateUnannounced,
-    /// Upstreams count their holds by clocks a tenth slow.
+    /// A new lease holder adopts without waiting for earlier responses to lose their effect.
+    AdoptsImmediately,
+    /// A new lease holder acts as if nothing had ever been granted.
+    GrantsImmediately,
+    /// Upstreams apply late responses, and the lease holder relies on it that they don't.
+    LateResponsesUnannounced,
+    /// Upstreams count their key leases by clocks a tenth slow.
     SlowClocks,
-    /// What an upstream holds counts as let go once it signed off.
-    FreesAtSignOff,
+    /// What an upstream holds counts as released once it deregistered.
+    FreesAtDeregistration,
 }
 
 #[derive(Clone, Copy)]
-struct Hold {
+struct HeldKey {
     fence: u64,
     until: Duration,
-    /// When a key that was left out of an answer is let go.
-    lets_go: Option<Duration>,
+    /// When a key that was left out of a response is released.
+    releases_at: Option<Duration>,
 }
 
 /// One upstream. Its clock runs at `rate` thousandths of the true one.
-struct Unit {
+struct SimulatedUpstream {
     name: String,
     rate: u32,
     alive: bool,
-    gone_at: Duration,
+    stopped_at: Duration,
     draining: bool,
-    /// It says no more, and serves on until its holds have run out.
-    signed_off: bool,
+    /// It sends no heartbeats, and serves until its key leases have expired.
+    deregistered: bool,
     sequence: u64,
-    next_beat: Duration,
-    holds: BTreeMap<u32, Hold>,
+    next_heartbeat_at: Duration,
+    holds: BTreeMap<u32, HeldKey>,
     seen: BTreeMap<u32, u64>,
-    /// Let go, and since which heartbeat it is told.
+    /// Released keys, each with the first heartbeat that lists it.
     released: Vec<(u64, ReleasedKeyRange)>,
 }
 
-enum Mail {
-    Beat {
-        unit: String,
+enum Message {
+    Heartbeat {
+        upstream: String,
         sent: Duration,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
     },
-    Answer {
-        unit: String,
+    Response {
+        upstream: String,
         sent: Duration,
         sequence: u64,
         grants: Option<Vec<Grant>>,
     },
 }
 
-struct World {
+struct Simulation {
     fault: Fault,
     late: bool,
     now: Duration,
-    units: Vec<Unit>,
-    born: usize,
-    mail: Vec<(Duration, Mail)>,
+    upstreams: Vec<SimulatedUpstream>,
+    started_count: usize,
+    messages: Vec<(Duration, Message)>,
     ranges: Option<KeyRangeAssigner>,
     epoch: u64,
-    next_lease: Duration,
+    next_lease_at: Duration,
     /// The lease holder's clock, in thousandths of the true one.
     clock: u32,
     load: LoadHistogram,
-    given: usize,
-    warm: usize,
-    /// The first key that two held.
-    blame: Option<String>,
+    granted: usize,
+    with_token: usize,
+    /// The first key that had two holders.
+    first_violation: Option<String>,
 }
 
-fn unit(born: &mut usize, now: Duration, rate: u32) -> Unit {
-    *born += 1;
-    Unit {
-        name: format!("u{born}"),
+fn start_upstream(started_count: &mut usize, now: Duration, rate: u32) -> SimulatedUpstream {
+    *started_count += 1;
+    SimulatedUpstream {
+        name: format!("u{started_count}"),
         rate,
         alive: true,
-        gone_at: Duration::ZERO,
+        stopped_at: Duration::ZERO,
         draining: false,
-        signed_off: false,
+        deregistered: false,
         sequence: 0,
-        next_beat: now,
+        next_heartbeat_at: now,
         holds: BTreeMap::new(),
         seen: BTreeMap::new(),
         released: Vec::new(),
     }
 }
 
-impl World {
+impl Simulation {
     fn new(fault: Fault, late: bool) -> Self {
-        let (now, mut born) = (MS(10_000), 0);
-        let slowest = if fault == Fault::SlowClocks { 900 } else { 980 };
-        let units = (0..UNITS)
-            .map(|at| unit(&mut born, now, if at % 2 == 0 { slowest } else { 1000 }))
+        let (now, mut started_count) = (MS(10_000), 0);
+        let longest_recovery = if fault == Fault::SlowClocks { 900 } else { 980 };
+        let upstreams = (0..UPSTREAM_COUNT)
+            .map(|at| {
+                start_upstream(
+                    &mut started_count,
+                    now,
+                    if at % 2 == 0 { longest_recovery } else { 1000 },
+                )
+            })
             .collect();
-        let announced = late && fault != Fault::LateUnannounced;
+        let announced = late && fault != Fault::LateResponsesUnannounced;
         let ranges = Some(KeyRangeAssigner::new(now, terms(announced), KEYS, 1, true));
-        let (mail, load, epoch, clock) = (Vec::new(), LoadHistogram::uniform(KEYS), 1, 1000);
-        let (next_lease, given, warm) = (now, 0, 0);
-        let blame = None;
-        World {
+        let (messages, load, epoch, clock) = (Vec::new(), LoadHistogram::uniform(KEYS), 1, 1000);
+        let (next_lease_at, granted, with_token) = (now, 0, 0);
+        let first_violation = None;
+        Simulation {
             fault,
             late,
             now,
-            units,
-            born,
-            mail,
+            upstreams,
+            started_count,
+            messages,
             ranges,
             epoch,
-            next_lease,
+            next_lease_at,
             clock,
             load,
-            given,
-            warm,
-            blame,
+            granted,
+            with_token,
+            first_violation,
         }
     }
 
@@ -152,15 +158,17 @@
 
     /// What the control nodes believe; a crash shows only after a while.
     fn ready(&self) -> BTreeMap<String, u32> {
-        let believed = |unit: &&Unit| {
-            !unit.draining && !unit.signed_off && (unit.alive || self.now < unit.gone_at + MS(1500))
+        let is_believed_ready = |upstream: &&SimulatedUpstream| {
+            !upstream.draining
+                && !upstream.deregistered
+                && (upstream.alive || self.now < upstream.stopped_at + MS(1500))
         };
         let each = self
-            .units
+            .upstreams
             .iter()
             .enumerate()
-            .filter(|(_, unit)| believed(unit));
-        each.map(|(at, unit)| (unit.name.clone(), 1 + at as u32))
+            .filter(|(_, upstream)| is_believed_ready(upstream));
+        each.map(|(at, upstream)| (upstream.name.clone(), 1 + at as u32))
             .collect()
     }
 
@@ -171,9 +179,9 @@
         } else {
             1000
         };
-        let terms = terms(self.late && self.fault != Fault::LateUnannounced);
+        let terms = terms(self.late && self.fault != Fault::LateResponsesUnannounced);
         let now = self.lease_now();
-        let start = if self.fault == Fault::AdoptsAtOnce {
+        let start = if self.fault == Fault::AdoptsImmediately {
             now - MS(1080)
         } else {
             now
@@ -183,173 +191,187 @@
             terms,
             KEYS,
             self.epoch,
-            self.fault == Fault::GivesAtOnce,
+            self.fault == Fault::GrantsImmediately,
         ));
     }
 
-    fn disturb(&mut self, noise: &mut Unstructured) -> Result<()> {
-        let at = noise.int_in_range(0..=UNITS - 1)?;
+    fn inject_fault(&mut self, entropy: &mut Unstructured) -> Result<()> {
+        let at = entropy.int_in_range(0..=UPSTREAM_COUNT - 1)?;
         let rate = if self.fault == Fault::SlowClocks {
             900
         } else {
             980
         };
-        match noise.int_in_range(0..=9u8)? {
+        match entropy.int_in_range(0..=9u8)? {
             0 | 1 => {
                 self.ranges = None;
-                self.next_lease = self.now + MS(noise.int_in_range(0..=60u64)? * TICK);
+                self.next_lease_at = self.now + MS(entropy.int_in_range(0..=60u64)? * TICK);
             }
-            2 if noise.ratio(1, 2u8)? => self.sign_off(at),
+            2 if entropy.ratio(1, 2u8)? => self.deregister(at),
             2 => {
-                let unit = &mut self.units[at];
-                (unit.alive, unit.gone_at) = (false, self.now);
+                let upstream = &mut self.upstreams[at];
+                (upstream.alive, upstream.stopped_at) = (false, self.now);
             }
-            3 | 4 => self.units[at].draining ^= true,
-            5 if !self.units[at].alive || self.units[at].holds.is_empty() => {
-                self.units[at] = unit(&mut self.born, self.now, rate);
+            3 | 4 => self.upstreams[at].draining ^= true,
+            5 if !self.upstreams[at].alive || self.upstreams[at].holds.is_empty() => {
+                self.upstreams[at] = start_upstream(&mut self.started_count, self.now, rate);
             }
             6 | 7 => {
                 let counts: Vec<u64> = (0..16)
-                    .map(|_| noise.int_in_range(0..=40u64))
+                    .map(|_| entropy.int_in_range(0..=40u64))
                     .collect::<Result<_>>()?;
                 self.load = LoadHistogram::new(KEYS, &counts);
             }
-            // One stands still for a while.
-            8 => self.units[at].next_beat = self.now + MS(noise.int_in_range(0..=250u64)? * 20),
+            // One stalls for a while.
+            8 => {
+                self.upstreams[at].next_heartbeat_at =
+                    self.now + MS(entropy.int_in_range(0..=250u64)? * 20)
+            }
             _ => {}
         }
         Ok(())
     }
 
-    fn sign_off(&mut self, at: usize) {
-        self.units[at].signed_off = true;
-        if self.fault == Fault::FreesAtSignOff {
+    fn deregister(&mut self, at: usize) {
+        self.upstreams[at].deregistered = true;
+        if self.fault == Fault::FreesAtDeregistration {
             let (now, ready) = (self.lease_now(), self.ready());
-            let lets_all_go = Heartbeat {
-                instance: self.units[at].name.clone(),
+            let releases_all = Heartbeat {
+                instance: self.upstreams[at].name.clone(),
                 sequence: u64::MAX,
                 ..Heartbeat::default()
             };
             self.ranges.iter_mut().for_each(|ranges| {
-                ranges.handle_heartbeat(now, &lets_all_go, &ready, &self.load);
+                ranges.handle_heartbeat(now, &releases_all, &ready, &self.load);
             });
         }
     }
 
-    /// Most mail is quick; some is late, and some gets lost.
-    fn post(&mut self, noise: &mut Unstructured, mail: Mail) -> Result<()> {
-        let delay = match noise.int_in_range(0..=19u8)? {
+    /// Most messages are quick; some are late, and some get lost.
+    fn send(&mut self, entropy: &mut Unstructured, message: Message) -> Result<()> {
+        let delay = match entropy.int_in_range(0..=19u8)? {
             0..=9 => 10,
-            10..=14 => noise.int_in_range(0..=40u64)? * TICK,
-            15..=17 => noise.int_in_range(0..=130u64)? * TICK,
-            18 => noise.int_in_range(0..=250u64)? * 20,
+            10..=14 => entropy.int_in_range(0..=40u64)? * TICK,
+            15..=17 => entropy.int_in_range(0..=130u64)? * TICK,
+            18 => entropy.int_in_range(0..=250u64)? * 20,
             _ => return Ok(()),
         };
-        self.mail.push((self.now + MS(delay), mail));
+        self.messages.push((self.now + MS(delay), message));
         Ok(())
     }
 
-    fn tick(&mut self, noise: &mut Unstructured) -> Result<()> {
+    fn tick(&mut self, entropy: &mut Unstructured) -> Result<()> {
         self.now += MS(TICK);
         let now = self.now;
-        if self.ranges.is_none() && now >= self.next_lease {
+        if self.ranges.is_none() && now >= self.next_lease_at {
             self.start_lease();
         }
-        let beats: Vec<Mail> = self
-            .units
+        let heartbeats: Vec<Message> = self
+            .upstreams
             .iter_mut()
-            .filter_map(|unit| unit.tick(now))
+            .filter_map(|upstream| upstream.tick(now))
             .collect();
-        beats
+        heartbeats
             .into_iter()
-            .try_for_each(|beat| self.post(noise, beat))?;
-        let (due, later) = std::mem::take(&mut self.mail)
+            .try_for_each(|heartbeat| self.send(entropy, heartbeat))?;
+        let (due, later) = std::mem::take(&mut self.messages)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.mail = later;
-        let due: Vec<(Duration, Mail)> = due;
+        self.messages = later;
+        let due: Vec<(Duration, Message)> = due;
         due.into_iter()
-            .try_for_each(|(_, mail)| self.deliver(noise, mail))?;
+            .try_for_each(|(_, message)| self.deliver(entropy, message))?;
         self.check();
         Ok(())
     }
 
-    fn deliver(&mut self, noise: &mut Unstructured, mail: Mail) -> Result<()> {
-        match mail {
-            Mail::Beat { unit, sent, beat } => {
+    fn deliver(&mut self, entropy: &mut Unstructured, message: Message) -> Result<()> {
+        match message {
+            Message::Heartbeat {
+                upstream,
+                sent,
+                heartbeat,
+            } => {
                 let (now, ready) = (self.lease_now(), self.ready());
                 let Some(ranges) = self.ranges.as_mut() else {
                     return Ok(());
                 };
-                let grants = ranges.handle_heartbeat(now, &beat, &ready, &self.load);
-                self.post(
-                    noise,
-                    Mail::Answer {
-                        unit,
+                let grants = ranges.handle_heartbeat(now, &heartbeat, &ready, &self.load);
+                self.send(
+                    entropy,
+                    Message::Response {
+                        upstream,
                         sent,
-                        sequence: beat.sequence,
+                        sequence: heartbeat.sequence,
                         grants,
                     },
                 )
             }
-            Mail::Answer {
-                unit,
+            Message::Response {
+                upstream,
                 sent,
                 sequence,
                 grants,
             } => {
                 let (now, late) = (self.now, self.late);
-                let unit = self
-                    .units
+                let upstream = self
+                    .upstreams
                     .iter_mut()
-                    .find(|other| other.name == unit && other.alive);
-                let (Some(unit), Some(grants)) = (unit, grants) else {
+                    .find(|other| other.name == upstream && other.alive);
+                let (Some(upstream), Some(grants)) = (upstream, grants) else {
                     return Ok(());
                 };
-                let in_time = (now - sent) * unit.rate / 1000 <= MS(1000);
-                if in_time && (late || unit.sequence == sequence) {
-                    self.given += grants
+                let in_time = (now - sent) * upstream.rate / 1000 <= MS(1000);
+                if in_time && (late || upstream.sequence == sequence) {
+                    self.granted += grants
                         .iter()
                         .map(|grant| (grant.to - grant.from + 1) as usize)
                         .sum::<usize>();
-                    self.warm += grants
+                    self.with_token += grants
                         .iter()
                         .filter(|grant| !grant.handover.is_empty())
                         .count();
-                    unit.take(now, sent, sequence, &grants, noise.int_in_range(0..=30u64)?);
+                    upstream.apply_response(
+                        now,
+                        sent,
+                        sequence,
+                        &grants,
+                        entropy.int_in_range(0..=30u64)?,
+                    );
                 }
                 Ok(())
             }
         }
     }
 
-    fn holders(&self, key: u32) -> Vec<&str> {
-        let live = self.units.iter().filter(|unit| unit.alive);
-        let holding = live.filter(|unit| {
-            unit.holds
+    fn holders_of(&self, key: u32) -> Vec<&str> {
+        let live = self.upstreams.iter().filter(|upstream| upstream.alive);
+        let holding = live.filter(|upstream| {
+            upstream
+                .holds
                 .get(&key)
                 .is_some_and(|hold| self.now < hold.until)
         });
-        holding.map(|unit| unit.name.as_str()).collect()
+        holding.map(|upstream| upstream.name.as_str()).collect()
     }
 
     fn check(&mut self) {
-        let twice = (0..KEYS)
-            .map(|key| (key, self.holders(key)))
-            .find(|(_, holders)| holders.len() > 1);
-        let blame = twice.map(|(key, holders)| {
+        let violations = (0..KEYS)
+            .map(|key| (key, self.holders_of(key)))
+            .find(|(_, holders_of)| holders_of.len() > 1);
+        let first_violation = violations.map(|(key, holders_of)| {
             format!(
-                "key {key}, {holders:?}, {:?}, epoch {}",
+                "key {key}, {holders_of:?}, {:?}, epoch {}",
                 self.now, self.epoch
             )
         });
-        self.blame = self.blame.take().or(blame);
+        self.first_violation = self.first_violation.take().or(first_violation);
     }
 }
 
-impl Unit {
-    /// Lets go what is due, and beats when it is time.
-    fn tick(&mut self, now: Duration) -> Option<Mail> {
+impl SimulatedUpstream {
+    /// Releases what is due, and sends a heartbeat when it is time.
+    fn tick(&mut self, now: Duration) -> Option<Message> {
         if !self.alive {
             return None;
         }
@@ -357,7 +379,7 @@
         let (sequence, name) = (self.sequence + 1, self.name.clone());
         let released = &mut self.released;
         self.holds.retain(|key, hold| {
-            let kept = hold.lets_go.is_none_or(|at| now < at);
+            let kept = hold.releases_at.is_none_or(|at| now < at);
             if !kept {
                 released.push((
                     sequence,
@@ -370,15 +392,15 @@
             }
             kept
         });
-        if self.signed_off {
+        if self.deregistered {
             self.alive = !self.holds.is_empty();
             return None;
         }
-        if now < self.next_beat {
+        if now < self.next_heartbeat_at {
             return None;
         }
-        let letting_go = self.holds.values().any(|hold| hold.lets_go.is_some());
-        self.next_beat = now + MS(if letting_go { 100 } else { 300 });
+        let is_releasing = self.holds.values().any(|hold| hold.releases_at.is_some());
+        self.next_heartbeat_at = now + MS(if is_releasing { 100 } else { 300 });
         self.sequence = sequence;
         let holdings = self
             .holds
@@ -390,26 +412,33 @@
             })
             .collect();
         let released = self.released.iter().map(|(_, row)| row.clone()).collect();
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             instance: name.clone(),
             sequence,
             holdings,
             released,
         };
-        Some(Mail::Beat {
-            unit: name,
+        Some(Message::Heartbeat {
+            upstream: name,
             sent: now,
-            beat,
+            heartbeat,
         })
     }
 
-    fn take(&mut self, now: Duration, sent: Duration, sequence: u64, grants: &[Grant], work: u64) {
+    fn apply_response(
+        &mut self,
+        now: Duration,
+        sent: Duration,
+        sequence: u64,
+        grants: &[Grant],
+        work: u64,
+    ) {
         self.released.retain(|(since, _)| *since > sequence);
         let until = sent + terms(false).lease_duration * 1000 / self.rate;
-        let lets_go = Some(now + MS(work * TICK));
+        let releases_at = Some(now + MS(work * TICK));
         self.holds
             .values_mut()
-            .for_each(|hold| hold.lets_go = hold.lets_go.or(lets_go));
+            .for_each(|hold| hold.releases_at = hold.releases_at.or(releases_at));
         grants
             .iter()
             .flat_map(|grant| (grant.from..=grant.to).map(|key| (key, grant.fence)))
@@ -419,10 +448,10 @@
                     *seen = fence;
                     self.holds.insert(
                         key,
-                        Hold {
+                        HeldKey {
                             fence,
                             until,
-                            lets_go: None,
+                            releases_at: None,
                         },
                     );
                 }
@@ -431,101 +460,128 @@
 }
 
 #[derive(Default)]
-struct Tally {
-    given: usize,
-    warm: usize,
+struct Statistics {
+    granted: usize,
+    with_token: usize,
     leases: u64,
-    /// Worlds in which a key was held twice, and the first such.
-    twice: usize,
-    blame: Option<String>,
-    slowest: Duration,
+    /// Simulations in which a key had two holders, and the first such.
+    violations: usize,
+    first_violation: Option<String>,
+    longest_recovery: Duration,
 }
 
-/// One world from its founding through disturbances to calm.
-fn run(fault: Fault, late: bool, noise: &mut Unstructured, tally: &mut Tally) -> Result<()> {
-    let mut world = World::new(fault, late);
-    while !noise.is_empty() {
-        if noise.ratio(1, 40u8)? {
-            world.disturb(noise)?;
+/// One simulation from bootstrap through faults to a calm end.
+fn run_simulation(
+    fault: Fault,
+    late: bool,
+    entropy: &mut Unstructured,
+    statistics: &mut Statistics,
+) -> Result<()> {
+    let mut simulation = Simulation::new(fault, late);
+    while !entropy.is_empty() {
+        if entropy.ratio(1, 40u8)? {
+            simulation.inject_fault(entropy)?;
         }
-        world.tick(noise)?;
+        simulation.tick(entropy)?;
     }
-    // Calm: mail is quick, someone is ready, and the lease is held.
-    world.units[0].draining = false;
-    if !world.units[0].alive {
-        world.units[0] = unit(&mut world.born, world.now, 980);
-    } else if world.units[0].signed_off {
-        // It may hold keys still: another one comes beside it.
-        world.units.push(unit(&mut world.born, world.now, 980));
+    // Calm: messages are quick, an upstream is ready, and the lease is held.
+    simulation.upstreams[0].draining = false;
+    if !simulation.upstreams[0].alive {
+        simulation.upstreams[0] =
+            start_upstream(&mut simulation.started_count, simulation.now, 980);
+    } else if simulation.upstreams[0].deregistered {
+        // It may still hold keys: another one starts beside it.
+        simulation.upstreams.push(start_upstream(
+            &mut simulation.started_count,
+            simulation.now,
+            980,
+        ));
     }
-    if world.ranges.is_none() {
-        world.start_lease();
+    if simulation.ranges.is_none() {
+        simulation.start_lease();
     }
-    let calm = world.now;
-    let mut whole = false;
-    // The longest: a heartbeat put off, a hold, and what was late on its way; then a step of letting go.
-    while !whole && world.now < calm + MS(12_000) {
-        world.tick(noise)?;
-        whole = (0..KEYS).all(|key| !world.holders(key).is_empty());
+    let calm_since = simulation.now;
+    let mut all_keys_held = false;
+    // The longest: a delayed heartbeat, a key lease, and late messages; then a step of releases.
+    while !all_keys_held && simulation.now < calm_since + MS(12_000) {
+        simulation.tick(entropy)?;
+        all_keys_held = (0..KEYS).all(|key| !simulation.holders_of(key).is_empty());
     }
-    tally.twice += usize::from(world.blame.is_some());
-    tally.blame = tally.blame.take().or(world.blame);
-    // A broken world owes nothing.
+    statistics.violations += usize::from(simulation.first_violation.is_some());
+    statistics.first_violation = statistics
+        .first_violation
+        .take()
+        .or(simulation.first_violation);
+    // With an injected fault nothing is promised.
     assert!(
-        whole || fault != Fault::None,
+        all_keys_held || fault != Fault::None,
         "some keys have no holder {:?} after the last disturbance",
-        world.now - calm
+        simulation.now - calm_since
     );
-    tally.slowest = tally.slowest.max(world.now - calm);
-    tally.given += world.given;
-    tally.warm += world.warm;
-    tally.leases += world.epoch;
+    statistics.longest_recovery = statistics.longest_recovery.max(simulation.now - calm_since);
+    statistics.granted += simulation.granted;
+    statistics.with_token += simulation.with_token;
+    statistics.leases += simulation.epoch;
     Ok(())
 }
 
-fn world(fault: Fault, late: bool, number: u64, tally: &mut Tally) {
-    arbtest(|noise| run(fault, late, noise, tally)).seed(number << 32 | 6_000);
+fn check_seed(fault: Fault, late: bool, number: u64, statistics: &mut Statistics) {
+    arbtest(|entropy| run_simulation(fault, late, entropy, statistics)).seed(number << 32 | 6_000);
 }
 
-fn sound(late: bool) {
-    let mut tally = Tally::default();
-    (1..=400).for_each(|number| world(Fault::None, late, number, &mut tally));
+fn assert_no_violation(late: bool) {
+    let mut statistics = Statistics::default();
+    (1..=400).for_each(|number| check_seed(Fault::None, late, number, &mut statistics));
     println!(
         "{} given, {} warm, {} leases, {:?} to whole",
-        tally.given, tally.warm, tally.leases, tally.slowest
+        statistics.granted, statistics.with_token, statistics.leases, statistics.longest_recovery
+    );
+    assert_eq!(statistics.first_violation, None);
+    assert!(
+        statistics.granted > 100_000 && statistics.with_token > 100 && statistics.leases > 1_000
+    );
+    assert!(
+        statistics.longest_recovery < MS(7000),
+        "{:?}",
+        statistics.longest_recovery
     );
-    assert_eq!(tally.blame, None);
-    assert!(tally.given > 100_000 && tally.warm > 100 && tally.leases > 1_000);
-    assert!(tally.slowest < MS(7000), "{:?}", tally.slowest);
 }
 
 #[test]
-fn no_key_is_held_twice() {
-    sound(false);
+fn no_key_has_two_holders() {
+    assert_no_violation(false);
 }
 
 #[test]
-fn nor_where_overtaken_answers_count() {
-    sound(true);
+fn no_key_has_two_holders_where_overtaken_responses_count() {
+    assert_no_violation(true);
 }
 
 #[test]
-fn the_check_can_fail() {
-    let broken = [
-        ("gives at once", Fault::GivesAtOnce, false),
-        ("late answers unannounced", Fault::LateUnannounced, true),
+fn the_check_finds_injected_faults() {
+    let faults = [
+        ("gives at once", Fault::GrantsImmediately, false),
+        (
+            "late answers unannounced",
+            Fault::LateResponsesUnannounced,
+            true,
+        ),
         ("slow clocks", Fault::SlowClocks, false),
-        ("frees at a sign-off", Fault::FreesAtSignOff, false),
-        ("adopts at once", Fault::AdoptsAtOnce, false),
-        ("adopts at once, late answers", Fault::AdoptsAtOnce, true),
+        ("frees at a sign-off", Fault::FreesAtDeregistration, false),
+        ("adopts at once", Fault::AdoptsImmediately, false),
+        (
+            "adopts at once, late answers",
+            Fault::AdoptsImmediately,
+            true,
+        ),
     ];
-    broken.into_iter().for_each(|(name, fault, late)| {
+    faults.into_iter().for_each(|(name, fault, late)| {
         let caught = (1..=400).find(|number| {
-            let mut tally = Tally::default();
-            world(fault, late, *number, &mut tally);
-            tally.twice > 0
+            let mut statistics = Statistics::default();
+            check_seed(fault, late, *number, &mut statistics);
+            statistics.violations > 0
         });
-        println!("{name}: caught in world {caught:?}");
-        assert!(caught.is_some(), "{name}: not caught");
+        println!("{name}: found with seed {caught:?}");
+        assert!(caught.is_some(), "{name}: not found");
     });
 }
--- a/crates/upstream-registry/tests/slots.rs
+++ b/crates/upstream-registry/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Whatever becomes of beats and answers, and whoever holds the duty, no slot has two upstreams.
+//! Whatever becomes of heartbeats and responses, and whoever holds the placement lease, no slot has two owners.
 
 use arbtest::arbtest;
 use protocol::{KeyShare, Upstream};
@@ -6,52 +6,54 @@
 use std::time::Duration;
 use upstream_registry::SlotAssigner;
 
-const UNITS: usize = 4;
+const UPSTREAM_COUNT: usize = 4;
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 #[derive(Default)]
-struct Unit {
+struct SimulatedUpstream {
     beat: u64,
     holder: u64,
-    /// Until when it holds a slot, and under which epoch.
+    /// Each slot that it holds: under which epoch, and until when.
     holds: BTreeMap<u32, (u64, Duration)>,
 }
 
-/// A beat on its way, when it was sent, or its answer.
-enum Envelope {
-    Beat(usize, Duration, Upstream),
-    Answer(usize, u64, Duration, Option<Vec<KeyShare>>, u64),
+/// A heartbeat in flight and when it was sent, or its response.
+enum Message {
+    Heartbeat(usize, Duration, Upstream),
+    Response(usize, u64, Duration, Option<Vec<KeyShare>>, u64),
 }
 
 #[test]
-fn no_slot_is_held_twice() {
-    let (mut given, span) = (0usize, MS(3000));
+fn no_slot_has_two_holders() {
+    let (mut granted, lease_duration) = (0usize, MS(3000));
     (1..80u64).for_each(|number| {
-        arbtest(|noise| {
-            let mut units: Vec<Unit> = (0..UNITS).map(|_| Unit::default()).collect();
-            let (mut now, mut claim, mut wire) = (MS(1000), 1u64, Vec::new());
-            let mut shares = SlotAssigner::new(now, span, claim);
-            while !noise.is_empty() {
-                let at = noise.int_in_range(0..=UNITS - 1)?;
-                match noise.int_in_range(0..=99u8)? {
-                    // Another holder, after the old one's claim ended; what it was sent late, it does not answer.
+        arbtest(|entropy| {
+            let mut upstreams: Vec<SimulatedUpstream> = (0..UPSTREAM_COUNT)
+                .map(|_| SimulatedUpstream::default())
+                .collect();
+            let (mut now, mut lease_epoch, mut messages) = (MS(1000), 1u64, Vec::new());
+            let mut assigner = SlotAssigner::new(now, lease_duration, lease_epoch);
+            while !entropy.is_empty() {
+                let at = entropy.int_in_range(0..=UPSTREAM_COUNT - 1)?;
+                match entropy.int_in_range(0..=99u8)? {
+                    // Another lease holder, after the old one's lease ended; it does not answer what was sent to the old one.
                     0 => {
                         now += MS(500);
-                        claim += 1;
-                        shares = SlotAssigner::new(now, span, claim);
+                        lease_epoch += 1;
+                        assigner = SlotAssigner::new(now, lease_duration, lease_epoch);
                     }
                     1..=4 => {
-                        units[at] = Unit {
-                            beat: units[at].beat,
-                            ..Unit::default()
+                        upstreams[at] = SimulatedUpstream {
+                            beat: upstreams[at].beat,
+                            ..SimulatedUpstream::default()
                         }
                     }
-                    5..=12 if !wire.is_empty() => {
-                        let lost = noise.int_in_range(0..=wire.len() - 1)?;
-                        wire.swap_remove(lost);
+                    5..=12 if !messages.is_empty() => {
+                        let lost = entropy.int_in_range(0..=messages.len() - 1)?;
+                        messages.swap_remove(lost);
                     }
                     13..=30 => {
-                        let unit = &mut units[at];
+                        let unit = &mut upstreams[at];
                         unit.beat += 1;
                         let held = unit.holds.iter().filter(|(_, (_, until))| now < *until);
                         let holds = held.map(|(slot, (epoch, _))| KeyShare {
@@ -67,45 +69,46 @@
                             holds: holds.collect(),
                             ..Upstream::default()
                         };
-                        wire.push(Envelope::Beat(at, now, upstream));
+                        messages.push(Message::Heartbeat(at, now, upstream));
                     }
-                    31..=75 if !wire.is_empty() => {
-                        let next = noise.int_in_range(0..=wire.len().min(4) - 1)?;
-                        match wire.remove(next) {
-                            Envelope::Beat(at, sent_at, upstream) => {
-                                let count = noise.int_in_range(1..=UNITS)?;
+                    31..=75 if !messages.is_empty() => {
+                        let next = entropy.int_in_range(0..=messages.len().min(4) - 1)?;
+                        match messages.remove(next) {
+                            Message::Heartbeat(at, sent_at, upstream) => {
+                                let count = entropy.int_in_range(1..=UPSTREAM_COUNT)?;
                                 let ready: BTreeSet<String> =
                                     (0..count).map(|at| format!("u{at}")).collect();
-                                let told = shares.handle_heartbeat(now, &upstream, &ready);
-                                wire.push(Envelope::Answer(
+                                let granted_shares =
+                                    assigner.handle_heartbeat(now, &upstream, &ready);
+                                messages.push(Message::Response(
                                     at,
                                     upstream.beat,
                                     sent_at,
-                                    told,
-                                    claim,
+                                    granted_shares,
+                                    lease_epoch,
                                 ));
                             }
-                            Envelope::Answer(at, beat, sent_at, told, claim) => {
-                                let unit = &mut units[at];
+                            Message::Response(at, beat, sent_at, granted_shares, lease_epoch) => {
+                                let unit = &mut upstreams[at];
                                 let latest = unit.beat == beat;
                                 if latest {
-                                    unit.holder = claim;
+                                    unit.holder = lease_epoch;
                                 }
-                                if let Some(told) = told.filter(|_| latest) {
-                                    let until = sent_at + span;
-                                    let slots = told.iter().flat_map(|run| {
+                                if let Some(granted_shares) = granted_shares.filter(|_| latest) {
+                                    let until = sent_at + lease_duration;
+                                    let slots = granted_shares.iter().flat_map(|run| {
                                         (run.from..run.until).map(|slot| (slot, (run.epoch, until)))
                                     });
                                     unit.holds = slots.collect();
-                                    given += unit.holds.len();
+                                    granted += unit.holds.len();
                                 }
                             }
                         }
                     }
-                    _ => now += MS(noise.int_in_range(0..=150)?),
+                    _ => now += MS(entropy.int_in_range(0..=150)?),
                 }
                 let mut owners: BTreeMap<u32, usize> = BTreeMap::new();
-                units.iter().enumerate().for_each(|(at, unit)| {
+                upstreams.iter().enumerate().for_each(|(at, unit)| {
                     unit.holds
                         .iter()
                         .filter(|(_, (_, until))| now < *until)
@@ -122,5 +125,5 @@
         })
         .seed(number << 32 | 6_000);
     });
-    assert!(given > 10_000, "hardly any slot was given: {given}");
+    assert!(granted > 10_000, "hardly any slot was given: {granted}");
 }
