--- a/crates/cli/src/gateway_api.rs
+++ b/crates/cli/src/gateway_api.rs
@@ -72,7 +72,7 @@
 }
 
 impl Converter {
-    fn reject(&mut self, path: &str, text: impl Into<String>) {
+    fn reject(&mut self, path: &str, text: impl std::fmt::Display) {
         add_validation_error(&mut self.validation_errors, path, text);
     }
 
--- a/crates/config/src/json_value.rs
+++ b/crates/config/src/json_value.rs
@@ -1,13 +1,21 @@
-//! JSON as a tree that keeps every field, so that a duplicate can be complained of.
+//! JSON as a tree that keeps every field of an object, so that a duplicate can be reported.
 
-use miniserde::de::{Map, Seq, Visitor};
-use miniserde::ser::{self, Fragment};
-use miniserde::{Deserialize, Result, Serialize, json, make_place};
-use std::borrow::Cow;
+use miniserde::json;
 use std::fmt;
 
 const MAX_DEPTH: usize = 16;
 
+/// Why a text is no usable JSON.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum JsonError {
+    /// Its arrays and objects nest too deep.
+    #[error("nested deeper than {MAX_DEPTH}")]
+    TooDeep,
+    /// It is not JSON.
+    #[error("this is not JSON")]
+    Syntax,
+}
+
 /// One JSON value. Objects keep the order and the duplicates of their fields.
 ///
 /// ```
@@ -19,27 +27,39 @@
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub enum JsonValue {
+    /// `null`.
     Null,
+    /// `true` or `false`.
     Bool(bool),
+    /// A whole number from 0.
     Integer(u64),
+    /// Any other number.
     Float(f64),
+    /// A string.
     String(String),
+    /// An array.
     Array(Vec<JsonValue>),
+    /// An object: its fields in order, duplicates included.
     Object(Vec<(String, JsonValue)>),
 }
 
 impl JsonValue {
-    /// Reads JSON; broken or absurdly deep text is denied with a sentence.
+    /// Parses JSON.
+    ///
+    /// # Errors
+    ///
+    /// [`JsonError`] for a text that is not JSON, or that nests too deep.
     ///
     /// ```
-    /// assert!(config::JsonValue::parse("{").is_err());
-    /// assert!(config::JsonValue::parse(&"[".repeat(100_000)).is_err());
+    /// use config::{JsonError, JsonValue};
+    /// assert_eq!(JsonValue::parse("{"), Err(JsonError::Syntax));
+    /// assert_eq!(JsonValue::parse(&"[".repeat(100_000)), Err(JsonError::TooDeep));
     /// ```
-    pub fn parse(text: &str) -> std::result::Result<JsonValue, String> {
-        if depth(text) > MAX_DEPTH {
-            return Err(format!("nested deeper than {MAX_DEPTH}"));
+    pub fn parse(text: &str) -> Result<JsonValue, JsonError> {
+        if nesting_depth(text) > MAX_DEPTH {
+            return Err(JsonError::TooDeep);
         }
-        json::from_str(text).map_err(|_| "this is not JSON".to_owned())
+        json::from_str(text).map_err(|_| JsonError::Syntax)
     }
 
     /// The first field with this name.
@@ -59,7 +79,7 @@
         }
     }
 
-    /// The text under a field name, where it is one.
+    /// The string in a field, where it is one.
     ///
     /// ```
     /// assert_eq!(config::JsonValue::parse(r#"{"a": "b"}"#).unwrap().text("a"), Some("b"));
@@ -71,7 +91,7 @@
         })
     }
 
-    /// The whole number under a field name, where it is one.
+    /// The whole number in a field, where it is one.
     ///
     /// ```
     /// assert_eq!(config::JsonValue::parse(r#"{"a": 7}"#).unwrap().count("a"), Some(7));
@@ -83,7 +103,7 @@
         })
     }
 
-    /// The items under a field name; none where it is no list.
+    /// The items of the array in a field; empty where it is no array.
     ///
     /// ```
     /// assert_eq!(config::JsonValue::parse(r#"{"a": [1]}"#).unwrap().list("a").len(), 1);
@@ -97,7 +117,7 @@
             .unwrap_or(&[])
     }
 
-    /// Builds an object.
+    /// An object with these fields.
     ///
     /// ```
     /// use config::JsonValue;
@@ -113,23 +133,26 @@
     }
 }
 
-/// How deep brackets nest outside strings, looked at before parsing.
-fn depth(text: &str) -> usize {
-    let (mut now, mut most, mut in_text, mut escaped) = (0usize, 0usize, false, false);
+/// How deep brackets nest outside strings. Checked before parsing, since the parser recurses.
+fn nesting_depth(text: &str) -> usize {
+    let mut depth = 0usize;
+    let mut deepest = 0;
+    let mut in_string = false;
+    let mut is_escaped = false;
     for byte in text.bytes() {
-        match (in_text, byte) {
-            (true, _) if escaped => escaped = false,
-            (true, b'\\') => escaped = true,
-            (_, b'"') => in_text = !in_text,
+        match (in_string, byte) {
+            (true, _) if is_escaped => is_escaped = false,
+            (true, b'\\') => is_escaped = true,
+            (_, b'"') => in_string = !in_string,
             (false, b'[' | b'{') => {
-                now += 1;
-                most = most.max(now);
+                depth += 1;
+                deepest = deepest.max(depth);
             }
-            (false, b']' | b'}') => now = now.saturating_sub(1),
+            (false, b']' | b'}') => depth = depth.saturating_sub(1),
             _ => {}
         }
     }
-    most
+    deepest
 }
 
 impl From<&str> for JsonValue {
@@ -151,8 +174,8 @@
 }
 
 impl From<bool> for JsonValue {
-    fn from(truth: bool) -> Self {
-        JsonValue::Bool(truth)
+    fn from(value: bool) -> Self {
+        JsonValue::Bool(value)
     }
 }
 
@@ -173,139 +196,3 @@
         f.write_str(&json::to_string(self))
     }
 }
-
-impl Serialize for JsonValue {
-    fn begin(&self) -> Fragment<'_> {
-        match self {
-            JsonValue::Null => Fragment::Null,
-            JsonValue::Bool(truth) => Fragment::Bool(*truth),
-            JsonValue::Integer(count) => Fragment::U64(*count),
-            JsonValue::Float(number) => Fragment::F64(*number),
-            JsonValue::String(text) => Fragment::Str(Cow::Borrowed(text)),
-            JsonValue::Array(items) => Fragment::Seq(Box::new(Items(items.iter()))),
-            JsonValue::Object(fields) => Fragment::Map(Box::new(Entries(fields.iter()))),
-        }
-    }
-}
-
-struct Items<'a>(std::slice::Iter<'a, JsonValue>);
-
-impl ser::Seq for Items<'_> {
-    fn next(&mut self) -> Option<&dyn Serialize> {
-        self.0.next().map(|item| item as &dyn Serialize)
-    }
-}
-
-struct Entries<'a>(std::slice::Iter<'a, (String, JsonValue)>);
-
-impl ser::Map for Entries<'_> {
-    fn next(&mut self) -> Option<(Cow<'_, str>, &dyn Serialize)> {
-        self.0
-            .next()
-            .map(|(name, json)| (Cow::Borrowed(name.as_str()), json as &dyn Serialize))
-    }
-}
-
-make_place!(Place);
-
-impl Deserialize for JsonValue {
-    fn begin(out: &mut Option<Self>) -> &mut dyn Visitor {
-        Place::new(out)
-    }
-}
-
-impl Visitor for Place<JsonValue> {
-    fn null(&mut self) -> Result<()> {
-        self.put(JsonValue::Null)
-    }
-
-    fn boolean(&mut self, truth: bool) -> Result<()> {
-        self.put(JsonValue::Bool(truth))
-    }
-
-    fn string(&mut self, text: &str) -> Result<()> {
-        self.put(JsonValue::String(text.to_owned()))
-    }
-
-    fn negative(&mut self, number: i64) -> Result<()> {
-        self.put(JsonValue::Float(number as f64))
-    }
-
-    fn nonnegative(&mut self, count: u64) -> Result<()> {
-        self.put(JsonValue::Integer(count))
-    }
-
-    fn float(&mut self, number: f64) -> Result<()> {
-        self.put(JsonValue::Float(number))
-    }
-
-    fn seq(&mut self) -> Result<Box<dyn Seq + '_>> {
-        Ok(Box::new(ListBuilder {
-            out: &mut self.out,
-            items: Vec::new(),
-            item: None,
-        }))
-    }
-
-    fn map(&mut self) -> Result<Box<dyn Map + '_>> {
-        Ok(Box::new(FieldsBuilder {
-            out: &mut self.out,
-            fields: Vec::new(),
-            name: None,
-            field: None,
-        }))
-    }
-}
-
-impl Place<JsonValue> {
-    fn put(&mut self, json: JsonValue) -> Result<()> {
-        self.out = Some(json);
-        Ok(())
-    }
-}
-
-struct ListBuilder<'a> {
-    out: &'a mut Option<JsonValue>,
-    items: Vec<JsonValue>,
-    item: Option<JsonValue>,
-}
-
-impl Seq for ListBuilder<'_> {
-    fn element(&mut self) -> Result<&mut dyn Visitor> {
-        self.items.extend(self.item.take());
-        Ok(Deserialize::begin(&mut self.item))
-    }
-
-    fn finish(&mut self) -> Result<()> {
-        self.items.extend(self.item.take());
-        *self.out = Some(JsonValue::Array(std::mem::take(&mut self.items)));
-        Ok(())
-    }
-}
-
-struct FieldsBuilder<'a> {
-    out: &'a mut Option<JsonValue>,
-    fields: Vec<(String, JsonValue)>,
-    name: Option<String>,
-    field: Option<JsonValue>,
-}
-
-impl FieldsBuilder<'_> {
-    fn shift(&mut self) {
-        self.fields.extend(self.name.take().zip(self.field.take()));
-    }
-}
-
-impl Map for FieldsBuilder<'_> {
-    fn key(&mut self, name: &str) -> Result<&mut dyn Visitor> {
-        self.shift();
-        self.name = Some(name.to_owned());
-        Ok(Deserialize::begin(&mut self.field))
-    }
-
-    fn finish(&mut self) -> Result<()> {
-        self.shift();
-        *self.out = Some(JsonValue::Object(std::mem::take(&mut self.fields)));
-        Ok(())
-    }
-}
--- a/crates/config/tests/denials.rs
+++ b/crates/config/tests/rejected_configurations.rs
@@ -1,4 +1,4 @@
-//! Bad setups are denied whole, with a path in every complaint.
+//! Invalid configurations are rejected as a whole, with a path in every error.
 
 use arbtest::arbtest;
 use config::{Configuration, MAX_CONFIGURATION_BYTES};
@@ -18,15 +18,15 @@
 }
 
 #[test]
-fn each_kind_of_mistake_is_complained_of_at_its_place() {
-    let fine = route("r", "n", "/p", "s");
+fn each_kind_of_mistake_is_reported_at_its_path() {
+    let valid = route("r", "n", "/p", "s");
     let loops = [alias("a", "b"), alias("b", "a")].join(",");
     let chain: Vec<String> = (0..12)
         .map(|at| alias(&format!("a{at}"), &format!("a{}", at + 1)))
         .collect();
-    let two = |second: String| [fine.clone(), second].join(",");
+    let two = |second: String| [valid.clone(), second].join(",");
     let with =
-        |field: &str| configuration(&SERVICE.replace('}', &format!(", {field}}}")), &fine, "");
+        |field: &str| configuration(&SERVICE.replace('}', &format!(", {field}}}")), &valid, "");
     let cases: Vec<(&str, String, &str)> = vec![
         ("broken JSON", "{\"services\": [".into(), "/"),
         ("no object", "[]".into(), ""),
@@ -60,7 +60,7 @@
         ),
         (
             "service twice",
-            configuration(&[SERVICE, SERVICE].join(","), &fine, ""),
+            configuration(&[SERVICE, SERVICE].join(","), &valid, ""),
             "/services/1/name",
         ),
         (
@@ -90,32 +90,32 @@
         ),
         (
             "alias to nothing",
-            configuration(SERVICE, &fine, &alias("a", "moon")),
+            configuration(SERVICE, &valid, &alias("a", "moon")),
             "/aliases/0/to",
         ),
         (
             "alias loop",
-            configuration(SERVICE, &fine, &loops),
+            configuration(SERVICE, &valid, &loops),
             "/aliases/0/to",
         ),
         (
             "alias chain too long",
-            configuration(SERVICE, &fine, &chain.join(",")),
+            configuration(SERVICE, &valid, &chain.join(",")),
             "/aliases/0/to",
         ),
         (
             "alias like a name",
-            configuration(SERVICE, &fine, &alias("n", "r")),
+            configuration(SERVICE, &valid, &alias("n", "r")),
             "/aliases/0/alias",
         ),
         (
             "number zero",
-            configuration(SERVICE, &fine, "").replacen('{', r#"{"number": 0, "#, 1),
+            configuration(SERVICE, &valid, "").replacen('{', r#"{"number": 0, "#, 1),
             "/number",
         ),
         (
             "number no number",
-            configuration(SERVICE, &fine, "").replacen('{', r#"{"number": "7", "#, 1),
+            configuration(SERVICE, &valid, "").replacen('{', r#"{"number": "7", "#, 1),
             "/number",
         ),
         ("too large", " ".repeat(MAX_CONFIGURATION_BYTES + 1), "/"),
@@ -123,20 +123,18 @@
     cases.into_iter().for_each(|(what, text, path)| {
         let validation_errors = Configuration::parse(text.as_bytes()).expect_err(what);
         assert!(
-            validation_errors
-                .iter()
-                .any(|complaint| complaint.path == path),
+            validation_errors.iter().any(|error| error.path == path),
             "{what}: {validation_errors:?}"
         );
     });
     assert!(Configuration::parse(b"\xff\xfe").is_err());
     assert!(
-        Configuration::parse(configuration(SERVICE, &fine, &alias("a", "r")).as_bytes()).is_ok()
+        Configuration::parse(configuration(SERVICE, &valid, &alias("a", "r")).as_bytes()).is_ok()
     );
 }
 
 #[test]
-fn a_setup_may_have_a_number_of_its_own() {
+fn a_configuration_may_have_a_version_number() {
     let plain = configuration(SERVICE, "", "");
     let numbered = |number: u64| plain.replacen('{', &format!("{{\"number\": {number}, "), 1);
     let read = |text: &str| {
@@ -149,7 +147,7 @@
 }
 
 #[test]
-fn all_complaints_come_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = configuration(
         &SERVICE.replace("once", "thrice"),
         &route("r", "a b", "p", "moon"),
@@ -158,14 +156,14 @@
     let paths: Vec<String> = Configuration::parse(text.as_bytes())
         .unwrap_err()
         .into_iter()
-        .map(|c| c.path)
+        .map(|error| error.path)
         .collect();
     assert!(paths.len() >= 4, "{paths:?}");
 }
 
-/// Whatever bytes come, reading ends with a setup or with complaints.
+/// Whatever bytes come, parsing ends with a configuration or with errors.
 #[test]
-fn no_text_makes_reading_panic() {
+fn no_text_makes_the_parser_panic() {
     let words = [
         "{",
         "}",
--- a/crates/testbed/src/plans.rs
+++ b/crates/testbed/src/plans.rs
@@ -640,7 +640,8 @@
                 )
                 .await;
             let reply = called.map_err(|e| format!("evacuation: {e:?}"))?;
-            let json = JsonValue::parse(&String::from_utf8_lossy(&reply.body))?;
+            let json = JsonValue::parse(&String::from_utf8_lossy(&reply.body))
+                .map_err(|error| error.to_string())?;
             if reply.status != 200 {
                 return Err(format!("evacuation: {json}"));
             }
