--- a/crates/protocol/src/delta.rs
+++ b/crates/protocol/src/delta.rs
@@ -19,9 +19,9 @@
     ///
     /// ```
     /// use protocol::{ClusterState, StateDelta, DecidedChange};
-    /// let orders = |ids: &[&str]| ids.iter().map(|id| DecidedChange { id: id.to_string(), ..Default::default() }).collect();
-    /// let earlier = ClusterState { decided: 2, submissions: orders(&["a", "b"]), ..Default::default() };
-    /// let later = ClusterState { decided: 3, submissions: orders(&["b", "c"]), ..Default::default() };
+    /// let changes = |ids: &[&str]| ids.iter().map(|id| DecidedChange { id: id.to_string(), ..Default::default() }).collect();
+    /// let earlier = ClusterState { decided: 2, submissions: changes(&["a", "b"]), ..Default::default() };
+    /// let later = ClusterState { decided: 3, submissions: changes(&["b", "c"]), ..Default::default() };
     /// let delta = StateDelta::since(&later, earlier.decided).unwrap();
     /// assert_eq!(delta.state.submissions.len(), 1);
     /// assert_eq!(delta.apply_to(&earlier), Some(later.clone()));
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -21,7 +21,7 @@
 /// The message in such a file; none where the file is corrupt: too short, or not what was written.
 ///
 /// ```
-/// assert_eq!(protocol::unpack::<protocol::Ballot>(b"rotten"), None);
+/// assert_eq!(protocol::unpack::<protocol::Ballot>(b"corrupt"), None);
 /// ```
 pub fn unpack<M: Message + Default>(stored: &[u8]) -> Option<M> {
     let (expected_digest, bytes) = stored.split_at_checked(DIGEST_LENGTH)?;
--- a/crates/result-code/tests/documented.rs
+++ b/crates/result-code/tests/documented.rs
@@ -9,9 +9,12 @@
         format!("| {number} | {code:?} | {status} | {kind:?} | {text} |")
     };
     let docs = include_str!("../../../docs/codes.md");
-    let told: Vec<&str> = docs
+    let documented: Vec<&str> = docs
         .lines()
         .filter(|line| line.starts_with("| 1"))
         .collect();
-    assert_eq!(told, ResultCode::all().iter().map(row).collect::<Vec<_>>());
+    assert_eq!(
+        documented,
+        ResultCode::all().iter().map(row).collect::<Vec<_>>()
+    );
 }
--- a/crates/storage/src/configurations.rs
+++ b/crates/storage/src/configurations.rs
@@ -30,7 +30,7 @@
     contents: &mut Contents,
     mode: ReadMode,
 ) -> Result<(), Report<StorageError>> {
-    let step = "cannot read setups";
+    let step = "cannot read configurations";
     let configurations = folder.join(CONFIGURATIONS_FOLDER);
     let names = match files.list(&configurations) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(()),
@@ -74,7 +74,7 @@
             if mode == ReadMode::Repair {
                 files
                     .remove(path)
-                    .map_err(failed("cannot remove a damaged setup"))?;
+                    .map_err(failed("cannot remove a damaged configuration"))?;
             }
         }
         // It may be readable again later.
@@ -93,7 +93,7 @@
     digest: &str,
     bytes: &[u8],
 ) -> Result<(), Report<StorageError>> {
-    let step = "cannot write a setup";
+    let step = "cannot write a configuration";
     let new = folder.join(NEW_CONFIGURATION_FILE);
     // Never overwritten: an incomplete rename may have left both names on one file.
     files.remove(&new).map_err(failed(step))?;
@@ -116,5 +116,5 @@
 ) -> Result<(), Report<StorageError>> {
     files
         .remove(&path(folder, digest))
-        .map_err(failed("cannot remove a setup"))
+        .map_err(failed("cannot remove a configuration"))
 }
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -11,7 +11,7 @@
 use storage::Storage;
 
 const FOLDER: &str = "/var/data";
-/// Setups that a storm keeps at once; the earliest goes for a new one.
+/// How many configurations are stored at once; the earliest is deleted for a new one.
 const MAX_CONFIGURATIONS: usize = 5;
 
 /// What the storage was given, and what it reported.
@@ -111,13 +111,15 @@
             .iter()
             .find(|digest| !contents.configurations.contains_key(*digest));
         if let Some(digest) = lost {
-            return Err(format!("setup {digest} was reported and is gone"));
+            return Err(format!(
+                "configuration {digest} was reported and is missing"
+            ));
         }
         ledger.reported_configurations = contents.configurations.keys().cloned().collect();
         Ok(storage)
     }
 
-    /// So many changes: a setup, a state, and now and then an old setup goes.
+    /// So many changes: a configuration, a state, and now and then an old configuration is deleted.
     fn storm(&self, storage: &mut Storage, changes: usize, random: &mut Random) {
         for _ in 0..changes {
             let bytes = vec![random.below(256) as u8; 100 + random.below(9000) as usize];
--- a/crates/storage/tests/failures.rs
+++ b/crates/storage/tests/failures.rs
@@ -140,8 +140,8 @@
     assert_eq!(open(&disk).1.durable, state(4));
 }
 
-/// One change to the bytes of a file, as rot makes it.
-fn rot(random: &mut Random, bytes: &mut Vec<u8>) {
+/// Corrupts the bytes of a file in one place.
+fn corrupt(random: &mut Random, bytes: &mut Vec<u8>) {
     let length = bytes.len() as u64;
     match random.below(5) {
         0 => bytes.truncate(random.below(length) as usize),
@@ -151,7 +151,7 @@
             bytes[from..until].fill(0);
         }
         2 => bytes.clear(),
-        // Where redb keeps what it trusts.
+        // The part of the file that redb trusts.
         3 => bytes[random.below(length.min(320)) as usize] ^= 1 << random.below(8),
         _ => (0..1 + random.below(40))
             .for_each(|_| bytes[random.below(length) as usize] ^= 1 << random.below(8)),
@@ -160,23 +160,23 @@
 
 #[test]
 fn corruption_is_reported_or_harmless() {
-    let whole = SimulatedDisk::new(Omits::Nothing);
-    let (mut storage, _) = open(&whole);
+    let intact = SimulatedDisk::new(Omits::Nothing);
+    let (mut storage, _) = open(&intact);
     (1..5).for_each(|number| storage.persist_state(&state(number)).unwrap());
-    let in_use = whole.platter();
+    let in_use = intact.platter();
     drop(storage);
-    let closed = whole.platter();
-    let (mut told, mut random) = (0, Random::new(5));
+    let closed = intact.platter();
+    let (mut reported, mut random) = (0, Random::new(5));
     for round in 0..600 {
         let platter = if round % 2 == 0 { &in_use } else { &closed };
         let disk = platter.after(&mut random, Loss::None, Omits::Nothing);
-        disk.rot(Path::new(STATE_FILE), |bytes| rot(&mut random, bytes));
+        disk.corrupt(Path::new(STATE_FILE), |bytes| corrupt(&mut random, bytes));
         let (mut storage, contents) = open(&disk);
         if contents.damaged.is_empty() {
-            // redb falls back to the commit before where the newest has rotted: a voter that forgot a promise.
+            // redb falls back to the commit before where the newest is corrupt: a voter that forgot a promise.
             assert_eq!(contents.durable, state(4), "round {round}");
         } else {
-            told += 1;
+            reported += 1;
             assert_eq!(contents.durable, DurableState::default());
             assert_eq!(contents.damaged[0].file, "word.redb");
         }
@@ -190,8 +190,8 @@
             "round {round}"
         );
     }
-    println!("{told} of 600 told");
-    assert!(told > 100);
+    println!("{reported} of 600 reported");
+    assert!(reported > 100);
 }
 
 #[test]
@@ -221,7 +221,7 @@
     let digest = protocol::digest(b"{}");
     storage.store_configuration(&digest, b"{}").unwrap();
     drop(storage);
-    disk.rot(
+    disk.corrupt(
         &Path::new("/data/setups").join(format!("{digest}.json")),
         |bytes| bytes.clear(),
     );
@@ -251,14 +251,14 @@
     let mut bytes = std::fs::read(folder.join("word.redb")).unwrap();
     bytes.truncate(5000);
     std::fs::write(folder.join("word.redb"), &bytes).unwrap();
-    std::fs::write(&configuration, b"rotten").unwrap();
+    std::fs::write(&configuration, b"corrupt").unwrap();
     let contents = Storage::inspect(&folder).unwrap();
     assert_eq!(
         (contents.durable, contents.damaged.len()),
         (DurableState::default(), 2)
     );
     assert_eq!(std::fs::read(folder.join("word.redb")).unwrap(), bytes);
-    assert_eq!(std::fs::read(&configuration).unwrap(), b"rotten");
+    assert_eq!(std::fs::read(&configuration).unwrap(), b"corrupt");
     assert!(!folder.join("word.damaged").exists());
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -301,24 +301,30 @@
         .for_each(|count| log.write(departures(count), now).unwrap());
     assert_eq!(storage.departure_log(now).1, departures(2));
     let newest = Path::new("/data/departures.0");
-    let whole = 8 + 64 + departures(2).len();
-    (0..whole).for_each(|kept| {
-        disk.rot(newest, |bytes| {
-            bytes.iter_mut().skip(kept).for_each(|byte| *byte = !*byte)
+    let length = 8 + 64 + departures(2).len();
+    (0..length).for_each(|written| {
+        disk.corrupt(newest, |bytes| {
+            bytes
+                .iter_mut()
+                .skip(written)
+                .for_each(|byte| *byte = !*byte)
         });
         assert_eq!(
             storage.departure_log(now).1,
             departures(3),
-            "{kept} bytes were written"
+            "{written} bytes were written"
         );
-        disk.rot(newest, |bytes| {
-            bytes.iter_mut().skip(kept).for_each(|byte| *byte = !*byte)
+        disk.corrupt(newest, |bytes| {
+            bytes
+                .iter_mut()
+                .skip(written)
+                .for_each(|byte| *byte = !*byte)
         });
     });
     assert_eq!(
         storage.departure_log(now).1,
         departures(2),
-        "the test mended it each time"
+        "the test repaired it each time"
     );
 }
 
--- a/crates/storage/tests/simulated/mod.rs
+++ b/crates/storage/tests/simulated/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that keeps apart what is on the platter and what is only in the system's cache, and can lose power
+//! A disk in memory that distinguishes what is on the platter from what is only in the system's cache, and can lose power
 //! before every operation.
 
 // Each test file uses a part of it.
@@ -33,7 +33,7 @@
     /// Only the process is killed: the cache stays.
     None,
     All,
-    /// Each change by itself is kept, lost or, where it is long, torn.
+    /// Each change by itself is written, lost or, where it is long, partly written.
     Some,
 }
 
@@ -47,7 +47,7 @@
 enum NameChange {
     Link(String, usize),
     Unlink(String, usize),
-    /// Within one folder: done or not done as a whole.
+    /// Within one folder: done completely or not at all.
     Rename(String, String, usize),
 }
 
@@ -129,7 +129,7 @@
 }
 
 /// What a power cut leaves of one change.
-fn kept(random: &mut Random, loss: Loss, change: &Change, onto: &mut Vec<u8>) {
+fn apply_change(random: &mut Random, loss: Loss, change: &Change, onto: &mut Vec<u8>) {
     match (loss, random.below(3)) {
         (Loss::None, _) | (Loss::Some, 0) => apply(onto, change),
         (Loss::All, _) | (Loss::Some, 1) => {}
@@ -170,7 +170,7 @@
                     let bytes = Arc::make_mut(&mut bytes);
                     unsynced
                         .iter()
-                        .for_each(|change| kept(random, loss, change, bytes));
+                        .for_each(|change| apply_change(random, loss, change, bytes));
                 }
                 Node::File {
                     platter: bytes.clone(),
@@ -252,8 +252,8 @@
         self.state().syncs_fail = fail;
     }
 
-    /// Changes a file behind the storage's back, as rot does.
-    pub fn rot(&self, file: &Path, change: impl FnOnce(&mut Vec<u8>)) {
+    /// Changes a file behind the storage's back, as a failing disk does.
+    pub fn corrupt(&self, file: &Path, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.state();
         let id = state.find(file).unwrap();
         if let Node::File { platter, cache, .. } = &mut state.platter.nodes[id] {
