--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -6,14 +6,15 @@
 
 #![deny(missing_docs)]
 
-mod anonymous_orders;
+mod anonymous_evacuations;
 mod api_adapter;
 mod contact;
 pub mod daemon;
 mod departures;
 mod heartbeat_relay;
 mod interface;
-mod keys;
+mod key_loads;
+mod key_ranges;
 mod node;
 mod pending_requests;
 pub mod persistence;
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -1,7 +1,7 @@
 //! The control node: one reducer that takes events in and gives effects out. It composes the register, membership, the
 //! lease and the registry of upstreams with the states of this package's other modules, and carries effects between them.
 
-use crate::anonymous_orders::AnonymousOrders;
+use crate::anonymous_evacuations::AnonymousEvacuations;
 use crate::contact::QuorumContact;
 use crate::departures::Departures;
 use crate::heartbeat_relay::{DIGEST_INTERVAL, HeartbeatRelay};
@@ -64,7 +64,7 @@
     next_relay_at: Duration,
     pub(crate) updates: UpdateStreams,
     pub(crate) pending: PendingRequests,
-    pub(crate) anonymous: AnonymousOrders,
+    pub(crate) anonymous_evacuations: AnonymousEvacuations,
     pub(crate) contact: QuorumContact,
     pub(crate) departures: Departures,
     pub(crate) voter_changes: VoterChanges,
@@ -144,7 +144,7 @@
             next_relay_at: Duration::ZERO,
             updates: UpdateStreams::default(),
             pending: PendingRequests::default(),
-            anonymous: AnonymousOrders::default(),
+            anonymous_evacuations: AnonymousEvacuations::default(),
             contact: QuorumContact::default(),
             departures: Departures::default(),
             voter_changes: VoterChanges::default(),
@@ -181,7 +181,7 @@
     /// ```
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         self.grant_clock.advance(now);
-        self.anonymous.note_step(now);
+        self.anonymous_evacuations.record_step(now);
         match event {
             Event::Tick => self.tick(now),
             Event::Received { from, body } => self.handle_message(now, from, body),
@@ -211,7 +211,7 @@
             Event::Shutdown => self.shut_down(now),
         }
         self.complete_reads(now);
-        self.tick_anonymous_evacuations(now);
+        self.complete_anonymous_evacuations(now);
         std::mem::take(&mut self.effects).into()
     }
 
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -1,6 +1,7 @@
 //! The placement of names and keys, decided by the control node that holds the placement lease and followed by all others.
 
-use crate::keys::{KeyDivisionInputs, KeyLoadCounts, assigned_shares};
+use crate::key_loads::KeyLoadCounts;
+use crate::key_ranges::{KeyDivisionInputs, assigned_shares};
 use crate::node::ControlNode;
 use config::Configuration;
 use name_directory::{OwnershipMode, PlacementInputs, ZoneAssigner};
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -1,11 +1,11 @@
-//! Who votes: a voter that is gone is replaced by a control node that holds everything and has no vote yet.
+//! Changes of the voters: a voter that is gone is replaced by a control node that has all state and no vote yet.
 //!
 //! The holder of the placement lease decides, so one node at a time does. Its decisions are changes of the replicated state
 //! like any other: the register sees that quorums before and after a change share a voter, whoever proposes it. The number
 //! of voters stays: a voter loses its vote only to a node that takes its place. So a zone or region that is lost takes no
 //! votes along, and the nodes that are left never decide that they are enough.
 
-use crate::interface::{ControlResponse, Effect};
+use crate::interface::ControlResponse;
 use crate::node::{CONTROL_NODE_ROLE, ControlNode};
 use protocol::{MemberState, Payload, VoterLeaving, majority};
 use quorum_register::{Change, Event};
@@ -13,17 +13,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often the voters are looked at.
+/// How often the voters are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// A voter that said nothing for so long is replaced, where a node of its locality can take its place.
+/// A voter that was silent for so long is replaced, where a node of its locality can replace it.
 const REPLACE_AFTER: Duration = Duration::from_millis(2500);
 /// The same, where only a node of another locality can.
 const REPLACE_FROM_ELSEWHERE_AFTER: Duration = Duration::from_secs(30);
-/// A node that was silent for this long doesn't take a place.
+/// A node that was silent for so long becomes no voter.
 const HEARD_RECENTLY: Duration = Duration::from_millis(1500);
-/// How long a voter that is told to end waits for its place to be taken.
+/// How long a voter that shuts down waits to be replaced.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long the word of a voter that it leaves counts.
+/// How long a voter's announcement that it leaves counts.
 const LEAVING_EXPIRY: Duration = Duration::from_secs(6);
 /// Most control nodes whose localities are remembered.
 const MAX_LOCALITIES: usize = 256;
@@ -32,14 +32,20 @@
 #[derive(Default)]
 pub(crate) struct VoterChanges {
     next_check: Duration,
-    /// Where control nodes stood, also those that are gone.
+    /// Localities of control nodes, also of those that are gone.
     localities: BTreeMap<String, String>,
-    /// Voters that are about to end, and when they said so.
+    /// Voters that announced that they leave, and when.
     leaving: BTreeMap<String, Duration>,
-    /// Until when this node, told to end, waits for another to take its place.
+    /// Until when this node, shutting down, waits to be replaced.
     handover_deadline: Option<Duration>,
 }
 
+/// A voter that is gone, and the node that becomes a voter instead.
+struct Replacement {
+    gone: String,
+    successor: String,
+}
+
 impl ControlNode {
     pub(crate) fn tick_voters(&mut self, now: Duration) {
         if now < self.voter_changes.next_check {
@@ -69,7 +75,7 @@
         }
     }
 
-    /// Completes a change that is under way, or begins one where a voter is gone and its place can be taken.
+    /// Completes a change that is under way, or begins one where a voter is gone and can be replaced.
     fn manage_voters(&mut self, now: Duration) {
         let voter_set = self.register.state().voter_set.clone();
         let epoch = voter_set.epoch;
@@ -79,7 +85,7 @@
         if !self.may_begin_change(now) {
             return;
         }
-        let Some((gone, successor)) = self.replacement(now) else {
+        let Some(Replacement { gone, successor }) = self.replacement(now) else {
             return;
         };
         if !self.has_caught_up(&successor) {
@@ -92,12 +98,11 @@
             .filter(|voter| *voter != gone)
             .collect();
         voters.push(successor.clone());
-        self.effects
-            .push_back(Effect::Log(format!("voters: {successor} replaces {gone}")));
+        self.log(format!("voters: {successor} replaces {gone}"));
         self.propose(now, Change::BeginVoters { epoch, voters });
     }
 
-    /// An operator's change of the voters. What is left must have caught up, so that nobody takes a last copy along.
+    /// An operator's change of the voters. A majority of the set after it must have caught up, so that no state is lost.
     pub(crate) fn change_voters(
         &mut self,
         now: Duration,
@@ -167,8 +172,8 @@
         self.run_register(now, Event::Propose(change));
     }
 
-    /// A voter that is gone or leaves, and the node that can take its place: of the same locality if there is one.
-    fn replacement(&self, now: Duration) -> Option<(String, String)> {
+    /// A voter that is gone or leaves, and the node that can replace it: of the same locality if there is one.
+    fn replacement(&self, now: Duration) -> Option<Replacement> {
         let candidates = self.candidates(now);
         let voters = self.register.voter_set().voters.iter();
         let pairs = voters.filter_map(|voter| {
@@ -181,7 +186,7 @@
         });
         pairs
             .max_by_key(|(near, ..)| *near)
-            .map(|(_, voter, successor)| (voter, successor))
+            .map(|(_, gone, successor)| Replacement { gone, successor })
     }
 
     /// Control nodes that are there and have no vote.
@@ -210,13 +215,13 @@
         if voter == self.me.node {
             return self.shutting_down;
         }
-        let patience = if near {
+        let silence_timeout = if near {
             REPLACE_AFTER
         } else {
             REPLACE_FROM_ELSEWHERE_AFTER
         };
         let leaves = near && self.voter_changes.leaving.contains_key(voter);
-        leaves || self.register.time_since_heard(now, voter) >= patience
+        leaves || self.register.time_since_heard(now, voter) >= silence_timeout
     }
 
     pub(crate) fn handle_voter_leaving(&mut self, now: Duration, from: String) {
@@ -226,7 +231,8 @@
         }
     }
 
-    /// Told to end. A voter whose place can be taken says so and votes on until it is; any other node leaves at once.
+    /// The process was asked to stop. A voter that can be replaced announces that and votes on until it is; any other node
+    /// leaves at once.
     pub(crate) fn shut_down(&mut self, now: Duration) {
         self.shutting_down = true;
         let candidates = self.candidates(now);
@@ -243,10 +249,10 @@
     }
 
     fn finish_handover(&mut self, now: Duration) {
-        let Some(until) = self.voter_changes.handover_deadline else {
+        let Some(deadline) = self.voter_changes.handover_deadline else {
             return;
         };
-        if now >= until || !self.register.is_voter() {
+        if now >= deadline || !self.register.is_voter() {
             self.voter_changes.handover_deadline = None;
             self.leave_cluster(now);
         }
@@ -258,7 +264,7 @@
         self.run_lease(now, lease::Event::Shutdown);
     }
 
-    /// True once a node that was told to end owes nobody anything: its place is taken, or cannot be.
+    /// True once a node that shuts down may end: it was replaced as a voter, or cannot be.
     ///
     /// ```
     /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
@@ -273,7 +279,7 @@
         self.shutting_down && self.voter_changes.handover_deadline.is_none()
     }
 
-    /// Who votes, as far as this node knows.
+    /// The voters, as far as this node knows.
     ///
     /// ```
     /// # let times = control_plane::daemon::times(&config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap());
