--- a/crates/transport/src/recorded_stream.rs
+++ b/crates/transport/src/recorded_stream.rs
@@ -28,9 +28,9 @@
 /// assert_eq!(socket2::SockRef::from(&stream).tcp_user_timeout().unwrap(), Some(span));
 /// # });
 /// ```
-pub fn set_unacknowledged_timeout(stream: &TcpStream, span: Duration) {
+pub fn set_unacknowledged_timeout(stream: &TcpStream, timeout: Duration) {
     // A system without this option gives up by its own rules, later.
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(span));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(timeout));
 }
 
 /// How far a request got.
