--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -23,22 +23,29 @@
 
 /// One daemon, running or not.
 pub struct Process {
+    /// Its node's name.
     pub node: String,
+    /// The number of its machine.
     pub machine: usize,
+    /// Its HTTP address.
     pub http: String,
     program: PathBuf,
     flags: Vec<String>,
     log: PathBuf,
+    /// Its data folder, if it has one.
     pub data: Option<PathBuf>,
     child: Option<Child>,
 }
 
 /// All daemons of a site.
 pub struct Fleet {
+    /// Those of the control plane, by machine.
     pub control_nodes: Vec<Process>,
+    /// Those of the data plane.
     pub data_nodes: Vec<Process>,
     /// The endpoints of the links between them.
     pub endpoints: Vec<LinkEndpoint>,
+    /// Where logs and data folders are.
     pub folder: PathBuf,
     programs: PathBuf,
 }
--- a/crates/testbed/src/link_proxies.rs
+++ b/crates/testbed/src/link_proxies.rs
@@ -16,6 +16,7 @@
 /// One process's endpoint of the links.
 #[derive(Clone, Debug)]
 pub struct LinkEndpoint {
+    /// The number of the process's machine.
     pub machine: usize,
     /// Where the process listens.
     pub link: SocketAddr,
@@ -40,6 +41,7 @@
 pub enum Partition {
     /// A region, or a region and zone.
     Place(String),
+    /// One machine, by its number.
     Machine(usize),
 }
 
--- a/crates/testbed/src/plans.rs
+++ b/crates/testbed/src/plans.rs
@@ -101,12 +101,19 @@
 
 /// What a plan acts on.
 pub struct FaultInjection<'a> {
+    /// The links that can be partitioned.
     pub link_proxies: Arc<LinkProxies>,
+    /// The daemons.
     pub fleet: &'a mut Fleet,
+    /// The stand-in upstreams.
     pub upstreams: &'a mut Vec<Arc<StandInUpstream>>,
+    /// The site.
     pub shape: &'a Shape,
+    /// Where faults and their ends are noted.
     pub record: &'a ObservationLog,
+    /// The run's clock.
     pub clock: Clock,
+    /// How long the site is loaded.
     pub span: Duration,
 }
 
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -24,10 +24,15 @@
 
 /// One run.
 pub struct Run {
+    /// The site to lay out.
     pub shape: Shape,
+    /// How long to load it.
     pub load: Duration,
+    /// Requests a second; none for the site's own rate.
     pub per_second: Option<u64>,
+    /// The name of a plan of [`PLANS`](crate::plans::PLANS).
     pub plan: String,
+    /// Where data and logs are left; none for a folder that is removed.
     pub keep: Option<PathBuf>,
     /// Rules with a time limit are reported, and don't fail the run.
     pub untimed: bool,
--- a/crates/testbed/src/scripted/clients.rs
+++ b/crates/testbed/src/scripted/clients.rs
@@ -18,6 +18,7 @@
 
 /// How requests and answers look on a site.
 pub struct SiteConventions {
+    /// The adapter under test.
     pub api_adapter: fn() -> ApiAdapter,
     /// How its configurations are read.
     pub reader: ConfigurationParser,
--- a/crates/testbed/src/scripted/peer.rs
+++ b/crates/testbed/src/scripted/peer.rs
@@ -34,16 +34,19 @@
     ThenLateExtraResponse,
     /// Its response, then bytes that are no response.
     ThenGarbage,
-    /// Its response, then it closes or resets without notice.
+    /// Its response, then it closes without notice.
     ThenClose,
+    /// Its response, then it resets the connection.
     ThenReset,
     /// First the response of another attempt, then its own.
     ExtraResponseFirst,
+    /// The same, the first in chunks.
     ChunkedExtraResponseFirst,
     /// More of these than any client skips.
     ManyExtraResponsesFirst,
     /// Another attempt's response and nothing else.
     ExtraResponseOnly,
+    /// The same, then it closes.
     ExtraResponseThenClose,
     /// Another attempt's response that breaks off, and its own behind it.
     PartialExtraResponseThenComplete,
@@ -51,24 +54,33 @@
     ForeignRejection,
     /// A rejection without an id: its own on a new connection, ambiguous on one that was used before.
     RejectionWithoutId,
-    /// Its response without an id, and with two.
+    /// Its response without an id.
     WithoutId,
+    /// Its response with two ids.
     TwoIds,
-    /// A part of its response, then it closes, resets or hangs.
+    /// A part of its response, then it closes.
     Partial,
+    /// The same, in chunks.
     PartialChunked,
+    /// A part of its response, then it resets the connection.
     PartialThenReset,
+    /// A part of its response, then it hangs.
     PartialThenHang,
     /// A part of a response whose end is marked by the close only.
     PartialWithoutLength,
+    /// Lines that are no response, then it hangs.
     Garbage,
-    /// It reads, and closes, resets or hangs.
+    /// It reads the request and closes.
     Close,
+    /// It reads the request and resets the connection.
     Reset,
+    /// It reads the request and hangs.
     Hang,
-    /// It responds when it has read the head, and reads the rest or not.
+    /// It responds when it has read the head, and reads the rest.
     Early,
+    /// The same, and closes instead of reading the rest.
     EarlyThenClose,
+    /// It writes another attempt's response and its own when it has read the head.
     EarlyExtraResponse,
     /// It rejects the request as not executed.
     NotExecuted,
@@ -141,8 +153,11 @@
 /// What an upstream does with a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionStart {
+    /// It serves requests.
     Serve,
+    /// It closes at once.
     Close,
+    /// It resets the connection at once.
     Reset,
     /// A response before any request.
     ExtraResponse,
@@ -161,17 +176,24 @@
 /// A fault, and how often it yields to the other tasks before what it does late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
+    /// What it does with a request.
     pub fault: ResponseFault,
+    /// How often it yields before a late write.
     pub yields: u8,
 }
 
 /// A response, that the [`SiteConventions`] of a site put into headers.
 #[derive(Clone, Debug)]
 pub struct ResponseParts<'a> {
+    /// The attempt that it names.
     pub attempt_id: &'a str,
+    /// The responding instance.
     pub instance: &'a str,
+    /// The HTTP status.
     pub status: u16,
+    /// The body.
     pub body: &'a str,
+    /// True for a rejection.
     pub not_executed: bool,
 }
 
@@ -186,7 +208,9 @@
 /// One upstream under a script. When the script is at its end, it serves without faults.
 #[derive(Clone)]
 pub struct Peer {
+    /// Its instance id.
     pub instance: String,
+    /// Where it listens.
     pub address: String,
     conventions: &'static SiteConventions,
     events: EventLog,
--- a/crates/testbed/src/stand_in_clients.rs
+++ b/crates/testbed/src/stand_in_clients.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use transport::{Clock, HttpClient};
+use transport::{Clock, HttpClient, Reply};
 
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(3000);
 const MAX_ATTEMPTS: u32 = 4;
@@ -23,11 +23,15 @@
     lifetime: Duration,
 }
 
-/// All origins of a site.
+/// All clients of a site.
 pub struct StandInClients {
+    /// The site.
     pub shape: Shape,
+    /// HTTP addresses of the nodes that look names up.
     pub directories: Vec<String>,
+    /// The run's clock.
     pub clock: Clock,
+    /// Where attempts are noted.
     pub record: ObservationLog,
     client: HttpClient,
     cached: Mutex<HashMap<(String, &'static str), CachedLookup>>,
@@ -36,7 +40,7 @@
 }
 
 impl StandInClients {
-    /// Origins that ask these directory nodes.
+    /// Clients that look names up at these directory nodes.
     pub fn new(
         shape: Shape,
         directories: Vec<String>,
@@ -185,41 +189,36 @@
             }
             Err(_) => (Some(ResultCode::ResponseLost), soon),
             Ok(reply) => {
-                let code = reply
-                    .header("x-code")
-                    .parse()
-                    .ok()
-                    .and_then(ResultCode::from_number);
-                let success = reply.status == 200;
-                let seal = protocol::seal(
-                    attempt_id,
-                    reply.header("x-instance"),
-                    reply.status,
-                    &reply.body,
-                );
-                let complete = reply.header("x-seal") == seal
-                    && reply.header("x-try-id") == attempt_id
-                    && reply.body == work.as_bytes();
-                let code = code.unwrap_or(ResultCode::InvalidResponse);
-                let not_executed = !success && code.kind() == Execution::NotExecuted;
-                let answered = Observation::AttemptAnswered {
-                    attempt_id: attempt_id.into(),
-                    code: code.number(),
-                    success,
-                    complete,
-                    not_executed,
-                };
-                self.record.note(self.clock.now(), answered);
-                let wait = reply
-                    .header("retry-after")
-                    .parse()
-                    .map(Duration::from_secs)
-                    .unwrap_or(soon);
+                let code = self.note_answer(attempt_id, work, &reply);
+                let retry_after = reply.header("retry-after").parse();
+                let wait = retry_after.map(Duration::from_secs).unwrap_or(soon);
                 (Some(code), wait)
             }
         }
     }
 
+    /// Notes a proxy's answer to an attempt, and returns its code.
+    fn note_answer(&self, attempt_id: &str, work: &str, reply: &Reply) -> ResultCode {
+        let code = reply.header("x-code").parse().ok();
+        let code = code.and_then(ResultCode::from_number);
+        let code = code.unwrap_or(ResultCode::InvalidResponse);
+        let success = reply.status == 200;
+        let instance = reply.header("x-instance");
+        let seal = protocol::seal(attempt_id, instance, reply.status, &reply.body);
+        let complete = reply.header("x-seal") == seal
+            && reply.header("x-try-id") == attempt_id
+            && reply.body == work.as_bytes();
+        let answered = Observation::AttemptAnswered {
+            attempt_id: attempt_id.into(),
+            code: code.number(),
+            success,
+            complete,
+            not_executed: !success && code.kind() == Execution::NotExecuted,
+        };
+        self.record.note(self.clock.now(), answered);
+        code
+    }
+
     async fn look_up(
         &self,
         random: &mut Random,
--- a/crates/testbed/src/stand_in_upstreams.rs
+++ b/crates/testbed/src/stand_in_upstreams.rs
@@ -28,16 +28,19 @@
 
 /// One running stand-in.
 pub struct StandInUpstream {
+    /// The service that it executes.
     pub work: ServiceProfile,
+    /// Its instance id.
     pub instance: String,
+    /// Its region and zone.
     pub locality: String,
+    /// Where it listens.
     pub address: String,
     clock: Clock,
     record: ObservationLog,
     busy: AtomicU32,
     warm: AtomicBool,
-    /// 0 ready, 1 leaving, 2 gone.
-    condition: AtomicU32,
+    is_draining: AtomicBool,
     heartbeat_number: AtomicU64,
     /// The lease holder of the placement role that answered last.
     lease_holder: AtomicU64,
@@ -83,7 +86,7 @@
             record,
             busy: AtomicU32::new(0),
             warm: AtomicBool::new(warm),
-            condition: AtomicU32::new(0),
+            is_draining: AtomicBool::new(false),
             heartbeat_number: AtomicU64::new(0),
             lease_holder: AtomicU64::new(0),
             key_shares: Mutex::default(),
@@ -106,7 +109,7 @@
 
     /// Begins to drain; the caller sends the next heartbeat, which says so, at once.
     pub fn start_draining(&self) {
-        self.condition.store(1, Ordering::Release);
+        self.is_draining.store(true, Ordering::Release);
         self.record.note(
             self.clock.now(),
             Observation::UpstreamDraining {
@@ -194,8 +197,11 @@
     }
 
     fn describe(&self, now: Duration) -> JsonValue {
-        let condition =
-            ["ready", "leaving", "gone"][self.condition.load(Ordering::Acquire) as usize % 3];
+        let condition = if self.is_draining.load(Ordering::Acquire) {
+            "leaving"
+        } else {
+            "ready"
+        };
         let mut fields = vec![
             ("service".to_owned(), JsonValue::from(self.work.service)),
             ("instance".to_owned(), self.instance.as_str().into()),
