--- a/crates/control-plane/tests/anonymous_evacuations.rs
+++ b/crates/control-plane/tests/anonymous_evacuations.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_evacuation_without_an_id_is_begun_and_ended() {
+fn an_evacuation_without_an_id_begins_and_ends() {
     let mut site = site();
     let before = site.control.revision();
     assert_eq!(evacuated(&mut site, false), Some(ResultCode::Success));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_node_that_stood_still_takes_none_for_a_moment() {
+fn after_a_freeze_no_evacuation_without_an_id_is_accepted_for_a_moment() {
     let mut site = site();
     let before = site.control.revision();
     site.now += Duration::from_secs(3);
--- a/crates/control-plane/tests/gossip.rs
+++ b/crates/control-plane/tests/heartbeat_relay.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn news_goes_to_all_at_once_and_what_goes_on_in_batches_by_turns() {
+fn new_heartbeats_go_to_all_at_once_and_repeated_ones_in_digests_by_turns() {
     let mut a = control("a");
     let told: Vec<String> = beat(&mut a, 1000, unit(1, protocol::UpstreamState::Ready))
         .into_iter()
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn lost_news_and_a_lost_farewell_are_asked_for_with_the_next_batch() {
+fn lost_heartbeats_and_deregistrations_are_requested_with_the_next_digest() {
     let (mut a, mut c, mut d) = (control("a"), control("c"), control("d"));
     [
         (1, protocol::UpstreamState::Ready),
@@ -289,7 +289,7 @@
 /// A sign-off counts as the last beat there can be. Told as such a number it took ten bytes for each batch and upstream,
 /// for eight seconds: half of what batches were while upstreams left.
 #[test]
-fn a_sign_off_takes_no_more_room_in_a_batch_than_a_beat() {
+fn a_deregistration_is_no_larger_in_a_digest_than_a_heartbeat() {
     let (mut a, mut c, mut d) = (control("a"), control("c"), control("d"));
     let batch_to_the_south = |told: &[(String, Payload)]| {
         let far = batches(told)
@@ -401,7 +401,7 @@
 
 /// Two lives of a node ask alike; only what answers the present one's question counts.
 #[test]
-fn an_answer_to_an_earlier_lifes_question_settles_nothing() {
+fn a_reply_to_an_earlier_incarnation_is_ignored() {
     let mut control = control("a");
     let asked = sent(&mut control, 1000, Event::Tick)
         .into_iter()
--- a/crates/control-plane/tests/keys.rs
+++ b/crates/control-plane/tests/key_ranges.rs
@@ -260,7 +260,7 @@
 
 /// A node that starts again under a new epoch remembers nothing of what it gave.
 #[test]
-fn a_restarted_lease_holder_gives_nothing_that_may_be_held() {
+fn a_restarted_lease_holder_grants_nothing_that_may_be_held() {
     let mut site = Site::new(false);
     let held = site.beat("u", 1, &[]).expect("the founder gives at once");
     site.restart();
@@ -311,7 +311,7 @@
 
 /// An answer of the lease holder to a question of an earlier life of this node, or of nobody.
 #[test]
-fn an_answer_to_a_question_of_another_life_is_not_passed_on() {
+fn a_reply_to_another_incarnation_is_not_forwarded() {
     let follower = |site: &mut Site| {
         site.step(Event::Received {
             from: "b".into(),
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn an_upstream_that_signed_off_may_hold_its_keys_until_they_run_out() {
+fn a_deregistered_upstream_may_hold_its_keys_until_they_expire() {
     assert_eq!(
         given_after_signing_off(1000),
         0,
@@ -406,7 +406,7 @@
 /// After all control nodes started anew nobody holds the placement lease, and carriers are told what the upstreams say that
 /// they hold. Where that took long, the nodes had no time left to agree on a holder, so it went on.
 #[test]
-fn while_nobody_holds_the_lease_carriers_are_told_who_holds_what_in_little_time() {
+fn without_a_lease_holder_data_plane_nodes_soon_learn_who_holds_which_keys() {
     const UPSTREAMS: u32 = 128;
     const ROWS: u32 = 16;
     const CARRIERS: usize = 60;
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/quorum_contact.rs
@@ -387,7 +387,7 @@
 }
 
 #[test]
-fn in_contact_every_question_is_answered_within_a_callers_patience() {
+fn in_contact_every_request_is_answered_within_the_clients_timeout() {
     let mut site = Site::settled();
     let at = site.bystander();
     questions(1).into_iter().for_each(|request| {
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn a_node_out_of_contact_says_so_at_once_whatever_is_asked() {
+fn a_node_out_of_contact_rejects_every_request_at_once() {
     [(false, false), (false, true)]
         .into_iter()
         .for_each(|(hears, speaks)| {
@@ -438,7 +438,7 @@
 
 /// One that still hears who holds the placement lease, which a majority granted, sends callers there.
 #[test]
-fn a_node_out_of_contact_that_hears_of_one_in_contact_sends_callers_there() {
+fn a_node_out_of_contact_redirects_to_one_in_contact() {
     let mut site = Site::settled();
     let (holder, at) = (site.holder(), site.bystander());
     site.cut_off(at, true, false);
@@ -455,7 +455,7 @@
 }
 
 #[test]
-fn a_node_that_lost_contact_this_instant_confirms_no_order_reading_or_leaving() {
+fn a_node_that_has_just_lost_contact_confirms_no_change_read_or_departure() {
     [(false, false), (true, false), (false, true)]
         .into_iter()
         .for_each(|(hears, speaks)| {
@@ -496,7 +496,7 @@
 }
 
 #[test]
-fn an_order_under_way_when_contact_is_lost_is_answered_as_unknown_before_long() {
+fn a_change_under_way_when_contact_is_lost_gets_an_unknown_outcome() {
     let mut site = Site::settled();
     let at = site.bystander();
     site.cut_off(at, false, false);
@@ -523,7 +523,7 @@
 
 /// It speaks but hears nobody: a round that it begins can't end, and would end those of the others.
 #[test]
-fn a_node_that_nobody_answers_begins_no_rounds() {
+fn a_node_that_nobody_answers_starts_no_rounds() {
     let mut site = Site::settled();
     let at = site.bystander();
     site.cut_off(at, false, true);
@@ -552,7 +552,7 @@
 
 /// Whatever the length of the cut, the orders of a caller that goes on to the next node come through.
 #[test]
-fn orders_are_not_lost_while_a_majority_lives() {
+fn changes_are_not_lost_while_a_majority_is_alive() {
     let lengths = [500, 1000, 1500, 2500, 5000, 10_000, 20_000, 30_000];
     let ways = [(false, false), (true, false), (false, true)];
     lengths
@@ -607,7 +607,7 @@
 /// Whoever becomes current by a question asked after the acknowledgement knows of the leaving, also where what was told
 /// of it never got there.
 #[test]
-fn an_acknowledged_leaving_is_known_to_every_node_that_is_current() {
+fn an_acknowledged_departure_is_known_to_every_current_node() {
     let mut site = Site::settled();
     site.answer(
         0,
@@ -640,7 +640,7 @@
 }
 
 #[test]
-fn a_leaving_upstream_is_acknowledged_once_a_majority_knows_and_not_before() {
+fn a_draining_upstream_is_acknowledged_once_a_majority_knows_and_not_before() {
     let mut site = Site::settled();
     let at = site.bystander();
     // One other voter is reached: two of five are no majority.
@@ -672,7 +672,7 @@
 
 /// The sign-off came to a node that did not know the upstream, and another one still had a beat of it in its sockets.
 #[test]
-fn a_signed_off_upstream_stays_gone_where_nobody_knew_it() {
+fn a_deregistered_upstream_stays_gone_where_nobody_knew_it() {
     let mut site = Site::settled();
     assert!(acknowledged(&site.answer(
         0,
@@ -697,7 +697,7 @@
 
 /// Told to a node that was cut off the moment before: when it is back, all know.
 #[test]
-fn what_a_cut_off_node_was_told_is_known_once_it_is_back() {
+fn a_departure_reported_to_a_partitioned_node_is_known_once_it_is_back() {
     let mut site = Site::settled();
     site.answer(
         0,
@@ -798,7 +798,7 @@
 }
 
 #[test]
-fn an_acknowledged_departure_outlives_the_restart_of_a_voter_that_took_it_in() {
+fn an_acknowledged_departure_survives_the_restart_of_a_voter_that_recorded_it() {
     departures().into_iter().for_each(|departure| {
         let told = format!("{departure:?}");
         let (breaches, _) = vouched_for_after(&[2], departure, false);
@@ -808,7 +808,7 @@
 
 /// All control nodes are killed at once: departures are known again, and nothing is served later for it.
 #[test]
-fn an_acknowledged_departure_outlives_a_restart_of_all_at_no_cost() {
+fn an_acknowledged_departure_survives_a_restart_of_all_at_no_cost() {
     departures().into_iter().for_each(|departure| {
         let told = format!("{departure:?}");
         let (breaches, all_vouch_after) = vouched_for_after(&[0, 1, 2, 3, 4], departure, false);
--- a/crates/control-plane/tests/repair.rs
+++ b/crates/control-plane/tests/repair.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_state_without_its_bytes_is_told_until_it_is_repaired() {
+fn a_missing_configuration_is_reported_until_it_is_repaired() {
     let mut control = start(BTreeMap::new());
     let ms = Duration::from_millis;
     let effects = control.step(ms(1), Event::Tick);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_whole_disk_tells_nothing() {
+fn an_intact_disk_reports_nothing() {
     let mut control = start([(protocol::digest(SETUP), SETUP.to_vec())].into());
     let effects = control.step(Duration::from_millis(1), Event::Tick);
     assert_eq!(alarms(&effects), 0);
--- a/crates/control-plane/tests/storage_thread.rs
+++ b/crates/control-plane/tests/storage_thread.rs
@@ -81,7 +81,7 @@
 ];
 
 #[test]
-fn writes_to_a_full_or_failing_disk_are_kept_until_they_are_done() {
+fn writes_to_a_full_or_failing_disk_are_retried_until_they_succeed() {
     for (name, break_it, heal) in FAULTS {
         let files = SimulatedDisk::new(Omits::Nothing);
         let (disk, told) = start(&files);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_disk_that_fails_again_and_again_is_told_each_time() {
+fn each_spell_of_disk_failures_is_reported() {
     let files = SimulatedDisk::new(Omits::Nothing);
     let (disk, told) = start(&files);
     for number in 1..6 {
@@ -190,7 +190,7 @@
 const QUEUE_ROOM: u64 = 256;
 
 #[test]
-fn what_finds_no_room_in_the_queue_is_never_reported() {
+fn writes_that_overflow_the_queue_are_never_reported() {
     let files = SimulatedDisk::new(Omits::Nothing);
     let (disk, told) = start(&files);
     let stall = Stall::of(&files);
@@ -228,7 +228,7 @@
 
 /// A start on a folder with very many files drops them all at once.
 #[test]
-fn removals_leave_room_for_what_must_be_kept() {
+fn deletes_leave_capacity_for_other_writes() {
     let files = SimulatedDisk::new(Omits::Nothing);
     let (disk, told) = start(&files);
     let stall = Stall::of(&files);
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn the_register_never_hands_out_more_writes_than_the_queue_has_room_for() {
+fn the_register_never_submits_more_writes_than_the_queue_holds() {
     for seed in 0..30 {
         let (mut voter, mut random) = (OneVoter::new(seed), Random::new(seed));
         for number in 0..400 {
@@ -426,7 +426,7 @@
 }
 
 #[test]
-fn whatever_is_merged_the_disk_always_holds_the_setup_of_its_state() {
+fn however_writes_are_merged_the_disk_holds_the_configuration_of_its_state() {
     for seed in 0..60 {
         assert_eq!(play_batches(seed, merge_writes), Ok(()), "seed {seed}");
     }
@@ -434,7 +434,7 @@
 
 /// The broken twin: the last state of a batch goes ahead of what it refers to.
 #[test]
-fn the_checker_sees_a_state_ahead_of_its_setup() {
+fn the_checker_detects_a_state_ahead_of_its_configuration() {
     let hasty = |batch: Vec<Write>| {
         let (states, others): (Vec<Write>, Vec<Write>) = batch
             .into_iter()
--- a/crates/control-plane/tests/updates.rs
+++ b/crates/control-plane/tests/update_streams.rs
@@ -6,7 +6,7 @@
 use site::site;
 
 #[test]
-fn a_snapshot_does_not_grow_with_the_orders_that_were_decided() {
+fn a_snapshot_does_not_grow_with_the_changes_decided() {
     let mut site = site();
     let before = site.snapshot("c-1").encoded_len();
     (0..200).for_each(|at| site.evacuate(at, at % 2 == 1));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_change_does_not_bear_the_orders_that_were_decided() {
+fn an_update_does_not_contain_the_changes_decided() {
     let mut site = site();
     (0..200).for_each(|at| site.evacuate(at, at % 2 == 1));
     site.snapshot("c-1");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_order_that_changes_nothing_is_told_to_no_carrier() {
+fn a_change_without_effect_is_sent_to_no_data_plane_node() {
     let mut site = site();
     site.evacuate(0, false);
     site.snapshot("c-1");
