--- a/crates/simulator/src/fault_injection/mod.rs
+++ b/crates/simulator/src/fault_injection/mod.rs
@@ -9,8 +9,9 @@
 mod recovery;
 mod upstreams;
 
+use crate::disks::Disk;
 use crate::faults::{Fault, Step};
-use crate::nodes::{Core, Disk};
+use crate::nodes::Core;
 use crate::schedule::Action;
 use crate::world::World;
 use category::Category;
--- a/crates/simulator/src/fault_injection/recovery.rs
+++ b/crates/simulator/src/fault_injection/recovery.rs
@@ -1,6 +1,7 @@
 //! The operators' manual recovery of a cluster that lost its quorum for good.
 
-use crate::nodes::{Disk, Node};
+use crate::disks::Disk;
+use crate::nodes::Node;
 use crate::world::World;
 use invariants::observations::Observation;
 use protocol::SurvivorState;
