--- a/crates/simulator/src/connections.rs
+++ b/crates/simulator/src/connections.rs
@@ -30,7 +30,7 @@
     node: usize,
     node_incarnation: u64,
     address: String,
-    /// Which upstream accepted it, in which of its lives.
+    /// Which upstream accepted it, and in which incarnation.
     accepted_by: (usize, u64),
     carried: u32,
     idle: bool,
@@ -52,7 +52,7 @@
 
 impl World {
     /// The look at kept connections: one on which nothing stands, with who accepted it. Whether the end of one has
-    /// been heard of yet is chance.
+    /// been received yet is random.
     pub(super) fn reuse_connection(
         &mut self,
         node: usize,
@@ -114,7 +114,7 @@
         Some(id)
     }
 
-    /// True where the kernel tells, right before the write, that the connection can't be written to any more.
+    /// True where the kernel reports, right before the write, that the connection can't be written to any more.
     pub(super) fn is_unwritable(&mut self, connection: u64) -> bool {
         let Some(kept) = self.connections.open.get_mut(&connection) else {
             return false;
--- a/crates/simulator/src/deregistration.rs
+++ b/crates/simulator/src/deregistration.rs
@@ -1,11 +1,11 @@
-//! Upstreams that sign off before they ever said that they leave, serve on for a while, and end.
+//! Upstreams that deregister before they ever drained, serve on for a while, and end.
 
 use super::world::World;
 use control_plane::ControlRequest;
 use protocol::Upstream;
 
 impl World {
-    /// It signs off at one control node after the other until one acknowledges it. What it holds, it holds on.
+    /// It deregisters at one control node after the other until one acknowledges it. It keeps its keys meanwhile.
     pub(super) fn deregister_before_draining(&mut self, at: usize) {
         let control_nodes = self.control_nodes();
         let first = control_nodes[self.random.below(control_nodes.len() as u64) as usize];
@@ -19,7 +19,7 @@
         self.send_heartbeat(at);
     }
 
-    /// True where an upstream says no more: its sign-off was acknowledged.
+    /// True where an upstream sends no heartbeats any more: it deregistered, and that was acknowledged.
     pub(super) fn is_deregistered(&self, at: usize) -> bool {
         let upstream = &self.upstreams[at];
         upstream.deregistered
@@ -27,7 +27,7 @@
             && !self.defects.lists_no_keys_after_deregistering
     }
 
-    /// What an upstream says in its next call.
+    /// What an upstream sends next.
     pub(super) fn heartbeat_or_deregister(&self, at: usize, told: Upstream) -> ControlRequest {
         let upstream = &self.upstreams[at];
         match (upstream.deregistered, upstream.draining_acked_at) {
--- a/crates/simulator/src/disks.rs
+++ b/crates/simulator/src/disks.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Between two tries of a write that was refused.
+/// Between two attempts of a write that was rejected.
 const RETRY_EVERY: Duration = Duration::from_millis(100);
 
 /// A write without a sync.
@@ -16,7 +16,7 @@
 /// How long a control node that starts again believes what it finds of departures.
 const DEPARTURES_REMEMBERED: Duration = Duration::from_secs(60);
 
-/// How many setups a disk keeps that drops the newest.
+/// How many configurations a disk keeps that deletes the newest.
 const MAX_KEPT_BLINDLY: usize = 32;
 
 pub enum Write {
@@ -38,7 +38,7 @@
     pub broken: bool,
     /// It takes no writes; each is tried again until it is done.
     pub rejects_writes: bool,
-    /// The core was told that a write is tried again.
+    /// The core was notified that a write is retried.
     pub retrying: bool,
     /// A sync that was begun does not end.
     pub hung: bool,
--- a/crates/simulator/src/exchanges.rs
+++ b/crates/simulator/src/exchanges.rs
@@ -59,7 +59,7 @@
     /// Counts calls, so that an answer to an earlier one is dropped.
     pub send: u32,
     pub instance: Option<String>,
-    /// Where the connection leads: the address, and the life of whoever accepted it.
+    /// Where the connection leads: the address, and the upstream that accepted it with its incarnation.
     pub address: String,
     pub incarnation: Option<(usize, u64)>,
     /// The connection, where they are kept, and whether a kept one may be taken.
@@ -138,7 +138,7 @@
         self.advance_exchange(exchange, RoutingEvent::Start);
     }
 
-    /// Whoever waits for a seat and was called, or waited long enough.
+    /// An exchange waits for capacity, and was woken up or waited long enough.
     pub(crate) fn wake_exchange(&mut self, at: usize, id: u64) {
         let waits = self
             .exchanges
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The bells that rang while the last thing happened.
+    /// Wakes the exchanges that the last action signalled.
     pub(crate) fn deliver_wake_ups(&mut self) {
         let wake_ups =
             std::mem::take(&mut *self.wake_ups.lock().unwrap_or_else(PoisonError::into_inner));
--- a/crates/simulator/src/fault_injection/operators.rs
+++ b/crates/simulator/src/fault_injection/operators.rs
@@ -7,7 +7,7 @@
 use crate::world::World;
 use std::time::Duration;
 
-/// How long after its zone was taken back a node thaws that holds a command to evacuate the zone in its sockets.
+/// How long after the end of an evacuation a node thaws that has the command to evacuate in its sockets.
 const THAW_DELAY: Duration = Duration::from_secs(2);
 /// Between two rounds of a race of versions, and of one of equal versions.
 const VERSION_RACE_GAP: Duration = Duration::from_millis(150);
@@ -55,7 +55,7 @@
             Fault::LoseCommandResults(per_mille) => {
                 self.operators.delivery.lost_per_mille = per_mille;
             }
-            Fault::ReorderCommands => self.operators.delivery.scrambled = true,
+            Fault::ReorderCommands => self.operators.delivery.reordered = true,
             Fault::CommandStorm(count) | Fault::StaleCommandStorm(count) => {
                 self.start_command_storm(count);
             }
@@ -76,7 +76,7 @@
                 self.end_evacuation(self.zone(*zone));
             }
             Fault::LoseCommandResults(_) => self.operators.delivery.lost_per_mille = 0,
-            Fault::ReorderCommands => self.operators.delivery.scrambled = false,
+            Fault::ReorderCommands => self.operators.delivery.reordered = false,
             Fault::CommandStorm(_) => self.end_command_storm(),
             Fault::StaleCommandStorm(_) => {
                 self.end_command_storm();
--- a/crates/simulator/src/fault_injection/upstreams.rs
+++ b/crates/simulator/src/fault_injection/upstreams.rs
@@ -48,7 +48,7 @@
                     self.added_upstreams.push(upstream);
                 }
             }
-            Fault::DelayGrants => self.late_answers = true,
+            Fault::DelayGrants => self.delays_grants = true,
             _ => {}
         }
     }
@@ -84,7 +84,7 @@
                     self.drain_upstream(upstream);
                 }
             }
-            Fault::DelayGrants => self.late_answers = false,
+            Fault::DelayGrants => self.delays_grants = false,
             _ => {}
         }
     }
--- a/crates/simulator/src/grants.rs
+++ b/crates/simulator/src/grants.rs
@@ -3,7 +3,7 @@
 use config::JsonValue;
 use std::collections::BTreeMap;
 
-/// The slots, with their epochs, that the answer to a beat names.
+/// The slots, with their epochs, that the response to a heartbeat grants.
 ///
 /// ```
 /// let json = config::JsonValue::parse(r#"{"shares": [{"from": 3, "until": 5, "epoch": 7}]}"#).unwrap();
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -33,6 +33,7 @@
 mod schedule;
 pub mod seeds;
 pub mod shapes;
+mod upstream_calls;
 mod upstreams;
 mod world;
 
--- a/crates/simulator/src/messaging.rs
+++ b/crates/simulator/src/messaging.rs
@@ -53,7 +53,7 @@
         });
     }
 
-    /// In a broken system: news to the first proxy lacks what changed in the placement.
+    /// In a defective system: updates to the first proxy lack the changes of the placement.
     fn strip_placement(&self, to: &str, body: Payload) -> Payload {
         let is_first = || {
             self.nodes
@@ -74,7 +74,7 @@
         }
     }
 
-    /// In a broken system: an answer that nobody gave.
+    /// In a defective system: a response that no peer sent.
     fn forge_agreement(&mut self, at: usize, other: &str, body: &Payload) {
         let answer = match body {
             Payload::Read(read) if self.defects.forges_peer_agreement => {
@@ -89,11 +89,11 @@
                     ..ReadBack::default()
                 })
             }
-            Payload::Heartbeats(pending_heartbeats)
-                if self.defects.skips_departure_acks && pending_heartbeats.nonce != 0 =>
+            Payload::Heartbeats(heartbeats)
+                if self.defects.skips_departure_acks && heartbeats.nonce != 0 =>
             {
                 Payload::HeartbeatsAck(HeartbeatsAck {
-                    nonce: pending_heartbeats.nonce,
+                    nonce: heartbeats.nonce,
                 })
             }
             _ => return,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// What was sent to a process that is down: the other side learns at once that it can't connect.
+    /// What was sent to a process that is down: the sender learns at once that it can't connect.
     fn reject_undeliverable(&mut self, event: NodeEvent) {
         match event {
             NodeEvent::Lookup {
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,14 +1,14 @@
-//! The virtual network: delays by place, loss, order on links, cuts.
+//! The simulated network: delays by locality, loss, order on links, partitions.
 
 use protocol::Payload;
 use random::Random;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Where one end of a message stands.
+/// Where one end of a message is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// A machine's number; upstreams and origins have none.
+    /// A machine's number; upstreams and clients have none.
     pub machine: Option<usize>,
     pub locality: String,
 }
@@ -19,7 +19,7 @@
     }
 }
 
-/// What keeps two ends apart.
+/// What separates two ends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Partition {
     /// One machine, from everything; `receives` or `sends` may still work.
@@ -28,7 +28,7 @@
         receives: bool,
         sends: bool,
     },
-    /// One machine from all other machines, while upstreams and origins still reach it.
+    /// One machine from all other machines, while upstreams and clients still reach it.
     Peers {
         machine: usize,
         receives: bool,
--- a/crates/simulator/src/node_steps.rs
+++ b/crates/simulator/src/node_steps.rs
@@ -95,7 +95,7 @@
         });
     }
 
-    /// Beats may have told of room.
+    /// Heartbeats may have announced capacity.
     fn wake_all(&self, at: usize) {
         if let Core::DataNode(_, proxy_stats) = &self.nodes[at].core {
             proxy_stats.wake_all();
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -71,7 +71,7 @@
     pub up: bool,
     /// Gone for good: it never starts again.
     pub removed: bool,
-    /// Counts starts, so that what belonged to an earlier life is dropped.
+    /// Counts starts, so that what belonged to an earlier incarnation is dropped.
     pub incarnation: u64,
     pub started_at: Duration,
     pub core: Core,
@@ -80,7 +80,7 @@
     pub frozen: Option<(Duration, Vec<NodeEvent>)>,
     pub site: ProxyContext,
     pub(crate) is_control_node: bool,
-    /// When a carrier sweeps its board next, by its own clock.
+    /// When a data-plane node sweeps its statistics next, by its own clock.
     pub(crate) next_sweep: Duration,
     /// How its clock runs, in parts of a million more than true time.
     pub(crate) drift: i64,
--- a/crates/simulator/src/observer.rs
+++ b/crates/simulator/src/observer.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl World {
-    /// Notes the edition in force at every carrier that would serve at this moment.
+    /// Records the revision in force at every data-plane node that would serve at this moment.
     pub(crate) fn observe_nodes(&mut self) {
         let serving: Vec<(String, u64)> = self
             .nodes
@@ -37,7 +37,7 @@
         over.for_each(|loss| loss.replaced_at = Some(now));
     }
 
-    /// A voter goes for good.
+    /// Records that a voter is lost for good.
     pub(super) fn note_loss(&mut self, at: usize) {
         let node = self.nodes[at].name.clone();
         if self.nodes[at].is_control_node() && self.voters().contains(&node) {
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -1,10 +1,11 @@
-//! Operators in the simulator: they submit, evacuate, race, ask again when the outcome is unknown, read back.
+//! Simulated operators: they submit configurations, evacuate, race, retry when the outcome is unknown, and read.
 
 use super::command_faults::{CommandDelivery, CommandStorm};
 use super::faults::{Fault, Step};
 use super::nodes::NodeEvent;
 use crate::schedule::Action;
 use crate::shapes::MARKERS;
+use crate::upstreams::SentHeartbeat;
 use crate::world::World;
 use control_plane::{ControlRequest, ControlResponse};
 use invariants::history::{Command, CommandResult};
@@ -14,31 +15,31 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const ASK_AGAIN: Duration = Duration::from_millis(200);
-const MAX_ASKS: u32 = 80;
-/// A caller that hears nothing for so long goes on to another node.
-const CUT_SILENCE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+const MAX_ATTEMPTS: u32 = 80;
+/// An operator without a response for so long goes on to another node.
+const COMMAND_TIMEOUT_WHILE_PARTITIONED: Duration = Duration::from_secs(1);
 
-/// What an operator wants, until it is decided.
+/// A command of an operator, until it is decided.
 pub struct Submission {
     pub(super) id: String,
-    /// Sent without the id: only its number tells it from another.
+    /// Sent without the id: only its version distinguishes it from another.
     anonymous: bool,
-    /// How many orders the operators knew to be decided when it was first sent.
+    /// How many commands the operators knew to be decided when it was first sent.
     since: u64,
     submitted_at: Duration,
     what: OperatorCommand,
     pub(super) decided: bool,
-    asked: u32,
-    asks_again: bool,
+    attempts: u32,
+    retry_scheduled: bool,
     /// Submitted once this one is decided.
     pub(super) then: Option<OperatorCommand>,
 }
 
 impl Submission {
-    /// True where an order that strays on its way can be told from a new one: by its id or its number.
+    /// True where a delayed command can be distinguished from a new one: by its id or its version.
     pub(super) fn is_distinguishable(&self) -> bool {
-        !self.anonymous || matches!(self.what, OperatorCommand::Numbered { .. })
+        !self.anonymous || matches!(self.what, OperatorCommand::Versioned { .. })
     }
 
     fn ask(&self) -> ControlRequest {
@@ -60,7 +61,7 @@
                     in_force: false,
                 }
             }
-            OperatorCommand::Numbered { bytes, .. } => ControlRequest::SubmitConfiguration {
+            OperatorCommand::Versioned { bytes, .. } => ControlRequest::SubmitConfiguration {
                 id,
                 base: None,
                 bytes: bytes.into_bytes(),
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The same, as the checker of histories has it.
+    /// The same, in the terms of the history checker.
     fn command(&self) -> Command {
         let digest = |bytes: &str| protocol::digest(bytes.as_bytes());
         match &self.what {
@@ -84,7 +85,7 @@
                 base: *base,
                 digest: digest(bytes),
             },
-            OperatorCommand::Numbered { bytes, number } => Command::Configuration {
+            OperatorCommand::Versioned { bytes, number } => Command::Configuration {
                 number: Some(*number),
                 base: None,
                 digest: digest(bytes),
@@ -105,7 +106,7 @@
         marker: usize,
     },
     /// With the operator's own number.
-    Numbered {
+    Versioned {
         bytes: String,
         number: u64,
     },
@@ -124,24 +125,24 @@
     /// Orders with an id that are known to be decided.
     decided: u64,
     /// Which submission, or which node's read-back, a token stands for.
-    tokens: BTreeMap<u64, (usize, usize)>,
-    read_backs: BTreeMap<u64, (usize, Duration)>,
-    pub(super) pending_heartbeats: BTreeMap<u64, (usize, u64, u64, Duration, usize)>,
+    pending_commands: BTreeMap<u64, (usize, usize)>,
+    pending_reads: BTreeMap<u64, (usize, Duration)>,
+    pub(super) pending_heartbeats: BTreeMap<u64, SentHeartbeat>,
     pub(super) revision: u64,
     pub(super) configurations: usize,
-    /// Numbered setups offered so far.
-    pub(super) offered: Vec<(u64, String)>,
+    /// Configurations with a version that were submitted so far.
+    pub(super) submitted_versions: Vec<(u64, String)>,
 }
 
 impl Operators {
-    /// How many setups were submitted so far.
+    /// How many configurations were submitted so far.
     pub(super) fn configurations(&self) -> usize {
         self.configurations
     }
 }
 
 impl World {
-    /// The first setup, and then read-backs for as long as the run goes on.
+    /// Submits the first configuration, and then reads it for as long as the run goes on.
     pub(super) fn run_operators(&mut self) {
         if self.operators.submissions.is_empty() {
             self.submit_configuration(0, None);
@@ -150,7 +151,7 @@
         self.after(Duration::from_millis(700), Action::RunOperators);
     }
 
-    /// Submits a new setup, larger by some routes.
+    /// Submits a new configuration, larger by some routes.
     pub(super) fn submit_configuration(&mut self, extra: usize, base: Option<u64>) {
         self.operators.configurations += 1;
         let mut shape = self.shape.clone();
@@ -166,11 +167,11 @@
         });
     }
 
-    /// Operators race with their own numbers: new ones in no order, two with the same, and old ones again.
+    /// Operators race with versions of their own: new ones in no order, two with the same, and old ones again.
     pub(super) fn race_versions(&mut self) {
         let most = self
             .operators
-            .offered
+            .submitted_versions
             .iter()
             .map(|(number, _)| *number)
             .max()
@@ -183,17 +184,21 @@
                 number,
                 digest: protocol::digest(bytes.as_bytes()),
             });
-            self.operators.offered.push((number, bytes.clone()));
-            self.submit(OperatorCommand::Numbered { bytes, number });
+            self.operators
+                .submitted_versions
+                .push((number, bytes.clone()));
+            self.submit(OperatorCommand::Versioned { bytes, number });
         });
         (0..3).for_each(|_| {
-            let at = self.random.below(self.operators.offered.len() as u64) as usize;
-            let (number, bytes) = self.operators.offered[at].clone();
-            self.submit(OperatorCommand::Numbered { bytes, number });
+            let at =
+                self.random
+                    .below(self.operators.submitted_versions.len() as u64) as usize;
+            let (number, bytes) = self.operators.submitted_versions[at].clone();
+            self.submit(OperatorCommand::Versioned { bytes, number });
         });
     }
 
-    /// Submits a new setup at this node first.
+    /// Submits a new configuration at this node first.
     pub(super) fn submit_first_at(&mut self, node: usize) {
         self.operators.configurations += 1;
         let extra = self.operators.configurations;
@@ -213,7 +218,7 @@
         self.submit_as(what, false);
     }
 
-    /// Submits an order, without its id where it is anonymous; gives its number.
+    /// Submits a command, without its id where it is anonymous; returns its index.
     pub(super) fn submit_as(&mut self, what: OperatorCommand, anonymous: bool) -> usize {
         self.submit_through(None, what, anonymous)
     }
@@ -225,7 +230,7 @@
         what: OperatorCommand,
         anonymous: bool,
     ) -> usize {
-        // Work may go there from the moment it is asked for: the yes comes later.
+        // Requests may go there from the moment it is asked for: the confirmation comes later.
         if let OperatorCommand::Evacuate {
             locality,
             back: true,
@@ -246,8 +251,8 @@
             submitted_at,
             what,
             decided: false,
-            asked: 0,
-            asks_again: false,
+            attempts: 0,
+            retry_scheduled: false,
             then: None,
         });
         let command = self.operators.submissions[at].command();
@@ -259,7 +264,7 @@
 
     pub(super) fn send_submission(&mut self, at: usize) {
         let submission = &mut self.operators.submissions[at];
-        submission.asks_again = false;
+        submission.retry_scheduled = false;
         if !submission.decided {
             let node = self.some_control_node();
             self.send_submission_to(at, node);
@@ -267,23 +272,23 @@
     }
 
     fn send_submission_to(&mut self, at: usize, node: usize) {
-        self.operators.submissions[at].asked += 1;
+        self.operators.submissions[at].attempts += 1;
         self.send_command_to(at, node);
         self.send_duplicate(at);
-        // No answer at all: ask again with the same id, elsewhere.
+        // No response at all: retry with the same id, elsewhere.
         let unknown = ControlResponse::Outcome {
             code: ResultCode::ChangeOutcomeUnknown,
             revision: 0,
         };
         let impatient = |step: &Step| matches!(step.fault, Fault::LongPartition { .. });
         let impatient = self.plan.steps.iter().any(impatient);
-        let silence = if impatient {
-            CUT_SILENCE
+        let command_timeout = if impatient {
+            COMMAND_TIMEOUT_WHILE_PARTITIONED
         } else {
-            self.operators.silence()
+            self.operators.command_timeout()
         };
         self.after(
-            silence,
+            command_timeout,
             Action::ReceiveSubmissionResult {
                 submission: at,
                 answer: unknown,
@@ -291,7 +296,7 @@
         );
     }
 
-    /// Sends an order once, to some node.
+    /// Sends a command once, to a random control node.
     pub(super) fn send_command(&mut self, at: usize) {
         let node = self.some_control_node();
         self.send_command_to(at, node);
@@ -299,7 +304,9 @@
 
     fn send_command_to(&mut self, at: usize, node: usize) {
         let request_id = self.allocate_id();
-        self.operators.tokens.insert(request_id, (at, node));
+        self.operators
+            .pending_commands
+            .insert(request_id, (at, node));
         let mut ask = self.operators.submissions[at].ask();
         if let (
             true,
@@ -324,12 +331,12 @@
         control_nodes[self.random.below(control_nodes.len() as u64) as usize]
     }
 
-    /// An answer of a postmaster, by token.
+    /// A response of a control node, by the id of the request.
     pub(super) fn control_responded(&mut self, request_id: u64, answer: ControlResponse) {
         if let Some(heartbeat) = self.operators.pending_heartbeats.remove(&request_id) {
             return self.heartbeat_answered(heartbeat, answer);
         }
-        if let Some((node, asked_at)) = self.operators.read_backs.remove(&request_id) {
+        if let Some((node, asked_at)) = self.operators.pending_reads.remove(&request_id) {
             let read = match answer {
                 ControlResponse::Configuration { revision, bytes } => {
                     Some((revision, protocol::digest(&bytes)))
@@ -352,7 +359,7 @@
             });
             return;
         }
-        let submission = self.operators.tokens.remove(&request_id);
+        let submission = self.operators.pending_commands.remove(&request_id);
         let answer = match answer {
             ControlResponse::Outcome {
                 code: ResultCode::VersionConflict,
@@ -405,12 +412,12 @@
         }
         match code {
             _ if is_final => self.decide_submission(at, code, revision),
-            // Not decided: again with the same id, after a moment.
-            _ if !self.operators.submissions[at].asks_again
-                && self.operators.submissions[at].asked < MAX_ASKS =>
+            // Not decided: retry with the same id, after a delay.
+            _ if !self.operators.submissions[at].retry_scheduled
+                && self.operators.submissions[at].attempts < MAX_ATTEMPTS =>
             {
-                self.operators.submissions[at].asks_again = true;
-                self.after(ASK_AGAIN, Action::SendSubmission { submission: at });
+                self.operators.submissions[at].retry_scheduled = true;
+                self.after(RETRY_DELAY, Action::SendSubmission { submission: at });
             }
             _ => {}
         }
@@ -439,7 +446,7 @@
                     took,
                 });
             }
-            OperatorCommand::Numbered { number, .. } => {
+            OperatorCommand::Versioned { number, .. } => {
                 self.note(Observation::VersionAcknowledged { number })
             }
             // Where another operator took the place back meanwhile, nobody outside knows which came first; the whole
@@ -463,24 +470,24 @@
         then.into_iter().for_each(|then| self.submit(then));
     }
 
-    /// True where an operator asked to take a place back at this moment or later.
+    /// True where an operator asked to end an evacuation at this moment or later.
     fn evacuation_ended_since(&self, place: &str, since: Duration) -> bool {
-        let takes_back = |what: &OperatorCommand| matches!(what, OperatorCommand::Evacuate { locality, back: true } if locality == place);
+        let ends_evacuation = |what: &OperatorCommand| matches!(what, OperatorCommand::Evacuate { locality, back: true } if locality == place);
         self.operators
             .submissions
             .iter()
-            .any(|other| other.submitted_at >= since && takes_back(&other.what))
+            .any(|other| other.submitted_at >= since && ends_evacuation(&other.what))
     }
 
-    /// An operator takes a zone back only after the evacuation was decided.
+    /// An operator ends an evacuation only after it was decided.
     pub(super) fn end_evacuation(&mut self, zone: String) {
         let (locality, back) = (zone.clone(), true);
-        let evacuates = |submission: &&mut Submission| matches!(&submission.what, OperatorCommand::Evacuate { locality, back: false } if *locality == zone);
+        let is_evacuation = |submission: &&mut Submission| matches!(&submission.what, OperatorCommand::Evacuate { locality, back: false } if *locality == zone);
         let open = self
             .operators
             .submissions
             .iter_mut()
-            .rfind(evacuates)
+            .rfind(is_evacuation)
             .filter(|submission| !submission.decided);
         match open {
             Some(submission) => {
@@ -490,7 +497,7 @@
         }
     }
 
-    /// Asks every node at once: each gives the same answer, or says that it can't know.
+    /// Reads from every node at once: each returns the same, or says that it can't know.
     fn read_configurations(&mut self) {
         let control_nodes = self.control_nodes();
         control_nodes.into_iter().for_each(|node| {
@@ -499,7 +506,7 @@
             }
             let request_id = self.allocate_id();
             self.operators
-                .read_backs
+                .pending_reads
                 .insert(request_id, (node, self.now));
             let event = NodeEvent::ControlRequest {
                 request_id,
--- a/crates/simulator/src/origins.rs
+++ b/crates/simulator/src/origins.rs
@@ -18,10 +18,10 @@
 
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
 const MAX_ATTEMPTS: u32 = 4;
-/// How long a client waits before it tries again, where nobody told it how long.
+/// How long a client waits before it tries again, where the response does not say how long.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Where one origin stands with its work.
+/// The stage of a client's operation.
 #[derive(Clone, Copy, PartialEq)]
 enum OperationStage {
     Idle,
@@ -48,7 +48,7 @@
     lifetime: Duration,
 }
 
-/// All origins' state.
+/// All clients' state.
 #[derive(Default)]
 pub struct Origins {
     operations: BTreeMap<u64, OperationState>,
@@ -321,7 +321,7 @@
         self.origins.operations.remove(&operation);
     }
 
-    /// One probe through every carrier, once there was more than one setup.
+    /// Sends one probe through every data-plane node, once there was more than one configuration.
     pub(crate) fn probe_markers(&mut self) {
         let several = self.operators.configurations() > 1;
         self.data_nodes()
--- a/crates/simulator/src/overload.rs
+++ b/crates/simulator/src/overload.rs
@@ -77,7 +77,7 @@
     },
 ];
 
-/// The ways to compare: today's, without a waitlist, and with every origin coming back after 1 s.
+/// The variants to compare: the default, without a queue, and with every client retrying after 1 s.
 fn ways() -> [(&'static str, LoadProfile); 3] {
     let ms = Duration::from_millis;
     let load = LoadProfile {
--- a/crates/simulator/src/partitions.rs
+++ b/crates/simulator/src/partitions.rs
@@ -1,5 +1,5 @@
-//! Control machines that are cut off from the others while operators and upstreams still reach them, and what they
-//! answer meanwhile.
+//! Control nodes that are partitioned from the others while operators and upstreams still reach them, and what they
+//! confirm meanwhile.
 
 use super::faults::{Fault, LongPartition};
 use super::network::Partition;
@@ -13,9 +13,9 @@
 
 /// When operators and upstreams turn to the machine, counted from the cut: at once, while it can't have noticed, and
 /// later.
-const ASKED_AFTER_MS: [u64; 7] = [5, 300, 900, 1500, 4000, 9000, 16_000];
+const COMMANDS_AFTER_MS: [u64; 7] = [5, 300, 900, 1500, 4000, 9000, 16_000];
 /// How long what was asked there may take.
-const LEAVING_LASTS: Duration = Duration::from_millis(4500);
+const DRAINING_LASTS: Duration = Duration::from_millis(4500);
 /// A cut that comes and goes.
 const FLAP_EVERY: Duration = Duration::from_millis(1700);
 const FLAP_LASTS: Duration = Duration::from_millis(900);
@@ -63,9 +63,9 @@
                 },
             );
         }
-        ASKED_AFTER_MS.into_iter().for_each(|after| {
+        COMMANDS_AFTER_MS.into_iter().for_each(|after| {
             let at = now + Duration::from_millis(after);
-            self.push_step(at, at + LEAVING_LASTS, Fault::RouteCommandsTo(machine));
+            self.push_step(at, at + DRAINING_LASTS, Fault::RouteCommandsTo(machine));
         });
         let restarted = match how {
             LongPartition::Restarted => Some(machine),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// An operator's orders and upstreams that leave, there first.
+    /// Sends an operator's commands, and the announcements of draining upstreams, there first.
     pub(super) fn route_commands_to(&mut self, machine: usize) {
         let Some(node) = self.control_node_on(machine) else {
             return;
@@ -180,7 +180,7 @@
         let over = |upstream: &usize| {
             self.upstreams[*upstream]
                 .draining_acked_at
-                .is_some_and(|at| self.now >= at + LEAVING_LASTS)
+                .is_some_and(|at| self.now >= at + DRAINING_LASTS)
         };
         let left: Vec<usize> = (0..self.upstreams.len())
             .filter(left)
--- a/crates/simulator/src/processes.rs
+++ b/crates/simulator/src/processes.rs
@@ -1,4 +1,4 @@
-//! The life of processes: they start on what their disks hold, stop, crash, freeze and thaw.
+//! The lifecycle of processes: they start on what their disks hold, stop, crash, freeze and thaw.
 
 use crate::disks::Disk;
 use crate::exchanges::Exchange;
@@ -287,7 +287,7 @@
         }
     }
 
-    /// A control node ends once it has handed over; a carrier that denies, with the last request under way.
+    /// A control node ends once it has handed over; a data-plane node that rejects, with the last request in flight.
     pub(crate) fn end_if_done(&mut self, at: usize) {
         if matches!(&self.nodes[at].core, Core::ControlNode(control) if control.is_shut_down()) {
             return self.kill(at);
--- a/crates/simulator/src/range_leases.rs
+++ b/crates/simulator/src/range_leases.rs
@@ -1,8 +1,8 @@
-//! Numeric keys at a stand-in: what it holds, what it lets go, and how requests lie over the keys.
+//! Numeric keys at an upstream: the ranges it holds and releases, and how requests are distributed over keys.
 
 use super::nodes::true_span;
-use super::upstreams::SimulatedUpstream;
 use crate::schedule::Action;
+use crate::upstreams::{SentHeartbeat, SimulatedUpstream};
 use crate::world::World;
 use invariants::observations::Observation;
 use key_space::KEY_COUNT;
@@ -14,26 +14,26 @@
 
 /// An answer that takes longer, by the upstream's clock, is not taken.
 const ANSWER_WITHIN: Duration = Duration::from_secs(1);
-/// One who is asked for keys beats again within this, until it has let them go.
+/// An upstream that is asked to release keys sends heartbeats within this, until it has released them.
 const AGAIN_MICROS: u64 = 100_000;
 /// How many keys next to one another are busy, and how fast they move on.
 const BUSY_KEYS: u64 = 600;
 const MOVES_PER_SECOND: u64 = 20;
 const HOT: u64 = 30_011;
 
-/// What one stand-in holds of numeric keys.
+/// The ranges of numeric keys that one upstream holds.
 #[derive(Default)]
 pub struct RangeLeases {
-    /// Keys and their fences.
+    /// Keys and their fencing tokens.
     rows: Vec<(Range<u32>, u64)>,
-    /// Keys that it was asked for and still works on.
+    /// Keys that it is to release and that requests still run on.
     ending: Vec<(Range<u32>, u64)>,
-    /// The end of its hold, and of that on what it was asked for: no answer makes that longer.
+    /// The end of its lease, and of that on the keys it is to release: no response extends the latter.
     pub until: Duration,
     pub ending_until: Duration,
-    /// The highest fence seen on any key.
+    /// The highest fencing token seen on any key.
     seen: Vec<(Range<u32>, u64)>,
-    /// What it let go since its last acknowledged beat.
+    /// What it released since its last acknowledged heartbeat.
     pub released: Vec<KeyShare>,
     /// The key of each request that runs.
     pub working: BTreeMap<(u64, u32), u32>,
@@ -56,7 +56,7 @@
 }
 
 impl RangeLeases {
-    /// All keys that it has not let go.
+    /// All keys that it has not released.
     pub fn keys(&self) -> Vec<Range<u32>> {
         self.rows
             .iter()
@@ -65,7 +65,7 @@
             .collect()
     }
 
-    /// The same with the ends of the holds.
+    /// The same with the ends of the leases.
     pub fn spans(&self) -> Vec<(Range<u32>, Duration)> {
         let rows = self.rows.iter().map(|(keys, _)| (keys.clone(), self.until));
         rows.chain(
@@ -76,12 +76,12 @@
         .collect()
     }
 
-    /// True while it may begin work on a key.
+    /// True while it may start a request on a key.
     pub fn holds(&self, key: u32, now: Duration) -> bool {
         now < self.until && self.rows.iter().any(|(keys, _)| keys.contains(&key))
     }
 
-    /// What a beat lists; nothing once the hold has run out, even if work goes on.
+    /// What a heartbeat lists; nothing once the lease has expired, even if requests still run.
     pub fn listed(&self, now: Duration) -> Vec<KeyShare> {
         let rows = self.rows.iter().filter(|_| now < self.until);
         let live = rows.chain(self.ending.iter().filter(|_| now < self.ending_until));
@@ -94,7 +94,7 @@
         live.map(share).collect()
     }
 
-    /// A row is taken unless a higher fence was seen on any of its keys.
+    /// A grant is accepted unless a higher fencing token was seen on any of its keys.
     fn takes(&mut self, row: &(Range<u32>, u64)) -> bool {
         let (keys, fence) = row;
         let newest = self
@@ -111,7 +111,7 @@
         taken
     }
 
-    /// Takes everything in an answer, and is to let go of the rest.
+    /// Takes everything in a response, and is to release the rest.
     fn take(&mut self, given: Vec<(Range<u32>, u64)>, until: Duration) {
         self.ending_until = if self.ending.is_empty() {
             self.until
@@ -128,7 +128,7 @@
         self.rows = taken;
     }
 
-    /// Lets go of keys that nobody works on any more.
+    /// Releases keys that no request runs on any more.
     fn release_keys(&mut self, token: &str) -> Vec<Range<u32>> {
         let working = &self.working;
         let busy = |keys: &Range<u32>| working.values().any(|key| keys.contains(key));
@@ -146,7 +146,7 @@
         gone
     }
 
-    /// Forgets what has run out.
+    /// Forgets what has expired.
     fn run_out(&mut self, now: Duration) {
         if now >= self.until {
             self.rows.clear();
@@ -172,7 +172,7 @@
 }
 
 impl World {
-    /// Lets go of what it was asked for, as far as no work on it goes on.
+    /// Releases what it was asked for, as far as no request on it runs.
     pub(super) fn release_keys(&mut self, at: usize) {
         let now = self.now;
         let upstream = &mut self.upstreams[at];
@@ -195,20 +195,26 @@
             });
     }
 
-    /// A postmaster's answer to a beat sets out; without shares it says nothing.
+    /// Sends a control node's response to a heartbeat; without shares it grants nothing.
     pub(super) fn send_range_grants(
         &mut self,
-        from: (usize, u64, u64, Duration, usize),
+        sent: SentHeartbeat,
         shares: Option<Vec<KeyShare>>,
         span: Duration,
     ) {
-        let (upstream, incarnation, heartbeat, sent_at, node) = from;
+        let SentHeartbeat {
+            upstream,
+            incarnation,
+            heartbeat,
+            sent_at,
+            node,
+        } = sent;
         let delay = self.network.delay(
             &mut self.random,
             &self.nodes[node].place,
             &self.upstreams[upstream].place,
         );
-        let late = self.late_answers && self.random.below(4) == 0;
+        let late = self.delays_grants && self.random.below(4) == 0;
         let more = Duration::from_millis(if late { self.random.below(1500) } else { 0 });
         delay
             .map(|delay| delay + more)
@@ -229,7 +235,7 @@
             });
     }
 
-    /// Only an answer in time, and only to the latest beat, counts.
+    /// Only a response in time, and only to the latest heartbeat, counts.
     pub(super) fn receive_range_grants(
         &mut self,
         from: (usize, u64, u64, Duration),
--- a/crates/simulator/src/upstreams.rs
+++ b/crates/simulator/src/upstreams.rs
@@ -1,12 +1,11 @@
-//! Stand-in back ends in the simulator.
+//! Simulated upstreams.
 
 use super::network::Endpoint;
 use super::nodes::{DRIFT, NodeEvent, true_span};
 use super::range_leases::RangeLeases;
 use crate::grants::granted_slots;
-use crate::responses::Response;
 use crate::schedule::Action;
-use crate::shapes::{ServiceProfile, marker_index};
+use crate::shapes::ServiceProfile;
 use crate::world::World;
 use config::JsonValue;
 use control_plane::ControlResponse;
@@ -19,7 +18,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const HEARTBEAT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// One stand-in.
+/// One upstream.
 pub struct SimulatedUpstream {
     pub profile: ServiceProfile,
     pub instance: String,
@@ -30,18 +29,18 @@
     pub state: protocol::UpstreamState,
     pub warm: bool,
     pub heartbeat: u64,
-    /// The control node that it says its leaving to first, and when one acknowledged it.
+    /// The control node that it announces its draining to first, and when one acknowledged it.
     pub draining_node: Option<usize>,
     pub draining_acked_at: Option<Duration>,
-    /// It signed off before it ever said that it leaves: it beats no more, and serves on.
+    /// It deregistered before it ever drained: it sends no heartbeats any more, and serves on.
     pub deregistered: bool,
     pub holder: u64,
-    /// Slot, epoch and end of what it holds.
+    /// The slots it holds, with epoch and end of the lease.
     pub holds: BTreeMap<u32, (u64, Duration)>,
     /// The same, where keys are numbers.
     pub range_leases: RangeLeases,
     pub busy: u32,
-    /// Of a thousand answers, how many are lost after the work was done.
+    /// Of a thousand responses, how many are lost after the operation was executed.
     pub loses_per_mille: u64,
     pub garbles_per_mille: u64,
     pub paused_until: Duration,
@@ -49,6 +48,26 @@
     pub drift: i64,
 }
 
+/// A heartbeat that was sent and not responded to yet.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SentHeartbeat {
+    pub(crate) upstream: usize,
+    pub(crate) incarnation: u64,
+    /// The number of the heartbeat.
+    pub(crate) heartbeat: u64,
+    pub(crate) sent_at: Duration,
+    /// The control node that it was sent to.
+    pub(crate) node: usize,
+}
+
+impl SimulatedUpstream {
+    /// The epoch under which it holds the slot of a key.
+    pub(crate) fn held_epoch(&self, key: &str, now: Duration) -> Option<u64> {
+        let (epoch, until) = self.holds.get(&key_space::slot_of_key(key))?;
+        (now < *until).then_some(*epoch)
+    }
+}
+
 impl World {
     pub(super) fn create_upstreams(&mut self) {
         let shape = self.shape.clone();
@@ -202,7 +221,7 @@
         self.send_heartbeat(at);
     }
 
-    /// A beat that nobody took is sent to another postmaster, unless a newer one was sent meanwhile.
+    /// Sends a heartbeat that was not accepted to another control node, unless a newer one was sent meanwhile.
     pub(super) fn retry_heartbeat(&mut self, at: usize, incarnation: u64, heartbeat: u64) {
         let upstream = &self.upstreams[at];
         let is_latest = upstream.incarnation == incarnation && upstream.heartbeat == heartbeat;
@@ -215,7 +234,7 @@
         }
     }
 
-    /// One beat, to some postmaster.
+    /// Sends one heartbeat to a random control node.
     pub(super) fn send_heartbeat(&mut self, at: usize) {
         let (now, incarnation) = (self.now, self.upstreams[at].incarnation);
         if self.upstreams[at].profile.numbered {
@@ -253,9 +272,16 @@
             .delay(&mut self.random, &place, &self.nodes[node].place);
         delay.into_iter().for_each(|delay| {
             let request_id = self.allocate_id();
-            self.operators
-                .pending_heartbeats
-                .insert(request_id, (at, incarnation, heartbeat, now, node));
+            self.operators.pending_heartbeats.insert(
+                request_id,
+                SentHeartbeat {
+                    upstream: at,
+                    incarnation,
+                    heartbeat,
+                    sent_at: now,
+                    node,
+                },
+            );
             let event = NodeEvent::ControlRequest {
                 request_id,
                 ask: self.heartbeat_or_deregister(at, told.clone()),
@@ -264,13 +290,15 @@
         });
     }
 
-    /// A postmaster answered a beat.
-    pub(super) fn heartbeat_answered(
-        &mut self,
-        from: (usize, u64, u64, Duration, usize),
-        answer: ControlResponse,
-    ) {
-        let (upstream, incarnation, heartbeat, sent_at, node) = from;
+    /// A control node responded to a heartbeat.
+    pub(super) fn heartbeat_answered(&mut self, sent: SentHeartbeat, answer: ControlResponse) {
+        let SentHeartbeat {
+            upstream,
+            incarnation,
+            heartbeat,
+            sent_at,
+            node,
+        } = sent;
         if let ControlResponse::Redirect { to } = &answer {
             self.upstreams[upstream].draining_node =
                 self.upstreams[upstream].draining_node.and(self.named(to));
@@ -297,7 +325,7 @@
             return;
         }
         if self.upstreams[upstream].profile.numbered {
-            return self.send_range_grants(from, shares, span);
+            return self.send_range_grants(sent, shares, span);
         }
         let json = control_plane::heartbeat_json(holder, shares, span);
         let delay = self.network.delay(
@@ -320,7 +348,7 @@
         });
     }
 
-    /// One that leaves goes on to the next node after a refusal.
+    /// A draining upstream goes on to the next node after a rejection.
     fn try_next_draining_node(&mut self, upstream: usize, refused_by: usize) {
         let control_nodes = self.control_nodes();
         let upstream = &mut self.upstreams[upstream];
@@ -333,7 +361,7 @@
         }
     }
 
-    /// Its leaving was acknowledged, and from now on it beats there.
+    /// Its draining was acknowledged, and from now on it sends its heartbeats there.
     fn draining_acknowledged(&mut self, upstream: usize, incarnation: u64) {
         let upstream = &mut self.upstreams[upstream];
         if upstream.incarnation == incarnation
@@ -349,7 +377,7 @@
         }
     }
 
-    /// Only the answer to the latest beat counts, and only what has not run out.
+    /// Only the response to the latest heartbeat counts, and only what has not expired.
     pub(super) fn receive_grants(
         &mut self,
         at: usize,
@@ -369,7 +397,7 @@
             upstream.holder = told;
         }
         if new_holder && told > 0 && upstream.profile.keyed && now >= upstream.paused_until {
-            // The next beat proves that it knows the new holder: the sooner, the less runs out.
+            // The next heartbeat proves that it knows the new holder: the sooner, the less expires.
             self.send_heartbeat(at);
         }
         let upstream = &mut self.upstreams[at];
@@ -435,7 +463,7 @@
         });
     }
 
-    /// Its clock stood still for so long: what it holds seems to last that much longer.
+    /// Its clock stood still for so long: its leases seem to last that much longer.
     pub(super) fn extend_leases(&mut self, at: usize, span: Duration) {
         let upstream = &mut self.upstreams[at];
         upstream
@@ -463,237 +491,4 @@
             });
         });
     }
-
-    /// A proxy's connection reaches the address. A paused upstream's machine still takes it.
-    pub(super) fn accept_connection(&mut self, exchange: u64, send: u32, address: &str, cut: bool) {
-        let at = self
-            .upstreams
-            .iter()
-            .position(|upstream| upstream.address == address);
-        let up = at.filter(|at| self.upstreams[*at].up && !cut);
-        let Some(at) = up else {
-            return self.return_response(
-                exchange,
-                send,
-                Err(transport::CallError::NotConnected),
-                Duration::from_micros(300),
-            );
-        };
-        let incarnation = (at, self.upstreams[at].incarnation);
-        let node = self.exchanges.get(&exchange).map(|exchange| exchange.node);
-        node.into_iter().for_each(|node| {
-            let (from, to) = (
-                self.upstreams[at].place.clone(),
-                self.nodes[node].place.clone(),
-            );
-            let delay = self.network.delay(&mut self.random, &from, &to);
-            delay.into_iter().for_each(|delay| {
-                self.after(
-                    delay,
-                    Action::Deliver {
-                        node,
-                        event: NodeEvent::Connected {
-                            exchange,
-                            send,
-                            incarnation,
-                        },
-                    },
-                );
-            });
-        });
-    }
-
-    /// A proxy's request reaches whoever accepted its connection, if it still lives.
-    pub(super) fn receive_call(&mut self, exchange: u64, send: u32, cut: bool) {
-        let incarnation = self
-            .exchanges
-            .get(&exchange)
-            .filter(|exchange| exchange.send == send)
-            .and_then(|exchange| exchange.incarnation);
-        let alive = incarnation.filter(|(at, incarnation)| {
-            self.upstreams[*at].up && self.upstreams[*at].incarnation == *incarnation && !cut
-        });
-        let Some((at, _)) = alive else {
-            return self.return_response(
-                exchange,
-                send,
-                Err(transport::CallError::ConnectionLost),
-                Duration::from_micros(300),
-            );
-        };
-        if self.now < self.upstreams[at].paused_until {
-            let until = self.upstreams[at].paused_until;
-            return self.at(
-                until,
-                Action::ReceiveCall {
-                    exchange,
-                    send,
-                    cut,
-                },
-            );
-        }
-        if self.draw_hang() {
-            return;
-        }
-        if self.draw_reset() {
-            return self.return_response(
-                exchange,
-                send,
-                Err(transport::CallError::ConnectionLost),
-                Duration::from_micros(300),
-            );
-        }
-        let Some(call) = self
-            .exchanges
-            .get(&exchange)
-            .map(|exchange| exchange.sent.clone())
-        else {
-            return;
-        };
-        let now = self.now;
-        let upstream = &mut self.upstreams[at];
-        let arrived = Observation::RequestArrived {
-            attempt_id: call.attempt_id.clone(),
-            service: call.path.into(),
-            instance: upstream.instance.clone(),
-            locality: upstream.place.locality.clone(),
-            cold: !upstream.warm,
-        };
-        let slot = key_space::slot_of_key(&call.key);
-        let held_epoch = upstream
-            .holds
-            .get(&slot)
-            .filter(|(_, until)| now < *until)
-            .map(|(epoch, _)| *epoch);
-        // A back end of another service, which took over the address, knows nothing of this path.
-        let marker = marker_index(upstream.profile.service);
-        let mine =
-            upstream.profile.service == call.path || (marker.is_some() && call.path == "probe");
-        let number = call
-            .key
-            .parse::<u32>()
-            .ok()
-            .filter(|_| upstream.profile.numbered);
-        let may = match (upstream.profile.keyed, number) {
-            (false, _) => true,
-            (true, Some(key)) => upstream.range_leases.holds(key, now),
-            (true, None) => held_epoch.is_some() && held_epoch == call.epoch,
-        };
-        let runs = mine && upstream.busy < self.load.slots && may;
-        let (instance, at_most_once, incarnation) = (
-            upstream.instance.clone(),
-            upstream.profile.at_most_once,
-            upstream.incarnation,
-        );
-        if runs {
-            upstream.busy += 1;
-            upstream
-                .range_leases
-                .working
-                .extend(number.map(|key| ((exchange, send), key)));
-        }
-        self.note(arrived);
-        let node = self
-            .exchanges
-            .get(&exchange)
-            .map(|exchange| self.nodes[exchange.node].name.clone());
-        let probed = node
-            .zip(marker)
-            .map(|(node, marker)| Observation::MarkerReached { node, marker });
-        probed.into_iter().for_each(|probed| self.note(probed));
-        if runs {
-            self.note(Observation::OperationExecuted {
-                operation: call.operation.clone(),
-                attempt_id: call.attempt_id.clone(),
-                at_most_once,
-            });
-            let (least, most) = self.load.takes;
-            let slow = if self.load.some_slow && at % 6 == 5 {
-                3
-            } else {
-                1
-            };
-            let takes = (least
-                + Duration::from_micros(self.random.below((most - least).as_micros() as u64)))
-                * slow;
-            self.after(
-                takes,
-                Action::FinishCall {
-                    exchange,
-                    send,
-                    upstream: at,
-                    incarnation,
-                },
-            );
-        } else {
-            self.return_response(
-                exchange,
-                send,
-                Ok(Response::sealed(
-                    &call.attempt_id,
-                    &instance,
-                    503,
-                    "not run",
-                )),
-                Duration::from_micros(500),
-            );
-        }
-    }
-
-    pub(super) fn finish_call(&mut self, exchange: u64, send: u32, at: usize, incarnation: u64) {
-        let lost = self.random.below(1000) < self.upstreams[at].loses_per_mille;
-        let garbled = self.random.below(1000) < self.upstreams[at].garbles_per_mille;
-        let alive = self.upstreams[at].up && self.upstreams[at].incarnation == incarnation;
-        if alive {
-            self.upstreams[at].busy = self.upstreams[at].busy.saturating_sub(1);
-            self.upstreams[at]
-                .range_leases
-                .working
-                .remove(&(exchange, send));
-        }
-        let Some(call) = self
-            .exchanges
-            .get(&exchange)
-            .map(|exchange| exchange.sent.clone())
-        else {
-            return;
-        };
-        let mut reply = Response::sealed(
-            &call.attempt_id,
-            &self.upstreams[at].instance,
-            200,
-            &call.operation,
-        );
-        if garbled {
-            // Cut short, or the whole and well sealed verdict of somebody else's try.
-            if self.random.below(2) == 0 {
-                reply.body.truncate(reply.body.len() / 2);
-            } else {
-                reply = Response::sealed(
-                    "try-of-another",
-                    &self.upstreams[at].instance,
-                    200,
-                    "work-of-another",
-                );
-            }
-        }
-        let lost = lost || self.draw_reset();
-        let called = if lost || !alive {
-            Err(transport::CallError::ConnectionLost)
-        } else {
-            Ok(reply)
-        };
-        let from = self.upstreams[at].place.clone();
-        let to = self
-            .exchanges
-            .get(&exchange)
-            .map(|exchange| self.nodes[exchange.node].place.clone());
-        let delay = to.and_then(|to| self.network.delay(&mut self.random, &from, &to));
-        delay.into_iter().for_each(|delay| {
-            called
-                .iter()
-                .for_each(|reply| self.send_duplicate_response(exchange, reply, delay));
-            self.return_response(exchange, send, called.clone(), delay);
-        });
-    }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -25,9 +25,9 @@
 pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long the run goes on after that.
 pub const RUN_AFTER_RECOVERY: Duration = Duration::from_secs(4);
-/// How long a run goes on after its last piece of work was begun.
+/// How long a run goes on after its last operation was started.
 const DRAIN_TIME: Duration = Duration::from_secs(5);
-/// Within this a change of the placement is known to every carrier: news goes out every 100 ms, through two hops.
+/// Within this a change of the placement is known to every data-plane node: updates go out every 100 ms, through two hops.
 const UPDATE_PROPAGATION: Duration = Duration::from_millis(500);
 /// All state of a run.
 pub struct World {
@@ -38,14 +38,14 @@
     pub(super) shape: Shape,
     pub(super) network: Network,
     pub(super) hot_key: bool,
-    pub(super) late_answers: bool,
-    /// Control nodes that are cut off from all others, and what was asked there.
+    pub(super) delays_grants: bool,
+    /// Control nodes that are partitioned from all others, and what was asked there.
     pub(super) isolated: BTreeSet<usize>,
     pub(super) requests_while_isolated: BTreeMap<u64, (Duration, Confirmation)>,
     /// What the settings name, where that changed.
     pub(super) seeds: Option<Vec<String>>,
     pub(super) connections: Connections,
-    /// All postmasters end as soon as one of them says yes.
+    /// All control nodes are killed as soon as one of them accepts a command.
     pub(super) restart_on_next_acceptance: bool,
     pub(super) losses: Vec<VoterLoss>,
     pub(super) defects: Defects,
@@ -59,12 +59,12 @@
     pub(super) messages: u64,
     pub(super) message_bytes: u64,
     pub(super) next_id: u64,
-    /// Requests whose bell rang.
+    /// Exchanges that were woken up.
     pub(super) wake_ups: Arc<Mutex<Vec<u64>>>,
     pub(super) load: LoadProfile,
     /// Upstreams added in the course of the run.
     pub(super) added_upstreams: Vec<usize>,
-    /// What befalls the next proxy that opens a connection: see [`super::Fault::Ambush`].
+    /// What strikes the next proxy that opens a connection: see [`super::Fault::Ambush`].
     pub(super) ambush: Option<bool>,
     schedule: Schedule,
 }
@@ -85,7 +85,7 @@
             random,
             network: Network::default(),
             hot_key: false,
-            late_answers: false,
+            delays_grants: false,
             isolated: BTreeSet::new(),
             requests_while_isolated: BTreeMap::new(),
             seeds: None,
@@ -132,7 +132,7 @@
         self.observations.push((self.now, observation));
     }
 
-    /// The same world with something taken away that the rules rest on.
+    /// The default site with defects.
     pub fn with_defects(seed: u64, plan: Plan, defects: Defects) -> World {
         World::site_with_defects(seed, plan, ROADWISE, defects)
     }
@@ -152,7 +152,7 @@
         world
     }
 
-    /// The same world with upstreams that can bear so much.
+    /// A site whose upstreams have this capacity.
     pub fn loaded(seed: u64, plan: Plan, shape: Shape, load: LoadProfile) -> World {
         let mut world = World::new(seed, Some(plan), shape);
         world
@@ -163,7 +163,7 @@
         world
     }
 
-    /// Runs to the end and judges.
+    /// Runs to the end and checks every rule.
     pub fn run(mut self) -> Outcome {
         let healed_at = self
             .plan
