--- a/crates/simulator/src/command_faults.rs
+++ b/crates/simulator/src/command_faults.rs
@@ -1,8 +1,9 @@
 //! What goes wrong between operators and the nodes they call: results that are lost, commands that come late,
 //! duplicated and long after they were decided, and more of them than there should be.
 
-use super::operators::{OperatorCommand, Operators};
+use crate::operators::Operators;
 use crate::schedule::Action;
+use crate::submissions::OperatorCommand;
 use crate::world::World;
 use control_plane::ControlResponse;
 use invariants::observations::Observation;
--- a/crates/simulator/src/fault_injection/ambush.rs
+++ b/crates/simulator/src/fault_injection/ambush.rs
@@ -1,6 +1,6 @@
 //! A fault that strikes between a proxy's choice of an upstream and its connection to it.
 
-use crate::operators::OperatorCommand;
+use crate::submissions::OperatorCommand;
 use crate::world::{LOAD_STARTS_AT, World};
 
 impl World {
--- a/crates/simulator/src/fault_injection/operators.rs
+++ b/crates/simulator/src/fault_injection/operators.rs
@@ -3,7 +3,7 @@
 use super::ZONES;
 use crate::faults::{Fault, MOVE_EVERY};
 use crate::network::Partition;
-use crate::operators::OperatorCommand;
+use crate::submissions::OperatorCommand;
 use crate::world::World;
 use std::time::Duration;
 
--- a/crates/simulator/src/messaging.rs
+++ b/crates/simulator/src/messaging.rs
@@ -14,7 +14,7 @@
 
     pub(crate) fn send(&mut self, from: usize, to: &str, body: Payload) {
         if self.defects.withholds_upstream_views
-            && matches!(&body, Payload::ViewUpdate(news) if news.keeps_upstreams)
+            && matches!(&body, Payload::ViewUpdate(news) if news.keeps_unlisted_upstreams)
         {
             return;
         }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -3,14 +3,14 @@
 use super::command_faults::{CommandDelivery, CommandStorm};
 use super::faults::{Fault, Step};
 use super::nodes::NodeEvent;
+use crate::heartbeats::SentHeartbeat;
 use crate::schedule::Action;
 use crate::shapes::MARKERS;
-use crate::upstreams::SentHeartbeat;
+use crate::submissions::{OperatorCommand, Submission};
 use crate::world::World;
 use control_plane::{ControlRequest, ControlResponse};
-use invariants::history::{Command, CommandResult};
+use invariants::history::CommandResult;
 use invariants::observations::Observation;
-use quorum_register::ChangeId;
 use result_code::ResultCode;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,102 +20,6 @@
 /// An operator without a response for so long goes on to another node.
 const COMMAND_TIMEOUT_WHILE_PARTITIONED: Duration = Duration::from_secs(1);
 
-/// A command of an operator, until it is decided.
-pub struct Submission {
-    pub(super) id: String,
-    /// Sent without the id: only its version distinguishes it from another.
-    anonymous: bool,
-    /// How many commands the operators knew to be decided when it was first sent.
-    since: u64,
-    submitted_at: Duration,
-    what: OperatorCommand,
-    pub(super) decided: bool,
-    attempts: u32,
-    retry_scheduled: bool,
-    /// Submitted once this one is decided.
-    pub(super) then: Option<OperatorCommand>,
-}
-
-impl Submission {
-    /// True where a delayed command can be distinguished from a new one: by its id or its version.
-    pub(super) fn is_distinguishable(&self) -> bool {
-        !self.anonymous || matches!(self.what, OperatorCommand::Versioned { .. })
-    }
-
-    fn ask(&self) -> ControlRequest {
-        let id = ChangeId {
-            id: self.id.clone(),
-            since: Some(self.since),
-        };
-        let id = if self.anonymous {
-            ChangeId::default()
-        } else {
-            id
-        };
-        match self.what.clone() {
-            OperatorCommand::Configuration { bytes, base, .. } => {
-                ControlRequest::SubmitConfiguration {
-                    id,
-                    base,
-                    bytes: bytes.into_bytes(),
-                    in_force: false,
-                }
-            }
-            OperatorCommand::Versioned { bytes, .. } => ControlRequest::SubmitConfiguration {
-                id,
-                base: None,
-                bytes: bytes.into_bytes(),
-                in_force: false,
-            },
-            OperatorCommand::Evacuate { locality, back } => ControlRequest::Evacuate {
-                id,
-                locality,
-                back,
-                in_force: false,
-            },
-        }
-    }
-
-    /// The same, in the terms of the history checker.
-    fn command(&self) -> Command {
-        let digest = |bytes: &str| protocol::digest(bytes.as_bytes());
-        match &self.what {
-            OperatorCommand::Configuration { bytes, base, .. } => Command::Configuration {
-                number: None,
-                base: *base,
-                digest: digest(bytes),
-            },
-            OperatorCommand::Versioned { bytes, number } => Command::Configuration {
-                number: Some(*number),
-                base: None,
-                digest: digest(bytes),
-            },
-            OperatorCommand::Evacuate { locality, back } => Command::Evacuate {
-                locality: locality.clone(),
-                back: *back,
-            },
-        }
-    }
-}
-
-#[derive(Clone)]
-pub enum OperatorCommand {
-    Configuration {
-        bytes: String,
-        base: Option<u64>,
-        marker: usize,
-    },
-    /// With the operator's own number.
-    Versioned {
-        bytes: String,
-        number: u64,
-    },
-    Evacuate {
-        locality: String,
-        back: bool,
-    },
-}
-
 /// All operators' state.
 #[derive(Default)]
 pub struct Operators {
@@ -307,7 +211,7 @@
         self.operators
             .pending_commands
             .insert(request_id, (at, node));
-        let mut ask = self.operators.submissions[at].ask();
+        let mut ask = self.operators.submissions[at].request();
         if let (
             true,
             ControlRequest::SubmitConfiguration { id, .. } | ControlRequest::Evacuate { id, .. },
--- a/crates/simulator/src/partitions.rs
+++ b/crates/simulator/src/partitions.rs
@@ -4,8 +4,8 @@
 use super::faults::{Fault, LongPartition};
 use super::network::Partition;
 use super::nodes::Core;
-use super::operators::OperatorCommand;
 use super::world::World;
+use crate::submissions::OperatorCommand;
 use control_plane::{ControlRequest, ControlResponse, Event};
 use invariants::observations::{Confirmation, Observation};
 use result_code::ResultCode;
--- a/crates/simulator/src/range_leases.rs
+++ b/crates/simulator/src/range_leases.rs
@@ -1,8 +1,9 @@
 //! Numeric keys at an upstream: the ranges it holds and releases, and how requests are distributed over keys.
 
 use super::nodes::true_span;
+use crate::heartbeats::SentHeartbeat;
 use crate::schedule::Action;
-use crate::upstreams::{SentHeartbeat, SimulatedUpstream};
+use crate::upstreams::SimulatedUpstream;
 use crate::world::World;
 use invariants::observations::Observation;
 use key_space::KEY_COUNT;
