--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -8,6 +8,7 @@
 
 mod anonymous_evacuations;
 mod api_adapter;
+mod components;
 mod contact;
 pub mod daemon;
 mod departures;
