--- a/crates/test-harness/tests/sources.rs
+++ b/crates/test-harness/tests/sources.rs
@@ -60,6 +60,8 @@
         "cli",
         "invariants",
         "simulator",
+        "scale-model",
+        "testbed",
         "test-harness",
     ];
     CORES
