--- a/crates/control-plane/src/api_adapter/read_request.rs
+++ b/crates/control-plane/src/api_adapter/read_request.rs
@@ -169,7 +169,7 @@
         free_slots: free_slots.unwrap_or_default() as u32,
         warm,
         state: state.into(),
-        beat: number.unwrap_or_default(),
+        heartbeat_number: number.unwrap_or_default(),
         holds,
         holder,
         slots: 0,
--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -383,7 +383,7 @@
         service: upstream.service.clone(),
         instance: upstream.instance.clone(),
         state: upstream.state,
-        beat: upstream.beat,
+        heartbeat_number: upstream.heartbeat_number,
     })
 }
 
@@ -396,7 +396,7 @@
     });
     Upstream {
         state: UpstreamState::Deregistered.into(),
-        beat: u64::MAX,
+        heartbeat_number: u64::MAX,
         ..known
     }
 }
--- a/crates/control-plane/src/heartbeat_relay.rs
+++ b/crates/control-plane/src/heartbeat_relay.rs
@@ -36,7 +36,7 @@
     fn record(&mut self, now: Duration, upstream: &Upstream) {
         let id = (upstream.service.clone(), upstream.instance.clone());
         let heartbeat = RecentHeartbeat {
-            number: upstream.beat,
+            number: upstream.heartbeat_number,
             received_at: now,
         };
         self.recent.insert(id, heartbeat);
@@ -66,14 +66,15 @@
             };
             // A newer heartbeat went to another node, which relays it.
             let known = registry.get(now, &id).filter(|known| {
-                known.beat == heartbeat.number && known.state() != UpstreamState::Deregistered
+                known.heartbeat_number == heartbeat.number
+                    && known.state() != UpstreamState::Deregistered
             });
             upstreams.extend(known);
         }
         upstreams.extend(registry.recently_deregistered(now));
         HeartbeatDigest {
             digests: upstreams.iter().map(upstream_registry::digest).collect(),
-            beats: upstreams.iter().map(encode_heartbeat_number).collect(),
+            heartbeat_numbers: upstreams.iter().map(encode_heartbeat_number).collect(),
             ages_ms: upstreams.iter().map(|upstream| upstream.age_ms).collect(),
             should_forward: false,
         }
@@ -180,14 +181,14 @@
         let entries = digest
             .digests
             .iter()
-            .zip(&digest.beats)
+            .zip(&digest.heartbeat_numbers)
             .zip(&digest.ages_ms);
         for ((mark, encoded_number), age_ms) in entries {
             let number = decode_heartbeat_number(*mark, *encoded_number);
             let known = self.registry.find_by_digest(now, *mark);
-            if known.is_none_or(|known| known.beat < number) {
+            if known.is_none_or(|known| known.heartbeat_number < number) {
                 news.digests.push(*mark);
-                news.beats.push(*encoded_number);
+                news.heartbeat_numbers.push(*encoded_number);
                 news.ages_ms.push(*age_ms);
             }
             let age = Duration::from_millis(*age_ms);
@@ -278,8 +279,13 @@
 /// An upstream's heartbeat number as a digest carries it. One that deregistered has the greatest number there is, which
 /// is long on the wire; its digest says that it is gone, so the number is sent as zero.
 fn encode_heartbeat_number(upstream: &Upstream) -> u64 {
-    let deregistered = upstream.state() == UpstreamState::Deregistered && upstream.beat == u64::MAX;
-    if deregistered { 0 } else { upstream.beat }
+    let deregistered =
+        upstream.state() == UpstreamState::Deregistered && upstream.heartbeat_number == u64::MAX;
+    if deregistered {
+        0
+    } else {
+        upstream.heartbeat_number
+    }
 }
 
 /// The heartbeat number that a digest means. Of an upstream that is gone it decides only whether its record is requested.
--- a/crates/control-plane/src/key_ranges.rs
+++ b/crates/control-plane/src/key_ranges.rs
@@ -184,7 +184,7 @@
     };
     Heartbeat {
         instance: upstream.instance.clone(),
-        sequence: upstream.beat,
+        sequence: upstream.heartbeat_number,
         holdings: upstream
             .holds
             .iter()
--- a/crates/control-plane/src/status_page.rs
+++ b/crates/control-plane/src/status_page.rs
@@ -201,7 +201,7 @@
         ("freeSlots", u64::from(upstream.free_slots).into()),
         ("warm", upstream.warm.into()),
         ("condition", state.into()),
-        ("beat", upstream.beat.into()),
+        ("beat", upstream.heartbeat_number.into()),
         ("ageMs", upstream.age_ms.into()),
     ])
 }
--- a/crates/control-plane/tests/heartbeat_relay.rs
+++ b/crates/control-plane/tests/heartbeat_relay.rs
@@ -66,13 +66,13 @@
     control
 }
 
-fn unit(beat: u64, state: protocol::UpstreamState) -> Upstream {
+fn unit(heartbeat_number: u64, state: protocol::UpstreamState) -> Upstream {
     Upstream {
         service: "s".into(),
         instance: "u".into(),
         address: "127.0.0.1:9".into(),
         locality: "north/n1".into(),
-        beat,
+        heartbeat_number,
         state: state.into(),
         free_slots: 4,
         ..Upstream::default()
@@ -116,7 +116,7 @@
         .collect()
 }
 
-fn beat(control: &mut ControlNode, at: u64, upstream: Upstream) -> Vec<(String, Payload)> {
+fn heartbeat(control: &mut ControlNode, at: u64, upstream: Upstream) -> Vec<(String, Payload)> {
     said(
         control,
         at,
@@ -150,14 +150,14 @@
 #[test]
 fn new_heartbeats_go_to_all_at_once_and_repeated_ones_in_digests_by_turns() {
     let mut a = control("a");
-    let told: Vec<String> = beat(&mut a, 1000, unit(1, protocol::UpstreamState::Ready))
+    let told: Vec<String> = heartbeat(&mut a, 1000, unit(1, protocol::UpstreamState::Ready))
         .into_iter()
         .map(|(to, _)| to)
         .collect();
     assert_eq!(told, ["b", "c", "d"]);
     ticked(&mut a, 1000, 1400);
     assert_eq!(
-        beat(&mut a, 1400, unit(2, protocol::UpstreamState::Ready)),
+        heartbeat(&mut a, 1400, unit(2, protocol::UpstreamState::Ready)),
         vec![]
     );
     let told = ticked(&mut a, 1450, 2500);
@@ -171,16 +171,16 @@
         "each in its turn: {far:?}"
     );
     assert!(
-        batches(&told)
-            .iter()
-            .any(|(to, alive)| *to == "b" && alive.beats == [2] && !alive.should_forward)
+        batches(&told).iter().any(|(to, alive)| *to == "b"
+            && alive.heartbeat_numbers == [2]
+            && !alive.should_forward)
     );
     assert!(
         told.iter()
             .all(|(_, body)| matches!(body, Payload::HeartbeatDigest(_))),
         "nothing in full"
     );
-    let told: Vec<String> = beat(&mut a, 2500, unit(3, protocol::UpstreamState::Deregistered))
+    let told: Vec<String> = heartbeat(&mut a, 2500, unit(3, protocol::UpstreamState::Deregistered))
         .into_iter()
         .map(|(to, _)| to)
         .collect();
@@ -199,7 +199,7 @@
     .for_each(|(number, state)| {
         let at = 1000 * number;
         // What is told at once gets lost.
-        beat(&mut a, at, unit(number, state));
+        heartbeat(&mut a, at, unit(number, state));
         let told = ticked(&mut a, at, at + 600);
         let (to, alive) = batches(&told)
             .into_iter()
@@ -262,11 +262,14 @@
             body: request.1,
         };
         let record = said(near, at + 604, event).remove(0).1;
-        let Payload::Heartbeats(beats) = &record else {
+        let Payload::Heartbeats(heartbeats) = &record else {
             panic!("{record:?}")
         };
         assert_eq!(
-            (beats.upstreams[0].beat, beats.upstreams[0].state()),
+            (
+                heartbeats.upstreams[0].heartbeat_number,
+                heartbeats.upstreams[0].state()
+            ),
             (number, state)
         );
         said(
@@ -298,7 +301,7 @@
             .expect("a batch to the south");
         (far.0.to_owned(), far.1.clone())
     };
-    beat(&mut a, 1000, unit(1, protocol::UpstreamState::Ready));
+    heartbeat(&mut a, 1000, unit(1, protocol::UpstreamState::Ready));
     let (_, ready) = batch_to_the_south(&ticked(&mut a, 1000, 1600));
     // What is told at once gets lost.
     said(
@@ -312,7 +315,7 @@
         },
     );
     let (to, gone) = batch_to_the_south(&ticked(&mut a, 2000, 2600));
-    assert_eq!(gone.beats.len(), 1);
+    assert_eq!(gone.heartbeat_numbers.len(), 1);
     let age = |alive: &HeartbeatDigest| HeartbeatDigest {
         ages_ms: vec![0],
         ..alive.clone()
@@ -345,7 +348,7 @@
     );
     assert!(
         answers.iter().any(
-            |(_, body)| matches!(body, Payload::HeartbeatDigest(on) if on.beats == gone.beats)
+            |(_, body)| matches!(body, Payload::HeartbeatDigest(on) if on.heartbeat_numbers == gone.heartbeat_numbers)
         )
     );
     let request = answers
@@ -363,11 +366,14 @@
     )
     .remove(0)
     .1;
-    let Payload::Heartbeats(beats) = &record else {
+    let Payload::Heartbeats(heartbeats) = &record else {
         panic!("{record:?}")
     };
     assert_eq!(
-        (beats.upstreams[0].beat, beats.upstreams[0].state()),
+        (
+            heartbeats.upstreams[0].heartbeat_number,
+            heartbeats.upstreams[0].state()
+        ),
         (u64::MAX, protocol::UpstreamState::Deregistered)
     );
     said(
--- a/crates/control-plane/tests/key_ranges.rs
+++ b/crates/control-plane/tests/key_ranges.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
-const SETUP: &str = r#"{
+const CONFIGURATION: &str = r#"{
   "services": [{"name": "account", "work": "once", "keyed": true, "numbered": true, "homeRegions": []}],
   "routes": [{"id": "r", "name": "account", "path": "/account", "service": "account"}],
   "aliases": []
@@ -92,7 +92,7 @@
         let request = ControlRequest::SubmitConfiguration {
             id: "x".into(),
             base: None,
-            bytes: SETUP.into(),
+            bytes: CONFIGURATION.into(),
             in_force: false,
         };
         site.step(Event::ControlRequest {
@@ -172,9 +172,14 @@
     }
 
     /// What it answers to a heartbeat.
-    fn beat(&mut self, instance: &str, beat: u64, holds: &[KeyShare]) -> Option<Vec<KeyShare>> {
+    fn heartbeat(
+        &mut self,
+        instance: &str,
+        heartbeat_number: u64,
+        holds: &[KeyShare],
+    ) -> Option<Vec<KeyShare>> {
         self.request_id += 1;
-        let unit = unit(instance, beat, holds);
+        let unit = unit(instance, heartbeat_number, holds);
         self.step(Event::ControlRequest {
             request_id: self.request_id,
             request: ControlRequest::Heartbeat(unit),
@@ -190,13 +195,13 @@
     }
 }
 
-fn unit(instance: &str, beat: u64, holds: &[KeyShare]) -> Upstream {
+fn unit(instance: &str, heartbeat_number: u64, holds: &[KeyShare]) -> Upstream {
     Upstream {
         service: "account".into(),
         instance: instance.into(),
         address: format!("{instance}:80"),
         locality: "n/n1".into(),
-        beat,
+        heartbeat_number,
         slots: 4,
         holds: holds.to_vec(),
         ..Upstream::default()
@@ -216,14 +221,14 @@
 fn given_after(silent_ms: u64, jumps: &[u64], trusts_jumps: bool) -> u32 {
     let mut site = Site::new(trusts_jumps);
     assert_eq!(
-        keys(&site.beat("u", 1, &[])),
+        keys(&site.heartbeat("u", 1, &[])),
         KEY_COUNT,
         "the founder gives at once"
     );
-    let mut beat = 0;
+    let mut heartbeat_number = 0;
     let mut other = |site: &mut Site| {
-        beat += 1;
-        keys(&site.beat("v", beat, &[]))
+        heartbeat_number += 1;
+        keys(&site.heartbeat("v", heartbeat_number, &[]))
     };
     other(&mut site);
     jumps.iter().for_each(|jump| {
@@ -262,29 +267,31 @@
 #[test]
 fn a_restarted_lease_holder_grants_nothing_that_may_be_held() {
     let mut site = Site::new(false);
-    let held = site.beat("u", 1, &[]).expect("the founder gives at once");
+    let held = site
+        .heartbeat("u", 1, &[])
+        .expect("the founder gives at once");
     site.restart();
     site.until_held();
     // It waits out an answer's time before it believes a heartbeat, and a hold's before it gives a key to another.
-    assert_eq!(site.beat("u", 2, &held), None);
-    assert_eq!(keys(&site.beat("v", 1, &[])), 0);
+    assert_eq!(site.heartbeat("u", 2, &held), None);
+    assert_eq!(keys(&site.heartbeat("v", 1, &[])), 0);
     site.wait(1700);
     assert_eq!(
-        site.beat("u", 3, &held),
+        site.heartbeat("u", 3, &held),
         Some(held.clone()),
         "what it lists it keeps, under its old fence"
     );
     site.wait(1000);
-    assert_eq!(keys(&site.beat("v", 2, &[])), 0);
+    assert_eq!(keys(&site.heartbeat("v", 2, &[])), 0);
     site.wait(1200);
     assert_eq!(
-        keys(&site.beat("v", 3, &[])),
+        keys(&site.heartbeat("v", 3, &[])),
         0,
         "all are held by the one that listed them"
     );
     let (known, next) = (
         held[0].epoch,
-        site.beat("u", 4, &held).expect("an answer")[0].epoch,
+        site.heartbeat("u", 4, &held).expect("an answer")[0].epoch,
     );
     assert_eq!(known, next);
 }
@@ -293,11 +300,14 @@
 #[test]
 fn fences_rise_with_the_lease() {
     let mut site = Site::new(false);
-    let first = site.beat("u", 1, &[]).expect("the founder gives at once")[0].epoch;
+    let first = site
+        .heartbeat("u", 1, &[])
+        .expect("the founder gives at once")[0]
+        .epoch;
     site.restart();
     site.until_held();
     site.wait(3800);
-    let second = site.beat("v", 1, &[]).expect("all have run out")[0].epoch;
+    let second = site.heartbeat("v", 1, &[]).expect("all have run out")[0].epoch;
     assert!(second >> 24 > first >> 24, "{first} {second}");
     // A fence that this lease never gave is not believed.
     let forged = KeyShare {
@@ -306,7 +316,7 @@
         epoch: second + 5,
         ..KeyShare::default()
     };
-    assert_eq!(keys(&site.beat("w", 1, &[forged])), 0);
+    assert_eq!(keys(&site.heartbeat("w", 1, &[forged])), 0);
 }
 
 /// An answer of the lease holder to a question of an earlier life of this node, or of nobody.
@@ -373,7 +383,7 @@
 fn given_after_signing_off(waited_ms: u64) -> u32 {
     let mut site = Site::new(false);
     assert_eq!(
-        keys(&site.beat("u", 1, &[])),
+        keys(&site.heartbeat("u", 1, &[])),
         KEY_COUNT,
         "the founder gives at once"
     );
@@ -389,7 +399,7 @@
         "{response:?}"
     );
     site.wait(waited_ms);
-    keys(&site.beat("v", 1, &[]))
+    keys(&site.heartbeat("v", 1, &[]))
 }
 
 #[test]
@@ -409,7 +419,7 @@
 fn without_a_lease_holder_data_plane_nodes_soon_learn_who_holds_which_keys() {
     const UPSTREAMS: u32 = 128;
     const ROWS: u32 = 16;
-    const CARRIERS: usize = 60;
+    const DATA_NODES: usize = 60;
     let mut site = Site::new(false);
     site.restart();
     site.wait(500);
@@ -423,13 +433,13 @@
             ..KeyShare::default()
         };
         let holds: Vec<KeyShare> = (0..ROWS).map(row).collect();
-        site.beat(&format!("u-{upstream}"), 1, &holds);
+        site.heartbeat(&format!("u-{upstream}"), 1, &holds);
     });
     let begun_at = Instant::now();
-    (0..CARRIERS).for_each(|carrier| {
+    (0..DATA_NODES).for_each(|data_node| {
         let request = Payload::UpdateRequest(UpdateRequest::default());
         site.step(Event::Received {
-            from: format!("c-{carrier}"),
+            from: format!("c-{data_node}"),
             body: request,
         });
     });
--- a/crates/control-plane/tests/quorum_contact.rs
+++ b/crates/control-plane/tests/quorum_contact.rs
@@ -20,7 +20,7 @@
 /// A caller that hears nothing for so long goes on to another node.
 const SILENCE: u64 = 1000;
 /// A carrier that follows whomever it is led to.
-const CARRIER: &str = "carrier";
+const DATA_NODE: &str = "carrier";
 
 /// A site of voters in virtual time, with cuts between them.
 struct Site {
@@ -39,8 +39,8 @@
     departures: [Vec<Departure>; NODES.len()],
     /// A broken system: control nodes that start again know of no departures of before.
     forgets_departures: bool,
-    /// What was sent to [`CARRIER`].
-    told_carrier: Vec<Payload>,
+    /// What was sent to [`DATA_NODE`].
+    told_data_node: Vec<Payload>,
 }
 
 impl Site {
@@ -57,7 +57,7 @@
             started: [0; NODES.len()],
             departures: Default::default(),
             forgets_departures: false,
-            told_carrier: Vec::new(),
+            told_data_node: Vec::new(),
         };
         (0..NODES.len()).for_each(|at| site.introduce(at));
         site.run_for(6000);
@@ -143,8 +143,8 @@
     }
 
     fn send(&mut self, from: usize, to: &str, event: impl Fn(String) -> Event, body: &Payload) {
-        if to == CARRIER {
-            self.told_carrier.push(body.clone());
+        if to == DATA_NODE {
+            self.told_data_node.push(body.clone());
         }
         let Some(to) = NODES.iter().position(|node| *node == to) else {
             return;
@@ -248,16 +248,16 @@
     /// Upstreams that take work in the eyes of a carrier that knew this one and now asks this node; none where the node
     /// vouches for nothing.
     fn followed(&mut self, at: usize, known: Upstream) -> Option<Vec<String>> {
-        self.told_carrier.clear();
+        self.told_data_node.clear();
         let request = Payload::UpdateRequest(UpdateRequest::default());
         self.step(
             at,
             Event::Received {
-                from: CARRIER.into(),
+                from: DATA_NODE.into(),
                 body: request,
             },
         );
-        let told = std::mem::take(&mut self.told_carrier);
+        let told = std::mem::take(&mut self.told_data_node);
         let vouched = told
             .iter()
             .any(|body| matches!(body, Payload::Freshness(_)));
@@ -334,13 +334,13 @@
     })
 }
 
-fn beat(number: u64, state: protocol::UpstreamState) -> Upstream {
+fn heartbeat(number: u64, state: protocol::UpstreamState) -> Upstream {
     Upstream {
         service: "s".into(),
         instance: "u".into(),
         address: "127.0.0.1:9".into(),
         locality: "north/a".into(),
-        beat: number,
+        heartbeat_number: number,
         state: state.into(),
         free_slots: 4,
         ..Upstream::default()
@@ -369,10 +369,10 @@
     vec![
         ControlRequest::ReadConfiguration,
         evacuate(&format!("order-{turn}")),
-        ControlRequest::Heartbeat(beat(turn + 2, protocol::UpstreamState::Ready)),
+        ControlRequest::Heartbeat(heartbeat(turn + 2, protocol::UpstreamState::Ready)),
         ControlRequest::Heartbeat(Upstream {
             instance: "leaver".into(),
-            ..beat(turn + 2, protocol::UpstreamState::Draining)
+            ..heartbeat(turn + 2, protocol::UpstreamState::Draining)
         }),
         ControlRequest::Deregister {
             instance: "u".into(),
@@ -409,7 +409,7 @@
                 let mut site = Site::settled();
                 site.answer(
                     0,
-                    ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
+                    ControlRequest::Heartbeat(heartbeat(1, protocol::UpstreamState::Ready)),
                 );
                 let at = if holder {
                     site.holder()
@@ -462,14 +462,14 @@
             let mut site = Site::settled();
             site.answer(
                 0,
-                ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
+                ControlRequest::Heartbeat(heartbeat(1, protocol::UpstreamState::Ready)),
             );
             let at = site.bystander();
             site.cut_off(at, hears, speaks);
             let asks = [
                 ControlRequest::ReadConfiguration,
                 evacuate("order"),
-                ControlRequest::Heartbeat(beat(2, protocol::UpstreamState::Draining)),
+                ControlRequest::Heartbeat(heartbeat(2, protocol::UpstreamState::Draining)),
                 ControlRequest::Deregister {
                     instance: "u".into(),
                 },
@@ -611,7 +611,7 @@
     let mut site = Site::settled();
     site.answer(
         0,
-        ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
+        ControlRequest::Heartbeat(heartbeat(1, protocol::UpstreamState::Ready)),
     );
     let other = |at: usize| (at + 1) % NODES.len();
     // What is said of upstreams between two nodes gets lost, both ways; confirmations don't.
@@ -625,7 +625,7 @@
     let at = other(0);
     assert!(acknowledged(&site.answer(
         at,
-        ControlRequest::Heartbeat(beat(2, protocol::UpstreamState::Draining))
+        ControlRequest::Heartbeat(heartbeat(2, protocol::UpstreamState::Draining))
     )));
     site.run_for(600);
     assert_eq!(site.condition(3, "u").as_deref(), Some("leaving"));
@@ -650,7 +650,7 @@
     site.cuts.remove(&(reached, at));
     let response = site.answer(
         at,
-        ControlRequest::Heartbeat(beat(2, protocol::UpstreamState::Draining)),
+        ControlRequest::Heartbeat(heartbeat(2, protocol::UpstreamState::Draining)),
     );
     assert!(
         response.is_some() && !acknowledged(&response),
@@ -659,7 +659,7 @@
     // It told whom it could, and that one gets it acknowledged.
     let request_id = site.ask(
         reached,
-        ControlRequest::Heartbeat(beat(3, protocol::UpstreamState::Draining)),
+        ControlRequest::Heartbeat(heartbeat(3, protocol::UpstreamState::Draining)),
     );
     let asked_at = site.now;
     site.run_for(200);
@@ -682,7 +682,7 @@
     )));
     site.answer(
         2,
-        ControlRequest::Heartbeat(beat(9, protocol::UpstreamState::Ready)),
+        ControlRequest::Heartbeat(heartbeat(9, protocol::UpstreamState::Ready)),
     );
     site.run_for(600);
     (0..NODES.len()).for_each(|at| {
@@ -701,7 +701,7 @@
     let mut site = Site::settled();
     site.answer(
         0,
-        ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
+        ControlRequest::Heartbeat(heartbeat(1, protocol::UpstreamState::Ready)),
     );
     let at = site.bystander();
     site.cut_off(at, false, false);
@@ -726,7 +726,7 @@
     let mut site = Site::settled();
     site.answer(
         0,
-        ControlRequest::Heartbeat(beat(1, protocol::UpstreamState::Ready)),
+        ControlRequest::Heartbeat(heartbeat(1, protocol::UpstreamState::Ready)),
     );
     site.run_for(600);
     site.split(&[3, 4]);
@@ -748,7 +748,7 @@
         instance: "unknown".into(),
     };
     [
-        ControlRequest::Heartbeat(beat(2, protocol::UpstreamState::Draining)),
+        ControlRequest::Heartbeat(heartbeat(2, protocol::UpstreamState::Draining)),
         ControlRequest::Deregister {
             instance: "u".into(),
         },
@@ -757,13 +757,13 @@
 }
 
 /// What the carrier knows of the upstream of [`departures`].
-fn known_to_the_carrier(departure: &ControlRequest) -> Upstream {
+fn known_to_the_data_node(departure: &ControlRequest) -> Upstream {
     match departure {
         ControlRequest::Deregister { instance } => Upstream {
             instance: instance.clone(),
-            ..beat(1, protocol::UpstreamState::Ready)
+            ..heartbeat(1, protocol::UpstreamState::Ready)
         },
-        _ => beat(1, protocol::UpstreamState::Ready),
+        _ => heartbeat(1, protocol::UpstreamState::Ready),
     }
 }
 
@@ -774,7 +774,7 @@
     departure: ControlRequest,
     forgets: bool,
 ) -> (Vec<String>, u64) {
-    let known = known_to_the_carrier(&departure);
+    let known = known_to_the_data_node(&departure);
     let mut site = departed_with_three_of_five(departure);
     site.forgets_departures = forgets;
     restarted.iter().for_each(|at| site.restart(*at));
--- a/crates/control-plane/tests/recorded_folder.rs
+++ b/crates/control-plane/tests/recorded_folder.rs
@@ -11,7 +11,7 @@
 use storage::Storage;
 
 /// The first configuration that was put in force, byte for byte.
-const FIRST_CONFIGURATION: &str = concat!(
+const FIRST_SUBMITTED: &str = concat!(
     r#"{"number":7,"services":[{"name":"slots","work":"once","warmUpPerSecond":5,"homeRegions":["north"],"mostBytes":7000}],"#,
     r#""routes":[{"id":"r1","name":"book","path":"/book","service":"slots"}],"#,
     r#""aliases":[{"alias":"book.example","to":"r1"}]}"#
@@ -147,7 +147,7 @@
 #[test]
 fn a_node_recognizes_the_recorded_changes() {
     let mut node = Node::start("control-recorded-changes");
-    assert_eq!(node.submit("setup-7", FIRST_CONFIGURATION), accepted(1));
+    assert_eq!(node.submit("setup-7", FIRST_SUBMITTED), accepted(1));
     let evacuate = |id: &str, locality: &str, back| ControlRequest::Evacuate {
         id: id.into(),
         locality: locality.into(),
@@ -162,7 +162,7 @@
         node.request(evacuate("return-a", "north/a", true)),
         accepted(5)
     );
-    let other = FIRST_CONFIGURATION.replace("7000", "7001");
+    let other = FIRST_SUBMITTED.replace("7000", "7001");
     assert_ne!(
         node.submit("setup-7", &other),
         accepted(1),
--- a/crates/control-plane/tests/repair.rs
+++ b/crates/control-plane/tests/repair.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const SETUP: &[u8] = br#"{"services": {}, "routes": []}"#;
+const CONFIGURATION: &[u8] = br#"{"services": {}, "routes": []}"#;
 
 /// A voter whose state names a setup, with or without its bytes.
 fn start(configurations: BTreeMap<String, Vec<u8>>) -> ControlNode {
@@ -19,7 +19,7 @@
     };
     let accepted = ClusterState {
         revision: 3,
-        digest: protocol::digest(SETUP),
+        digest: protocol::digest(CONFIGURATION),
         voter_set,
         ..Default::default()
     };
@@ -92,7 +92,7 @@
         status(&mut control, ms(2)).get("setupMissing"),
         Some(&JsonValue::Bool(true))
     );
-    let digest = protocol::digest(SETUP);
+    let digest = protocol::digest(CONFIGURATION);
     let asks = |effect: &&Effect| matches!(effect, Effect::Send { body: Payload::ConfigurationRequest(ConfigurationRequest { digest: asked }), .. } if *asked == digest);
     assert_eq!(
         effects.iter().filter(asks).count(),
@@ -104,7 +104,7 @@
     assert_eq!(again.iter().filter(asks).count(), 2, "until one has them");
     let body = Payload::ConfigurationBytes(ConfigurationBytes {
         digest: digest.clone(),
-        compressed: protocol::compress(SETUP),
+        compressed: protocol::compress(CONFIGURATION),
     });
     let effects = control.step(
         ms(950),
@@ -128,7 +128,7 @@
 
 #[test]
 fn an_intact_disk_reports_nothing() {
-    let mut control = start([(protocol::digest(SETUP), SETUP.to_vec())].into());
+    let mut control = start([(protocol::digest(CONFIGURATION), CONFIGURATION.to_vec())].into());
     let effects = control.step(Duration::from_millis(1), Event::Tick);
     assert_eq!(alarms(&effects), 0);
     assert_eq!(
--- a/crates/control-plane/tests/site/mod.rs
+++ b/crates/control-plane/tests/site/mod.rs
@@ -6,7 +6,7 @@
 use result_code::ResultCode;
 use std::time::Duration;
 
-const SETUP: &str = include_str!("../../../../docs/example-setup.json");
+const CONFIGURATION: &str = include_str!("../../../../docs/example-setup.json");
 
 /// The only voter of a small site, and its clock.
 pub struct Site {
@@ -102,9 +102,9 @@
     }
 
     /// A carrier asks for the first time; the snapshot that it gets.
-    pub fn snapshot(&mut self, carrier: &str) -> ViewUpdate {
+    pub fn snapshot(&mut self, data_node: &str) -> ViewUpdate {
         self.step(Event::Received {
-            from: carrier.into(),
+            from: data_node.into(),
             body: Payload::UpdateRequest(UpdateRequest::default()),
         });
         self.updates.pop().expect("a snapshot")
@@ -118,7 +118,7 @@
     site.order(ControlRequest::SubmitConfiguration {
         id: "first".into(),
         base: None,
-        bytes: SETUP.into(),
+        bytes: CONFIGURATION.into(),
         in_force: false,
     });
     site
--- a/crates/data-plane/src/api_adapter.rs
+++ b/crates/data-plane/src/api_adapter.rs
@@ -34,7 +34,7 @@
         /// The name.
         name: String,
         /// The client's locality; none where it is unreadable.
-        origin: Option<Locality>,
+        client: Option<Locality>,
     },
     /// Whether the process is alive.
     Live,
--- a/crates/data-plane/src/node.rs
+++ b/crates/data-plane/src/node.rs
@@ -143,8 +143,8 @@
         let has_role = |role: &str| self.roles.contains(role);
         match (self.api_adapter.classify)(listener, &http_request) {
             Endpoint::Request if has_role(PROXY_ROLE) => self.serve_request(http_request).await,
-            Endpoint::Lookup { name, origin } if has_role(DIRECTORY_ROLE) => {
-                self.lookup(&name, origin)
+            Endpoint::Lookup { name, client } if has_role(DIRECTORY_ROLE) => {
+                self.lookup(&name, client)
             }
             Endpoint::Live => transport::result_response(ResultCode::Success, None),
             Endpoint::Ready => {
@@ -182,17 +182,17 @@
     }
 
     /// Where a name is served, for a client in a locality.
-    fn lookup(&self, name: &str, origin: Option<Locality>) -> Response<Full<Bytes>> {
+    fn lookup(&self, name: &str, client: Option<Locality>) -> Response<Full<Bytes>> {
         self.counters.lookups.fetch_add(1, Ordering::Relaxed);
         let view = self.view.load();
-        let Some(origin) = origin else {
+        let Some(client) = client else {
             return self.reject(ResultCode::Malformed, None, "");
         };
         let answer = if self.proxy.may_use(&view, self.clock.now()) {
             name_directory::lookup(
                 &view,
                 name,
-                &origin,
+                &client,
                 &name_directory::LookupOptions {
                     ownership: self.proxy.ownership,
                     max_proxies: self.api_adapter.max_lookup_addresses,
@@ -205,7 +205,7 @@
         match answer {
             Ok(answer) => (self.api_adapter.lookup_response)(answer),
             Err(code) => {
-                let salt = format!("{name}{origin}");
+                let salt = format!("{name}{client}");
                 let retry_after = request_routing::retry_after_for(code, 0.0, &salt);
                 self.reject(code, retry_after, "")
             }
--- a/crates/data-plane/src/own_api.rs
+++ b/crates/data-plane/src/own_api.rs
@@ -40,7 +40,7 @@
     match (http_request.method.as_str(), http_request.path.as_str()) {
         (_, path) if path.starts_with("/r/") => Endpoint::Request,
         ("GET", "/directory") => {
-            let origin = format!(
+            let client = format!(
                 "{}/{}",
                 http_request.query("region"),
                 http_request.query("zone")
@@ -49,7 +49,7 @@
             .ok();
             Endpoint::Lookup {
                 name: http_request.query("name").to_owned(),
-                origin,
+                client,
             }
         }
         ("GET", "/live") => Endpoint::Live,
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -55,13 +55,13 @@
 
 /// From which state and by which of its actions a state was first reached.
 #[derive(Clone, Copy)]
-struct Origin {
+struct Predecessor {
     parent: u64,
     choice: u16,
 }
 
 struct Visited {
-    shards: Vec<Mutex<HashMap<u64, Option<Origin>>>>,
+    shards: Vec<Mutex<HashMap<u64, Option<Predecessor>>>>,
     count: AtomicU64,
 }
 
@@ -73,7 +73,7 @@
         }
     }
 
-    fn shard(&self, fingerprint: u64) -> MutexGuard<'_, HashMap<u64, Option<Origin>>> {
+    fn shard(&self, fingerprint: u64) -> MutexGuard<'_, HashMap<u64, Option<Predecessor>>> {
         let shard = &self.shards[fingerprint as usize % SHARDS];
         shard
             .lock()
@@ -81,12 +81,12 @@
     }
 
     /// True where the state is new.
-    fn insert(&self, fingerprint: u64, origin: Option<Origin>) -> bool {
+    fn insert(&self, fingerprint: u64, predecessor: Option<Predecessor>) -> bool {
         let mut shard = self.shard(fingerprint);
         let Entry::Vacant(entry) = shard.entry(fingerprint) else {
             return false;
         };
-        entry.insert(origin);
+        entry.insert(predecessor);
         self.count.fetch_add(1, Ordering::Relaxed);
         true
     }
@@ -94,9 +94,9 @@
     fn choices_to(&self, fingerprint: u64) -> Vec<usize> {
         let mut choices = Vec::new();
         let mut at = fingerprint;
-        while let Some(Some(origin)) = self.shard(at).get(&at).copied() {
-            choices.push(usize::from(origin.choice));
-            at = origin.parent;
+        while let Some(Some(predecessor)) = self.shard(at).get(&at).copied() {
+            choices.push(usize::from(predecessor.choice));
+            at = predecessor.parent;
         }
         choices.reverse();
         choices
@@ -170,11 +170,11 @@
             }
             self.transitions.fetch_add(1, Ordering::Relaxed);
             let fingerprint = self.model.fingerprint(&next);
-            let origin = Origin {
+            let predecessor = Predecessor {
                 parent,
                 choice: choice as u16,
             };
-            if !self.visited.insert(fingerprint, Some(origin)) {
+            if !self.visited.insert(fingerprint, Some(predecessor)) {
                 continue;
             }
             if self.model.violation(&next).is_some() {
--- a/crates/protocol/src/messages/membership.rs
+++ b/crates/protocol/src/messages/membership.rs
@@ -17,7 +17,7 @@
     /// Region and zone, `REGION/ZONE`.
     #[prost(string, tag = "4")]
     pub locality: String,
-    /// The node's roles, separated by commas; `postmaster` is a control node, `carrier` a data-plane node (the role
+    /// The node's roles, separated by commas; `control_node` is a control node, `data_node` a data-plane node (the role
     /// strings of the first release, which all releases exchange).
     #[prost(string, tag = "5")]
     pub roles: String,
--- a/crates/protocol/src/messages/upstreams.rs
+++ b/crates/protocol/src/messages/upstreams.rs
@@ -29,7 +29,7 @@
     pub state: u32,
     /// The sequence number of its last heartbeat.
     #[prost(uint64, tag = "8")]
-    pub beat: u64,
+    pub heartbeat_number: u64,
     /// How long ago the sender received that heartbeat, in milliseconds.
     #[prost(uint64, tag = "9")]
     pub age_ms: u64,
@@ -97,7 +97,7 @@
     pub digests: Vec<u64>,
     /// The sequence number of its last heartbeat.
     #[prost(uint64, repeated, tag = "2")]
-    pub beats: Vec<u64>,
+    pub heartbeat_numbers: Vec<u64>,
     /// How long ago that was received, in milliseconds.
     #[prost(uint64, repeated, tag = "3")]
     pub ages_ms: Vec<u64>,
@@ -176,7 +176,7 @@
     pub state: u32,
     /// Its last heartbeat: one that goes on sending them was given up wrongly.
     #[prost(uint64, tag = "4")]
-    pub beat: u64,
+    pub heartbeat_number: u64,
 }
 
 /// Recent departures, as a control node stores them for its next incarnation.
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -97,13 +97,13 @@
             service: format!("service-{base}"),
             instance: format!("instance-{base}"),
             state: 1,
-            beat: base + 1,
+            heartbeat_number: base + 1,
         },
         Departure {
             service: format!("other-service-{base}"),
             instance: format!("other-instance-{base}"),
             state: 2,
-            beat: base + 2,
+            heartbeat_number: base + 2,
         },
     ]
 }
@@ -142,7 +142,7 @@
         free_slots: base + 1,
         warm: true,
         state,
-        beat: u64::from(base) + 2,
+        heartbeat_number: u64::from(base) + 2,
         age_ms: u64::from(base) + 3,
         holds: vec![key_share(base + 4), key_share(base + 5)],
         registered_ms_ago: u64::from(base) + 6,
@@ -411,7 +411,7 @@
     vec![
         Payload::HeartbeatDigest(HeartbeatDigest {
             digests: vec![841, 842],
-            beats: vec![843, 844],
+            heartbeat_numbers: vec![843, 844],
             ages_ms: vec![845, 846],
             should_forward: true,
         }),
--- a/crates/request-routing/src/selection.rs
+++ b/crates/request-routing/src/selection.rs
@@ -276,7 +276,7 @@
             return cost_ms.map(|_| u32::MAX);
         }
         let reported = ReportedSlots {
-            heartbeat: upstream.beat,
+            heartbeat: upstream.heartbeat_number,
             free: upstream.free_slots,
         };
         let limit =
--- a/crates/scale-model/src/encoded_sizes.rs
+++ b/crates/scale-model/src/encoded_sizes.rs
@@ -112,7 +112,7 @@
     let slots = |upstream: &Upstream| Upstream {
         instance: upstream.instance.clone(),
         free_slots: upstream.free_slots,
-        beat: upstream.beat,
+        heartbeat_number: upstream.heartbeat_number,
         ..Upstream::default()
     };
     add(
@@ -120,21 +120,21 @@
         room(all.iter().cycle().take(100).map(slots).collect()),
         100,
     );
-    let beats = |upstreams| {
+    let heartbeats = |upstreams| {
         Payload::Heartbeats(Heartbeats {
             upstreams,
             ..Heartbeats::default()
         })
     };
-    add("told-on.one.bytes", beats(all[..1].to_vec()), 1);
+    add("told-on.one.bytes", heartbeats(all[..1].to_vec()), 1);
     add(
         "told-on.hundred.bytes",
-        beats(all.iter().cycle().take(100).cloned().collect()),
+        heartbeats(all.iter().cycle().take(100).cloned().collect()),
         100,
     );
     add(
         "told-on.digest.bytes",
-        beats(all.iter().cycle().take(100).map(slots).collect()),
+        heartbeats(all.iter().cycle().take(100).map(slots).collect()),
         100,
     );
     let probe = |count: usize| {
--- a/crates/scale-model/src/event_queue.rs
+++ b/crates/scale-model/src/event_queue.rs
@@ -29,11 +29,11 @@
         write_id: u64,
         write: Write,
     },
-    Beat {
+    Heartbeat {
         upstream: usize,
         incarnation: u64,
     },
-    BeatComes {
+    HeartbeatComes {
         node: usize,
         upstream: usize,
         incarnation: u64,
@@ -47,7 +47,7 @@
         bytes: Vec<u8>,
         requested: u32,
     },
-    Verdict {
+    Result {
         requested: u32,
         answer: ControlResponse,
     },
--- a/crates/scale-model/src/fleet.rs
+++ b/crates/scale-model/src/fleet.rs
@@ -57,7 +57,7 @@
     pub(super) nodes: Vec<Node>,
     pub(super) upstreams: Vec<HollowUpstream>,
     /// Upstream, incarnation and heartbeat number of those that wait for an answer.
-    pub(super) beats: HashMap<u64, (usize, u64, u64)>,
+    pub(super) heartbeats: HashMap<u64, (usize, u64, u64)>,
     pub(super) stats: TrafficStats,
     pub(super) named: HashMap<String, usize>,
     pub(super) in_order: HashMap<(usize, usize), Duration>,
@@ -92,7 +92,7 @@
             queue: Queue::default(),
             nodes: Vec::new(),
             upstreams: Vec::new(),
-            beats: HashMap::new(),
+            heartbeats: HashMap::new(),
             stats: TrafficStats::default(),
             named: HashMap::new(),
             in_order: HashMap::new(),
@@ -353,11 +353,11 @@
                 write_id,
                 write,
             } => self.synced(node, incarnation, write_id, write),
-            ScheduledEvent::Beat {
+            ScheduledEvent::Heartbeat {
                 upstream,
                 incarnation,
-            } => self.beat(upstream, incarnation),
-            ScheduledEvent::BeatComes {
+            } => self.heartbeat(upstream, incarnation),
+            ScheduledEvent::HeartbeatComes {
                 node,
                 upstream,
                 incarnation,
@@ -367,7 +367,7 @@
                 self.receive_heartbeat_response(upstream, answered)
             }
             ScheduledEvent::Submit { bytes, requested } => self.ask_to_submit(bytes, requested),
-            ScheduledEvent::Verdict { requested, answer } => self.verdict(requested, &answer),
+            ScheduledEvent::Result { requested, answer } => self.result(requested, &answer),
         }
     }
 }
--- a/crates/scale-model/src/observation.rs
+++ b/crates/scale-model/src/observation.rs
@@ -62,12 +62,13 @@
     }
 
     pub(super) fn answered(&mut self, at: usize, request_id: u64, answer: ControlResponse) {
-        if !self.answer_beat(at, request_id, &answer) && !self.answer_call(request_id, &answer) {
+        if !self.answer_heartbeat(at, request_id, &answer) && !self.answer_call(request_id, &answer)
+        {
             let requested = self.submitted.remove(&request_id);
             requested.into_iter().for_each(|(requested, _)| {
                 self.queue.push(
                     self.now,
-                    ScheduledEvent::Verdict {
+                    ScheduledEvent::Result {
                         requested,
                         answer: answer.clone(),
                     },
@@ -76,7 +77,7 @@
         }
     }
 
-    pub(super) fn verdict(&mut self, requested: u32, answer: &ControlResponse) {
+    pub(super) fn result(&mut self, requested: u32, answer: &ControlResponse) {
         if let ControlResponse::Outcome {
             code: result_code::ResultCode::Success,
             revision,
--- a/crates/scale-model/src/request.rs
+++ b/crates/scale-model/src/request.rs
@@ -42,7 +42,7 @@
     figures.add("served", served as f64);
     spread(&mut figures, "journey", took);
     let looked = (0..requests.min(2000)).map(|at| {
-        let (name, origin) = (
+        let (name, client) = (
             format!("name-{}", at % size.routes),
             &view.proxies[at % view.proxies.len()].locality,
         );
@@ -50,7 +50,7 @@
         let listed = name_directory::lookup(
             &view,
             &name,
-            origin,
+            client,
             &name_directory::LookupOptions {
                 ownership: name_directory::OwnershipMode::SingleZone,
                 max_proxies: 3,
@@ -157,7 +157,7 @@
         locality: size.locality(size.upstream_zone(at)),
         free_slots: 16,
         warm: true,
-        beat: 1,
+        heartbeat_number: 1,
         ..Upstream::default()
     }
 }
--- a/crates/scale-model/src/upstreams.rs
+++ b/crates/scale-model/src/upstreams.rs
@@ -24,7 +24,7 @@
 /// The answer to a heartbeat on its way back.
 pub struct HeartbeatResponse {
     pub incarnation: u64,
-    pub beat: u64,
+    pub heartbeat_number: u64,
     pub json: JsonValue,
 }
 
@@ -53,7 +53,7 @@
             let first = Duration::from_secs(1) + Duration::from_micros(self.random.below(500_000));
             self.queue.push(
                 first,
-                ScheduledEvent::Beat {
+                ScheduledEvent::Heartbeat {
                     upstream: at,
                     incarnation: 1,
                 },
@@ -67,11 +67,11 @@
         self.upstreams[at].incarnation += 1;
     }
 
-    pub(super) fn beat(&mut self, at: usize, incarnation: u64) {
+    pub(super) fn heartbeat(&mut self, at: usize, incarnation: u64) {
         if self.upstreams[at].up && self.upstreams[at].incarnation == incarnation {
             self.queue.push(
                 self.now + HEARTBEAT_INTERVAL,
-                ScheduledEvent::Beat {
+                ScheduledEvent::Heartbeat {
                     upstream: at,
                     incarnation,
                 },
@@ -87,7 +87,7 @@
             return;
         };
         let upstream = &mut self.upstreams[at];
-        upstream.told.beat += 1;
+        upstream.told.heartbeat_number += 1;
         if changes {
             upstream.told.free_slots = free;
         }
@@ -102,7 +102,7 @@
             let told = Box::new(told);
             self.queue.push(
                 self.now + delay,
-                ScheduledEvent::BeatComes {
+                ScheduledEvent::HeartbeatComes {
                     node: control,
                     upstream: at,
                     incarnation,
@@ -120,8 +120,8 @@
         told: Upstream,
     ) {
         let request_id = self.request_id();
-        self.beats
-            .insert(request_id, (upstream, incarnation, told.beat));
+        self.heartbeats
+            .insert(request_id, (upstream, incarnation, told.heartbeat_number));
         self.step_control(
             node,
             "beat",
@@ -133,13 +133,14 @@
     }
 
     /// True where the answer was one to a heartbeat.
-    pub(super) fn answer_beat(
+    pub(super) fn answer_heartbeat(
         &mut self,
         node: usize,
         request_id: u64,
         answer: &ControlResponse,
     ) -> bool {
-        let Some((upstream, incarnation, beat)) = self.beats.remove(&request_id) else {
+        let Some((upstream, incarnation, heartbeat_number)) = self.heartbeats.remove(&request_id)
+        else {
             return false;
         };
         let ControlResponse::Heartbeat {
@@ -160,7 +161,7 @@
         if let Some(delay) = self.delay(from, to) {
             let answered = HeartbeatResponse {
                 incarnation,
-                beat,
+                heartbeat_number,
                 json: json.clone(),
             };
             self.queue.push(
@@ -174,11 +175,14 @@
     pub(super) fn receive_heartbeat_response(&mut self, at: usize, answered: HeartbeatResponse) {
         let HeartbeatResponse {
             incarnation,
-            beat,
+            heartbeat_number,
             json,
         } = answered;
         let upstream = &mut self.upstreams[at];
-        if !upstream.up || upstream.incarnation != incarnation || upstream.told.beat != beat {
+        if !upstream.up
+            || upstream.incarnation != incarnation
+            || upstream.told.heartbeat_number != heartbeat_number
+        {
             return;
         }
         let holder = json.count("holder").unwrap_or(0);
@@ -220,7 +224,7 @@
         ("warm", told.warm.into()),
         ("condition", "ready".into()),
         ("holder", told.holder.into()),
-        ("beat", told.beat.into()),
+        ("beat", told.heartbeat_number.into()),
         ("holds", runs.collect()),
     ])
 }
--- a/crates/scale-model/tests/changes.rs
+++ b/crates/scale-model/tests/changes.rs
@@ -95,7 +95,7 @@
 const CAUGHT_UP_WITHIN: Duration = Duration::from_secs(3);
 /// How long ago a majority confirmed the state of a node that has caught up, at the most: two confirmations' pause.
 const MAX_AGE: Duration = Duration::from_millis(1000);
-const MAX_EDITIONS_BEHIND: u64 = 8;
+const MAX_REVISIONS_BEHIND: u64 = 8;
 
 #[test]
 fn a_blank_node_follows_a_storm_of_changes_over_a_link_of_2_mbit() {
@@ -118,7 +118,7 @@
             let received = &followed.received;
             assert!(
                 !ages.iter().any(late)
-                    && behind.iter().all(|behind| *behind <= MAX_EDITIONS_BEHIND),
+                    && behind.iter().all(|behind| *behind <= MAX_REVISIONS_BEHIND),
                 "{nodes} nodes, blank {blank}: {ages:?}, {behind:?}, {received:?}"
             );
         }
--- a/crates/scale-model/tests/hollow.rs
+++ b/crates/scale-model/tests/hollow.rs
@@ -59,10 +59,11 @@
     );
     assert!(asks.messages.abs_diff(answers.messages) <= FORTY.nodes as u64);
     // Each upstream heartbeats twice a second.
-    let beats = stats.out(Role::Upstream, None).messages;
+    let heartbeats = stats.out(Role::Upstream, None).messages;
     assert!(
-        beats.abs_diff(FORTY.upstreams as u64 * 2 * WINDOW.as_secs()) <= FORTY.upstreams as u64,
-        "{beats} beats"
+        heartbeats.abs_diff(FORTY.upstreams as u64 * 2 * WINDOW.as_secs())
+            <= FORTY.upstreams as u64,
+        "{heartbeats} beats"
     );
     // Bytes are those of the encoded message with its frame.
     let largest = UpdateRequest {
--- a/crates/simulator/src/origins.rs
+++ b/crates/simulator/src/clients.rs
@@ -50,7 +50,7 @@
 
 /// All clients' state.
 #[derive(Default)]
-pub struct Origins {
+pub struct Clients {
     operations: BTreeMap<u64, OperationState>,
     lookups: BTreeMap<(String, &'static str), CachedLookup>,
 }
@@ -84,7 +84,7 @@
             random,
             stage,
         };
-        self.origins.operations.insert(number, state);
+        self.clients.operations.insert(number, state);
         self.start_attempt(number);
     }
 
@@ -92,7 +92,7 @@
         let now = self.now;
         let data_nodes = self.data_nodes();
         let Some(state) = self
-            .origins
+            .clients
             .operations
             .get_mut(&operation)
             .filter(|state| state.stage == OperationStage::Idle)
@@ -104,7 +104,7 @@
         }
         let id = (state.place.clone(), state.service);
         let live = self
-            .origins
+            .clients
             .lookups
             .get(&id)
             .filter(|lookups| now < lookups.asked_at + lookups.lifetime)
@@ -127,7 +127,7 @@
             Duration::from_millis(700),
             Action::ReceiveLookup {
                 operation,
-                listing: None,
+                answer: None,
                 asked_at: now,
             },
         );
@@ -143,14 +143,14 @@
     ) {
         let (stale_after, lifetime) = (self.defects.stale_after, self.defects.lifetime);
         let node = &self.nodes[at];
-        let origin: Locality = place.parse().unwrap_or_default();
+        let client: Locality = place.parse().unwrap_or_default();
         let view = node.data_node().map(|data_node| data_node.view());
         let fresh = view.filter(|view| view.is_fresh(node.local(self.now), stale_after));
-        let listing = fresh.and_then(|view| {
+        let answer = fresh.and_then(|view| {
             name_directory::lookup(
                 view,
                 name,
-                &origin,
+                &client,
                 &name_directory::LookupOptions {
                     ownership: name_directory::OwnershipMode::SingleZone,
                     max_proxies: 3,
@@ -163,7 +163,7 @@
             Duration::from_millis(8),
             Action::ReceiveLookup {
                 operation,
-                listing,
+                answer,
                 asked_at,
             },
         );
@@ -172,25 +172,25 @@
     pub(crate) fn receive_lookup(
         &mut self,
         operation: u64,
-        listing: Option<LookupAnswer>,
+        answer: Option<LookupAnswer>,
         asked_at: Duration,
     ) {
         let now = self.now;
-        let Some(state) = self.origins.operations.get_mut(&operation) else {
+        let Some(state) = self.clients.operations.get_mut(&operation) else {
             return;
         };
         if state.stage != (OperationStage::LookingUp { asked_at }) {
             return;
         }
         state.stage = OperationStage::Idle;
-        let lookups = listing.map(|listing| CachedLookup {
-            proxies: listing.proxies,
+        let lookups = answer.map(|answer| CachedLookup {
+            proxies: answer.proxies,
             asked_at,
-            lifetime: listing.lifetime,
+            lifetime: answer.lifetime,
         });
         match lookups.filter(|lookups| now < asked_at + lookups.lifetime) {
             Some(lookups) => {
-                self.origins
+                self.clients
                     .lookups
                     .insert((state.place.clone(), state.service), lookups.clone());
                 self.send_attempt(operation, &lookups);
@@ -205,7 +205,7 @@
 
     fn send_attempt(&mut self, operation: u64, lookups: &CachedLookup) {
         let now = self.now;
-        let Some(state) = self.origins.operations.get_mut(&operation) else {
+        let Some(state) = self.clients.operations.get_mut(&operation) else {
             return;
         };
         state.attempts += 1;
@@ -222,7 +222,7 @@
             service: state.service,
             key: state.key.clone(),
             remaining,
-            from: Requester::Origin { operation, attempt },
+            from: Requester::Client { operation, attempt },
         };
         self.note(Observation::AddressUsed {
             age: now - lookups.asked_at,
@@ -253,7 +253,7 @@
     }
 
     pub(crate) fn receive_response(&mut self, operation: u64, attempt: u32, answer: Response) {
-        let Some(state) = self.origins.operations.get_mut(&operation) else {
+        let Some(state) = self.clients.operations.get_mut(&operation) else {
             return;
         };
         if state.stage != (OperationStage::Attempting { attempt }) {
@@ -266,7 +266,7 @@
         );
         if answer.failed == Some(CallError::NotConnected) {
             state.last = None;
-            self.origins.lookups.clear();
+            self.clients.lookups.clear();
             return self.after(RETRY_DELAY, Action::StartAttempt { operation });
         }
         let code = answer
@@ -302,7 +302,7 @@
     fn finish_operation(&mut self, operation: u64) {
         let now = self.now;
         let state = self
-            .origins
+            .clients
             .operations
             .get_mut(&operation)
             .filter(|state| state.stage != OperationStage::Done);
@@ -318,7 +318,7 @@
             }
         });
         self.ended.extend(ended);
-        self.origins.operations.remove(&operation);
+        self.clients.operations.remove(&operation);
     }
 
     /// Sends one probe through every data-plane node, once there was more than one configuration.
--- a/crates/simulator/src/exchanges.rs
+++ b/crates/simulator/src/exchanges.rs
@@ -26,7 +26,7 @@
 /// Who waits for the answer.
 #[derive(Clone, Debug)]
 pub enum Requester {
-    Origin {
+    Client {
         operation: u64,
         attempt: u32,
     },
@@ -203,7 +203,7 @@
     /// Sends an answer back to whoever waits for it.
     fn respond(&mut self, request: &Request, node: Option<usize>, reply: Response) {
         match &request.from {
-            Requester::Origin { operation, attempt } => {
+            Requester::Client { operation, attempt } => {
                 let (operation, attempt) = (*operation, *attempt);
                 self.after(
                     Duration::from_millis(8),
--- a/crates/simulator/src/fault_injection/category.rs
+++ b/crates/simulator/src/fault_injection/category.rs
@@ -67,7 +67,7 @@
     fn of_load(fault: &Fault) -> Category {
         match fault {
             Fault::CrashUpstreams(_)
-            | Fault::RollUpstreams(_)
+            | Fault::RestartUpstreams(_)
             | Fault::DeregisterBeforeDraining(_)
             | Fault::ReuseAddress(_)
             | Fault::RestartCold(_)
--- a/crates/simulator/src/fault_injection/upstreams.rs
+++ b/crates/simulator/src/fault_injection/upstreams.rs
@@ -15,7 +15,7 @@
                     self.crash_upstream(self.upstream_index(upstream));
                 }
             }
-            Fault::RollUpstreams(upstreams) => {
+            Fault::RestartUpstreams(upstreams) => {
                 for upstream in upstreams {
                     self.drain_upstream(self.upstream_index(upstream));
                 }
@@ -59,7 +59,7 @@
             Fault::CrashUpstreams(_) | Fault::CrashHomeUpstreams => {
                 self.restart_crashed_upstreams();
             }
-            Fault::RollUpstreams(upstreams) | Fault::DeregisterBeforeDraining(upstreams) => {
+            Fault::RestartUpstreams(upstreams) | Fault::DeregisterBeforeDraining(upstreams) => {
                 for upstream in upstreams {
                     self.replace_if_draining(self.upstream_index(upstream));
                 }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -60,7 +60,7 @@
     /// Upstreams crash.
     CrashUpstreams(Vec<usize>),
     /// Upstreams drain, and are replaced by new instances at the same addresses.
-    RollUpstreams(Vec<usize>),
+    RestartUpstreams(Vec<usize>),
     /// Upstreams deregister without having drained, serve on, and are replaced by new instances at the same addresses.
     DeregisterBeforeDraining(Vec<usize>),
     /// An upstream vanishes, and another service takes its address.
@@ -272,7 +272,7 @@
         Fault::CrashUpstreams((0..5).map(|_| d.below(99) as usize).collect())
     }),
     ("release", |d| {
-        Fault::RollUpstreams((0..6).map(|_| d.below(99) as usize).collect())
+        Fault::RestartUpstreams((0..6).map(|_| d.below(99) as usize).collect())
     }),
     ("reuse-address", |d| {
         Fault::ReuseAddress(d.below(99) as usize)
--- a/crates/simulator/src/heartbeats.rs
+++ b/crates/simulator/src/heartbeats.rs
@@ -93,7 +93,7 @@
             free_slots: self.load.slots.saturating_sub(upstream.busy),
             warm: upstream.warm,
             state: upstream.state.into(),
-            beat: upstream.heartbeat,
+            heartbeat_number: upstream.heartbeat,
             holder: upstream.holder,
             holds: holds.chain(upstream.range_leases.listed(now)).collect(),
             released: upstream.range_leases.released.clone(),
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -5,6 +5,7 @@
 
 use crate::shapes::Shape;
 
+mod clients;
 mod command_faults;
 mod connections;
 mod defects;
@@ -23,7 +24,6 @@
 mod nodes;
 mod observer;
 mod operators;
-mod origins;
 mod outcome;
 pub mod overload;
 mod partitions;
--- a/crates/simulator/src/messaging.rs
+++ b/crates/simulator/src/messaging.rs
@@ -178,7 +178,7 @@
                     Duration::from_millis(1),
                     Action::ReceiveLookup {
                         operation,
-                        listing: None,
+                        answer: None,
                         asked_at,
                     },
                 );
--- a/crates/simulator/src/schedule.rs
+++ b/crates/simulator/src/schedule.rs
@@ -79,7 +79,7 @@
     },
     ReceiveLookup {
         operation: u64,
-        listing: Option<name_directory::LookupAnswer>,
+        answer: Option<name_directory::LookupAnswer>,
         asked_at: Duration,
     },
     ReceiveResponse {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,5 +1,6 @@
 //! The state of a run, and its loop over the actions in virtual time.
 
+use crate::clients::Clients;
 use crate::connections::Connections;
 use crate::defects::Defects;
 use crate::exchanges::Exchange;
@@ -8,7 +9,6 @@
 use crate::network::Network;
 use crate::nodes::Node;
 use crate::operators::Operators;
-use crate::origins::Origins;
 use crate::outcome::{Outcome, VoterLoss};
 use crate::schedule::{Action, Schedule};
 use crate::shapes::{ROADWISE, Shape};
@@ -52,7 +52,7 @@
     pub(super) nodes: Vec<Node>,
     pub(super) upstreams: Vec<SimulatedUpstream>,
     pub(super) exchanges: BTreeMap<u64, Exchange>,
-    pub(super) origins: Origins,
+    pub(super) clients: Clients,
     pub(super) operators: Operators,
     pub(super) observations: Vec<TimedObservation>,
     pub(super) ended: Vec<FinishedOperation>,
@@ -96,7 +96,7 @@
             nodes: Vec::new(),
             upstreams: Vec::new(),
             exchanges: BTreeMap::new(),
-            origins: Origins::default(),
+            clients: Clients::default(),
             operators: Operators::default(),
             observations: Vec::new(),
             ended: Vec::new(),
@@ -272,9 +272,9 @@
             Action::StartAttempt { operation } => self.start_attempt(operation),
             Action::ReceiveLookup {
                 operation,
-                listing,
+                answer,
                 asked_at,
-            } => self.receive_lookup(operation, listing, asked_at),
+            } => self.receive_lookup(operation, answer, asked_at),
             Action::ReceiveResponse {
                 operation,
                 attempt,
--- a/crates/simulator/tests/configurations.rs
+++ b/crates/simulator/tests/configurations.rs
@@ -129,7 +129,7 @@
 /// All postmasters end at once right after a configuration was accepted, and start again together: none of them knows
 /// all upstreams, and what was accepted is in force on every carrier within 3 s all the same.
 #[test]
-fn a_restart_of_all_postmasters_keeps_no_configuration_back() {
+fn a_restart_of_all_control_nodes_keeps_no_configuration_back() {
     let within = |span: Option<Duration>| span.is_some_and(|span| span < Duration::from_secs(3));
     (1..9).for_each(|seed| {
         let outcome = played("restart-postmasters", seed);
--- a/crates/simulator/tests/replacements.rs
+++ b/crates/simulator/tests/replacements.rs
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_carrier_that_takes_no_change_of_the_placement_is_caught() {
+fn a_data_node_that_takes_no_change_of_the_placement_is_caught() {
     let defects = Defects {
         withholds_placement_changes: true,
         ..Defects::default()
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -64,7 +64,7 @@
 
 /// A beat that was overtaken on its way through a frozen postmaster was taken for letting go.
 #[test]
-fn an_overtaken_beat_lets_no_key_go() {
+fn an_superseded_heartbeat_lets_no_key_go() {
     let plans = [
         ("freeze+cut-zone", 4),
         ("freeze+dark-zone", 2),
@@ -122,7 +122,7 @@
 /// Beats of upstreams long dead lay in a frozen postmaster, and on waking were told as new registrations: the live
 /// tenants of their addresses were given up for good. Found among pairs.
 #[test]
-fn beats_that_lay_in_a_frozen_postmaster_end_nobody() {
+fn heartbeats_that_lay_in_a_frozen_control_node_end_nobody() {
     let plans = [
         ("freeze+homes-gone", 3),
         ("rolling-restart+evacuate-cut", 2),
@@ -222,7 +222,7 @@
 
 /// Three of six disks are lost, so nobody can mend; the operators settle what the survivors have.
 #[test]
-fn a_lost_majority_is_rescued_with_the_last_accepted_setup() {
+fn a_lost_majority_is_rescued_with_the_last_accepted_configuration() {
     let at = Duration::from_millis(17_000);
     let wiped = |machine| Step {
         at,
--- a/crates/storage/tests/recorded_folder.rs
+++ b/crates/storage/tests/recorded_folder.rs
@@ -12,11 +12,11 @@
 use storage::{Contents, Storage};
 
 fn departures() -> Vec<Departure> {
-    let departure = |instance: &str, state, beat| Departure {
+    let departure = |instance: &str, state, heartbeat_number| Departure {
         service: "slots".into(),
         instance: instance.into(),
         state,
-        beat,
+        heartbeat_number,
     };
     vec![departure("slots-3", 1, 42), departure("slots-4", 2, 52)]
 }
--- a/crates/test-harness/tests/reload.rs
+++ b/crates/test-harness/tests/reload.rs
@@ -138,9 +138,9 @@
         r#", "roster-size": 1, "data": "{}""#,
         folder.join("data").display()
     );
-    let mut postmaster = Daemon::start("control-plane", &folder, 1, &data);
-    let mut carrier = Daemon::start("data-plane", &folder, 3, "");
-    for daemon in [&mut postmaster, &mut carrier] {
+    let mut control_node = Daemon::start("control-plane", &folder, 1, &data);
+    let mut data_node = Daemon::start("data-plane", &folder, 3, "");
+    for daemon in [&mut control_node, &mut data_node] {
         daemon.until("start:").await;
         let fields = daemon.fields.clone();
         daemon
@@ -175,19 +175,22 @@
         assert!(daemon.alive().await);
     }
     // The carrier knew of nobody. New seeds lead it to the postmaster.
-    assert_eq!(carrier.status("/ready").await, Some(503));
-    let found = format!(r#"{{{}, "seeds": "{}"}}"#, carrier.fields, postmaster.link);
-    carrier
-        .reload(&found, &format!("seeds are new ({})", postmaster.link))
+    assert_eq!(data_node.status("/ready").await, Some(503));
+    let found = format!(
+        r#"{{{}, "seeds": "{}"}}"#,
+        data_node.fields, control_node.link
+    );
+    data_node
+        .reload(&found, &format!("seeds are new ({})", control_node.link))
         .await;
     let mut pause = interval(PAUSE);
     let follows = async {
-        while carrier.status("/ready").await != Some(200) {
+        while data_node.status("/ready").await != Some(200) {
             pause.tick().await;
         }
     };
-    assert!(timeout(LIMIT, follows).await.is_ok(), "{}", carrier.log());
-    for daemon in [&mut carrier, &mut postmaster] {
+    assert!(timeout(LIMIT, follows).await.is_ok(), "{}", data_node.log());
+    for daemon in [&mut data_node, &mut control_node] {
         daemon.signal("TERM");
         let ended = async {
             loop {
--- a/crates/test-harness/tests/site.rs
+++ b/crates/test-harness/tests/site.rs
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_drive_any_node_and_get_one_verdict_for_one_id() {
+async fn operators_drive_any_node_and_get_one_result_for_one_id() {
     let fleet = site("operators").await;
     let nodes = fleet.nodes();
     let configuration = ROADWISE.configuration(0);
@@ -270,12 +270,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn whatever_strangers_send_gets_a_numbered_answer_and_harms_nothing() {
     let fleet = site("strangers").await;
-    let (data_node, postmaster) = (
+    let (data_node, control_node) = (
         fleet.data_nodes[0].http.clone(),
         fleet.control_nodes[0].http.clone(),
     );
     call(
-        &postmaster,
+        &control_node,
         "PUT",
         "/setup?id=a&wait=force",
         &[],
@@ -368,7 +368,7 @@
     let huge = "x".repeat(3 * 1024 * 1024);
     let denied = HttpClient::default()
         .call(
-            &postmaster,
+            &control_node,
             "PUT",
             "/setup?id=h",
             &[],
@@ -379,7 +379,7 @@
         .await;
     // The server may hang up on the rest of so large a body before its answer is read.
     assert!(denied.is_err() || denied.is_ok_and(|reply| reply.status == 413));
-    for node in [&data_node, &postmaster] {
+    for node in [&data_node, &control_node] {
         for garbage in [
             &b"\0\xff\xfe garbage\r\n\r\n"[..],
             b"GET / HTTP/9.9\r\n\r\n",
--- a/crates/test-harness/tests/sources.rs
+++ b/crates/test-harness/tests/sources.rs
@@ -108,7 +108,7 @@
 }
 
 /// Words of the first users' platform. Only `platform/` and `deploy/` may carry them, and the pages that tell of it.
-const OF_THE_PLATFORM: [&str; 46] = [
+const OF_THE_PLATFORM: [&str; 48] = [
     // Headers.
     "x-attempt-id",
     "x-deadline-ms",
@@ -158,7 +158,10 @@
     "internalports",
     "seednodes",
     "datapath",
-    "control_plane",
+    // A role's value in the deploy file and in the settings; the bare word is also the name of our own package.
+    "\"control_plane\"",
+    "=control_plane",
+    ",control_plane",
 ];
 
 /// The words of a text that belong to the platform, in whatever case they stand.
@@ -232,6 +235,15 @@
         ["{{nodename", "seednodes"]
     );
     assert_eq!(platform_words("GET /api/anything"), ["/api/"]);
+    assert_eq!(
+        platform_words("serves = [\"edge\", \"control_plane\"]"),
+        ["\"control_plane\""]
+    );
+    assert_eq!(
+        platform_words("serves=edge,control_plane,directory"),
+        [",control_plane"]
+    );
+    assert!(platform_words("use control_plane::ControlNode;").is_empty());
     assert_eq!(
         platform_words("let path = format!(\"{{{name}}}\"); // PathPrefix, hostnames"),
         Vec::<&str>::new()
--- a/crates/testbed/tests/answers.rs
+++ b/crates/testbed/tests/answers.rs
@@ -135,7 +135,7 @@
 
 /// Its own answer may follow, and is waited for as long as the request has time.
 #[test]
-fn a_denial_of_another_try_denies_nothing() {
+fn a_rejection_of_another_try_denies_nothing() {
     let (outcome, events) = CLIENT.told_within(
         &[ResponseFault::Complete, ResponseFault::ForeignRejection],
         true,
--- a/crates/transport/tests/links.rs
+++ b/crates/transport/tests/links.rs
@@ -7,9 +7,9 @@
 use tokio::time::{advance, pause, resume};
 use transport::{Arrival, Links, MAX_QUEUE_TIME};
 
-fn heartbeat_digest(beat: u64) -> Payload {
+fn heartbeat_digest(heartbeat_number: u64) -> Payload {
     Payload::HeartbeatDigest(HeartbeatDigest {
-        beats: vec![beat],
+        heartbeat_numbers: vec![heartbeat_number],
         ..HeartbeatDigest::default()
     })
 }
--- a/crates/upstream-registry/src/key_ranges/mod.rs
+++ b/crates/upstream-registry/src/key_ranges/mod.rs
@@ -209,10 +209,10 @@
             .last_heartbeats
             .get(&heartbeat.instance)
             .and_then(|last| last.sequence);
-        let is_overtaken = last_sequence.is_some_and(|last| heartbeat.sequence <= last);
+        let is_superseded = last_sequence.is_some_and(|last| heartbeat.sequence <= last);
         let is_within_limits = heartbeat.holdings.len() <= MAX_RANGES_PER_HEARTBEAT
             && heartbeat.released.len() <= MAX_RANGES_PER_HEARTBEAT;
-        !is_overtaken && is_within_limits
+        !is_superseded && is_within_limits
     }
 
     fn record_heartbeat(
--- a/crates/upstream-registry/src/registry/addresses.rs
+++ b/crates/upstream-registry/src/registry/addresses.rs
@@ -19,10 +19,9 @@
         id: &UpstreamId,
         heartbeat: &Upstream,
     ) -> bool {
-        let is_evicted = self
-            .entries
-            .get(id)
-            .is_some_and(|entry| entry.is_evicted && heartbeat.beat > entry.upstream.beat);
+        let is_evicted = self.entries.get(id).is_some_and(|entry| {
+            entry.is_evicted && heartbeat.heartbeat_number > entry.upstream.heartbeat_number
+        });
         let other_owner = self
             .address_owners
             .get(&heartbeat.address)
--- a/crates/upstream-registry/src/registry/departures.rs
+++ b/crates/upstream-registry/src/registry/departures.rs
@@ -27,8 +27,8 @@
     /// use protocol::{Departure, Upstream, UpstreamState};
     /// use std::time::Duration;
     /// let (mut registry, now) = (UpstreamRegistry::default(), Duration::from_secs(9));
-    /// assert!(registry.record_departure(now, &Departure { instance: "a".into(), state: UpstreamState::Deregistered.into(), beat: 7, ..Default::default() }));
-    /// registry.apply_heartbeat(now, Upstream { service: "s".into(), instance: "a".into(), beat: 7, ..Default::default() });
+    /// assert!(registry.record_departure(now, &Departure { instance: "a".into(), state: UpstreamState::Deregistered.into(), heartbeat_number: 7, ..Default::default() }));
+    /// registry.apply_heartbeat(now, Upstream { service: "s".into(), instance: "a".into(), heartbeat_number: 7, ..Default::default() });
     /// assert_eq!(registry.snapshot(now)[0].state(), UpstreamState::Deregistered, "a late heartbeat brings nobody back");
     /// ```
     pub fn record_departure(&mut self, now: Duration, departure: &Departure) -> bool {
@@ -44,7 +44,7 @@
             return true;
         }
         let id = UpstreamId::new(&departure.service, &departure.instance);
-        if self.departed_state(&id, departure.beat) >= state {
+        if self.departed_state(&id, departure.heartbeat_number) >= state {
             return true;
         }
         let has_capacity = self.departed.len() < MAX_UPSTREAMS || self.departed.contains_key(&id);
@@ -53,7 +53,7 @@
             self.changed.insert(id.clone());
             let departed = Departed {
                 state,
-                sequence: departure.beat,
+                sequence: departure.heartbeat_number,
                 known_since: now,
             };
             self.departed.insert(id, departed);
@@ -83,12 +83,12 @@
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        let applies =
-            entry.upstream.state() < departure.state() && entry.upstream.beat <= departure.beat;
+        let applies = entry.upstream.state() < departure.state()
+            && entry.upstream.heartbeat_number <= departure.heartbeat_number;
         if !applies {
             return;
         }
-        entry.upstream.beat = departure.beat;
+        entry.upstream.heartbeat_number = departure.heartbeat_number;
         entry.upstream.state = departure.state;
         entry.departing_since = Some(now);
         if departure.state() == UpstreamState::Deregistered {
@@ -143,7 +143,7 @@
     /// ```
     /// use std::time::Duration;
     /// let (mut registry, at) = (upstream_registry::UpstreamRegistry::default(), Duration::from_secs(9));
-    /// let draining = protocol::Upstream { beat: 1, state: protocol::UpstreamState::Draining.into(), ..Default::default() };
+    /// let draining = protocol::Upstream { heartbeat_number: 1, state: protocol::UpstreamState::Draining.into(), ..Default::default() };
     /// registry.apply_heartbeat(at, draining);
     /// assert_eq!(registry.recent_departures(at, Duration::from_secs(5)).len(), 1);
     /// assert!(registry.recent_departures(at + Duration::from_secs(5), Duration::from_secs(5)).is_empty());
@@ -154,7 +154,9 @@
             .entries
             .iter()
             .filter(|(_, entry)| entry.departing_since.is_some_and(is_recent))
-            .map(|(id, entry)| departure(id, entry.upstream.state(), entry.upstream.beat));
+            .map(|(id, entry)| {
+                departure(id, entry.upstream.state(), entry.upstream.heartbeat_number)
+            });
         let without_entry = self
             .departed
             .iter()
@@ -169,7 +171,7 @@
         service: id.service.clone(),
         instance: id.instance.clone(),
         state: state.into(),
-        beat: sequence,
+        heartbeat_number: sequence,
     }
 }
 
--- a/crates/upstream-registry/src/registry/digest.rs
+++ b/crates/upstream-registry/src/registry/digest.rs
@@ -14,9 +14,9 @@
 /// gossiped of it.
 ///
 /// ```
-/// let warm = protocol::Upstream { instance: "a".into(), warm: true, beat: 3, ..Default::default() };
+/// let warm = protocol::Upstream { instance: "a".into(), warm: true, heartbeat_number: 3, ..Default::default() };
 /// let cold = protocol::Upstream { warm: false, ..warm.clone() };
-/// assert_eq!(upstream_registry::digest(&warm), upstream_registry::digest(&protocol::Upstream { beat: 4, ..warm.clone() }));
+/// assert_eq!(upstream_registry::digest(&warm), upstream_registry::digest(&protocol::Upstream { heartbeat_number: 4, ..warm.clone() }));
 /// assert_ne!(upstream_registry::digest(&warm), upstream_registry::digest(&cold));
 /// assert_eq!(upstream_registry::digest(&warm) >> 32, upstream_registry::digest(&cold) >> 32);
 /// ```
@@ -63,12 +63,12 @@
     /// use upstream_registry::UpstreamRegistry;
     /// use std::time::Duration;
     /// let (ms, mut registry) = (Duration::from_millis, UpstreamRegistry::default());
-    /// let upstream = protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() };
+    /// let upstream = protocol::Upstream { instance: "a".into(), heartbeat_number: 1, ..Default::default() };
     /// let digest = upstream_registry::digest(&upstream);
     /// assert!(!registry.refresh_from_digest(ms(1000), digest, 1, ms(0)), "nobody knows it");
     /// registry.apply_heartbeat(ms(1000), upstream);
     /// assert!(registry.refresh_from_digest(ms(3000), digest, 2, ms(200)));
-    /// assert_eq!((registry.snapshot(ms(3000))[0].beat, registry.snapshot(ms(3000))[0].age_ms), (2, 200));
+    /// assert_eq!((registry.snapshot(ms(3000))[0].heartbeat_number, registry.snapshot(ms(3000))[0].age_ms), (2, 200));
     /// assert!(!registry.refresh_from_digest(ms(3500), digest ^ 1, 3, ms(0)), "something about it changed");
     /// assert!(registry.refresh_from_digest(ms(3500), digest ^ 1, 2, ms(0)), "what is known is no older");
     /// ```
@@ -83,14 +83,14 @@
         let Some(entry) = id.and_then(|id| self.entries.get_mut(id)) else {
             return false;
         };
-        if sequence <= entry.upstream.beat {
+        if sequence <= entry.upstream.heartbeat_number {
             return true;
         }
         if digest(&entry.upstream) != gossiped_digest {
             return false;
         }
         if entry.upstream.state() != UpstreamState::Deregistered {
-            entry.upstream.beat = sequence;
+            entry.upstream.heartbeat_number = sequence;
             entry.last_heard_at = now.saturating_sub(age).max(entry.last_heard_at);
         }
         true
--- a/crates/upstream-registry/src/registry/expiry.rs
+++ b/crates/upstream-registry/src/registry/expiry.rs
@@ -16,7 +16,7 @@
     /// use upstream_registry::UpstreamRegistry;
     /// use std::time::Duration;
     /// let mut registry = UpstreamRegistry::default();
-    /// registry.apply_heartbeat(Duration::ZERO, protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() });
+    /// registry.apply_heartbeat(Duration::ZERO, protocol::Upstream { instance: "a".into(), heartbeat_number: 1, ..Default::default() });
     /// registry.expire_silent(Duration::from_secs(4), Duration::from_secs(3));
     /// assert!(registry.snapshot(Duration::from_secs(4)).is_empty());
     /// assert_eq!(registry.drain_changes(Duration::from_secs(4))[0].state(), protocol::UpstreamState::Deregistered);
@@ -55,7 +55,7 @@
         if let Some(known_since) = entry.departing_since {
             let departed = Departed {
                 state: entry.upstream.state(),
-                sequence: entry.upstream.beat,
+                sequence: entry.upstream.heartbeat_number,
                 known_since,
             };
             self.departed.insert(id.clone(), departed);
--- a/crates/upstream-registry/src/registry/mod.rs
+++ b/crates/upstream-registry/src/registry/mod.rs
@@ -67,9 +67,9 @@
     /// use upstream_registry::UpstreamRegistry;
     /// use protocol::{Upstream, UpstreamState};
     /// use std::time::Duration;
-    /// let heartbeat = |instance: &str, beat, state: UpstreamState| Upstream {
+    /// let heartbeat = |instance: &str, heartbeat_number, state: UpstreamState| Upstream {
     ///     service: "slots".into(), instance: instance.into(), address: "127.0.0.1:9".into(),
-    ///     beat, state: state.into(), ..Default::default()
+    ///     heartbeat_number, state: state.into(), ..Default::default()
     /// };
     /// let (mut registry, now) = (UpstreamRegistry::default(), Duration::from_secs(9));
     /// assert!(registry.apply_heartbeat(now, heartbeat("a", 1, UpstreamState::Ready)));
@@ -87,7 +87,7 @@
             return false;
         }
         let last_heard_at = now.saturating_sub(Duration::from_millis(heartbeat.age_ms));
-        let departed_state = self.departed_state(&id, heartbeat.beat);
+        let departed_state = self.departed_state(&id, heartbeat.heartbeat_number);
         // One that regains its address begins anew.
         let previous = self.entries.get(&id).filter(|_| !regains_address);
         let registered_at_ms = registered_at_ms(now, &heartbeat, previous);
@@ -140,14 +140,14 @@
         };
         let is_deregistered =
             entry.upstream.state() == UpstreamState::Deregistered && !regains_address;
-        !is_deregistered && heartbeat.beat > entry.upstream.beat
+        !is_deregistered && heartbeat.heartbeat_number > entry.upstream.heartbeat_number
     }
 
     /// The record of one upstream as it is known here, with its ages as of `now`. Of the argument only the service and
     /// the instance count.
     ///
     /// ```
-    /// let upstream = protocol::Upstream { instance: "a".into(), beat: 1, ..Default::default() };
+    /// let upstream = protocol::Upstream { instance: "a".into(), heartbeat_number: 1, ..Default::default() };
     /// assert_eq!(upstream_registry::UpstreamRegistry::default().get(std::time::Duration::ZERO, &upstream), None);
     /// ```
     pub fn get(&self, now: Duration, upstream: &Upstream) -> Option<Upstream> {
@@ -190,7 +190,7 @@
     /// let mut registry = upstream_registry::UpstreamRegistry::default();
     /// [("a", "1"), ("b", "2"), ("c", "3")].into_iter().for_each(|(service, instance)| {
     ///     let (service, instance, address) = (service.into(), instance.into(), instance.into());
-    ///     registry.apply_heartbeat(Default::default(), Upstream { service, instance, address, beat: 1, ..Upstream::default() });
+    ///     registry.apply_heartbeat(Default::default(), Upstream { service, instance, address, heartbeat_number: 1, ..Upstream::default() });
     /// });
     /// assert_eq!(registry.of_service("b").map(|upstream| upstream.instance.as_str()).collect::<Vec<_>>(), ["2"]);
     /// ```
@@ -205,7 +205,7 @@
     /// use protocol::Upstream;
     /// use std::time::Duration;
     /// let (mut registry, second) = (upstream_registry::UpstreamRegistry::default(), Duration::from_secs(1));
-    /// let upstream = Upstream { service: "s".into(), instance: "a".into(), beat: 1, ..Upstream::default() };
+    /// let upstream = Upstream { service: "s".into(), instance: "a".into(), heartbeat_number: 1, ..Upstream::default() };
     /// registry.apply_heartbeat(second, upstream);
     /// assert_eq!(registry.heard_within("s", 2 * second, 3 * second).count(), 1);
     /// assert_eq!(registry.heard_within("s", 4 * second, 3 * second).count(), 0);
@@ -241,7 +241,7 @@
 /// The part of a record whose changes are published to the data plane.
 fn published_part(upstream: &Upstream) -> Upstream {
     Upstream {
-        beat: 0,
+        heartbeat_number: 0,
         holder: 0,
         holds: Vec::new(),
         released: Vec::new(),
--- a/crates/upstream-registry/src/slots.rs
+++ b/crates/upstream-registry/src/slots.rs
@@ -51,7 +51,7 @@
     /// use std::time::Duration;
     /// let lease_duration = Duration::from_secs(3);
     /// let mut slots = SlotAssigner::new(Duration::ZERO, lease_duration, 1);
-    /// let upstream = |name: &str, beat| Upstream { instance: name.into(), beat, ..Default::default() };
+    /// let upstream = |name: &str, heartbeat_number| Upstream { instance: name.into(), heartbeat_number, ..Default::default() };
     /// let ready = ["a".to_owned(), "b".to_owned()].into_iter().collect();
     /// assert_eq!(slots.handle_heartbeat(Duration::from_secs(1), &upstream("a", 1), &ready), None, "nothing at first");
     /// let held = protocol::KeyShare { from: 3, until: 5, epoch: 9, instance: "b".into(), ..Default::default() };
@@ -81,8 +81,8 @@
     /// use std::time::Duration;
     /// let (lease_duration, now) = (Duration::from_secs(3), Duration::from_secs(4));
     /// let mut slots = SlotAssigner::new(Duration::ZERO, lease_duration, 1);
-    /// let upstream = |name: &str, beat, holds: &[KeyShare]| Upstream {
-    ///     instance: name.into(), beat, holds: holds.to_vec(), ..Default::default()
+    /// let upstream = |name: &str, heartbeat_number, holds: &[KeyShare]| Upstream {
+    ///     instance: name.into(), heartbeat_number, holds: holds.to_vec(), ..Default::default()
     /// };
     /// let one = ["a".to_owned()].into_iter().collect();
     /// let both = ["a".to_owned(), "b".to_owned()].into_iter().collect();
@@ -102,7 +102,7 @@
     ) -> Option<Vec<KeyShare>> {
         let instance = &heartbeat.instance;
         let last_sequence = self.last_sequences.get(instance);
-        if last_sequence.is_some_and(|last| heartbeat.beat <= *last) {
+        if last_sequence.is_some_and(|last| heartbeat.heartbeat_number <= *last) {
             return None;
         }
         self.record_heartbeat(heartbeat, ready);
@@ -130,7 +130,7 @@
 
     fn record_heartbeat(&mut self, heartbeat: &Upstream, ready: &BTreeSet<String>) {
         self.last_sequences
-            .insert(heartbeat.instance.clone(), heartbeat.beat);
+            .insert(heartbeat.instance.clone(), heartbeat.heartbeat_number);
         if self.last_sequences.len() > MAX_INSTANCES {
             // Whoever is not there and holds nothing has nothing to lose by an overtaken heartbeat.
             let slots = &self.slots;
--- a/crates/upstream-registry/tests/address_ownership.rs
+++ b/crates/upstream-registry/tests/address_ownership.rs
@@ -11,7 +11,7 @@
         service: "s".into(),
         instance: instance.into(),
         address: "127.0.0.1:9".into(),
-        beat: 4,
+        heartbeat_number: 4,
         state: state.into(),
         registered_ms_ago,
         ..Upstream::default()
@@ -41,11 +41,11 @@
 /// A heartbeat of an old instance was delayed in a frozen process, and gossiped as new when its address had a new owner.
 #[test]
 fn a_live_upstream_recovers_from_a_delayed_heartbeat_of_its_address() {
-    let record = |instance: &str, beat| Upstream {
+    let record = |instance: &str, heartbeat_number| Upstream {
         service: "s".into(),
         instance: instance.into(),
         address: "127.0.0.1:9".into(),
-        beat,
+        heartbeat_number,
         ..Upstream::default()
     };
     let ms = Duration::from_millis;
@@ -85,7 +85,7 @@
         service: "s".into(),
         instance: instance.into(),
         address: "127.0.0.1:9".into(),
-        beat: 4,
+        heartbeat_number: 4,
         registered_ms_ago,
         ..Upstream::default()
     };
--- a/crates/upstream-registry/tests/key_ranges.rs
+++ b/crates/upstream-registry/tests/key_ranges.rs
@@ -553,7 +553,7 @@
 }
 
 #[test]
-fn no_key_has_two_holders_where_overtaken_responses_count() {
+fn no_key_has_two_holders_where_superseded_responses_count() {
     assert_no_violation(true);
 }
 
--- a/crates/upstream-registry/tests/slots.rs
+++ b/crates/upstream-registry/tests/slots.rs
@@ -11,7 +11,7 @@
 
 #[derive(Default)]
 struct SimulatedUpstream {
-    beat: u64,
+    heartbeat_number: u64,
     holder: u64,
     /// Each slot that it holds: under which epoch, and until when.
     holds: BTreeMap<u32, (u64, Duration)>,
@@ -44,7 +44,7 @@
                     }
                     1..=4 => {
                         upstreams[at] = SimulatedUpstream {
-                            beat: upstreams[at].beat,
+                            heartbeat_number: upstreams[at].heartbeat_number,
                             ..SimulatedUpstream::default()
                         }
                     }
@@ -54,7 +54,7 @@
                     }
                     13..=30 => {
                         let unit = &mut upstreams[at];
-                        unit.beat += 1;
+                        unit.heartbeat_number += 1;
                         let held = unit.holds.iter().filter(|(_, (_, until))| now < *until);
                         let holds = held.map(|(slot, (epoch, _))| KeyShare {
                             from: *slot,
@@ -64,7 +64,7 @@
                         });
                         let upstream = Upstream {
                             instance: format!("u{at}"),
-                            beat: unit.beat,
+                            heartbeat_number: unit.heartbeat_number,
                             holder: unit.holder,
                             holds: holds.collect(),
                             ..Upstream::default()
@@ -82,15 +82,21 @@
                                     assigner.handle_heartbeat(now, &upstream, &ready);
                                 messages.push(Message::Response(
                                     at,
-                                    upstream.beat,
+                                    upstream.heartbeat_number,
                                     sent_at,
                                     granted_shares,
                                     lease_epoch,
                                 ));
                             }
-                            Message::Response(at, beat, sent_at, granted_shares, lease_epoch) => {
+                            Message::Response(
+                                at,
+                                heartbeat_number,
+                                sent_at,
+                                granted_shares,
+                                lease_epoch,
+                            ) => {
                                 let unit = &mut upstreams[at];
-                                let latest = unit.beat == beat;
+                                let latest = unit.heartbeat_number == heartbeat_number;
                                 if latest {
                                     unit.holder = lease_epoch;
                                 }
