--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -10,8 +10,6 @@
 //! - [`gateway_api`]: Gateway API manifests converted into a configuration
 //! - [`output`], [`error`]: what is printed, and exit codes
 
-#![deny(missing_docs)]
-
 pub mod arguments;
 pub mod client;
 pub mod command;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -6,8 +6,6 @@
 //!   [`Setting`]s.
 //! * [`JsonValue`] and [`ObjectReader`] read other JSON inputs with the same kind of errors ([`ValidationError`]).
 
-#![deny(missing_docs)]
-
 mod configuration;
 mod json_codec;
 mod json_value;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -4,8 +4,6 @@
 //! [`ControlNode`] is a pure reducer: [`Event`]s in, [`Effect`]s out, time as an argument. [`daemon`] turns sockets, timers
 //! and disks into events and carries effects out; [`persistence`] holds the threads that write to disk.
 
-#![deny(missing_docs)]
-
 mod anonymous_evacuations;
 mod api_adapter;
 mod components;
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -7,8 +7,6 @@
 //! * [`ApiAdapter`] is how clients and upstreams are spoken with; `own_api` is the product's own interface.
 //! * [`shell`] binds all to sockets, timers and signals.
 
-#![deny(missing_docs)]
-
 mod admin;
 mod api_adapter;
 mod counters;
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,7 +1,5 @@
 //! What was observed in a run, simulated or real, and the checkers of the rules that every run must keep.
 
-#![deny(missing_docs)]
-
 pub mod history;
 pub mod observations;
 pub mod rules;
--- a/crates/key-space/src/lib.rs
+++ b/crates/key-space/src/lib.rs
@@ -1,5 +1,4 @@
 //! How the keys of a keyed service are divided into slots, which its upstreams own in ranges.
-#![deny(missing_docs)]
 
 use random::stable_hash;
 
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -21,8 +21,6 @@
 //! | `timing` | durations |
 //! | `bounded_step_clock` | the clock by which a voter waits until a grant has surely expired |
 
-#![deny(missing_docs)]
-
 mod bounded_step_clock;
 mod candidate;
 mod event;
--- a/crates/locality/src/lib.rs
+++ b/crates/locality/src/lib.rs
@@ -1,5 +1,4 @@
 //! Localities (a region and a zone in it, as in xDS) and the form of ids.
-#![deny(missing_docs)]
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -10,7 +10,6 @@
 //! probe carries a digest of the prober's table; where the receiver's differs, it replies with the digests of its
 //! records, and both then send what the other lacks (anti-entropy). So a table at rest costs 8 bytes a probe, and a
 //! network partition heals.
-#![deny(missing_docs)]
 
 mod node;
 mod probing;
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -6,8 +6,6 @@
 //! that are too large to be searched. Each model has defects that can be switched on, whose violations must be
 //! found.
 
-#![deny(missing_docs)]
-
 mod clocks;
 mod cluster;
 mod control_model;
--- a/crates/name-directory/src/lib.rs
+++ b/crates/name-directory/src/lib.rs
@@ -8,8 +8,6 @@
 //!   (a forwarding entry) where a name has moved away.
 //! * [`placement_delta`], [`share_delta`] and [`apply_share_delta`] send only what changed of the key assignments.
 
-#![deny(missing_docs)]
-
 mod deltas;
 mod home_regions;
 mod key_coverage;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -3,7 +3,6 @@
 //!
 //! Messages are protocol buffers, declared in Rust by [`prost`]. Releases of different versions talk to each other, so
 //! tags and types stay as they are; tests/recorded.rs holds them to frames that an earlier release wrote.
-#![deny(missing_docs)]
 
 mod compress;
 mod delta;
--- a/crates/quorum-register/src/lib.rs
+++ b/crates/quorum-register/src/lib.rs
@@ -25,8 +25,6 @@
 //! | `apply` | how the state changes by it | |
 //! | `inspect` | read access for callers | |
 
-#![deny(missing_docs)]
-
 mod accept_phase;
 mod acceptor;
 mod apply;
--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -2,7 +2,6 @@
 //!
 //! Nodes decide by the hash without talking to each other, and the simulator replays whole runs from a seed: the numbers
 //! must never change.
-#![deny(missing_docs)]
 
 /// Start value of FNV-1a with 64 bits.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/request-routing/src/lib.rs
+++ b/crates/request-routing/src/lib.rs
@@ -43,8 +43,6 @@
 //! handles connections and outcomes. [`ServiceStats`], [`UpstreamStats`] and their parts are the counts that requests
 //! share.
 
-#![deny(missing_docs)]
-
 mod admission;
 mod admission_queue;
 mod attempt_table;
--- a/crates/result-code/src/lib.rs
+++ b/crates/result-code/src/lib.rs
@@ -2,7 +2,6 @@
 //!
 //! Numbers, statuses and texts are part of the HTTP interface: clients match on them, so the texts keep the words of the
 //! first release.
-#![deny(missing_docs)]
 
 use std::fmt;
 
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,6 @@
 //! The simulator: the daemons' own cores in virtual time, over a network and disks that fail on purpose.
 //! One seed gives one run, byte for byte.
 
-#![deny(missing_docs)]
-
 use crate::shapes::Shape;
 
 mod clients;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -3,7 +3,6 @@
 //!
 //! A write is reported only once it would survive a loss of power. The order of the steps, and what a loss of power
 //! leaves after each, is in docs/design/control/disks.md; tests/crashes.rs checks it on a simulated disk.
-#![deny(missing_docs)]
 
 mod configurations;
 mod confirmed_sequence;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -4,8 +4,6 @@
 //! [`runs`] lays a site out on this machine, loads it, injects the faults of a plan and checks what was seen.
 //! [`scripted`] has peers, proxies and clients whose every step a test decides.
 
-#![deny(missing_docs)]
-
 pub mod fleet;
 pub mod link_proxies;
 pub mod plans;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -9,8 +9,6 @@
 //! - Programs: [`parse_settings_or_exit`], [`Reload`], [`Listeners`], [`stop_signal`], [`exit`].
 //! - Time and chance: [`Clock`], [`random_seed`].
 
-#![deny(missing_docs)]
-
 mod clock;
 mod command_line;
 mod connection;
--- a/crates/upstream-registry/src/lib.rs
+++ b/crates/upstream-registry/src/lib.rs
@@ -20,8 +20,6 @@
 //! that must have expired, and adopts what the upstreams list in the meantime. The reasoning stands in
 //! `docs/design/keys.md`.
 
-#![deny(missing_docs)]
-
 mod key_ranges;
 mod registry;
 mod slots;
