--- a/crates/scale-model/src/figures.rs
+++ b/crates/scale-model/src/figures.rs
@@ -1,10 +1,10 @@
-//! What a run comes to: plain figures by name.
+//! The result of a run: plain figures by name.
 
 use super::size::Size;
 use super::traffic_stats::{REACHES, ROLES, Role, TrafficStats};
 use std::time::Duration;
 
-/// Figures in the order of their making.
+/// Names and figures, in the order in which they were added.
 #[derive(Clone, Debug, Default)]
 pub struct Figures(pub Vec<(String, f64)>);
 
@@ -33,7 +33,7 @@
             .map(|(_, figure)| *figure)
     }
 
-    /// A line as [`Figures`] writes it, read again.
+    /// Reads a line of the form that `Display` writes; words of any other form are ignored.
     ///
     /// ```
     /// let read = scale_model::Figures::read("size=3 carrier.core%=0.25 noise");
@@ -50,7 +50,7 @@
         )
     }
 
-    /// Rates of a window: by role and process, a second.
+    /// The rates per second and process of each role.
     pub(crate) fn of(stats: &TrafficStats, size: &Size, window: Duration) -> Figures {
         let mut figures = Figures::default();
         let there = ROLES
--- a/crates/scale-model/src/fit.rs
+++ b/crates/scale-model/src/fit.rs
@@ -1,13 +1,17 @@
-//! Least squares over a few sizes: whether a line, n log n, n² or n³ tells best how a figure grows.
+//! Ordinary least squares over a few sizes: whether n, n log n, n² or n³ describes best how a figure grows.
 
 use std::fmt;
 
-/// How a figure may grow.
+/// A growth function of the size n.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Growth {
+    /// n.
     Line,
+    /// n times the binary logarithm of n.
     NLogN,
+    /// n squared.
     Square,
+    /// n cubed.
     Cube,
 }
 
@@ -35,18 +39,21 @@
     }
 }
 
-/// `start + slope * growth(n)`, and how far off it is.
+/// The fitted function `start + slope * growth(n)` and its error.
 #[derive(Clone, Copy, Debug)]
 pub struct Fit {
+    /// The growth function that was fitted.
     pub growth: Growth,
+    /// The intercept, in the unit of the figures.
     pub start: f64,
+    /// The factor of the growth function.
     pub slope: f64,
-    /// The root of the mean squared residual, over the mean of the figures.
+    /// The root mean square error divided by the mean of the figures.
     pub residual: f64,
 }
 
 impl Fit {
-    /// What it comes to at a size.
+    /// The predicted figure at size `n`.
     ///
     /// ```
     /// let points = [(1.0, 5.0), (2.0, 7.0), (3.0, 9.0), (4.0, 11.0)];
@@ -75,7 +82,7 @@
     }
 }
 
-/// All growths fitted to points, the best first.
+/// Fits every growth function to points of size and figure; the smallest residual comes first.
 ///
 /// ```
 /// use scale_model::{Growth, fit};
--- a/crates/scale-model/src/fleet.rs
+++ b/crates/scale-model/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Many hollow nodes in one process: the daemons' own cores over a simple network, in virtual time.
+//! Many nodes in one process: the daemons' sans-I/O cores over a simulated network, in virtual time.
 
 use super::call_tracker::CallTracker;
 use super::event_queue::{Queue, ScheduledEvent};
@@ -13,26 +13,29 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// As often as the daemons' shells.
+/// The interval between ticks, the same as in the daemons.
 const TICK: Duration = Duration::from_millis(20);
 
-/// What the hollow site is asked to bear.
+/// How many control nodes are the seeds of the membership.
+const SEED_COUNT: usize = 3;
+
+/// The load on a modelled deployment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Of a thousand heartbeats, how many report another capacity than the last.
+    /// How many of a thousand heartbeats report another capacity than the one before.
     pub changing_per_mille: u64,
-    /// True where nodes have to find each other, and are not told of all others at their start.
+    /// Whether nodes discover each other from their seeds; otherwise each knows all others at its start.
     pub cold: bool,
 }
 
 pub(super) enum Core {
     ControlNode(Box<ControlNode>),
-    /// With the view that requests would read: while they hold it, the next one is a copy.
+    /// With the published view: while requests hold it, applying an update has to copy.
     DataNode(Box<DataNode>, Box<View>),
     Down,
 }
 
-/// One hollow process.
+/// One modelled process of the data plane or the control plane.
 pub struct Node {
     pub(super) name: String,
     pub(super) zone: usize,
@@ -43,12 +46,13 @@
     pub(super) durable: DurableState,
     pub(super) configurations: BTreeMap<String, Vec<u8>>,
     pub(super) synced_at: Duration,
-    /// Since when its book of members lacks all that are watched for.
+    /// Since when its address book lacks all nodes of [`Fleet::watched`].
     pub(super) lacks: Option<Duration>,
 }
 
-/// A whole hollow site.
+/// A whole modelled deployment.
 pub struct Fleet {
+    /// Its dimensions.
     pub size: Size,
     pub(super) load: Load,
     pub(super) now: Duration,
@@ -66,16 +70,16 @@
     /// The revision that the last configuration was accepted as, and when.
     pub(super) accepted: Option<(u64, Duration)>,
     pub(super) pending: u32,
-    /// Calls of the trials that make many.
+    /// The calls of the trials that make many of them.
     pub(crate) calls: CallTracker,
     pub(super) watched: BTreeSet<String>,
     pub(super) partition_region: Option<usize>,
-    /// Where the control nodes stand among the nodes.
+    /// The indices of the voting control nodes in `nodes`.
     pub(super) control_nodes: std::ops::Range<usize>,
 }
 
 impl Fleet {
-    /// A site that is about to start, on blank disks.
+    /// A deployment about to start with blank disks.
     ///
     /// ```
     /// use scale_model::{Fleet, Load, CURRENT_SIZE};
@@ -148,7 +152,7 @@
                 at % 250
             )
         };
-        // Links are found by node id here; the address only has its true length.
+        // The model routes by node id; the addresses are only as long as real ones.
         Member {
             node: node.name.clone(),
             incarnation: 1,
@@ -161,86 +165,90 @@
         }
     }
 
-    /// Starts a process on whatever its disk holds.
+    /// Starts a process with the contents of its disk.
     pub(crate) fn start(&mut self, at: usize) {
         let me = self.member(at);
         self.named.insert(me.probe_address.clone(), at);
-        let seeds = self
-            .control_nodes
-            .clone()
-            .take(3)
-            .map(|at| self.member(at).probe_address)
-            .collect();
-        let settings =
-            config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap_or_default();
         let seed = self.random.next_u64();
-        let without_vote = self.nodes[at].role == Role::Replica;
-        let initial_voter_count = self.size.control_nodes;
+        let core = if self.nodes[at].role == Role::DataNode {
+            self.data_node_core(me, seed)
+        } else {
+            self.control_node_core(at, me, seed)
+        };
         let node = &mut self.nodes[at];
+        if !matches!(node.role, Role::DataNode | Role::Replica) {
+            node.role = Role::Voter;
+        }
+        node.core = core;
         node.incarnation += 1;
         node.started_at = self.now;
         node.synced_at = self.now;
         node.lacks = None;
-        node.core = if node.role == Role::DataNode {
-            let times = data_plane::shell::times(&settings);
-            Core::DataNode(
-                Box::new(DataNode::new(data_plane::Start {
-                    me,
-                    seeds,
-                    seed,
-                    reader: Default::default(),
-                    times,
-                })),
-                Box::default(),
-            )
-        } else {
-            node.role = if without_vote {
-                Role::Replica
-            } else {
-                Role::Voter
-            };
-            let (durable, configurations) = (node.durable.clone(), node.configurations.clone());
-            let times = control_plane::daemon::times(&settings);
-            Core::ControlNode(Box::new(ControlNode::new(control_plane::Start {
-                me,
-                seeds,
-                initial_voter_count,
-                seed,
-                reader: Default::default(),
-                owners: Default::default(),
-                durable,
-                configurations,
-                departures: Vec::new(),
-                times,
-            })))
-        };
         let incarnation = node.incarnation;
         let first = self.now + Duration::from_micros(self.random.below(TICK.as_micros() as u64));
         if !self.load.cold {
-            let members = (0..self.nodes.len()).map(|at| self.member(at)).collect();
-            let body = Payload::ProbeReply(ProbeReply {
-                members,
-                ..ProbeReply::default()
-            });
-            self.queue.push(
-                first,
-                ScheduledEvent::Datagram {
-                    node: at,
-                    from: at,
-                    body,
-                },
-            );
+            self.introduce_all_members(at, first);
         }
-        self.queue.push(
-            first,
-            ScheduledEvent::Tick {
-                node: at,
-                incarnation,
-            },
-        );
+        let tick = ScheduledEvent::Tick {
+            node: at,
+            incarnation,
+        };
+        self.queue.push(first, tick);
+    }
+
+    fn data_node_core(&self, me: Member, seed: u64) -> Core {
+        let data_node = DataNode::new(data_plane::Start {
+            me,
+            seeds: self.seed_addresses(),
+            seed,
+            reader: Default::default(),
+            times: data_plane::shell::times(&default_settings()),
+        });
+        Core::DataNode(Box::new(data_node), Box::default())
+    }
+
+    fn control_node_core(&self, at: usize, me: Member, seed: u64) -> Core {
+        let node = &self.nodes[at];
+        let control_node = ControlNode::new(control_plane::Start {
+            me,
+            seeds: self.seed_addresses(),
+            initial_voter_count: self.size.control_nodes,
+            seed,
+            reader: Default::default(),
+            owners: Default::default(),
+            durable: node.durable.clone(),
+            configurations: node.configurations.clone(),
+            departures: Vec::new(),
+            times: control_plane::daemon::times(&default_settings()),
+        });
+        Core::ControlNode(Box::new(control_node))
     }
 
-    /// Ends a process at once; its disk keeps what was synced.
+    /// The membership addresses that every process knows from its settings.
+    fn seed_addresses(&self) -> Vec<String> {
+        self.control_nodes
+            .clone()
+            .take(SEED_COUNT)
+            .map(|at| self.member(at).probe_address)
+            .collect()
+    }
+
+    /// Delivers all members' records to a process, so that it needn't discover them.
+    fn introduce_all_members(&mut self, at: usize, when: Duration) {
+        let members = (0..self.nodes.len()).map(|at| self.member(at)).collect();
+        let body = Payload::ProbeReply(ProbeReply {
+            members,
+            ..ProbeReply::default()
+        });
+        let datagram = ScheduledEvent::Datagram {
+            node: at,
+            from: at,
+            body,
+        };
+        self.queue.push(when, datagram);
+    }
+
+    /// Kills a process; its disk keeps what was synced.
     pub(crate) fn kill(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.incarnation += 1;
@@ -250,7 +258,7 @@
         }
     }
 
-    /// Further data nodes start.
+    /// Starts further data nodes.
     pub(crate) fn grow(&mut self, count: usize) {
         (0..count).for_each(|_| {
             let at = self.nodes.len();
@@ -259,7 +267,7 @@
         });
     }
 
-    /// Further control nodes start, which have no vote.
+    /// Starts control nodes without a vote.
     pub(crate) fn grow_replicas(&mut self, count: usize) {
         (0..count).for_each(|number| {
             let at = self.nodes.len();
@@ -272,12 +280,12 @@
         });
     }
 
-    /// Everything within a region talks to nothing outside, or all is whole again.
+    /// Cuts a region off from all others, or heals the partition.
     pub(crate) fn partition_region(&mut self, region: Option<usize>) {
         self.partition_region = region;
     }
 
-    /// Lets some virtual time pass.
+    /// Advances virtual time by `span`.
     ///
     /// ```
     /// use scale_model::{Fleet, Load, CURRENT_SIZE};
@@ -294,7 +302,7 @@
         self.now = until;
     }
 
-    /// Lets time pass until something is so; how long that took, none where the limit came first.
+    /// Advances virtual time until a condition holds; returns how long that took, `None` if the limit came first.
     ///
     /// ```
     /// use scale_model::{Fleet, Load, CURRENT_SIZE};
@@ -371,3 +379,7 @@
         }
     }
 }
+
+fn default_settings() -> config::Settings {
+    config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).unwrap_or_default()
+}
--- a/crates/scale-model/src/lib.rs
+++ b/crates/scale-model/src/lib.rs
@@ -1,5 +1,6 @@
-//! Hollow nodes: the daemons' own cores by the hundred in one process, in virtual time, to count what they say and
-//! what they cost at sizes that no machine here could run.
+//! A scale model of a deployment: the daemons' sans-I/O cores by the hundred in one process and in virtual time, to
+//! count the messages they send and measure the processor time they use at sizes that one machine couldn't run.
+//! The command line calls such nodes "hollow".
 
 mod call_tracker;
 pub mod changes;
--- a/crates/scale-model/src/request.rs
+++ b/crates/scale-model/src/request.rs
@@ -1,5 +1,5 @@
-//! What a request costs a proxy's processor away from its sockets: routing over a view of some size, a directory
-//! look-up, and what a node does with its view in between.
+//! The processor time of a request in a proxy without its sockets: routing over a view of some size, a directory
+//! look-up, and what a data node does with its view in between.
 
 use super::figures::Figures;
 use super::size::Size;
@@ -11,10 +11,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// How many requests the command measures.
 const REQUESTS: usize = 20_000;
+/// At most this many directory look-ups are measured.
+const MAX_LOOKUPS: usize = 2000;
+/// How often everything else is measured.
+const REPETITIONS: usize = 20;
+/// The virtual time of every measurement.
 const NOW: Duration = Duration::from_secs(100);
+const LIFETIME: Duration = Duration::from_secs(2);
 
-/// Measures the path at a size.
+/// Measures the path of this many requests, and what a data node does with its view in between: the mean, median and
+/// 99th percentile of each step's processor time in microseconds.
 ///
 /// ```
 /// let figures = scale_model::request_path(&scale_model::CURRENT_SIZE, 50);
@@ -22,87 +30,110 @@
 /// ```
 pub fn request_path(size: &Size, requests: usize) -> Figures {
     let mut view = view(size);
-    let board = ProxyStats::default();
-    let site = ProxyContext::new(
+    let stats = ProxyStats::default();
+    let mut figures = Figures::default();
+    measure_routing(&mut figures, size, &view, &stats, requests);
+    measure_lookups(&mut figures, size, &view, requests.min(MAX_LOOKUPS));
+    measure_view_upkeep(&mut figures, size, &view, &stats);
+    measure_heartbeat_update(&mut figures, size, &mut view);
+    figures
+}
+
+/// The default number of requests.
+pub fn measure_request_path(size: &Size) -> Figures {
+    request_path(size, REQUESTS)
+}
+
+fn measure_routing(
+    figures: &mut Figures,
+    size: &Size,
+    view: &View,
+    stats: &ProxyStats,
+    requests: usize,
+) {
+    let context = ProxyContext::new(
         "carrier-0",
         view.proxies[0].locality.clone(),
-        Duration::from_secs(2),
+        LIFETIME,
         Duration::ZERO,
     );
-    let mut figures = Figures::default();
     let mut served = 0;
-    let took: Vec<Duration> = (0..requests)
-        .map(|at| {
-            let order = order(size, at);
-            let watch = Stopwatch::start();
-            served += usize::from(route_request(order, &site, &view, &board));
-            watch.took()
-        })
-        .collect();
+    let mut times = Vec::with_capacity(requests);
+    for at in 0..requests {
+        let request = request(size, at);
+        let watch = Stopwatch::start();
+        served += usize::from(route_request(request, &context, view, stats));
+        times.push(watch.took());
+    }
     figures.add("served", served as f64);
-    spread(&mut figures, "journey", took);
-    let looked = (0..requests.min(2000)).map(|at| {
-        let (name, client) = (
-            format!("name-{}", at % size.routes),
-            &view.proxies[at % view.proxies.len()].locality,
-        );
+    add_times(figures, "journey", times);
+}
+
+fn measure_lookups(figures: &mut Figures, size: &Size, view: &View, lookups: usize) {
+    let options = name_directory::LookupOptions {
+        ownership: name_directory::OwnershipMode::SingleZone,
+        max_proxies: 3,
+        lifetime: LIFETIME,
+    };
+    let mut times = Vec::with_capacity(lookups);
+    for at in 0..lookups {
+        let name = format!("name-{}", at % size.routes);
+        let client = &view.proxies[at % view.proxies.len()].locality;
         let watch = Stopwatch::start();
-        let listed = name_directory::lookup(
-            &view,
-            &name,
-            client,
-            &name_directory::LookupOptions {
-                ownership: name_directory::OwnershipMode::SingleZone,
-                max_proxies: 3,
-                lifetime: Duration::from_secs(2),
-            },
-        );
-        assert!(black_box(listed).is_ok(), "{name} has an owner");
-        watch.took()
-    });
-    spread(&mut figures, "look-up", looked.collect());
-    (0..size.upstreams).for_each(|at| drop(board.upstream(&format!("unit-{at}"))));
-    let known = |instance: &str| {
+        let answer = name_directory::lookup(view, &name, client, &options);
+        assert!(black_box(answer).is_ok(), "{name} has an owner");
+        times.push(watch.took());
+    }
+    add_times(figures, "look-up", times);
+}
+
+/// What a data node does with its counters and view beside requests.
+fn measure_view_upkeep(figures: &mut Figures, size: &Size, view: &View, stats: &ProxyStats) {
+    for at in 0..size.upstreams {
+        drop(stats.upstream(&format!("unit-{at}")));
+    }
+    let is_known = |instance: &str| {
         view.upstreams
             .values()
             .any(|known| known.contains_key(instance))
     };
-    spread(&mut figures, "sweep", times(|| board.sweep(NOW, known)));
-    spread(
-        &mut figures,
+    add_times(
+        figures,
+        "sweep",
+        repeat_timed(|| stats.sweep(NOW, is_known)),
+    );
+    add_times(
+        figures,
         "publish",
-        times(|| drop(black_box(view.clone()))),
+        repeat_timed(|| drop(black_box(view.clone()))),
     );
-    let mut moved = view.clone();
-    spread(
-        &mut figures,
+    let mut updated = view.clone();
+    add_times(
+        figures,
         "settle-senders",
-        times(|| moved.update_senders(NOW)),
+        repeat_timed(|| updated.update_senders(NOW)),
     );
-    // A heartbeat that reports another capacity, while requests hold the view before it.
-    let change = || ViewUpdate {
-        upstreams: vec![upstream(size, 7)],
-        ..ViewUpdate::default()
-    };
-    let took = (0..20).map(|_| {
-        let (held, update) = (view.clone(), change());
-        let watch = Stopwatch::start();
-        let taken = view.apply_update(update, false);
-        let took = watch.took();
-        assert!(taken.is_ok(), "no setup to misread");
-        drop(held);
-        took
-    });
-    spread(&mut figures, "one-change", took.collect());
-    figures
 }
 
-/// The default number of requests.
-pub fn measure_request_path(size: &Size) -> Figures {
-    request_path(size, REQUESTS)
+/// A heartbeat that reports another capacity, while requests still read the view before it.
+fn measure_heartbeat_update(figures: &mut Figures, size: &Size, view: &mut View) {
+    let mut times = Vec::with_capacity(REPETITIONS);
+    for _ in 0..REPETITIONS {
+        let view_in_use = view.clone();
+        let update = ViewUpdate {
+            upstreams: vec![upstream(size, 7)],
+            ..ViewUpdate::default()
+        };
+        let watch = Stopwatch::start();
+        let applied = view.apply_update(update, false);
+        times.push(watch.took());
+        assert!(applied.is_ok(), "the update carries no configuration");
+        drop(view_in_use);
+    }
+    add_times(figures, "one-change", times);
 }
 
-fn order(size: &Size, at: usize) -> RequestInfo {
+fn request(size: &Size, at: usize) -> RequestInfo {
     RequestInfo {
         attempt_id: format!("try-{at}"),
         name: format!("name-{}", at % size.routes),
@@ -114,41 +145,47 @@
     }
 }
 
-/// From the choice to the verdict; true where it was sent.
-fn route_request(order: RequestInfo, site: &ProxyContext, view: &View, board: &ProxyStats) -> bool {
-    let mut route_request = RequestState::new(order, site.clone());
-    match route_request.start(NOW, view, board) {
+/// Takes a request from the choice of its upstream to its outcome; returns whether it was sent.
+fn route_request(
+    request: RequestInfo,
+    context: &ProxyContext,
+    view: &View,
+    stats: &ProxyStats,
+) -> bool {
+    let mut state = RequestState::new(request, context.clone());
+    match state.start(NOW, view, stats) {
         NextStep::Connect { .. } => {
-            let sent = matches!(
-                route_request.on_connected(NOW, view, board),
-                NextStep::Send { .. }
-            );
-            route_request.on_outcome(NOW, view, board, CallOutcome::Complete);
+            let sent = matches!(state.on_connected(NOW, view, stats), NextStep::Send { .. });
+            state.on_outcome(NOW, view, stats, CallOutcome::Complete);
             sent
         }
         _ => false,
     }
 }
 
-fn times(mut act: impl FnMut()) -> Vec<Duration> {
-    let timed = (0..20).map(|_| {
+fn repeat_timed(mut act: impl FnMut()) -> Vec<Duration> {
+    let times = (0..REPETITIONS).map(|_| {
         let watch = Stopwatch::start();
         act();
         watch.took()
     });
-    timed.collect()
+    times.collect()
 }
 
-fn spread(figures: &mut Figures, name: &str, mut took: Vec<Duration>) {
-    took.sort();
-    let micros =
-        |part: usize| took[(took.len() * part / 1000).min(took.len() - 1)].as_secs_f64() * 1e6;
-    let mean = took.iter().sum::<Duration>().as_secs_f64() * 1e6 / took.len() as f64;
+/// Adds the mean, median and 99th percentile in microseconds.
+fn add_times(figures: &mut Figures, name: &str, mut times: Vec<Duration>) {
+    times.sort();
+    let micros = |per_mille: usize| {
+        let rank = (times.len() * per_mille / 1000).min(times.len() - 1);
+        times[rank].as_secs_f64() * 1e6
+    };
+    let mean = times.iter().sum::<Duration>().as_secs_f64() * 1e6 / times.len() as f64;
     figures.add(format!("{name}.us"), mean);
     figures.add(format!("{name}.us.p50"), micros(500));
     figures.add(format!("{name}.us.p99"), micros(990));
 }
 
+/// The record of the upstream with index `at`, as its heartbeats report it.
 pub(super) fn upstream(size: &Size, at: usize) -> Upstream {
     Upstream {
         service: format!("service-{}", at % size.services),
@@ -173,16 +210,16 @@
     let shares = (0..size.services)
         .filter(|service| size.is_keyed(*service))
         .map(|service| {
-            let holders: Vec<usize> = (0..size.upstreams)
+            let owners: Vec<usize> = (0..size.upstreams)
                 .filter(|at| at % size.services == service)
                 .collect();
             let given = (0..key_space::SLOT_COUNT)
-                .filter(|_| !holders.is_empty())
+                .filter(|_| !owners.is_empty())
                 .map(|slot| protocol::KeyShare {
                     from: slot,
                     until: slot + 1,
                     epoch: 1,
-                    instance: format!("unit-{}", holders[slot as usize % holders.len().max(1)]),
+                    instance: format!("unit-{}", owners[slot as usize % owners.len().max(1)]),
                     ..protocol::KeyShare::default()
                 });
             protocol::ServiceKeyShares {
@@ -199,7 +236,7 @@
     }
 }
 
-/// A fresh view: the site's configuration, and every name owned by the first proxy's zone, as for a proxy that serves them all.
+/// A fresh view of a whole deployment, as a proxy holds it that serves every name.
 fn view(size: &Size) -> View {
     let mut view = View::default();
     let update = ViewUpdate {
@@ -213,7 +250,7 @@
         ..ViewUpdate::default()
     };
     view.apply_update(update, true)
-        .expect("the setup is well-formed");
+        .expect("the configuration is well-formed");
     let proxies = (0..size.nodes).map(|at| Proxy {
         node: format!("carrier-{at}"),
         locality: size.locality(size.zone(at)).parse().unwrap_or_default(),
--- a/crates/scale-model/src/size.rs
+++ b/crates/scale-model/src/size.rs
@@ -1,18 +1,25 @@
-//! How large a hollow site is, and where everything in it stands.
+//! The dimensions of a modelled deployment, and the zone and region that each of its processes runs in.
 
-/// The numbers that a site is made of.
+/// The dimensions of a modelled deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
+    /// Data-plane nodes.
     pub nodes: usize,
+    /// Control-plane nodes that vote.
     pub control_nodes: usize,
+    /// Upstream instances of all services together.
     pub upstreams: usize,
+    /// Services that the upstreams are divided among evenly.
     pub services: usize,
+    /// Routes of the configuration, each with a name of its own.
     pub routes: usize,
+    /// Regions that the zones are divided among evenly.
     pub regions: usize,
+    /// Zones of all regions together.
     pub zones: usize,
 }
 
-/// Roadwise as it is.
+/// Roadwise's deployment as it is today.
 pub const CURRENT_SIZE: Size = Size {
     nodes: 13,
     control_nodes: 6,
@@ -23,7 +30,7 @@
     zones: 6,
 };
 
-/// The size that the site is designed for.
+/// The size that mothspindle is designed for.
 pub const TARGET_SIZE: Size = Size {
     nodes: 1200,
     control_nodes: 6,
@@ -35,7 +42,8 @@
 };
 
 impl Size {
-    /// The target shrunk to so many nodes, in everything alike; never smaller than today.
+    /// The target size scaled down in proportion to this number of data-plane nodes; no dimension falls below
+    /// [`CURRENT_SIZE`].
     ///
     /// ```
     /// use scale_model::{Size, TARGET_SIZE};
@@ -55,7 +63,7 @@
         }
     }
 
-    /// The zone of machine number `at`.
+    /// The zone of the process with index `at`.
     ///
     /// ```
     /// assert_eq!(scale_model::CURRENT_SIZE.zone(7), 1);
@@ -64,7 +72,7 @@
         at % self.zones.max(1)
     }
 
-    /// The zone of upstream number `at`: one service's upstreams stand in as many zones as there are of them.
+    /// The zone of the upstream with index `at`: a service's upstreams are spread over as many zones as possible.
     ///
     /// ```
     /// use scale_model::CURRENT_SIZE;
@@ -85,7 +93,7 @@
         zone % self.regions.max(1)
     }
 
-    /// A zone in text form.
+    /// A zone's locality in text form.
     ///
     /// ```
     /// assert_eq!(scale_model::CURRENT_SIZE.locality(4), "region-1/zone-4");
@@ -94,7 +102,7 @@
         format!("region-{}/zone-{zone}", self.region(zone))
     }
 
-    /// True where a service's keys have one holder each: every third, as on the sites of today.
+    /// Whether each key of this service has exactly one owner: every third service, as in today's deployment.
     ///
     /// ```
     /// assert!(scale_model::CURRENT_SIZE.is_keyed(2));
@@ -103,7 +111,7 @@
         service % 3 == 2
     }
 
-    /// A configuration with a name for each route; `extra` adds routes.
+    /// A configuration in JSON with a name for each route and `extra` further routes.
     ///
     /// ```
     /// let configuration = config::Configuration::parse(scale_model::CURRENT_SIZE.configuration(1).as_bytes()).unwrap();
--- a/crates/scale-model/src/traffic_stats.rs
+++ b/crates/scale-model/src/traffic_stats.rs
@@ -1,4 +1,5 @@
-//! What is counted: messages and their encoded bytes by role, kind and reach, and the time spent in step functions.
+//! Counters: messages and their encoded bytes by role, kind and reach, and the processor time spent in step
+//! functions.
 
 use protocol::Payload;
 use std::collections::BTreeMap;
@@ -6,19 +7,22 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// What a process does at the moment.
+/// What a process currently does in the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
+    /// A data-plane node.
     DataNode,
-    /// A control node without the placement role.
+    /// A voting control node without the placement lease.
     Voter,
-    /// The control node that holds it.
+    /// The control node that holds the placement lease.
     Holder,
-    /// A control node that has no vote.
+    /// A control node without a vote.
     Replica,
+    /// An upstream instance.
     Upstream,
 }
 
+/// All roles, in the order of the printed tables.
 pub const ROLES: [Role; 5] = [
     Role::DataNode,
     Role::Voter,
@@ -40,14 +44,18 @@
     }
 }
 
-/// How far a message goes.
+/// How far apart a message's sender and receiver are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reach {
+    /// Both are in the same zone.
     Zone,
+    /// They are in different zones of the same region.
     Region,
+    /// They are in different regions.
     Far,
 }
 
+/// All reaches, the nearest first.
 pub const REACHES: [Reach; 3] = [Reach::Zone, Reach::Region, Reach::Far];
 
 impl fmt::Display for Reach {
@@ -61,15 +69,18 @@
     }
 }
 
-/// Messages and their bytes.
+/// A number of messages and their size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flow {
+    /// The number of messages.
     pub messages: u64,
+    /// Their encoded size in bytes, framing included.
     pub bytes: u64,
 }
 
 impl Flow {
-    fn add(&mut self, bytes: u64) {
+    /// Counts one message.
+    pub(crate) fn add(&mut self, bytes: u64) {
         self.messages += 1;
         self.bytes += bytes;
     }
@@ -84,17 +95,20 @@
     }
 }
 
-/// Steps of one kind and the time they took.
+/// Calls of a step function with one kind of cause, and the processor time they used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StepStats {
+    /// The number of calls.
     pub count: u64,
+    /// Processor time of all calls together.
     pub took: Duration,
+    /// Processor time of the longest call.
     pub most: Duration,
 }
 
 type FlowKey = (Role, Role, &'static str, Reach);
 
-/// All counts of a window.
+/// All counters of one measured window.
 #[derive(Default)]
 pub struct TrafficStats {
     flows: BTreeMap<FlowKey, Flow>,
@@ -104,7 +118,7 @@
 }
 
 impl TrafficStats {
-    /// Notes one message on its way.
+    /// Counts one message of `bytes` encoded bytes.
     ///
     /// ```
     /// use scale_model::{TrafficStats, Reach, Role};
@@ -118,7 +132,7 @@
         self.flows.entry(way).or_default().add(bytes);
     }
 
-    /// Notes one step of a process.
+    /// Counts one call of a process's step function.
     ///
     /// ```
     /// use scale_model::{TrafficStats, Role};
@@ -135,7 +149,7 @@
         *self.busy.entry((role, node)).or_default() += took;
     }
 
-    /// What left the processes of a role.
+    /// Messages that processes of a role sent, over one reach or over all.
     ///
     /// ```
     /// use scale_model::{TrafficStats, Role};
@@ -145,7 +159,7 @@
         self.sum(|way| way.0 == role && reach.is_none_or(|reach| way.3 == reach))
     }
 
-    /// What came in to the processes of a role.
+    /// Messages addressed to processes of a role, over one reach or over all.
     ///
     /// ```
     /// use scale_model::{TrafficStats, Role};
@@ -155,7 +169,7 @@
         self.sum(|way| way.1 == role && reach.is_none_or(|reach| way.3 == reach))
     }
 
-    /// Everything.
+    /// All messages.
     ///
     /// ```
     /// use scale_model::TrafficStats;
@@ -173,7 +187,7 @@
             .sum()
     }
 
-    /// Everything by kind.
+    /// All messages by kind.
     ///
     /// ```
     /// use scale_model::{TrafficStats, Reach, Role};
@@ -192,7 +206,7 @@
             })
     }
 
-    /// Out of and into a role, by kind.
+    /// Messages sent by and addressed to processes of a role, by kind.
     ///
     /// ```
     /// use scale_model::{TrafficStats, Role};
@@ -215,7 +229,7 @@
         kinds
     }
 
-    /// The steps of a role by what caused them.
+    /// The steps of a role's processes by cause.
     ///
     /// ```
     /// use scale_model::{TrafficStats, Role};
@@ -229,7 +243,7 @@
             .collect()
     }
 
-    /// The time in step functions of each process of a role.
+    /// The processor time that each process of a role spent in step functions.
     ///
     /// ```
     /// use scale_model::{TrafficStats, Role};
@@ -244,19 +258,19 @@
     }
 }
 
-/// The processor's time that this thread has used: what others take of the machine doesn't count.
+/// The processor time used by this thread: other threads and processes on the machine don't count.
 fn processor_time() -> Duration {
     let used = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Duration::new(used.tv_sec.max(0) as u64, used.tv_nsec.max(0) as u32)
 }
 
-/// What something takes of the processor, less what it takes to look at the clock.
+/// Measures processor time, less the cost of reading the clock.
 pub struct Stopwatch {
     started_at: Duration,
 }
 
 impl Stopwatch {
-    /// Starts.
+    /// Starts measuring.
     ///
     /// ```
     /// assert!(scale_model::Stopwatch::start().took() < std::time::Duration::from_secs(1));
@@ -267,7 +281,7 @@
         }
     }
 
-    /// The time since then.
+    /// The processor time used by this thread since the start.
     ///
     /// ```
     /// let watch = scale_model::Stopwatch::start();
@@ -291,7 +305,8 @@
 
 static MEASURING_COST: OnceLock<Duration> = OnceLock::new();
 
-/// A message's kind as the tables name it.
+/// A message's kind as the printed tables and figures name it. The names are part of the output's format: recorded
+/// runs are compared by them.
 ///
 /// ```
 /// assert_eq!(scale_model::kind(&protocol::Payload::UpstreamsRequest(Default::default())), "roll ask");
--- a/crates/scale-model/src/trials.rs
+++ b/crates/scale-model/src/trials.rs
@@ -1,11 +1,11 @@
-//! What is done to a hollow site, and what is noted of it.
+//! Trials: what is done to a modelled deployment, and the figures that are recorded.
 
 use super::figures::{Figures, print_kinds};
 use super::fleet::{Fleet, Load};
 use super::size::Size;
 use std::time::{Duration, Instant};
 
-/// What is tried.
+/// The trials' names and descriptions.
 pub const TRIALS: [(&str, &str); 11] = [
     ("idle", "nothing happens; upstreams beat"),
     ("config", "a setup with one further route"),
@@ -39,22 +39,28 @@
 ];
 
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// Keys are given out anew only so long after a holder's claim.
+/// How long after a placement lease is acquired keys are granted anew.
 pub const SETTLING_TIME: Duration = Duration::from_secs(6);
 const NOTICE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// One run's orders.
+/// The parameters of one run.
 #[derive(Clone, Debug)]
 pub struct Run {
+    /// The deployment's dimensions.
     pub size: Size,
+    /// How much virtual time is measured.
     pub window: Duration,
+    /// The seed of all random draws.
     pub seed: u64,
+    /// The name of one of the trials.
     pub what: String,
+    /// The load on the deployment.
     pub load: Load,
-    /// How long the site has been up before anything is done or counted.
+    /// How long the deployment serves, in virtual time, before anything is done or counted.
     pub settle: Duration,
-    /// Control nodes without a vote, beside the voters.
+    /// Control nodes without a vote, in addition to the voters.
     pub replicas: usize,
+    /// Whether to print tables by kind of message and cause of step.
     pub kinds: bool,
 }
 
@@ -115,7 +121,7 @@
     Ok(figures)
 }
 
-/// A site that serves every name at every data node, and how long that took.
+/// A deployment in which every data node serves every name, and how long that took.
 fn site(run: &Run) -> Result<(Fleet, Duration), String> {
     let mut fleet = Fleet::new(run.size, run.seed, run.load);
     fleet.run_for(Duration::from_secs(3));
@@ -137,7 +143,7 @@
     took.map(|took| took.as_secs_f64()).unwrap_or(f64::NAN)
 }
 
-/// Until the revision is in force at every data node, counted from the asking.
+/// Submits a configuration and waits until its revision is in force at every data node.
 fn config(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
     fleet.submit(1);
     let first = fleet.run_until(READY_TIMEOUT, |fleet| fleet.accepted().is_some());
