--- a/crates/scale-model/src/event_queue.rs
+++ b/crates/scale-model/src/event_queue.rs
@@ -33,11 +33,11 @@
         upstream: usize,
         incarnation: u64,
     },
-    HeartbeatComes {
+    HeartbeatArrived {
         node: usize,
         upstream: usize,
         incarnation: u64,
-        told: Box<Upstream>,
+        record: Box<Upstream>,
     },
     HeartbeatAnswered {
         upstream: usize,
--- a/crates/scale-model/src/fleet.rs
+++ b/crates/scale-model/src/fleet.rs
@@ -4,7 +4,7 @@
 use super::event_queue::{Queue, ScheduledEvent};
 use super::size::Size;
 use super::traffic_stats::{Role, TrafficStats, kind};
-use super::upstreams::HollowUpstream;
+use super::upstreams::{HollowUpstream, PendingHeartbeat};
 use control_plane::ControlNode;
 use data_plane::DataNode;
 use name_directory::View;
@@ -60,13 +60,14 @@
     pub(super) queue: Queue,
     pub(super) nodes: Vec<Node>,
     pub(super) upstreams: Vec<HollowUpstream>,
-    /// Upstream, incarnation and heartbeat number of those that wait for an answer.
-    pub(super) heartbeats: HashMap<u64, (usize, u64, u64)>,
+    /// Unanswered heartbeats by request id.
+    pub(super) heartbeats: HashMap<u64, PendingHeartbeat>,
     pub(super) stats: TrafficStats,
     pub(super) named: HashMap<String, usize>,
     pub(super) in_order: HashMap<(usize, usize), Duration>,
     pub(super) tokens: u64,
-    pub(super) submitted: HashMap<u64, (u32, Vec<u8>)>,
+    /// The submission's number by request id.
+    pub(super) submitted: HashMap<u64, u32>,
     /// The revision that the last configuration was accepted as, and when.
     pub(super) accepted: Option<(u64, Duration)>,
     pub(super) pending: u32,
@@ -365,16 +366,16 @@
                 upstream,
                 incarnation,
             } => self.heartbeat(upstream, incarnation),
-            ScheduledEvent::HeartbeatComes {
+            ScheduledEvent::HeartbeatArrived {
                 node,
                 upstream,
                 incarnation,
-                told,
-            } => self.receive_heartbeat(node, upstream, incarnation, *told),
+                record,
+            } => self.receive_heartbeat(node, upstream, incarnation, *record),
             ScheduledEvent::HeartbeatAnswered { upstream, answered } => {
                 self.receive_heartbeat_response(upstream, answered)
             }
-            ScheduledEvent::Submit { bytes, requested } => self.ask_to_submit(bytes, requested),
+            ScheduledEvent::Submit { bytes, requested } => self.try_submit(bytes, requested),
             ScheduledEvent::Result { requested, answer } => self.result(requested, &answer),
         }
     }
--- a/crates/scale-model/src/lib.rs
+++ b/crates/scale-model/src/lib.rs
@@ -25,5 +25,5 @@
 pub use fleet::{Fleet, Load};
 pub use request::request_path;
 pub use size::{CURRENT_SIZE, Size, TARGET_SIZE};
-pub use traffic_stats::{Flow, Reach, Role, StepStats, Stopwatch, TrafficStats, kind};
+pub use traffic_stats::{Flow, FlowKey, Reach, Role, StepStats, Stopwatch, TrafficStats, kind};
 pub use trials::{Run, SETTLING_TIME, TRIALS, run};
--- a/crates/scale-model/src/observation.rs
+++ b/crates/scale-model/src/observation.rs
@@ -31,7 +31,7 @@
         );
     }
 
-    pub(super) fn ask_to_submit(&mut self, bytes: Vec<u8>, requested: u32) {
+    pub(super) fn try_submit(&mut self, bytes: Vec<u8>, requested: u32) {
         if requested != self.pending || self.accepted.is_some() {
             return;
         }
@@ -39,8 +39,7 @@
             return;
         };
         let request_id = self.request_id();
-        self.submitted
-            .insert(request_id, (requested, bytes.clone()));
+        self.submitted.insert(request_id, requested);
         let ask = ControlRequest::SubmitConfiguration {
             id: format!("setup-{requested}").into(),
             base: None,
@@ -65,7 +64,7 @@
         if !self.answer_heartbeat(at, request_id, &answer) && !self.answer_call(request_id, &answer)
         {
             let requested = self.submitted.remove(&request_id);
-            requested.into_iter().for_each(|(requested, _)| {
+            requested.into_iter().for_each(|requested| {
                 self.queue.push(
                     self.now,
                     ScheduledEvent::Result {
--- a/crates/scale-model/src/steps.rs
+++ b/crates/scale-model/src/steps.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::{ScheduledEvent, Write};
 use super::fleet::{Core, Fleet};
-use super::traffic_stats::{Reach, Role, Stopwatch, kind};
+use super::traffic_stats::{FlowKey, Reach, Role, Stopwatch, kind};
 use protocol::{Envelope, Message, Payload};
 use std::time::Duration;
 
@@ -166,13 +166,13 @@
         };
         let bytes = envelope.encoded_len() + if reliable { FRAME } else { 0 };
         let (here, there) = (self.nodes[from].zone, self.nodes[to].zone);
-        let way = (
-            self.nodes[from].role,
-            self.nodes[to].role,
+        let key = FlowKey {
+            from: self.nodes[from].role,
+            to: self.nodes[to].role,
             kind,
-            self.reach(here, there),
-        );
-        self.stats.sent(way, bytes as u64);
+            reach: self.reach(here, there),
+        };
+        self.stats.sent(key, bytes as u64);
         let (Some(delay), Some(body)) = (self.delay(here, there), envelope.body) else {
             return;
         };
--- a/crates/scale-model/src/traffic_stats.rs
+++ b/crates/scale-model/src/traffic_stats.rs
@@ -106,7 +106,18 @@
     pub most: Duration,
 }
 
-type FlowKey = (Role, Role, &'static str, Reach);
+/// What messages are counted by; the order of the fields is the order of the counters.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct FlowKey {
+    /// The sender's role.
+    pub from: Role,
+    /// The receiver's role.
+    pub to: Role,
+    /// The message's kind, as [`kind`] names it.
+    pub kind: &'static str,
+    /// How far apart sender and receiver are.
+    pub reach: Reach,
+}
 
 /// All counters of one measured window.
 #[derive(Default)]
@@ -121,15 +132,16 @@
     /// Counts one message of `bytes` encoded bytes.
     ///
     /// ```
-    /// use scale_model::{TrafficStats, Reach, Role};
+    /// use scale_model::{FlowKey, TrafficStats, Reach, Role};
     /// let mut stats = TrafficStats::default();
-    /// stats.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
+    /// let key = FlowKey { from: Role::DataNode, to: Role::Voter, kind: "probe", reach: Reach::Far };
+    /// stats.sent(key, 100);
     /// assert_eq!(stats.out(Role::DataNode, None).bytes, 100);
     /// assert_eq!(stats.received_by(Role::Voter, Some(Reach::Far)).messages, 1);
     /// assert_eq!(stats.received_by(Role::Voter, Some(Reach::Zone)).messages, 0);
     /// ```
-    pub fn sent(&mut self, way: FlowKey, bytes: u64) {
-        self.flows.entry(way).or_default().add(bytes);
+    pub fn sent(&mut self, key: FlowKey, bytes: u64) {
+        self.flows.entry(key).or_default().add(bytes);
     }
 
     /// Counts one call of a process's step function.
@@ -156,7 +168,7 @@
     /// assert_eq!(TrafficStats::default().out(Role::Voter, None).messages, 0);
     /// ```
     pub fn out(&self, role: Role, reach: Option<Reach>) -> Flow {
-        self.sum(|way| way.0 == role && reach.is_none_or(|reach| way.3 == reach))
+        self.sum(|key| key.from == role && reach.is_none_or(|reach| key.reach == reach))
     }
 
     /// Messages addressed to processes of a role, over one reach or over all.
@@ -166,7 +178,7 @@
     /// assert_eq!(TrafficStats::default().received_by(Role::Voter, None).bytes, 0);
     /// ```
     pub fn received_by(&self, role: Role, reach: Option<Reach>) -> Flow {
-        self.sum(|way| way.1 == role && reach.is_none_or(|reach| way.3 == reach))
+        self.sum(|key| key.to == role && reach.is_none_or(|reach| key.reach == reach))
     }
 
     /// All messages.
@@ -182,7 +194,7 @@
     fn sum(&self, counts: impl Fn(&FlowKey) -> bool) -> Flow {
         self.flows
             .iter()
-            .filter(|(way, _)| counts(way))
+            .filter(|(key, _)| counts(key))
             .map(|(_, flow)| *flow)
             .sum()
     }
@@ -190,20 +202,22 @@
     /// All messages by kind.
     ///
     /// ```
-    /// use scale_model::{TrafficStats, Reach, Role};
+    /// use scale_model::{FlowKey, TrafficStats, Reach, Role};
     /// let mut stats = TrafficStats::default();
-    /// stats.sent((Role::DataNode, Role::Voter, "probe", Reach::Far), 100);
+    /// let key = FlowKey { from: Role::DataNode, to: Role::Voter, kind: "probe", reach: Reach::Far };
+    /// stats.sent(key, 100);
     /// assert_eq!(stats.totals()["probe"].bytes, 100);
     /// ```
     pub fn totals(&self) -> BTreeMap<&'static str, Flow> {
-        self.flows
-            .iter()
-            .fold(BTreeMap::new(), |mut totals, ((_, _, kind, _), flow)| {
+        self.flows.iter().fold(
+            BTreeMap::new(),
+            |mut totals, (FlowKey { kind, .. }, flow)| {
                 let total: &mut Flow = totals.entry(kind).or_default();
                 total.messages += flow.messages;
                 total.bytes += flow.bytes;
                 totals
-            })
+            },
+        )
     }
 
     /// Messages sent by and addressed to processes of a role, by kind.
@@ -214,17 +228,19 @@
     /// ```
     pub fn kinds(&self, role: Role) -> BTreeMap<&'static str, (Flow, Flow)> {
         let mut kinds: BTreeMap<&'static str, (Flow, Flow)> = BTreeMap::new();
-        self.flows.iter().for_each(|((from, to, kind, _), flow)| {
-            let (out, into) = kinds.entry(kind).or_default();
-            *out = [*out, *flow]
-                .into_iter()
-                .take(1 + usize::from(*from == role))
-                .sum();
-            *into = [*into, *flow]
-                .into_iter()
-                .take(1 + usize::from(*to == role))
-                .sum();
-        });
+        self.flows
+            .iter()
+            .for_each(|(FlowKey { from, to, kind, .. }, flow)| {
+                let (out, into) = kinds.entry(kind).or_default();
+                *out = [*out, *flow]
+                    .into_iter()
+                    .take(1 + usize::from(*from == role))
+                    .sum();
+                *into = [*into, *flow]
+                    .into_iter()
+                    .take(1 + usize::from(*to == role))
+                    .sum();
+            });
         kinds.retain(|_, (out, into)| out.messages + into.messages > 0);
         kinds
     }
--- a/crates/scale-model/src/upstreams.rs
+++ b/crates/scale-model/src/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::ScheduledEvent;
 use super::fleet::Fleet;
-use super::traffic_stats::Role;
+use super::traffic_stats::{FlowKey, Role};
 use config::JsonValue;
 use control_plane::{ControlRequest, ControlResponse};
 use protocol::{KeyShare, Upstream};
@@ -18,10 +18,17 @@
     pub up: bool,
     pub incarnation: u64,
     keyed: bool,
-    told: Upstream,
+    record: Upstream,
 }
 
-/// The answer to a heartbeat on its way back.
+/// A heartbeat that a control node hasn't answered yet.
+pub(super) struct PendingHeartbeat {
+    upstream: usize,
+    incarnation: u64,
+    heartbeat_number: u64,
+}
+
+/// The response to a heartbeat on its way back.
 pub struct HeartbeatResponse {
     pub incarnation: u64,
     pub heartbeat_number: u64,
@@ -33,7 +40,7 @@
         (0..self.size.upstreams).for_each(|at| {
             let zone = self.size.upstream_zone(at);
             let service = at % self.size.services.max(1);
-            let told = Upstream {
+            let record = Upstream {
                 service: format!("service-{service}"),
                 instance: format!("unit-{at}"),
                 address: format!("10.{}.{}.{}:8080", at / 62_500, at / 250 % 250, at % 250),
@@ -48,7 +55,7 @@
                 up: true,
                 incarnation: 1,
                 keyed,
-                told,
+                record,
             });
             let first = Duration::from_secs(1) + Duration::from_micros(self.random.below(500_000));
             self.queue.push(
@@ -87,26 +94,31 @@
             return;
         };
         let upstream = &mut self.upstreams[at];
-        upstream.told.heartbeat_number += 1;
+        upstream.record.heartbeat_number += 1;
         if changes {
-            upstream.told.free_slots = free;
+            upstream.record.free_slots = free;
         }
-        let (told, zone, incarnation) =
-            (upstream.told.clone(), upstream.zone, upstream.incarnation);
-        let bytes = described(&told).to_string().len();
+        let (record, zone, incarnation) =
+            (upstream.record.clone(), upstream.zone, upstream.incarnation);
+        let bytes = described(&record).to_string().len();
         let reach = self.reach(zone, self.nodes[control].zone);
         let to = self.nodes[control].role;
-        self.stats
-            .sent((Role::Upstream, to, "beat", reach), bytes as u64);
+        let key = FlowKey {
+            from: Role::Upstream,
+            to,
+            kind: "beat",
+            reach,
+        };
+        self.stats.sent(key, bytes as u64);
         if let Some(delay) = self.delay(zone, self.nodes[control].zone) {
-            let told = Box::new(told);
+            let record = Box::new(record);
             self.queue.push(
                 self.now + delay,
-                ScheduledEvent::HeartbeatComes {
+                ScheduledEvent::HeartbeatArrived {
                     node: control,
                     upstream: at,
                     incarnation,
-                    told,
+                    record,
                 },
             );
         }
@@ -117,17 +129,21 @@
         node: usize,
         upstream: usize,
         incarnation: u64,
-        told: Upstream,
+        record: Upstream,
     ) {
         let request_id = self.request_id();
-        self.heartbeats
-            .insert(request_id, (upstream, incarnation, told.heartbeat_number));
+        let pending = PendingHeartbeat {
+            upstream,
+            incarnation,
+            heartbeat_number: record.heartbeat_number,
+        };
+        self.heartbeats.insert(request_id, pending);
         self.step_control(
             node,
             "beat",
             control_plane::Event::ControlRequest {
                 request_id,
-                request: ControlRequest::Heartbeat(told),
+                request: ControlRequest::Heartbeat(record),
             },
         );
     }
@@ -139,10 +155,14 @@
         request_id: u64,
         answer: &ControlResponse,
     ) -> bool {
-        let Some((upstream, incarnation, heartbeat_number)) = self.heartbeats.remove(&request_id)
-        else {
+        let Some(pending) = self.heartbeats.remove(&request_id) else {
             return false;
         };
+        let PendingHeartbeat {
+            upstream,
+            incarnation,
+            heartbeat_number,
+        } = pending;
         let ControlResponse::Heartbeat {
             holder,
             shares,
@@ -154,10 +174,13 @@
         let json = control_plane::heartbeat_json(*holder, shares.clone(), *span);
         let (from, to) = (self.nodes[node].zone, self.upstreams[upstream].zone);
         let (role, reach) = (self.nodes[node].role, self.reach(from, to));
-        self.stats.sent(
-            (role, Role::Upstream, "beat answer", reach),
-            json.to_string().len() as u64,
-        );
+        let key = FlowKey {
+            from: role,
+            to: Role::Upstream,
+            kind: "beat answer",
+            reach,
+        };
+        self.stats.sent(key, json.to_string().len() as u64);
         if let Some(delay) = self.delay(from, to) {
             let answered = HeartbeatResponse {
                 incarnation,
@@ -181,16 +204,16 @@
         let upstream = &mut self.upstreams[at];
         if !upstream.up
             || upstream.incarnation != incarnation
-            || upstream.told.heartbeat_number != heartbeat_number
+            || upstream.record.heartbeat_number != heartbeat_number
         {
             return;
         }
         let holder = json.count("holder").unwrap_or(0);
-        let new_holder = upstream.told.holder != holder;
-        upstream.told.holder = holder;
+        let new_holder = upstream.record.holder != holder;
+        upstream.record.holder = holder;
         if json.get("shares").is_some() {
             let given = granted_slots(&json).into_iter();
-            upstream.told.holds = given
+            upstream.record.holds = given
                 .map(|(slot, epoch)| KeyShare {
                     from: slot,
                     until: slot + 1,
@@ -207,8 +230,8 @@
 }
 
 /// A heartbeat's body as upstreams write it.
-fn described(told: &Upstream) -> JsonValue {
-    let runs = told.holds.iter().map(|share| {
+fn described(record: &Upstream) -> JsonValue {
+    let runs = record.holds.iter().map(|share| {
         JsonValue::object([
             ("from", u64::from(share.from).into()),
             ("until", u64::from(share.until).into()),
@@ -216,15 +239,15 @@
         ])
     });
     JsonValue::object([
-        ("service", told.service.as_str().into()),
-        ("instance", told.instance.as_str().into()),
-        ("address", told.address.as_str().into()),
-        ("locality", told.locality.as_str().into()),
-        ("freeSlots", u64::from(told.free_slots).into()),
-        ("warm", told.warm.into()),
+        ("service", record.service.as_str().into()),
+        ("instance", record.instance.as_str().into()),
+        ("address", record.address.as_str().into()),
+        ("locality", record.locality.as_str().into()),
+        ("freeSlots", u64::from(record.free_slots).into()),
+        ("warm", record.warm.into()),
         ("condition", "ready".into()),
-        ("holder", told.holder.into()),
-        ("beat", told.heartbeat_number.into()),
+        ("holder", record.holder.into()),
+        ("beat", record.heartbeat_number.into()),
         ("holds", runs.collect()),
     ])
 }
