--- a/crates/scale-model/src/call_tracker.rs
+++ b/crates/scale-model/src/call_tracker.rs
@@ -1,38 +1,50 @@
-//! Submissions and deregistrations that come one after the other, and how long each waits for its answer.
+//! Series of submissions and deregistrations, and how long each waits for its response.
 
 use super::fleet::Fleet;
 use control_plane::{ControlRequest, ControlResponse};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Calls to control nodes, and what came of them.
+/// How many calls were made, and how many of them were not accepted.
+pub(crate) struct CallCounts {
+    pub(crate) requested: usize,
+    /// Rejected, or without a known outcome.
+    pub(crate) rejected: usize,
+    /// Redirected to a node in contact with a majority.
+    pub(crate) redirected: usize,
+}
+
+/// Calls to control nodes and their outcomes.
 #[derive(Default)]
 pub struct CallTracker {
     requested_at: HashMap<u64, Duration>,
     requested: usize,
     rejected: usize,
-    /// Sent on to a node that is in contact with a majority.
+    /// Redirected to a node in contact with a majority.
     redirected: usize,
-    /// From the question to the answer, of those that were taken.
+    /// The response times of accepted calls.
     accepted_after: Vec<Duration>,
-    /// Revisions that were accepted and are not in force everywhere yet, and when they were asked for.
+    /// Accepted revisions that aren't in force everywhere yet, and when they were submitted.
     pending: Vec<(u64, Duration)>,
     in_force_after: Vec<Duration>,
 }
 
 impl CallTracker {
-    /// How many were made, how many of them the control nodes refused or didn't know the outcome of, and how many they
-    /// sent on.
-    pub(crate) fn counts(&self) -> (usize, usize, usize) {
-        (self.requested, self.rejected, self.redirected)
+    /// The counts so far.
+    pub(crate) fn counts(&self) -> CallCounts {
+        CallCounts {
+            requested: self.requested,
+            rejected: self.rejected,
+            redirected: self.redirected,
+        }
     }
 
-    /// How long the answers of those that were taken took.
+    /// The response times of accepted calls.
     pub(crate) fn accepted_after(&self) -> &[Duration] {
         &self.accepted_after
     }
 
-    /// How long it took from each submission until what it changed was in force at every carrier.
+    /// How long it took from each submission until what it changed was in force at every data node.
     pub(crate) fn in_force_after(&self) -> &[Duration] {
         &self.in_force_after
     }
@@ -60,7 +72,7 @@
         );
     }
 
-    /// An upstream says that it ends now, and does.
+    /// An upstream deregisters and stops.
     pub(crate) fn deregister_upstream(&mut self, at: usize) {
         let instance = format!("unit-{at}");
         self.crash_upstream(at);
@@ -84,7 +96,7 @@
         );
     }
 
-    /// True where the answer was one to such a call.
+    /// Records the response of such a call; returns whether it was one.
     pub(super) fn answer_call(&mut self, request_id: u64, answer: &ControlResponse) -> bool {
         let Some(requested_at) = self.calls.requested_at.remove(&request_id) else {
             return false;
@@ -106,14 +118,14 @@
         true
     }
 
-    /// Lets time pass, and notes which orders came into force everywhere meanwhile.
+    /// Advances virtual time and records which submissions came into force everywhere meanwhile.
     pub(crate) fn run_watching_submissions(&mut self, span: Duration, step: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.run_for(step.min(until - self.now));
             let everywhere = self
                 .views()
-                .map(|(_, _, view)| view.revision)
+                .map(|node| node.view.revision)
                 .min()
                 .unwrap_or(0);
             let now = self.now;
--- a/crates/scale-model/src/observation.rs
+++ b/crates/scale-model/src/observation.rs
@@ -1,4 +1,4 @@
-//! What is asked of a hollow site from outside, and what is seen of it.
+//! Submissions to a modelled deployment from outside, and observations of its state.
 
 use super::event_queue::ScheduledEvent;
 use super::fleet::{Core, Fleet};
@@ -9,14 +9,26 @@
 
 const STALE_AFTER: Duration = Duration::from_secs(2);
 
+/// A data node's view, and the node's own clock to judge its age by.
+pub(crate) struct DataNodeView<'a> {
+    pub(crate) local_time: Duration,
+    pub(crate) view: &'a View,
+}
+
+/// The indices of the processes and of the upstreams in a zone.
+pub(crate) struct ZoneContents {
+    pub(crate) nodes: Vec<usize>,
+    pub(crate) upstreams: Vec<usize>,
+}
+
 impl Fleet {
-    /// An operator submits a configuration with so many further routes, and asks again until it is accepted.
+    /// An operator submits a configuration with so many further routes, and retries until it is accepted.
     ///
     /// ```
     /// use scale_model::{Fleet, Load, CURRENT_SIZE};
     /// let mut fleet = Fleet::new(CURRENT_SIZE, 1, Load::default());
     /// fleet.submit(0);
-    /// assert_eq!(fleet.in_force(1), 0, "nobody has founded the register yet");
+    /// assert_eq!(fleet.in_force(1), 0, "the register is not bootstrapped yet");
     /// ```
     pub fn submit(&mut self, extra: usize) {
         self.accepted = None;
@@ -102,7 +114,7 @@
         }
     }
 
-    /// From now on it is noted who has these nodes in the book no more.
+    /// From now on it is recorded which nodes have removed all of these from their address books.
     pub(crate) fn watch(&mut self, nodes: &[usize]) {
         self.watched = nodes
             .iter()
@@ -111,7 +123,7 @@
         self.nodes.iter_mut().for_each(|node| node.lacks = None);
     }
 
-    /// When each of those that know that all that are watched are gone came to know it, the first of them first.
+    /// When each node that noticed the departure of all watched nodes did so, in ascending order.
     pub(crate) fn departure_noticed_at(&self) -> Vec<Duration> {
         let up = self
             .nodes
@@ -135,17 +147,15 @@
             .count()
     }
 
-    /// The data nodes' views with the time that each counts.
-    pub(crate) fn views(&self) -> impl Iterator<Item = (usize, Duration, &View)> {
-        self.nodes
-            .iter()
-            .enumerate()
-            .filter_map(|(at, node)| match &node.core {
-                Core::DataNode(data_node, _) => {
-                    Some((at, self.now - node.started_at, data_node.view()))
-                }
-                _ => None,
-            })
+    /// The views of the data nodes that are up.
+    pub(crate) fn views(&self) -> impl Iterator<Item = DataNodeView<'_>> {
+        self.nodes.iter().filter_map(|node| match &node.core {
+            Core::DataNode(data_node, _) => Some(DataNodeView {
+                local_time: self.now - node.started_at,
+                view: data_node.view(),
+            }),
+            _ => None,
+        })
     }
 
     /// How many data nodes serve by this revision or a later one.
@@ -157,7 +167,9 @@
     /// ```
     pub fn in_force(&self, revision: u64) -> usize {
         self.views()
-            .filter(|(_, now, view)| view.revision >= revision && view.is_fresh(*now, STALE_AFTER))
+            .filter(|node| {
+                node.view.revision >= revision && node.view.is_fresh(node.local_time, STALE_AFTER)
+            })
             .count()
     }
 
@@ -170,8 +182,9 @@
     /// ```
     pub fn serving(&self) -> usize {
         let routes = self.size.routes;
-        let serves = |(_, now, view): &(usize, Duration, &View)| {
-            view.is_fresh(*now, STALE_AFTER) && view.reservations.len() >= routes
+        let serves = |node: &DataNodeView| {
+            node.view.is_fresh(node.local_time, STALE_AFTER)
+                && node.view.reservations.len() >= routes
         };
         self.views().filter(serves).count()
     }
@@ -181,22 +194,19 @@
     /// ```
     /// use scale_model::{Fleet, Load, CURRENT_SIZE};
     /// let mut fleet = Fleet::new(CURRENT_SIZE, 1, Load::default());
-    /// assert_eq!(fleet.take_stats().all().messages, 0, "nothing was said yet");
+    /// assert_eq!(fleet.take_stats().all().messages, 0, "nothing was sent yet");
     /// ```
     pub fn take_stats(&mut self) -> TrafficStats {
         std::mem::take(&mut self.stats)
     }
 
     /// The processes in a zone, and the upstreams there.
-    pub(crate) fn in_zone(&self, zone: usize) -> (Vec<usize>, Vec<usize>) {
-        let nodes = (0..self.nodes.len())
-            .filter(|at| self.nodes[*at].zone == zone)
-            .collect();
-        (
-            nodes,
-            (0..self.upstreams.len())
-                .filter(|at| self.upstreams[*at].zone == zone)
-                .collect(),
-        )
+    pub(crate) fn in_zone(&self, zone: usize) -> ZoneContents {
+        let nodes = (0..self.nodes.len()).filter(|at| self.nodes[*at].zone == zone);
+        let upstreams = (0..self.upstreams.len()).filter(|at| self.upstreams[*at].zone == zone);
+        ZoneContents {
+            nodes: nodes.collect(),
+            upstreams: upstreams.collect(),
+        }
     }
 }
--- a/crates/scale-model/src/trials.rs
+++ b/crates/scale-model/src/trials.rs
@@ -1,7 +1,9 @@
 //! Trials: what is done to a modelled deployment, and the figures that are recorded.
 
+use super::call_tracker::CallCounts;
 use super::figures::{Figures, print_kinds};
 use super::fleet::{Fleet, Load};
+use super::observation::ZoneContents;
 use super::size::Size;
 use std::time::{Duration, Instant};
 
@@ -195,7 +197,11 @@
 }
 
 fn add_calls(fleet: &Fleet, figures: &mut Figures) {
-    let (requested, rejected, redirected) = fleet.calls.counts();
+    let CallCounts {
+        requested,
+        rejected,
+        redirected,
+    } = fleet.calls.counts();
     figures.add("calls", requested as f64);
     figures.add("calls.taken", fleet.calls.accepted_after().len() as f64);
     figures.add("calls.refused", rejected as f64);
@@ -226,8 +232,9 @@
 }
 
 fn rack_loss(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
-    let (nodes, _) = fleet.in_zone(run.size.zones - 1);
-    let lost: Vec<usize> = nodes
+    let zone = fleet.in_zone(run.size.zones - 1);
+    let lost: Vec<usize> = zone
+        .nodes
         .into_iter()
         .filter(|at| *at < run.size.nodes)
         .take(12)
@@ -239,7 +246,7 @@
     departure_noticed_at(fleet, lost_at, figures);
 }
 
-/// Until the first, half and all of those left hold all that are watched for gone.
+/// Records when the first, half and all of the remaining nodes have noticed the departure of all watched nodes.
 fn departure_noticed_at(fleet: &mut Fleet, lost_at: Duration, figures: &mut Figures) {
     fleet.run_until(NOTICE_TIMEOUT, |fleet| {
         fleet.departure_noticed_at().len() == fleet.up()
@@ -255,14 +262,15 @@
 fn zone_loss(fleet: &mut Fleet, run: &Run, figures: &mut Figures) {
     // The last: where there are more zones than control nodes, one without a control node.
     let zone = run.size.zones - 1;
-    let (nodes, upstreams) = fleet.in_zone(zone);
+    let ZoneContents { nodes, upstreams } = fleet.in_zone(zone);
     let (place, lost_at) = (run.size.locality(zone), fleet.now());
     nodes.iter().for_each(|at| fleet.kill(*at));
     upstreams.iter().for_each(|at| fleet.crash_upstream(*at));
     fleet.watch(&nodes);
     let moved = fleet.run_until(NOTICE_TIMEOUT, |fleet| {
-        fleet.views().all(|(_, _, view)| {
-            view.reservations
+        fleet.views().all(|node| {
+            node.view
+                .reservations
                 .values()
                 .all(|owned| owned.locality != place)
         })
@@ -316,7 +324,7 @@
         "cut.names",
         fleet
             .views()
-            .map(|(_, _, view)| view.reservations.len())
+            .map(|node| node.view.reservations.len())
             .min()
             .unwrap_or(0) as f64,
     );
