--- a/crates/config/tests/rejected_configurations.rs
+++ b/crates/config/tests/rejected_configurations.rs
@@ -18,6 +18,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn each_kind_of_mistake_is_reported_at_its_path() {
     let valid = route("r", "n", "/p", "s");
     let loops = [alias("a", "b"), alias("b", "a")].join(",");
--- a/crates/control-plane/tests/heartbeat_relay.rs
+++ b/crates/control-plane/tests/heartbeat_relay.rs
@@ -188,6 +188,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn lost_heartbeats_and_deregistrations_are_requested_with_the_next_digest() {
     let (mut a, mut c, mut d) = (control("a"), control("c"), control("d"));
     [
@@ -292,6 +293,7 @@
 /// A sign-off counts as the last beat there can be. Told as such a number it took ten bytes for each batch and upstream,
 /// for eight seconds: half of what batches were while upstreams left.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn a_deregistration_is_no_larger_in_a_digest_than_a_heartbeat() {
     let (mut a, mut c, mut d) = (control("a"), control("c"), control("d"));
     let batch_to_the_south = |told: &[(String, Payload)]| {
--- a/crates/invariants/tests/checkers.rs
+++ b/crates/invariants/tests/checkers.rs
@@ -296,6 +296,7 @@
     ]
 }
 
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn revision_cases() -> Vec<Case> {
     vec![
         case(
--- a/crates/invariants/tests/history.rs
+++ b/crates/invariants/tests/history.rs
@@ -97,6 +97,7 @@
 const FINE: ResultCode = ResultCode::Success;
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn good_histories_pass() {
     let cases = [
         ("nothing", vec![]),
@@ -181,6 +182,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn bad_histories_are_caught() {
     let cases = [
         ("nobody wrote it", vec![read(0, 1, 1, "a")]),
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -333,6 +333,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn a_system_that_is_broken_on_purpose_is_caught() {
     let long = Duration::from_secs(60);
     let cases = [
--- a/crates/test-harness/tests/reload.rs
+++ b/crates/test-harness/tests/reload.rs
@@ -131,6 +131,7 @@
 }
 
 #[tokio::test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 async fn settings_that_change_are_read_again_and_broken_ones_refused() {
     let folder = std::env::temp_dir().join(format!("reload-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
--- a/crates/test-harness/tests/site.rs
+++ b/crates/test-harness/tests/site.rs
@@ -127,6 +127,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 async fn operators_drive_any_node_and_get_one_result_for_one_id() {
     let fleet = site("operators").await;
     let nodes = fleet.nodes();
@@ -268,6 +269,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 async fn whatever_strangers_send_gets_a_numbered_answer_and_harms_nothing() {
     let fleet = site("strangers").await;
     let (data_node, control_node) = (
--- a/crates/upstream-registry/tests/key_balance.rs
+++ b/crates/upstream-registry/tests/key_balance.rs
@@ -377,6 +377,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn ranges_beyond_the_limits_are_ignored() {
     let (load, ready) = (LoadHistogram::uniform(KEYS), [("a".to_owned(), 1)].into());
     let mut ranges = KeyRangeAssigner::new(MS(1000), terms(), KEYS, 3, false);
--- a/crates/upstream-registry/tests/slots.rs
+++ b/crates/upstream-registry/tests/slots.rs
@@ -24,6 +24,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one arm for each kind of drawn event"
+)]
 fn no_slot_has_two_holders() {
     let (mut granted, lease_duration) = (0usize, MS(3000));
     (1..80u64).for_each(|number| {
