--- a/crates/model-checker/src/scenarios.rs
+++ b/crates/model-checker/src/scenarios.rs
@@ -42,6 +42,7 @@
 /// ```
 /// assert!(model_checker::register_scenarios().iter().any(|scenario| scenario.name == "orders"));
 /// ```
+#[expect(clippy::too_many_lines, reason = "a table of scenarios")]
 pub fn register_scenarios() -> Vec<RegisterScenario> {
     let none = RegisterBudget::default();
     let submissions = |submissions, rounds| RegisterBudget {
@@ -296,6 +297,7 @@
 /// ```
 /// assert!(model_checker::control_scenarios().iter().any(|scenario| scenario.name == "voters-lease"));
 /// ```
+#[expect(clippy::too_many_lines, reason = "a table of scenarios")]
 pub fn control_scenarios() -> Vec<ControlScenario> {
     let budget = ControlBudget {
         quantum: Duration::from_millis(120),
