--- a/crates/control-plane/tests/heartbeat_relay.rs
+++ b/crates/control-plane/tests/heartbeat_relay.rs
@@ -1,4 +1,4 @@
-//! What postmasters tell one another of upstreams, and how lost news is made good.
+//! What control nodes tell one another of upstreams, and how lost news is made good.
 
 use control_plane::{ControlNode, ControlRequest, Effect, Event, Start};
 use protocol::{
@@ -21,7 +21,7 @@
     }
 }
 
-/// A postmaster that knows one other in its zone, and two in another region.
+/// A control node that knows one other in its zone, and two in another region.
 fn control(node: &str) -> ControlNode {
     let settings = config::Settings::parse(&[config::TIME_SETTINGS], None, &[]).expect("no flags");
     let all = [
@@ -290,7 +290,7 @@
     });
 }
 
-/// A sign-off counts as the last beat there can be. Told as such a number it took ten bytes for each batch and upstream,
+/// A sign-off counts as the last heartbeat there can be. Told as such a number it took ten bytes for each batch and upstream,
 /// for eight seconds: half of what batches were while upstreams left.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
@@ -331,7 +331,7 @@
     } else {
         (&mut d, "d")
     };
-    // Whoever heard of beats that are not known elsewhere yet asks too, tells it on, and learns that it is over.
+    // Whoever heard of heartbeats that are not known elsewhere yet asks too, tells it on, and learns that it is over.
     said(
         near,
         2500,
--- a/crates/control-plane/tests/key_ranges.rs
+++ b/crates/control-plane/tests/key_ranges.rs
@@ -25,7 +25,7 @@
     configurations: BTreeMap<String, Vec<u8>>,
     answers: Vec<(u64, ControlResponse)>,
     asked: Vec<SharesRequest>,
-    /// What carriers were told.
+    /// What data-plane nodes were told.
     told: Vec<ViewUpdate>,
     request_id: u64,
     /// True for the broken twin: holds run out by whatever its clock jumps.
@@ -71,7 +71,7 @@
 }
 
 impl Site {
-    /// Founded, with its setup in force, and holding the placement lease.
+    /// Founded, with its configuration in force, and holding the placement lease.
     fn new(trusts_jumps: bool) -> Self {
         let control = control(DurableState::default(), BTreeMap::new(), 1, trusts_jumps);
         let (durable, configurations) = Default::default();
@@ -413,7 +413,7 @@
     assert_eq!(given_after_signing_off(4500), KEY_COUNT);
 }
 
-/// After all control nodes started anew nobody holds the placement lease, and carriers are told what the upstreams say that
+/// After all control nodes started anew nobody holds the placement lease, and data-plane nodes are told what the upstreams say that
 /// they hold. Where that took long, the nodes had no time left to agree on a holder, so it went on.
 #[test]
 fn without_a_lease_holder_data_plane_nodes_soon_learn_who_holds_which_keys() {
--- a/crates/control-plane/tests/quorum_contact.rs
+++ b/crates/control-plane/tests/quorum_contact.rs
@@ -19,7 +19,7 @@
 const TICK: u64 = 20;
 /// A caller that hears nothing for so long goes on to another node.
 const SILENCE: u64 = 1000;
-/// A carrier that follows whomever it is led to.
+/// A data-plane node that follows whomever it is led to.
 const DATA_NODE: &str = "carrier";
 
 /// A site of voters in virtual time, with cuts between them.
@@ -245,7 +245,7 @@
         self.introduce(at);
     }
 
-    /// Upstreams that take work in the eyes of a carrier that knew this one and now asks this node; none where the node
+    /// Upstreams that take work in the eyes of a data-plane node that knew this one and now asks this node; none where the node
     /// vouches for nothing.
     fn followed(&mut self, at: usize, known: Upstream) -> Option<Vec<String>> {
         self.told_data_node.clear();
@@ -670,7 +670,7 @@
     );
 }
 
-/// The sign-off came to a node that did not know the upstream, and another one still had a beat of it in its sockets.
+/// The sign-off came to a node that did not know the upstream, and another one still had a heartbeat of it in its sockets.
 #[test]
 fn a_deregistered_upstream_stays_gone_where_nobody_knew_it() {
     let mut site = Site::settled();
@@ -742,7 +742,7 @@
     site
 }
 
-/// The ways to depart: with beats that go on, without any, and at a node that did not know the upstream.
+/// The ways to depart: with heartbeats that go on, without any, and at a node that did not know the upstream.
 fn departures() -> [ControlRequest; 3] {
     let unknown = ControlRequest::Deregister {
         instance: "unknown".into(),
@@ -756,7 +756,7 @@
     ]
 }
 
-/// What the carrier knows of the upstream of [`departures`].
+/// What the data-plane node knows of the upstream of [`departures`].
 fn known_to_the_data_node(departure: &ControlRequest) -> Upstream {
     match departure {
         ControlRequest::Deregister { instance } => Upstream {
@@ -767,7 +767,7 @@
     }
 }
 
-/// Nodes that vouch to a carrier for a departed upstream, in the two seconds in which its earlier view may still count
+/// Nodes that vouch to a data-plane node for a departed upstream, in the two seconds in which its earlier view may still count
 /// and the seconds after, and how long it takes until all of the majority vouch.
 fn vouched_for_after(
     restarted: &[usize],
--- a/crates/control-plane/tests/repair.rs
+++ b/crates/control-plane/tests/repair.rs
@@ -10,7 +10,7 @@
 
 const CONFIGURATION: &[u8] = br#"{"services": {}, "routes": []}"#;
 
-/// A voter whose state names a setup, with or without its bytes.
+/// A voter whose state names a configuration, with or without its bytes.
 fn start(configurations: BTreeMap<String, Vec<u8>>) -> ControlNode {
     let initial_voters: Vec<String> = ["pm-1", "pm-2", "pm-3"].map(String::from).to_vec();
     let voter_set = VoterSet {
--- a/crates/control-plane/tests/site/mod.rs
+++ b/crates/control-plane/tests/site/mod.rs
@@ -101,7 +101,7 @@
         });
     }
 
-    /// A carrier asks for the first time; the snapshot that it gets.
+    /// A data-plane node asks for the first time; the snapshot that it gets.
     pub fn snapshot(&mut self, data_node: &str) -> ViewUpdate {
         self.step(Event::Received {
             from: data_node.into(),
@@ -111,7 +111,7 @@
     }
 }
 
-/// A site with its first setup.
+/// A site with its first configuration.
 pub fn site() -> Site {
     let mut site = Site::new();
     site.run(Duration::from_secs(10));
--- a/crates/control-plane/tests/update_streams.rs
+++ b/crates/control-plane/tests/update_streams.rs
@@ -1,4 +1,4 @@
-//! What carriers are told of the replicated state.
+//! What data-plane nodes are told of the replicated state.
 
 mod site;
 
@@ -11,7 +11,7 @@
     let before = site.snapshot("c-1").encoded_len();
     (0..200).for_each(|at| site.evacuate(at, at % 2 == 1));
     let after = site.snapshot("c-2").encoded_len();
-    // The edition takes a byte more.
+    // The revision takes a byte more.
     assert!(
         after <= before + 4,
         "{before} bytes before 200 orders, {after} after them"
--- a/crates/invariants/src/rules/revisions.rs
+++ b/crates/invariants/src/rules/revisions.rs
@@ -44,8 +44,8 @@
     found
 }
 
-/// The same, observations from outside: by where probes arrive. Several setups share a mark, so an arrival breaks the rule only
-/// where no setup with its mark could lawfully have led it there.
+/// The same, observations from outside: by where probes arrive. Several configurations share a mark, so an arrival breaks the rule only
+/// where no configuration with its mark could lawfully have led it there.
 pub(super) fn traffic_follows_revisions(
     observations: &[TimedObservation],
     _: &RuleParameters,
@@ -60,7 +60,7 @@
             _ => None,
         })
         .collect();
-    // When each edition was over: 3 s after the yes to any newer one.
+    // When each revision was over: 3 s after the yes to any newer one.
     let over = |revision: u64| {
         configurations
             .iter()
--- a/crates/invariants/tests/history.rs
+++ b/crates/invariants/tests/history.rs
@@ -331,7 +331,7 @@
     arbtest(|noise| {
         let calls = drawn(noise)?;
         assert_eq!(check(&calls), Ok(()), "{calls:?}");
-        // A read of an edition that never was.
+        // A read of a revision that never was.
         let last = calls
             .iter()
             .filter_map(|call| call.returned.as_ref())
--- a/crates/scale-model/src/command.rs
+++ b/crates/scale-model/src/command.rs
@@ -11,9 +11,9 @@
 use std::process::Command;
 use std::time::Duration;
 
-const HELP: &str = "drill hollow runs many hollow nodes, the daemons' own cores, in one process and in virtual time.
+const HELP: &str = "test-harness hollow runs many hollow nodes, the daemons' own cores, in one process and in virtual time.
 
-usage: drill hollow [--nodes N] [--postmasters P] [--upstreams U] [--services S] [--routes R] [--regions G]
+usage: test-harness hollow [--nodes N] [--postmasters P] [--upstreams U] [--services S] [--routes R] [--regions G]
                     [--zones Z] [--replicas N] [--seconds T] [--seed X] [--what WHAT] [--changing N] [--settle T] [--cold]
                     [--kinds]
                     [--grid nodes|postmasters|upstreams|routes|services|all --sizes A,B,C,D] [--jobs N]
@@ -55,7 +55,7 @@
     let done = read().and_then(|arguments| arguments.map_or(Ok(()), |arguments| act(&arguments)));
     done.map_or_else(
         |text| {
-            eprintln!("drill: {text}; see drill hollow --help");
+            eprintln!("test-harness: {text}; see test-harness hollow --help");
             2
         },
         |()| 0,
--- a/crates/scale-model/tests/changes.rs
+++ b/crates/scale-model/tests/changes.rs
@@ -67,7 +67,7 @@
     assert_flat(&checkpoints);
 }
 
-/// Minutes long: `cargo test -p drill --test changes -- --ignored`.
+/// Minutes long: `cargo test -p scale-model --test changes -- --ignored`.
 #[test]
 #[ignore = "minutes long"]
 fn ten_thousand_changes_leave_disk_and_memory_flat() {
--- a/crates/simulator/src/outcome.rs
+++ b/crates/simulator/src/outcome.rs
@@ -66,7 +66,7 @@
 impl Outcome {
     /// True where no rule was broken and service resumed in time.
     pub fn passed(&self) -> bool {
-        // A site that denies everything breaks no rule; so it must serve all before, and all in time after.
+        // A site that rejects everything breaks no rule; so it must serve all before, and all in time after.
         self.violations.is_empty()
             && self.agreed
             && self.resumed_after <= RECOVERY_TIMEOUT
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -113,7 +113,7 @@
             .map(|step| format!("{:?}", step.fault))
             .collect();
         let mut text = format!(
-            "drill sim --seeds {seed}..{}{plan}   ({})",
+            "test-harness sim --seeds {seed}..{}{plan}   ({})",
             seed + 1,
             faults.join(", ")
         );
--- a/crates/simulator/tests/configurations.rs
+++ b/crates/simulator/tests/configurations.rs
@@ -1,4 +1,4 @@
-//! Configurations in the simulator: with numbers of their operators, and across a restart of all postmasters.
+//! Configurations in the simulator: with numbers of their operators, and across a restart of all control nodes.
 
 use invariants::observations::Observation;
 use simulator::shapes::ROADWISE;
@@ -83,7 +83,7 @@
     }));
 }
 
-/// How long after the restart of all postmasters the last accepted configuration was in force on every carrier; none
+/// How long after the restart of all control nodes the last accepted configuration was in force on every data-plane node; none
 /// where some never had it.
 fn in_force_after(outcome: &Outcome) -> Option<Duration> {
     let restart = |observation: &Observation| matches!(observation, Observation::Fault { what } if what.contains("healed: KillControlNodes"));
@@ -126,8 +126,8 @@
     last.map(|last| *last - restarted)
 }
 
-/// All postmasters end at once right after a configuration was accepted, and start again together: none of them knows
-/// all upstreams, and what was accepted is in force on every carrier within 3 s all the same.
+/// All control nodes end at once right after a configuration was accepted, and start again together: none of them knows
+/// all upstreams, and what was accepted is in force on every data-plane node within 3 s all the same.
 #[test]
 fn a_restart_of_all_control_nodes_keeps_no_configuration_back() {
     let within = |span: Option<Duration>| span.is_some_and(|span| span < Duration::from_secs(3));
--- a/crates/simulator/tests/disks.rs
+++ b/crates/simulator/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Disks that are full or stalled, one machine after the other, under a storm of setups, and then a restart of all.
+//! Disks that are full or stalled, one machine after the other, under a storm of configurations, and then a restart of all.
 
 use simulator::shapes::{KALAM, ROADWISE, Shape};
 use simulator::{Defects, Outcome, Plan, World, run};
--- a/crates/simulator/tests/key_ranges.rs
+++ b/crates/simulator/tests/key_ranges.rs
@@ -101,7 +101,7 @@
 }
 
 /// Six of ten requests lie close together and move on slowly, and one key has a tenth: the division follows what the
-/// carriers count.
+/// data-plane nodes count.
 #[test]
 fn the_division_follows_a_load_that_moves() {
     let counted = busiest_per_mille(Defects::default());
--- a/crates/simulator/tests/replacements.rs
+++ b/crates/simulator/tests/replacements.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 const VOTERS: usize = 6;
-/// In this seed's run of the larger site a mark has run out at 86.916 s, and all carriers know it 130 ms later; the run
+/// In this seed's run of the larger site a mark has run out at 86.916 s, and all data-plane nodes know it 130 ms later; the run
 /// would end at 85.286 s.
 const MARKS_RUN_OUT_SEED: u64 = 98;
 const ENDS_LATER: Duration = Duration::from_millis(1690);
@@ -52,7 +52,7 @@
     move |seed| Plan::named(plan, seed).expect("a known plan")
 }
 
-/// Five of six machines go, one every 5 to 8 s, with setups coming all the while: three were the end of the majority.
+/// Five of six machines go, one every 5 to 8 s, with configurations coming all the while: three were the end of the majority.
 #[test]
 fn one_voter_after_the_other_is_replaced() {
     assert_eq!(
@@ -133,7 +133,7 @@
     assert!(outcome.passed(), "{:?}", outcome.violations);
 }
 
-/// A run of the larger site that ends just after the last marks of a moved name have run out: some carriers have been told,
+/// A run of the larger site that ends just after the last marks of a moved name have run out: some data-plane nodes have been told,
 /// and for a moment others have not.
 fn ends_while_marks_run_out() -> Plan {
     let mut plan = Plan::named("replace-voters", MARKS_RUN_OUT_SEED).expect("a plan");
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -62,7 +62,7 @@
     );
 }
 
-/// A beat that was overtaken on its way through a frozen postmaster was taken for letting go.
+/// A heartbeat that was overtaken on its way through a frozen control node was taken for letting go.
 #[test]
 fn an_superseded_heartbeat_lets_no_key_go() {
     let plans = [
@@ -80,8 +80,8 @@
     );
 }
 
-/// A restarted postmaster heard of a gone instance after the one that took over its address, and believed the
-/// address was the gone one's: carriers that followed it missed an upstream for a minute.
+/// A restarted control node heard of a gone instance after the one that took over its address, and believed the
+/// address was the gone one's: data-plane nodes that followed it missed an upstream for a minute.
 #[test]
 fn a_gone_instance_takes_no_address_back() {
     let plans = [
@@ -100,7 +100,7 @@
 }
 
 /// A new, cold instance took the address of a warm one that was gone without a word: proxies that had not heard sent
-/// it what the warm one could bear, though its verdicts named another instance.
+/// it what the warm one could bear, though its results named another instance.
 #[test]
 fn a_cold_instance_at_a_known_address_is_not_overrun() {
     let plans = [
@@ -119,7 +119,7 @@
     );
 }
 
-/// Beats of upstreams long dead lay in a frozen postmaster, and on waking were told as new registrations: the live
+/// Heartbeats of upstreams long dead lay in a frozen control node, and on waking were told as new registrations: the live
 /// tenants of their addresses were given up for good. Found among pairs.
 #[test]
 fn heartbeats_that_lay_in_a_frozen_control_node_end_nobody() {
@@ -137,8 +137,8 @@
     );
 }
 
-/// A request that had been sent without a known outcome was forwarded when a new edition came, and the next proxy's
-/// denial was passed on.
+/// A request that had been sent without a known outcome was forwarded when a new revision came, and the next proxy's
+/// rejection was passed on.
 #[test]
 fn what_may_have_run_is_not_forwarded_to_be_denied() {
     assert_eq!(
--- a/crates/test-harness/src/commands/measure.rs
+++ b/crates/test-harness/src/commands/measure.rs
@@ -246,7 +246,7 @@
         .ok_or(format!("{path}: {}", reply.status))
 }
 
-/// From the asking to the revision in force at the last carrier.
+/// From the asking to the revision in force at the last data-plane node.
 async fn update(record: &ObservationLog, clock: &Clock, nodes: &[String]) -> Result<(), String> {
     let data_nodes = &nodes[..ROADWISE.machines];
     println!(
--- a/crates/test-harness/tests/reload.rs
+++ b/crates/test-harness/tests/reload.rs
@@ -175,7 +175,7 @@
             .await;
         assert!(daemon.alive().await);
     }
-    // The carrier knew of nobody. New seeds lead it to the postmaster.
+    // The data-plane node knew of nobody. New seeds lead it to the control node.
     assert_eq!(data_node.status("/ready").await, Some(503));
     let found = format!(
         r#"{{{}, "seeds": "{}"}}"#,
