--- a/crates/simulator/src/fault_injection/category.rs
+++ b/crates/simulator/src/fault_injection/category.rs
@@ -19,6 +19,7 @@
 
 impl Category {
     /// The category of a fault.
+    #[expect(clippy::too_many_lines, reason = "one line for each fault")]
     pub(super) fn of(fault: &Fault) -> Category {
         match fault {
             Fault::KillMachine(_)
@@ -59,13 +60,6 @@
             | Fault::PartitionFromPeers { .. }
             | Fault::Connections(_)
             | Fault::ReuseAddressesUnderKeepAlive(_) => Category::Network,
-            other => Category::of_load(other),
-        }
-    }
-
-    /// The category of a fault on the side of upstreams and operators.
-    fn of_load(fault: &Fault) -> Category {
-        match fault {
             Fault::CrashUpstreams(_)
             | Fault::RestartUpstreams(_)
             | Fault::DeregisterBeforeDraining(_)
@@ -79,7 +73,26 @@
             | Fault::CrashHomeUpstreams
             | Fault::AddUpstreams(_)
             | Fault::DelayGrants => Category::Upstream,
-            _ => Category::Operator,
+            Fault::Evacuate(_)
+            | Fault::EvacuatePartitionedZone(_)
+            | Fault::EvacuateZonesInTurn
+            | Fault::ConfigurationStorm
+            | Fault::OperatorRace
+            | Fault::LongConfigurationStorm(_)
+            | Fault::VersionRace(_)
+            | Fault::EqualVersions(_)
+            | Fault::LoseCommandResults(_)
+            | Fault::ReorderCommands
+            | Fault::CommandStorm(_)
+            | Fault::StaleCommandStorm(_)
+            | Fault::LateEvacuation(_)
+            | Fault::FrozenEvacuation(_)
+            | Fault::RouteCommandsTo(_) => Category::Operator,
         }
     }
+
+    /// Ends the run: a fault reached the code of this category, and isn't known there.
+    pub(super) fn cannot_handle(self, fault: &Fault) -> ! {
+        unreachable!("{fault:?} is unknown to the category {self:?}")
+    }
 }
--- a/crates/simulator/src/fault_injection/disks.rs
+++ b/crates/simulator/src/fault_injection/disks.rs
@@ -1,5 +1,6 @@
 //! Faults of disks.
 
+use super::category::Category;
 use super::machines::CONTROL_NODES_DOWN;
 use crate::faults::{DISK_BROKEN_FOR, DISK_EVERY, Fault, STORM_GAP, STORM_SETTLES};
 use crate::world::World;
@@ -45,7 +46,7 @@
             }
             Fault::DisksFullInTurn(count) => self.fail_disks_in_turn(count, Fault::RefuseDisk),
             Fault::DisksStallInTurn(count) => self.fail_disks_in_turn(count, Fault::HangDisk),
-            _ => {}
+            other => Category::Disk.cannot_handle(&other),
         }
     }
 
@@ -69,7 +70,8 @@
             Fault::RefuseDisk(machine) => {
                 self.set_disk(*machine, |disk| disk.rejects_writes = false);
             }
-            _ => {}
+            Fault::DisksFullInTurn(_) | Fault::DisksStallInTurn(_) => {}
+            other => Category::Disk.cannot_handle(other),
         }
     }
 
--- a/crates/simulator/src/fault_injection/machines.rs
+++ b/crates/simulator/src/fault_injection/machines.rs
@@ -1,5 +1,6 @@
 //! Faults of machines and their processes.
 
+use super::category::Category;
 use crate::faults::{Fault, RESTART_EVERY, RESTART_TAKES, SUCCESSOR_EARLIER, SUCCESSOR_LATER};
 use crate::world::World;
 use std::time::Duration;
@@ -59,7 +60,7 @@
             } => self.plan_voter_replacements(&places, gap, planned),
             Fault::ReplaceOne { place, planned } => self.replace_machine(place, planned),
             Fault::Ambush { evacuate } => self.ambush = Some(evacuate),
-            _ => {}
+            other => Category::Machine.cannot_handle(&other),
         }
     }
 
@@ -91,7 +92,12 @@
                 place,
                 planned: false,
             } => self.add_machine(*place),
-            _ => {}
+            Fault::RollingRestart
+            | Fault::RestartControlNodes
+            | Fault::JumpPlacementHolderClock(_)
+            | Fault::JumpClock(..)
+            | Fault::ReplaceVoters { .. } => {}
+            other => Category::Machine.cannot_handle(other),
         }
     }
 
--- a/crates/simulator/src/fault_injection/network.rs
+++ b/crates/simulator/src/fault_injection/network.rs
@@ -1,5 +1,6 @@
 //! Faults of the network, and of connections to upstreams.
 
+use super::category::Category;
 use crate::connections::ConnectionFaults;
 use crate::faults::{Fault, REUSE_EVERY};
 use crate::network::Partition;
@@ -31,7 +32,7 @@
                 self.connections.keep_alive_faults += 1;
                 self.plan_address_reuse(&upstreams);
             }
-            _ => {}
+            other => Category::Network.cannot_handle(&other),
         }
     }
 
@@ -49,7 +50,8 @@
                 self.set_connection_faults(faults, |now, wanted| if wanted > 0 { 0 } else { now });
             }
             Fault::ReuseAddressesUnderKeepAlive(_) => self.connections.keep_alive_faults -= 1,
-            _ => {}
+            Fault::LongPartition { .. } => {}
+            other => Category::Network.cannot_handle(&other),
         }
     }
 
--- a/crates/simulator/src/fault_injection/operators.rs
+++ b/crates/simulator/src/fault_injection/operators.rs
@@ -1,6 +1,7 @@
 //! Faults on the way between operators and control nodes, and commands that race.
 
 use super::ZONES;
+use super::category::Category;
 use crate::faults::{Fault, MOVE_EVERY};
 use crate::network::Partition;
 use crate::submissions::OperatorCommand;
@@ -62,7 +63,7 @@
             Fault::LateEvacuation(zone) => self.evacuate_repeatedly(self.zone(zone)),
             Fault::FrozenEvacuation(zone) => self.evacuate_through_frozen_node(zone, until),
             Fault::RouteCommandsTo(machine) => self.route_commands_to(machine),
-            _ => {}
+            other => Category::Operator.cannot_handle(&other),
         }
     }
 
@@ -83,7 +84,13 @@
                 self.resend_oldest();
             }
             Fault::RouteCommandsTo(_) => self.replace_draining_upstreams(),
-            _ => {}
+            Fault::EvacuateZonesInTurn
+            | Fault::ConfigurationStorm
+            | Fault::OperatorRace
+            | Fault::LongConfigurationStorm(_)
+            | Fault::VersionRace(_)
+            | Fault::EqualVersions(_) => {}
+            other => Category::Operator.cannot_handle(other),
         }
     }
 
--- a/crates/simulator/src/fault_injection/upstreams.rs
+++ b/crates/simulator/src/fault_injection/upstreams.rs
@@ -1,5 +1,6 @@
 //! Faults of upstreams, and of the load on them.
 
+use super::category::Category;
 use crate::faults::Fault;
 use crate::world::World;
 use std::time::Duration;
@@ -49,7 +50,7 @@
                 }
             }
             Fault::DelayGrants => self.delays_grants = true,
-            _ => {}
+            other => Category::Upstream.cannot_handle(&other),
         }
     }
 
@@ -85,7 +86,8 @@
                 }
             }
             Fault::DelayGrants => self.delays_grants = false,
-            _ => {}
+            Fault::PauseUpstream(_) => {}
+            other => Category::Upstream.cannot_handle(&other),
         }
     }
 
