--- a/crates/invariants/src/rules/revisions.rs
+++ b/crates/invariants/src/rules/revisions.rs
@@ -44,13 +44,28 @@
     found
 }
 
-/// The same, observations from outside: by where probes arrive. Several configurations share a mark, so an arrival breaks the rule only
-/// where no configuration with its mark could lawfully have led it there.
-pub(super) fn traffic_follows_revisions(
-    observations: &[TimedObservation],
-    _: &RuleParameters,
-) -> Vec<Violation> {
-    let late = Duration::from_secs(3);
+/// How long after the acceptance of a revision a node may still serve an older one.
+const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
+/// Two requests on their way may overtake one another within this time.
+const OVERTAKING: Duration = Duration::from_secs(1);
+
+/// An accepted configuration, as probes from outside see it.
+struct AcceptedRevision {
+    revision: u64,
+    marker: usize,
+    /// When no node may serve it any more, if a newer one was accepted.
+    superseded_at: Option<Duration>,
+}
+
+impl AcceptedRevision {
+    fn may_serve_at(&self, at: Duration) -> bool {
+        self.superseded_at
+            .is_none_or(|superseded_at| at <= superseded_at)
+    }
+}
+
+/// The accepted configurations, each with the time at which any newer one must be in force.
+fn accepted_revisions(observations: &[TimedObservation]) -> Vec<AcceptedRevision> {
     let configurations: Vec<(Duration, u64, usize)> = observations
         .iter()
         .filter_map(|(at, observation)| match observation {
@@ -60,36 +75,49 @@
             _ => None,
         })
         .collect();
-    // When each revision was over: 3 s after the yes to any newer one.
-    let over = |revision: u64| {
+    let superseded_at = |revision: u64| {
         configurations
             .iter()
             .filter(|(_, newer, _)| *newer > revision)
-            .map(|(at, ..)| *at + late)
+            .map(|(at, ..)| *at + IN_FORCE_WITHIN)
             .min()
     };
-    let spans: Vec<(u64, usize, Option<Duration>)> = configurations
+    configurations
         .iter()
-        .map(|(_, revision, marker)| (*revision, *marker, over(*revision)))
-        .collect();
+        .map(|(_, revision, marker)| AcceptedRevision {
+            revision: *revision,
+            marker: *marker,
+            superseded_at: superseded_at(*revision),
+        })
+        .collect()
+}
+
+/// The same, observed from outside: by where probes arrive. Several configurations share a marker, so an arrival breaks
+/// the rule only where no configuration with its marker could have led it there.
+pub(super) fn traffic_follows_revisions(
+    observations: &[TimedObservation],
+    _: &RuleParameters,
+) -> Vec<Violation> {
+    let accepted = accepted_revisions(observations);
     let mut floors: BTreeMap<&str, Vec<(Duration, u64)>> = BTreeMap::new();
     let mut found = Vec::new();
-    observations.iter().for_each(|(at, observation)| {
+    for (at, observation) in observations {
         let Observation::MarkerReached { node, marker } = observation else {
-            return;
+            continue;
         };
-        let mut marked = spans
+        let mut marked = accepted
             .iter()
-            .filter(|(_, other, _)| other == marker)
+            .filter(|accepted| accepted.marker == *marker)
             .peekable();
         if marked.peek().is_none() {
-            return;
+            continue;
         }
-        let lawful: Vec<u64> = marked
-            .filter(|(.., over)| over.is_none_or(|over| *at <= over))
-            .map(|(revision, ..)| *revision)
+        let allowed: Vec<u64> = marked
+            .filter(|accepted| accepted.may_serve_at(*at))
+            .map(|accepted| accepted.revision)
             .collect();
-        let (least, most) = (lawful.iter().min().copied(), lawful.iter().max().copied());
+        let least = allowed.iter().min().copied();
+        let most = allowed.iter().max().copied();
         if most.is_none() {
             found.push(violation(
                 7,
@@ -97,11 +125,10 @@
                 format!("{node} sent a probe to mark-{marker}, by a setup that was over"),
             ));
         }
-        // Two requests on their way may overtake one another within a second.
         let settled = floors.entry(node.as_str()).or_default();
         let floor = settled
             .iter()
-            .filter(|(then, _)| *then + Duration::from_secs(1) < *at)
+            .filter(|(then, _)| *then + OVERTAKING < *at)
             .map(|(_, least)| *least);
         if most
             .zip(floor.max())
@@ -114,7 +141,7 @@
             ));
         }
         settled.extend(least.map(|least| (*at, least)));
-    });
+    }
     found
 }
 
--- a/crates/simulator/src/exchanges.rs
+++ b/crates/simulator/src/exchanges.rs
@@ -72,6 +72,34 @@
     pub chosen_by: Option<(Duration, View)>,
 }
 
+impl Exchange {
+    /// A request that has reached a proxy and is at no upstream yet.
+    fn new(node: usize, routing: RequestState, request: Request) -> Exchange {
+        let sent = UpstreamCall {
+            attempt_id: request.attempt_id.clone(),
+            operation: request.operation.clone(),
+            path: request.service,
+            key: request.key.clone(),
+            epoch: None,
+        };
+        Exchange {
+            node,
+            routing,
+            request,
+            sent,
+            send: 0,
+            instance: None,
+            address: String::new(),
+            incarnation: None,
+            connection: None,
+            may_reuse_connection: true,
+            skipped: 0,
+            waiting: false,
+            chosen_by: None,
+        }
+    }
+}
+
 impl World {
     /// A request reaches a proxy.
     pub(crate) fn receive_request(&mut self, at: usize, exchange: u64, request: Request) {
@@ -89,8 +117,17 @@
                 Response::coded(&request.attempt_id, ResultCode::ShuttingDown, retry_after);
             return self.respond(&request, Some(at), denied);
         }
+        let routing =
+            RequestState::new(self.request_info(at, exchange, &request), node.site.clone());
+        self.exchanges
+            .insert(exchange, Exchange::new(at, routing, request));
+        self.advance_exchange(exchange, RoutingEvent::Start);
+    }
+
+    /// What the data plane learns about a request that reaches a proxy.
+    fn request_info(&self, at: usize, exchange: u64, request: &Request) -> RequestInfo {
         let wake_ups = self.wake_ups.clone();
-        let order = RequestInfo {
+        RequestInfo {
             attempt_id: request.attempt_id.clone(),
             name: match request.from {
                 Requester::Nobody => request.service.to_owned(),
@@ -98,7 +135,7 @@
             },
             path: format!("/{}", request.service),
             key: Some(request.key.clone()),
-            arrived_at: node.local(self.now),
+            arrived_at: self.nodes[at].local(self.now),
             remaining: request.remaining,
             body_bytes: request.operation.len() as u64,
             forwarded: matches!(request.from, Requester::Proxy { .. }),
@@ -108,34 +145,7 @@
                     .unwrap_or_else(PoisonError::into_inner)
                     .push(exchange)
             }),
-        };
-        let routing = RequestState::new(order, node.site.clone());
-        let sent = UpstreamCall {
-            attempt_id: request.attempt_id.clone(),
-            operation: request.operation.clone(),
-            path: request.service,
-            key: request.key.clone(),
-            epoch: None,
-        };
-        let (address, instance, incarnation, waiting, chosen_by) =
-            (String::new(), None, None, false, None);
-        let made = Exchange {
-            node: at,
-            routing,
-            request,
-            sent,
-            send: 0,
-            instance,
-            address,
-            incarnation,
-            connection: None,
-            may_reuse_connection: true,
-            skipped: 0,
-            waiting,
-            chosen_by,
-        };
-        self.exchanges.insert(exchange, made);
-        self.advance_exchange(exchange, RoutingEvent::Start);
+        }
     }
 
     /// An exchange waits for capacity, and was woken up or waited long enough.
--- a/crates/simulator/src/heartbeats.rs
+++ b/crates/simulator/src/heartbeats.rs
@@ -8,6 +8,7 @@
 use control_plane::ControlResponse;
 use invariants::observations::Observation;
 use protocol::{KeyShare, Upstream};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -220,20 +221,11 @@
         json: &JsonValue,
     ) {
         let now = self.now;
-        let upstream = &mut self.upstreams[at];
-        let told = json.count("holder").unwrap_or(0);
-        let new_holder = upstream.up
-            && upstream.incarnation == incarnation
-            && upstream.heartbeat == heartbeat
-            && upstream.holder != told;
-        if new_holder {
-            upstream.holder = told;
-        }
-        if new_holder && told > 0 && upstream.profile.keyed && now >= upstream.paused_until {
-            // The next heartbeat proves that it knows the new holder: the sooner, the less expires.
-            self.send_heartbeat(at);
+        let upstream = &self.upstreams[at];
+        if upstream.up && upstream.incarnation == incarnation && upstream.heartbeat == heartbeat {
+            self.learn_lease_holder(at, json.count("holder").unwrap_or(0));
         }
-        let upstream = &mut self.upstreams[at];
+        let upstream = &self.upstreams[at];
         let span_ms = json
             .count("spanMs")
             .filter(|_| json.get("shares").is_some());
@@ -259,11 +251,27 @@
         let until = sent_at
             + true_span(Duration::from_millis(span_ms), upstream.drift)
             + self.defects.lease_overrun;
-        let given = granted_slots(json);
-        let (service, instance) = (
-            upstream.profile.service.to_owned(),
-            upstream.instance.clone(),
-        );
+        self.replace_held_slots(at, granted_slots(json), until);
+    }
+
+    /// An upstream learns who holds the lease on the placement now; zero: nobody that the control node knows.
+    fn learn_lease_holder(&mut self, at: usize, holder: u64) {
+        let upstream = &mut self.upstreams[at];
+        if upstream.holder == holder {
+            return;
+        }
+        upstream.holder = holder;
+        if holder > 0 && upstream.profile.keyed && self.now >= upstream.paused_until {
+            // The next heartbeat proves that it knows the new holder: the sooner, the less expires.
+            self.send_heartbeat(at);
+        }
+    }
+
+    /// An upstream holds the granted slots until then, and releases all others.
+    fn replace_held_slots(&mut self, at: usize, given: BTreeMap<u32, u64>, until: Duration) {
+        let upstream = &mut self.upstreams[at];
+        let service = upstream.profile.service.to_owned();
+        let instance = upstream.instance.clone();
         let gone: Vec<u32> = upstream
             .holds
             .keys()
@@ -273,7 +281,7 @@
         gone.iter().for_each(|slot| {
             upstream.holds.remove(slot);
         });
-        let live = now < until;
+        let live = self.now < until;
         if live {
             upstream
                 .holds
--- a/crates/simulator/src/overload.rs
+++ b/crates/simulator/src/overload.rs
@@ -3,7 +3,7 @@
 use crate::shapes::{ROADWISE, Shape};
 use crate::{LoadProfile, Outcome, Plan, World};
 use invariants::observations::Observation;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Upstreams of 2 places and 60 to 100 ms a piece: 25 a second each, so 600 a second in this mix fill the first
@@ -147,19 +147,61 @@
     .run()
 }
 
+/// What became of the attempts in all runs of a case.
+struct AttemptCounts {
+    /// Attempts that were answered without being executed.
+    rejected: usize,
+    /// Attempts that reached an upstream, each counted once.
+    distinct: usize,
+    /// Arrivals at an upstream beyond the first of an attempt.
+    retried: usize,
+    /// The most attempts that started in 100 ms, relative to the mean.
+    burst: f64,
+}
+
+impl AttemptCounts {
+    fn of(outcomes: &[Outcome]) -> AttemptCounts {
+        let mut rejected = 0;
+        let mut arrived = 0;
+        let mut distinct = BTreeSet::new();
+        let mut started: BTreeMap<(usize, u128), usize> = BTreeMap::new();
+        for (run, outcome) in outcomes.iter().enumerate() {
+            for (at, observation) in &outcome.observations {
+                match observation {
+                    Observation::AttemptAnswered {
+                        not_executed: true, ..
+                    } => rejected += 1,
+                    Observation::RequestArrived { attempt_id, .. } => {
+                        arrived += 1;
+                        distinct.insert((run, attempt_id.as_str()));
+                    }
+                    Observation::AttemptStarted { .. } => {
+                        *started.entry((run, at.as_millis() / 100)).or_default() += 1;
+                    }
+                    _ => {}
+                }
+            }
+        }
+        let mean = started.values().sum::<usize>() as f64 / started.len().max(1) as f64;
+        AttemptCounts {
+            rejected,
+            distinct: distinct.len(),
+            retried: arrived - distinct.len(),
+            burst: started.values().max().copied().unwrap_or(0) as f64 / mean,
+        }
+    }
+}
+
 fn row(case: &Case, way: &str, outcomes: &[Outcome]) {
     let ended: Vec<_> = outcomes.iter().flat_map(|outcome| &outcome.ended).collect();
     let served: Vec<_> = ended.iter().filter(|ended| ended.code == 1000).collect();
-    let first = ended
-        .iter()
-        .map(|ended| ended.at.saturating_sub(ended.took))
-        .min()
-        .unwrap_or_default();
-    let last = ended
-        .iter()
-        .map(|ended| ended.at.saturating_sub(ended.took))
-        .max()
-        .unwrap_or_default();
+    let began = || {
+        ended
+            .iter()
+            .map(|ended| ended.at.saturating_sub(ended.took))
+    };
+    let first = began().min().unwrap_or_default();
+    let last = began().max().unwrap_or_default();
     let seconds = (last - first).as_secs_f64() * outcomes.len() as f64;
     let mut took: Vec<u64> = served
         .iter()
@@ -183,28 +225,8 @@
         .services
         .map(|profile| share(profile.service).to_string())
         .join("/");
-    let (mut denied, mut arrived, mut first) = (0usize, 0usize, std::collections::BTreeSet::new());
-    let mut attempts: BTreeMap<(usize, u128), usize> = BTreeMap::new();
-    outcomes.iter().enumerate().for_each(|(run, outcome)| {
-        outcome
-            .observations
-            .iter()
-            .for_each(|(at, observation)| match observation {
-                Observation::AttemptAnswered {
-                    not_executed: true, ..
-                } => denied += 1,
-                Observation::RequestArrived { attempt_id, .. } => {
-                    arrived += 1;
-                    first.insert((run, attempt_id.as_str()));
-                }
-                Observation::AttemptStarted { .. } => {
-                    *attempts.entry((run, at.as_millis() / 100)).or_default() += 1
-                }
-                _ => {}
-            });
-    });
-    let mean = attempts.values().sum::<usize>() as f64 / attempts.len().max(1) as f64;
-    let burst = attempts.values().max().copied().unwrap_or(0) as f64 / mean;
+    let attempts = AttemptCounts::of(outcomes);
+    let burst = attempts.burst;
     let violations: usize = outcomes
         .iter()
         .map(|outcome| outcome.violations.len())
@@ -215,7 +237,7 @@
         served.len() as f64 / seconds,
         at(50),
         at(99),
-        denied as f64 / seconds,
-        (arrived - first.len()) as f64 * 100.0 / first.len().max(1) as f64,
+        attempts.rejected as f64 / seconds,
+        attempts.retried as f64 * 100.0 / attempts.distinct.max(1) as f64,
     );
 }
--- a/crates/simulator/src/range_leases.rs
+++ b/crates/simulator/src/range_leases.rs
@@ -284,23 +284,9 @@
                 .collect(),
             until,
         );
-        let asked = !upstream.range_leases.ending.is_empty();
-        let (service, instance, keys) = (
-            upstream.profile.service.to_owned(),
-            upstream.instance.clone(),
-            upstream.range_leases.spans(),
-        );
-        keys.into_iter()
-            .filter(|(_, until)| now < *until)
-            .for_each(|(keys, until)| {
-                self.note(Observation::KeysHeld {
-                    service: service.clone(),
-                    keys,
-                    instance: instance.clone(),
-                    until,
-                });
-            });
-        if asked {
+        let must_release = !upstream.range_leases.ending.is_empty();
+        self.note_held_ranges(at);
+        if must_release {
             let wait = Duration::from_micros(self.random.below(AGAIN_MICROS));
             self.after(
                 wait,
@@ -312,4 +298,21 @@
             );
         }
     }
+
+    /// Notes the key ranges that an upstream holds at this moment.
+    fn note_held_ranges(&mut self, at: usize) {
+        let upstream = &self.upstreams[at];
+        let service = upstream.profile.service.to_owned();
+        let instance = upstream.instance.clone();
+        for (keys, until) in upstream.range_leases.spans() {
+            if self.now < until {
+                self.note(Observation::KeysHeld {
+                    service: service.clone(),
+                    keys,
+                    instance: instance.clone(),
+                    until,
+                });
+            }
+        }
+    }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -203,6 +203,7 @@
         self.finish(healed_at)
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of action")]
     fn act(&mut self, action: Action, load_until: Duration) {
         match action {
             Action::Tick { node, incarnation } => self.tick(node, incarnation),
@@ -260,15 +261,7 @@
             Action::ReceiveDuplicateResponse { connection, reply } => {
                 self.receive_duplicate_response(connection, reply)
             }
-            Action::StartOperation => {
-                if self.now < load_until {
-                    self.after(
-                        Duration::from_micros(1_000_000 / self.shape.per_second),
-                        Action::StartOperation,
-                    );
-                    self.start_operation();
-                }
-            }
+            Action::StartOperation => self.start_operation_until(load_until),
             Action::StartAttempt { operation } => self.start_attempt(operation),
             Action::ReceiveLookup {
                 operation,
@@ -288,15 +281,29 @@
             }
             Action::InjectFault { at } => self.inject_fault(at),
             Action::HealFault { at } => self.heal_fault(at),
-            Action::ObserveNodes => {
-                if !self.defects.revisions_unobserved {
-                    self.observe_nodes();
-                }
-                if self.now < load_until && self.now.as_millis().is_multiple_of(300) {
-                    self.probe_markers();
-                }
-                self.after(Duration::from_millis(100), Action::ObserveNodes);
-            }
+            Action::ObserveNodes => self.observe_and_probe(load_until),
+        }
+    }
+
+    /// Starts an operation and schedules the next one, until the load ends.
+    fn start_operation_until(&mut self, load_until: Duration) {
+        if self.now < load_until {
+            self.after(
+                Duration::from_micros(1_000_000 / self.shape.per_second),
+                Action::StartOperation,
+            );
+            self.start_operation();
+        }
+    }
+
+    /// Notes what each node serves, probes the markers at every third time, and schedules the next observation.
+    fn observe_and_probe(&mut self, load_until: Duration) {
+        if !self.defects.revisions_unobserved {
+            self.observe_nodes();
+        }
+        if self.now < load_until && self.now.as_millis().is_multiple_of(300) {
+            self.probe_markers();
         }
+        self.after(Duration::from_millis(100), Action::ObserveNodes);
     }
 }
--- a/crates/test-harness/src/commands/measure.rs
+++ b/crates/test-harness/src/commands/measure.rs
@@ -5,13 +5,14 @@
 use invariants::observations::ObservationLog;
 use name_directory::View;
 use protocol::{Upstream, ViewUpdate};
-use simulator::shapes::{KALAM, ROADWISE, Shape};
+use simulator::shapes::{KALAM, ROADWISE, ServiceProfile, Shape};
 use simulator::{Plan, World};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use testbed::fleet::Fleet;
+use testbed::link_proxies::LinkProxies;
 use testbed::runs::submit;
 use testbed::stand_in_clients::StandInClients;
 use testbed::stand_in_upstreams::{ANY_PORT, StandInUpstream};
@@ -20,6 +21,9 @@
 const ROUNDS: usize = 5;
 const CALLS: usize = 400;
 const LIMIT: Duration = Duration::from_secs(30);
+/// The service whose calls are measured, and how many upstreams serve it.
+const MEASURED_SERVICE: ServiceProfile = ROADWISE.services[0];
+const UPSTREAMS: usize = 6;
 
 /// Runs all measurements and prints them; true where all could be made.
 pub async fn run() -> bool {
@@ -37,16 +41,7 @@
     messages();
     let record = ObservationLog::default();
     let clock = Clock::default();
-    let programs = std::env::current_exe()
-        .map_err(|e| e.to_string())?
-        .parent()
-        .map(PathBuf::from)
-        .unwrap_or_default();
-    let folder = std::env::temp_dir().join(format!("measure-{}", std::process::id()));
-    let (mut fleet, _wires) = Fleet::create(&ROADWISE, &programs, &folder)
-        .await
-        .map_err(|e| e.to_string())?;
-    fleet.start().map_err(|e| e.to_string())?;
+    let (fleet, _links) = start_fleet().await?;
     let nodes = Arc::new(fleet.nodes());
     if !Fleet::ready(&nodes, LIMIT).await {
         return Err("the fleet was not ready".into());
@@ -61,13 +56,42 @@
         0,
     )
     .await?;
-    let work = ROADWISE.services[0];
+    let upstreams = start_upstreams(&nodes, clock, &record).await?;
+    await_first_success(&nodes, clock, &record).await;
+    latency(&nodes[0], &upstreams[0], MEASURED_SERVICE.service).await?;
+    update(&record, &clock, &nodes).await?;
+    upstreams.iter().for_each(|upstream| upstream.crash());
+    fleet.remove();
+    Ok(())
+}
+
+/// Starts the processes of a site, and the links between them.
+async fn start_fleet() -> Result<(Fleet, Arc<LinkProxies>), String> {
+    let programs = std::env::current_exe()
+        .map_err(|e| e.to_string())?
+        .parent()
+        .map(PathBuf::from)
+        .unwrap_or_default();
+    let folder = std::env::temp_dir().join(format!("measure-{}", std::process::id()));
+    let (mut fleet, links) = Fleet::create(&ROADWISE, &programs, &folder)
+        .await
+        .map_err(|e| e.to_string())?;
+    fleet.start().map_err(|e| e.to_string())?;
+    Ok((fleet, links))
+}
+
+/// Starts the upstreams of the measured service.
+async fn start_upstreams(
+    nodes: &Arc<Vec<String>>,
+    clock: Clock,
+    record: &ObservationLog,
+) -> Result<Vec<Arc<StandInUpstream>>, String> {
     let mut upstreams = Vec::new();
-    for at in 0..6 {
+    for at in 0..UPSTREAMS {
         let (name, place) = (format!("unit-{at}"), ROADWISE.locality(at));
         let upstream = StandInUpstream::start(
             ANY_PORT,
-            work,
+            MEASURED_SERVICE,
             name,
             place,
             true,
@@ -77,6 +101,11 @@
         );
         upstreams.push(upstream.await.map_err(|e| e.to_string())?);
     }
+    Ok(upstreams)
+}
+
+/// Runs operations until one of the measured service succeeds.
+async fn await_first_success(nodes: &[String], clock: Clock, record: &ObservationLog) {
     let clients = StandInClients::new(
         ROADWISE,
         nodes[..ROADWISE.machines].to_vec(),
@@ -86,15 +115,10 @@
     while !clients
         .finished()
         .iter()
-        .any(|finished| finished.service == work.service && finished.code == 1000)
+        .any(|finished| finished.service == MEASURED_SERVICE.service && finished.code == 1000)
     {
         clients.run_operation().await;
     }
-    latency(&nodes[0], &upstreams[0], work.service).await?;
-    update(&record, &clock, &nodes).await?;
-    upstreams.iter().for_each(|upstream| upstream.crash());
-    fleet.remove();
-    Ok(())
 }
 
 /// Parcels a second and node, over links, at several sizes of fleet (simulated, quiet).
--- a/crates/testbed/src/scripted/peer.rs
+++ b/crates/testbed/src/scripted/peer.rs
@@ -272,10 +272,8 @@
 
     async fn serve(self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        match self
-            .with(|script| script.openings.pop_front())
-            .unwrap_or(ConnectionStart::Serve)
-        {
+        let opening = self.with(|script| script.openings.pop_front());
+        match opening.unwrap_or(ConnectionStart::Serve) {
             ConnectionStart::Serve => {}
             ConnectionStart::Close => return,
             ConnectionStart::Reset => return reset(stream),
@@ -285,48 +283,11 @@
         }
         let (mut read, mut carried) = (Vec::new(), 0);
         loop {
-            let Some(request) =
-                read_head(&mut stream, &mut read, self.conventions.request_id).await
-            else {
-                return;
-            };
-            self.events.note(Event::Arrived {
-                attempt_id: request.attempt_id.clone(),
-            });
-            let step = self.with(|script| script.steps.pop_front());
-            let step = step.unwrap_or(Step {
-                fault: ResponseFault::Complete,
-                yields: 0,
-            });
-            let reads_first = !matches!(
-                step.fault,
-                ResponseFault::Early
-                    | ResponseFault::EarlyThenClose
-                    | ResponseFault::EarlyExtraResponse
-            );
-            if reads_first
-                && read_body(&mut stream, &mut read, request.body_bytes)
-                    .await
-                    .is_none()
-            {
-                return;
-            }
-            let Some(then) = self
-                .perform(&mut stream, step, &request.attempt_id, carried)
-                .await
-            else {
+            let Some(next) = self.serve_request(&mut stream, &mut read, carried).await else {
                 return;
             };
             carried += 1;
-            self.with(|script| script.seen.push(request.attempt_id.clone()));
-            if !reads_first
-                && read_body(&mut stream, &mut read, request.body_bytes)
-                    .await
-                    .is_none()
-            {
-                return;
-            }
-            match then {
+            match next {
                 ConnectionStep::Next => {}
                 ConnectionStep::Close => return,
                 ConnectionStep::Reset => return reset(stream),
@@ -335,6 +296,42 @@
         }
     }
 
+    /// Reads a request and responds to it as the script says; `carried` requests came on this connection before. None where
+    /// the client is gone.
+    async fn serve_request(
+        &self,
+        stream: &mut TcpStream,
+        read: &mut Vec<u8>,
+        carried: u32,
+    ) -> Option<ConnectionStep> {
+        let request = read_head(stream, read, self.conventions.request_id).await?;
+        self.events.note(Event::Arrived {
+            attempt_id: request.attempt_id.clone(),
+        });
+        let step = self.with(|script| script.steps.pop_front());
+        let step = step.unwrap_or(Step {
+            fault: ResponseFault::Complete,
+            yields: 0,
+        });
+        let reads_first = !matches!(
+            step.fault,
+            ResponseFault::Early
+                | ResponseFault::EarlyThenClose
+                | ResponseFault::EarlyExtraResponse
+        );
+        if reads_first {
+            read_body(stream, read, request.body_bytes).await?;
+        }
+        let next = self
+            .perform(stream, step, &request.attempt_id, carried)
+            .await?;
+        self.with(|script| script.seen.push(request.attempt_id.clone()));
+        if !reads_first {
+            read_body(stream, read, request.body_bytes).await?;
+        }
+        Some(next)
+    }
+
     /// Writes the response with its fault; none where the client is gone.
     async fn perform(
         &self,
--- a/crates/testbed/src/stand_in_upstreams.rs
+++ b/crates/testbed/src/stand_in_upstreams.rs
@@ -324,35 +324,11 @@
             return std::future::pending().await;
         }
         let attempt_id = request.header("x-try-id").to_owned();
-        let arrived = Observation::RequestArrived {
-            attempt_id: attempt_id.clone(),
-            service: request.path.trim_start_matches('/').into(),
-            instance: self.instance.clone(),
-            locality: self.locality.clone(),
-            cold: !self.warm.load(Ordering::Acquire),
-        };
-        self.record.note(self.clock.now(), arrived);
-        marker_index(self.work.service)
-            .into_iter()
-            .for_each(|marker| {
-                let node = request.header("x-proxy").to_owned();
-                self.record.note(
-                    self.clock.now(),
-                    Observation::MarkerReached { node, marker },
-                );
-            });
+        self.note_arrival(&request);
         let busy = self.busy.fetch_add(1, Ordering::AcqRel);
         let runs = busy < SLOTS && self.may_execute(&request);
         let body = if runs {
-            let work = String::from_utf8_lossy(&request.body).into_owned();
-            let ran = Observation::OperationExecuted {
-                operation: work.clone(),
-                attempt_id: attempt_id.clone(),
-                at_most_once: self.work.at_most_once,
-            };
-            self.record.note(self.clock.now(), ran);
-            tokio::time::sleep(EXECUTION_TIME).await;
-            work
+            self.execute(&request).await
         } else {
             "not run".to_owned()
         };
@@ -365,16 +341,59 @@
             garbled.then(|| random.below(4)),
         ) {
             (true, _) | (_, Some(0)) => std::future::pending().await,
-            (_, Some(1)) => {
-                self.sealed_response("try-of-another", status, "work-of-another".into())
-            }
-            (_, Some(2)) => Response::new(Full::new(Bytes::from("noise"))),
-            (_, Some(_)) => {
-                let mut short = self.sealed_response(&attempt_id, status, body.clone());
+            (_, Some(kind)) => self.garbled_response(kind, &attempt_id, status, body),
+            _ => self.sealed_response(&attempt_id, status, body),
+        }
+    }
+
+    /// Notes that a request arrived, and by which marker.
+    fn note_arrival(&self, request: &HttpRequest) {
+        let arrived = Observation::RequestArrived {
+            attempt_id: request.header("x-try-id").to_owned(),
+            service: request.path.trim_start_matches('/').into(),
+            instance: self.instance.clone(),
+            locality: self.locality.clone(),
+            cold: !self.warm.load(Ordering::Acquire),
+        };
+        self.record.note(self.clock.now(), arrived);
+        if let Some(marker) = marker_index(self.work.service) {
+            let node = request.header("x-proxy").to_owned();
+            self.record.note(
+                self.clock.now(),
+                Observation::MarkerReached { node, marker },
+            );
+        }
+    }
+
+    /// Executes the operation of a request, which is also its result.
+    async fn execute(&self, request: &HttpRequest) -> String {
+        let operation = String::from_utf8_lossy(&request.body).into_owned();
+        let executed = Observation::OperationExecuted {
+            operation: operation.clone(),
+            attempt_id: request.header("x-try-id").to_owned(),
+            at_most_once: self.work.at_most_once,
+        };
+        self.record.note(self.clock.now(), executed);
+        tokio::time::sleep(EXECUTION_TIME).await;
+        operation
+    }
+
+    /// A response that no proxy may take for the result: another attempt's, one without headers, or a truncated one.
+    fn garbled_response(
+        &self,
+        kind: u64,
+        attempt_id: &str,
+        status: u16,
+        body: String,
+    ) -> Response<Full<Bytes>> {
+        match kind {
+            1 => self.sealed_response("try-of-another", status, "work-of-another".into()),
+            2 => Response::new(Full::new(Bytes::from("noise"))),
+            _ => {
+                let mut short = self.sealed_response(attempt_id, status, body.clone());
                 *short.body_mut() = Full::new(Bytes::from(body[..body.len() / 2].to_owned()));
                 short
             }
-            _ => self.sealed_response(&attempt_id, status, body),
         }
     }
 
