--- a/crates/control-plane/src/daemon/mod.rs
+++ b/crates/control-plane/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon around [`ControlNode`](crate::ControlNode): sockets, timers and the storage threads become events, and the
+//! The daemon around [`ControlNode`]: sockets, timers and the storage threads become events, and the
 //! node's effects are carried out.
 //!
 //! [`run`] starts everything, drives the event loop until the process was asked to stop, and shuts down.
